--- a/packages/control-feed/src/configuration-feed.test.ts
+++ b/packages/control-feed/src/configuration-feed.test.ts
@@ -91,7 +91,7 @@
         if (replica.version > version) tell();
         return { version: replica.version, membershipEpoch: 1, voting: true, leased: replica.leased };
       },
-      rank: () => i,
+      rankAmongLive: () => i,
       liveReplicas: () => addresses,
       replica: {
         state: () => 'voting',
--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -5,7 +5,7 @@
  * to one follower is paced, and the last thing sent is always the newest.
  */
 import { every, micros, type Address, type MessageOf, type NewsItem, type World } from '@tansypost/inner-protocol';
-import type { ControlNode, Following } from '@tansypost/control-state';
+import type { ControlNode, FollowStatus } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationHistory } from './configuration-history.js';
 
@@ -20,7 +20,7 @@
 
 export interface ConfigurationPublisher {
   /** Sends a follower that asks what it lacks, and gives what is to be said in the beat. */
-  readonly asked: (question: MessageOf<'Follow'>, from: Address) => Following | undefined;
+  readonly asked: (question: MessageOf<'Follow'>, from: Address) => FollowStatus | undefined;
   /** What this node's own replica tells it as a follower. */
   readonly take: (told: MessageOf<'News'>) => void;
   /** Another control node has told that a version is on a majority. */
@@ -66,7 +66,7 @@
   }
 
   /** Renews what this node follows at its own replica; what is newer comes back as news to this address. */
-  function refresh(key = configurationKey): Following | undefined {
+  function refresh(key = configurationKey): FollowStatus | undefined {
     const version = key === configurationKey ? newestVersion() : (others.get(key)?.version ?? 0);
     return options.controlNode()?.follow(key, version, anyMembership, options.self);
   }
@@ -80,7 +80,7 @@
     return pace;
   }
 
-  function asked(question: MessageOf<'Follow'>, from: Address): Following | undefined {
+  function asked(question: MessageOf<'Follow'>, from: Address): FollowStatus | undefined {
     if (question.key !== configurationKey) return void askedForOther(question, from);
     const following = refresh();
     const pace = paceOf(from);
--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -250,7 +250,7 @@
       c
         .machine(n)
         .host!.core()!
-        .owned()
+        .ledKeys()
         .some((k) => k.key === configurationKey),
     )!;
     c.kill(owner);
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -4,7 +4,7 @@
  */
 import { describe, expect, it } from 'vitest';
 import * as E from 'fp-ts/lib/Either.js';
-import { encodeMembership, leaseLength, membershipKey, readJournal } from '@tansypost/control-state';
+import { encodeMembership, servingLeaseUs, membershipKey, readJournal } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { foundControlCluster, seedNames, type ClusterMachine, type ControlCluster } from '@tansypost/simulator';
 import type { CoreAnswer } from './asker.js';
@@ -46,7 +46,7 @@
     for (const name of seedNames) expect(await leasedAt(cluster, name)).toBe(true);
     cluster.net.cut('alone', (from, to) => (from === 'c0') !== (to === 'c0'));
     expect((await put(cluster, 'c1', 1, 'two')).status).toBe('done');
-    await cluster.run(leaseLength / 1000);
+    await cluster.run(servingLeaseUs / 1000);
     expect(follow(cluster, 'c0')).toMatchObject({ version: 1, voting: true, leased: false });
     expect(await leasedAt(cluster, 'c1')).toBe(true);
     await cluster.run(20_000);
@@ -75,7 +75,7 @@
       to === 'c0' && ['Accept', 'Committed', 'CopyPage', 'News'].includes(message.kind) ? [] : undefined,
     );
     expect((await put(cluster, 'c1', 1, 'two')).status).toBe('done');
-    await cluster.run(leaseLength / 1000);
+    await cluster.run(servingLeaseUs / 1000);
     expect(follow(cluster, 'c0')).toMatchObject({ version: 1, leased: false });
   });
 });
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -3,7 +3,7 @@
  * configuration, the replicas, the workers and their loads.
  */
 import { micros, type Address, type Message, type MessageOf, type World } from '@tansypost/inner-protocol';
-import type { ControlNode, Following } from '@tansypost/control-state';
+import type { ControlNode, FollowStatus } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationPublisher } from './configuration-publisher.js';
 import { createFollowerRegistry } from './follower-registry.js';
@@ -47,7 +47,7 @@
 }
 
 /** What a control node says of itself before it has a replica. */
-const noReplica: Following = { version: 0, membershipEpoch: 0, voting: false, leased: false };
+const noReplica: FollowStatus = { version: 0, membershipEpoch: 0, voting: false, leased: false };
 function noSeeds(): readonly Address[] {
   return [];
 }
@@ -59,7 +59,7 @@
   const followers = createFollowerRegistry(world);
   const workerList = createWorkerListWatch(world, {
     ...options,
-    rank: () => options.keeper()?.rank() ?? 0,
+    rank: () => options.keeper()?.rankAmongLive() ?? 0,
     followers: followers.addresses,
   });
   const configuration = createConfigurationPublisher(world, {
@@ -70,9 +70,9 @@
   });
   const loads = createWorkerLoadTable(world);
   let relayed: MessageOf<'Reading'>['reads'] = [];
-  let last: Following = noReplica;
+  let last: FollowStatus = noReplica;
 
-  function sendBeat(to: Address, following: Following, asked: number): void {
+  function sendBeat(to: Address, following: FollowStatus, asked: number): void {
     world.send(to, {
       kind: 'Beat',
       version: following.version,
@@ -143,7 +143,7 @@
 
   function shareOfWorkers(): { rank: number; nodes: number } | undefined {
     const node = options.keeper();
-    return node === undefined ? undefined : { rank: node.rank(), nodes: node.liveReplicas().length };
+    return node === undefined ? undefined : { rank: node.rankAmongLive(), nodes: node.liveReplicas().length };
   }
 
   function toldOfLoads(): readonly Address[] {
--- a/packages/control-state/src/acceptor.ts
+++ b/packages/control-state/src/acceptor.ts
@@ -6,7 +6,7 @@
 import type { MessageOf } from '@tansypost/inner-protocol';
 import type { ReplicaState, ReplicaStorage } from './replica-storage.js';
 import type { AppliedChange } from './change-history.js';
-import { newer, type Row } from './row.js';
+import { isNewer, type Row } from './row.js';
 
 /** One replica's answer to a request of a quorum round. */
 export type Vote = MessageOf<'Vote'>;
@@ -79,7 +79,7 @@
 
   function accept(request: MessageOf<'Accept'>, row: Row, answer: (vote: Vote) => void): void {
     if (request.epoch < row.promised) return answer(voteFor(request, false, withoutValue(row)));
-    if (!newer(request, row)) {
+    if (!isNewer(request, row)) {
       const same = request.epoch === row.epoch;
       return options.putRow(request.key, row, request.changes, (ok) =>
         answer(voteFor(request, ok && same, withoutValue(row))),
--- a/packages/control-state/src/founding-watch.ts
+++ b/packages/control-state/src/bootstrap-wait-report.ts
@@ -8,7 +8,7 @@
 const tellEvery = 30_000_000;
 
 /** Looks each second until it is stopped. */
-export function watchFounding(world: World, replica: Pick<Replica, 'waitsFor'>): () => void {
+export function reportBootstrapWait(world: World, replica: Pick<Replica, 'waitsFor'>): () => void {
   let foundedAt = world.now();
   let toldAt = -Infinity;
 
--- a/packages/control-state/src/catch-up.ts
+++ b/packages/control-state/src/catch-up.ts
@@ -7,7 +7,7 @@
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
 import { copiesNeeded, type MembershipRecord } from './membership-record.js';
 import type { ReplicaState, ReplicaStorage } from './replica-storage.js';
-import { merge, newer, type Row } from './row.js';
+import { mergeRows, isNewer, type Row } from './row.js';
 
 type CopyPage = MessageOf<'CopyPage'>;
 type CopyRequest = MessageOf<'CopyAsk'>;
@@ -143,12 +143,12 @@
     const { key, promised, epoch, version, value, changes } = record;
     const copied: Row = { promised, epoch, version, value };
     const present = storage.row(key);
-    if (options.state() === 'blank') return options.putRow(key, merge(present, copied), changes, done);
+    if (options.state() === 'blank') return options.putRow(key, mergeRows(present, copied), changes, done);
     // A voting replica takes a row as it would take the leader's Accept: never below what it has promised since.
-    const isNewer = newer(copied, present) && epoch >= present.promised;
+    const replaces = isNewer(copied, present) && epoch >= present.promised;
     const missed = changes.filter((change) => (storage.history(key).at(change.version)?.epoch ?? -1) < change.epoch);
-    if (!isNewer && missed.length === 0) return done(true);
-    options.putRow(key, isNewer ? { ...copied, promised: epoch } : present, missed, done);
+    if (!replaces && missed.length === 0) return done(true);
+    options.putRow(key, replaces ? { ...copied, promised: epoch } : present, missed, done);
   }
 
   function settle(entry: ReplicaEntry, received: CopyPage, askedAt: number): void {
--- a/packages/control-state/src/change-history.ts
+++ b/packages/control-state/src/change-history.ts
@@ -19,7 +19,7 @@
  * How many versions back a change stays known: at 13 changes a second ten minutes, at 500 a day two weeks. A leader
  * writes one change after the other, each with a sync, so a disk of 5 ms a sync cannot use it up in less than 40 s.
  */
-export const keptChanges = 8192;
+export const maxKeptChanges = 8192;
 
 /** The changes of one key that are still known. */
 export interface ChangeHistory {
@@ -35,7 +35,7 @@
 }
 
 /** Makes an empty history that keeps the changes of so many versions. */
-export function createChangeHistory(kept = keptChanges): ChangeHistory {
+export function createChangeHistory(kept = maxKeptChanges): ChangeHistory {
   const byVersion = new Map<number, AppliedChange>();
   const versions = new Map<string, number>();
   let oldest = Infinity;
--- a/packages/control-state/src/control-node.ts
+++ b/packages/control-state/src/control-node.ts
@@ -14,11 +14,11 @@
   type World,
 } from '@tansypost/inner-protocol';
 import { createAntiEntropy } from './anti-entropy.js';
-import { isLeasedToRouters, isPrivate, type Cluster } from './cluster.js';
+import { isLeasedToRouters, isInternalKey, type NodeContext } from './node-context.js';
 import { createCommittedRows } from './committed-rows.js';
-import { createFollowers, type Following } from './followers.js';
-import { watchFounding } from './founding-watch.js';
-import { createHandOver, type HandOverResult } from './hand-over.js';
+import { createFollowers, type FollowStatus } from './followers.js';
+import { reportBootstrapWait } from './bootstrap-wait-report.js';
+import { createGracefulLeave, type LeaveResult } from './graceful-leave.js';
 import { createKeyLeader, type KeyLeader } from './key-leader.js';
 import { createKeyRequests } from './key-requests.js';
 import { membershipKey } from './membership-record.js';
@@ -27,23 +27,23 @@
 import { createQuorumRounds } from './quorum-round.js';
 import { createReplica, type Replica, type ReplicaOptions } from './replica.js';
 import type { ReplicaState } from './replica-storage.js';
-import { watchReplicaShortage } from './replica-shortage.js';
+import { reportReplicaShortage } from './replica-shortage.js';
 import { createRouterLeases } from './router-leases.js';
 import type { Row } from './row.js';
-import { createServingLeases, renewEvery } from './serving-lease.js';
+import { createServingLeases, renewalInterval } from './serving-lease.js';
 
 /** The settings of a control node. */
 export interface ControlNodeOptions extends Omit<ReplicaOptions, 'learned'> {
   /** The length of the leases that routers are granted, in microseconds. */
-  readonly tenure: number;
+  readonly routerLeaseUs: number;
   /** Addresses that are told the membership now and then without asking. */
   readonly seeds: readonly Address[];
-  readonly sweepEvery?: number;
+  readonly antiEntropyIntervalUs?: number;
   /** After what silence a replica may be replaced. */
-  readonly missingAfter?: number;
+  readonly missingAfterUs?: number;
   /** How many replicas the cluster grows to; see `replicasFor`. */
-  readonly wantedReplicas?: number;
-  readonly note?: (what: 'committed' | 'acknowledged', key: string, version: number) => void;
+  readonly targetReplicas?: number;
+  readonly observe?: (what: 'committed' | 'acknowledged', key: string, version: number) => void;
 }
 
 /** A key that this node leads. */
@@ -58,13 +58,13 @@
   readonly receive: (message: Message, from: Address) => void;
   readonly replica: Replica;
   /** Takes in that somebody follows a key, and sends what is newer than what it has. */
-  readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => Following;
+  readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => FollowStatus;
   /** Where this replica stands among the live ones: 0 is the first. */
-  readonly rank: () => number;
+  readonly rankAmongLive: () => number;
   readonly liveReplicas: () => readonly Address[];
-  readonly owned: () => LedKey[];
+  readonly ledKeys: () => LedKey[];
   /** Leaves within `limit` microseconds: its keys and, if a machine stands ready, its slot go to others. */
-  readonly leave: (limit: number, done: (result: HandOverResult) => void) => void;
+  readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => void;
 }
 
@@ -76,18 +76,18 @@
 
 /** Starts a control node on what its disk holds. */
 export function createControlNode(world: World, options: ControlNodeOptions): ControlNode {
-  const replica = createReplica(world, { ...options, entered, learned });
+  const replica = createReplica(world, { ...options, onStateChange: entered, learned });
   const rounds = createQuorumRounds({ ...world, send: sendFromSelf }, replica);
   const leaders = new Map<string, KeyLeader>();
-  const cluster: Cluster = { world, self: options.self, replica, rounds, leader, leaders: () => leaders };
+  const cluster: NodeContext = { world, self: options.self, replica, rounds, leaderOf: leader, leaders: () => leaders };
   const slotsAreStated = options.slot !== undefined;
   const peers = createPeerLiveness(world, replica, {
-    ...(options.missingAfter === undefined ? {} : { missingAfter: options.missingAfter }),
+    ...(options.missingAfterUs === undefined ? {} : { missingAfterUs: options.missingAfterUs }),
     reunited: replica.catchUp.restart,
   });
   const committed = createCommittedRows(cluster);
   const servingLeases = createServingLeases(cluster, committed);
-  const routerLeases = createRouterLeases(cluster, options.tenure);
+  const routerLeases = createRouterLeases(cluster, options.routerLeaseUs);
   const followers = createFollowers({
     cluster,
     committed,
@@ -103,16 +103,16 @@
     slotsAreStated,
     isCoordinator: () => shouldLead(membershipKey),
     tried: greet,
-    ...(options.wantedReplicas === undefined ? {} : { wantedReplicas: options.wantedReplicas }),
+    ...(options.targetReplicas === undefined ? {} : { targetReplicas: options.targetReplicas }),
   });
   const request = createKeyRequests({
     cluster,
     preferredLeader,
     routerLeases,
-    acknowledged: (key, version) => options.note?.('acknowledged', key, version),
+    acknowledged: (key, version) => options.observe?.('acknowledged', key, version),
   });
   const sweep = createAntiEntropy({ cluster, shouldLead, confirmed: announceCommit });
-  const handOver = createHandOver({ cluster, hasCandidate: membershipChanges.hasCandidate, announce: greet });
+  const handOver = createGracefulLeave({ cluster, hasCandidate: membershipChanges.hasCandidate, announce: greet });
 
   function sendFromSelf(to: Address, message: Message): void {
     world.send(
@@ -124,7 +124,7 @@
   function leader(key: string): KeyLeader {
     let present = leaders.get(key);
     if (present === undefined) {
-      present = createKeyLeader(world, { key, replica, rounds, committed: (row) => onCommitted(key, row) });
+      present = createKeyLeader(world, { key, replica, rounds, onCommitted: (row) => onCommitted(key, row) });
       leaders.set(key, present);
     }
     return present;
@@ -132,7 +132,7 @@
 
   function onCommitted(key: string, row: Row): void {
     committed.written(key, row);
-    options.note?.('committed', key, row.version);
+    options.observe?.('committed', key, row.version);
     followers.push(key, row);
     announceCommit(key, row);
   }
@@ -149,7 +149,7 @@
 
   /** Tells the other replicas up to which row a key is on a majority. */
   function announceCommit(key: string, row: Row): void {
-    if (row.version === 0 || isPrivate(key) || isLeasedToRouters(key)) return;
+    if (row.version === 0 || isInternalKey(key) || isLeasedToRouters(key)) return;
     const { epoch, version } = row;
     for (const entry of replica.membership().replicas)
       if (entry.slot !== replica.slot) world.send(entry.address as Address, { kind: 'Committed', key, epoch, version });
@@ -162,7 +162,7 @@
   }
 
   function onHello(hello: MessageOf<'ReplicaHello'>): void {
-    if (replica.isForeign(hello)) return;
+    if (replica.isFromOtherCluster(hello)) return;
     if (!slotsAreStated) peers.noticeNewDisks();
     const from = hello.from as Address;
     const entry = replica.membership().replicas.find((member) => member.slot === hello.slot);
@@ -171,7 +171,7 @@
     const { membershipEpoch } = replica.membership();
     // Told slimly of a membership record that it has not, as who tells it knew the disk before it was lost.
     if (hello.membershipEpoch > membershipEpoch && hello.replicas.length === 0) world.send(from, replica.hello());
-    replica.heard(hello);
+    replica.receiveHello(hello);
     if (replica.state() === 'blank' && replica.membership().membershipEpoch > membershipEpoch) replica.tick();
     if (replica.state() !== 'voting' || hello.slot === replica.slot) return;
     if (!isOtherDisk) finishMembershipIfBehind(hello);
@@ -218,7 +218,7 @@
   function greetReplicas(): void {
     const { replicas, membershipEpoch } = replica.membership();
     const same = new Set(replicas.filter((entry) => peers.hasSameMembership(entry.slot)).map((entry) => entry.address));
-    const founders = slotsAreStated || membershipEpoch === 0 ? options.core : [];
+    const founders = slotsAreStated || membershipEpoch === 0 ? options.bootstrapMembers : [];
     const whole = replica.hello();
     const slim = replica.hello(true);
     for (const address of others([...founders, ...replicas.map((entry) => entry.address)]))
@@ -228,21 +228,21 @@
   function askToJoin(): void {
     const { replicas } = replica.membership();
     const caughtUp = replica.catchUp.isCaughtUp();
-    const first = options.founds === true;
-    for (const address of others([...options.core, ...replicas.map((entry) => entry.address)]))
+    const first = options.mayBootstrap === true;
+    for (const address of others([...options.bootstrapMembers, ...replicas.map((entry) => entry.address)]))
       world.send(address, { kind: 'Join', from: options.self, disk: replica.diskId(), first, caughtUp });
   }
 
   /** Only machines that hold no state yet tell it, and only where no seed holds any. */
   function tellFoundingView(): void {
-    const view = replica.foundingView();
+    const view = replica.bootstrapView();
     for (const address of view?.to ?? []) world.send(address, view!.message);
   }
 
   /** A candidate that does not know of the cluster yet is shown it. */
   function onFoundingView(view: MessageOf<'FoundingView'>): void {
     if (replica.membership().membershipEpoch > 0) world.send(view.from as Address, replica.hello());
-    else replica.candidates(view);
+    else replica.receiveCandidates(view);
   }
 
   function others(addresses: readonly string[]): Address[] {
@@ -252,7 +252,7 @@
   }
 
   function entered(state: ReplicaState): void {
-    options.entered?.(state);
+    options.onStateChange?.(state);
     if (state !== 'fenced') world.after(micros(0), greet);
   }
 
@@ -275,13 +275,13 @@
       case 'Check':
         return replica.vote(message, (vote) => world.send(message.from as Address, vote));
       case 'Vote':
-        return rounds.vote(message);
+        return rounds.receiveVote(message);
       case 'ReplicaHello':
         return onHello(message);
       case 'HoldsNoState':
-        return replica.withoutState(message.from as Address);
+        return replica.markStateless(message.from as Address);
       case 'FoundingRoster':
-        return replica.candidates(message);
+        return replica.receiveCandidates(message);
       case 'FoundingView':
         return onFoundingView(message);
       case 'Join':
@@ -305,25 +305,25 @@
     every(world, () => greetEvery, greet),
     every(world, () => announceEvery, followers.announceMembership),
     every(world, () => pruneEvery, routerLeases.prune),
-    every(world, () => micros(options.sweepEvery ?? defaultSweepEvery), sweep),
-    every(world, () => renewEvery, servingLeases.renew),
+    every(world, () => micros(options.antiEntropyIntervalUs ?? defaultSweepEvery), sweep),
+    every(world, () => renewalInterval, servingLeases.renew),
   ];
-  stops.push(watchFounding(world, replica));
-  if (options.wantedReplicas !== undefined)
+  stops.push(reportBootstrapWait(world, replica));
+  if (options.targetReplicas !== undefined)
     stops.push(
-      watchReplicaShortage(world, {
+      reportReplicaShortage(world, {
         replica,
         isCoordinator: () => shouldLead(membershipKey),
-        wantedReplicas: options.wantedReplicas,
+        targetReplicas: options.targetReplicas,
       }),
     );
   return {
     receive,
     replica,
     follow: followers.follow,
-    rank,
+    rankAmongLive: rank,
     liveReplicas: () => peers.live().map((entry) => entry.address as Address),
-    owned: () => [...leaders].filter(([, each]) => each.leads()).map(([key, each]) => ledKey(key, each)),
+    ledKeys: () => [...leaders].filter(([, each]) => each.isLeading()).map(([key, each]) => ledKey(key, each)),
     leave: handOver.begin,
     stop: () => stops.forEach((stop) => stop()),
   };
--- a/packages/control-state/src/roster-founding.test.ts
+++ b/packages/control-state/src/discovery-bootstrap.test.ts
@@ -1,14 +1,17 @@
 import { expect, it } from 'vitest';
 import type { Address, FoundingCandidate, MessageOf } from '@tansypost/inner-protocol';
-import { createRosterFounding } from './roster-founding.js';
+import { createDiscoveryBootstrap } from './discovery-bootstrap.js';
 
 const seeds = ['s:1', 't:1', 'u:1'] as Address[];
 const [a, b, c, d] = ['a', 'b', 'c', 'd'].map((name) => ({ address: `${name}:1`, disk: `disk ${name}` }));
 
-function founding(self: FoundingCandidate, over: { mayBegin?: boolean; fewest?: number; most?: number } = {}) {
+function founding(
+  self: FoundingCandidate,
+  over: { mayBegin?: boolean; minMembers?: number; maxMembers?: number } = {},
+) {
   const { address, disk } = self;
-  const settings = { mayBegin: true, fewest: 3, most: 3, ...over };
-  return createRosterFounding({ self: address as Address, diskId: () => disk, seeds, ...settings });
+  const settings = { mayBegin: true, minMembers: 3, maxMembers: 3, ...over };
+  return createDiscoveryBootstrap({ self: address as Address, diskId: () => disk, seeds, ...settings });
 }
 
 function roster(
@@ -40,7 +43,7 @@
 });
 
 it('waits for a seed that it has not heard, as that one may hold state and found by itself', () => {
-  const node = founding(a!, { fewest: 1 });
+  const node = founding(a!, { minMembers: 1 });
   for (const seed of seeds.slice(0, 2)) node.roster(roster(seed, [a!]));
   expect(node.members()).toBeUndefined();
   expect(node.waitsFor()).toEqual({ why: 'seeds not heard', seeds: ['u:1'] });
@@ -49,7 +52,7 @@
 });
 
 it('waits where most seeds were restarted, as these may have forgotten other founders', () => {
-  const node = founding(a!, { fewest: 1 });
+  const node = founding(a!, { minMembers: 1 });
   node.roster(roster(seeds[0]!, [a!]));
   for (const seed of seeds.slice(1)) node.roster(roster(seed, [a!], false));
   const why = 'too few seeds remember the first start';
@@ -61,7 +64,7 @@
   for (const seed of seeds) few.roster(roster(seed, [a!, b!]));
   expect(few.waitsFor()).toEqual({ why: 'too few machines with a disk', known: 2, needed: 3 });
   const all = [a!, b!, c!, d!];
-  const many = founding(b!, { most: 5 });
+  const many = founding(b!, { maxMembers: 5 });
   for (const seed of seeds) many.roster(roster(seed, all));
   for (const other of [a!, c!, d!]) many.view(view(other, all));
   expect(addresses(many.members())).toEqual(['a:1', 'b:1', 'c:1']);
@@ -79,7 +82,7 @@
 });
 
 it('never founds in a process that was started again: it does not know what the earlier one has told', () => {
-  const node = founding(a!, { mayBegin: false, fewest: 1 });
+  const node = founding(a!, { mayBegin: false, minMembers: 1 });
   for (const seed of seeds) node.roster(roster(seed, [a!]));
   expect([node.members(), node.waitsFor()]).toEqual([undefined, { why: 'not the first start' }]);
 });
@@ -92,7 +95,7 @@
 });
 
 it('takes no word of a machine that is no seed of the first start', () => {
-  const node = founding(a!, { fewest: 1 });
+  const node = founding(a!, { minMembers: 1 });
   for (const stranger of ['x:1', 'y:1', 'z:1'] as Address[]) node.roster(roster(stranger, [a!, b!]));
   expect([node.greeting(), node.members()]).toEqual([undefined, undefined]);
 });
--- a/packages/control-state/src/roster-founding.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -16,7 +16,7 @@
 type FoundingView = MessageOf<'FoundingView'>;
 
 /** Who may found a cluster, and with how many. */
-export interface RosterFoundingOptions {
+export interface DiscoveryBootstrapOptions {
   readonly self: Address;
   readonly diskId: () => string;
   /** The seeds of the first start; all machines were given the same. */
@@ -24,13 +24,13 @@
   /** Whether this process may begin a cluster: it has run since the first start of the whole system. */
   readonly mayBegin: boolean;
   /** The fewest machines that found a cluster. */
-  readonly fewest: number;
+  readonly minMembers: number;
   /** The most machines that hold a replica at first. */
-  readonly most: number;
+  readonly maxMembers: number;
 }
 
 /** What a machine that holds no state yet waits for. */
-export type FoundingWait =
+export type BootstrapWait =
   | { readonly why: 'not the first start' }
   | { readonly why: 'founders not heard'; readonly machines: readonly string[] }
   | { readonly why: 'founders have yet to begin'; readonly machines: readonly string[] }
@@ -40,7 +40,7 @@
   | { readonly why: 'machines not heard or not of one view'; readonly machines: readonly string[] };
 
 /** The founding side of a blank replica that no seed can help to find others but by hearsay. */
-export interface RosterFounding {
+export interface DiscoveryBootstrap {
   /** Takes in whom a seed has heard. */
   readonly roster: (message: FoundingRoster) => void;
   /** Takes in the view of another candidate. */
@@ -50,11 +50,11 @@
   /** What the other candidates are to be told; nobody is known where the seeds hold state. */
   readonly greeting: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
   /** Undefined where it could found a cluster now. */
-  readonly waitsFor: () => FoundingWait | undefined;
+  readonly waitsFor: () => BootstrapWait | undefined;
 }
 
 /** Makes the founding side; it knows nobody yet. */
-export function createRosterFounding(options: RosterFoundingOptions): RosterFounding {
+export function createDiscoveryBootstrap(options: DiscoveryBootstrapOptions): DiscoveryBootstrap {
   const seeds = [...options.seeds];
   const known = new Map<string, FoundingCandidate>();
   const statelessSeeds = new Set<string>();
@@ -97,9 +97,9 @@
 
   function founders(): ReplicaEntry[] {
     const all = candidates();
-    const count = Math.min(all.length, options.most);
+    const count = Math.min(all.length, options.maxMembers);
     // An even number bears no more losses than one less.
-    const odd = count % 2 === 0 && count > options.fewest ? count - 1 : count;
+    const odd = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
     return all.slice(0, odd).map(({ address, disk }, slot) => ({ slot, address, disk }));
   }
 
@@ -107,14 +107,14 @@
     return waitsFor() === undefined ? founders() : undefined;
   }
 
-  function greeting(): ReturnType<RosterFounding['greeting']> {
+  function greeting(): ReturnType<DiscoveryBootstrap['greeting']> {
     const to = others().map((candidate) => candidate.address as Address);
     if (to.length === 0) return undefined;
     const { address: from, disk } = self();
     return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: candidates() } };
   }
 
-  function waitsFor(): FoundingWait | undefined {
+  function waitsFor(): BootstrapWait | undefined {
     if (!options.mayBegin) return { why: 'not the first start' };
     const silent = seeds.filter((seed) => !statelessSeeds.has(seed));
     if (seeds.length === 0 || silent.length > 0) return { why: 'seeds not heard', seeds: silent };
@@ -122,8 +122,8 @@
     if (listedAt.size < needed)
       return { why: 'too few seeds remember the first start', remembering: listedAt.size, needed };
     const all = candidates();
-    if (all.length < options.fewest)
-      return { why: 'too few machines with a disk', known: all.length, needed: options.fewest };
+    if (all.length < options.minMembers)
+      return { why: 'too few machines with a disk', known: all.length, needed: options.minMembers };
     const own = keyOf(all);
     const apart = others().filter((candidate) => views.get(nameOf(candidate)) !== own);
     if (apart.length > 0)
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -3,7 +3,7 @@
  * on a majority, and nothing else, so two of them that are told one version of a key are told the same bytes.
  */
 import { micros, type Address, type MessageOf, type NewsItem } from '@tansypost/inner-protocol';
-import { isLeasedToRouters, isPrivate, type Cluster } from './cluster.js';
+import { isLeasedToRouters, isInternalKey, type NodeContext } from './node-context.js';
 import type { CommittedRows } from './committed-rows.js';
 import type { RouterLeases } from './router-leases.js';
 import type { Row } from './row.js';
@@ -12,7 +12,7 @@
 type Subscribe = MessageOf<'Subscribe'>;
 
 /** What a follower is told of a key when it asks. */
-export interface Following {
+export interface FollowStatus {
   readonly version: number;
   readonly membershipEpoch: number;
   readonly voting: boolean;
@@ -22,7 +22,7 @@
 
 /** What telling followers needs of the node. */
 export interface FollowersOptions {
-  readonly cluster: Cluster;
+  readonly cluster: NodeContext;
   readonly committed: CommittedRows;
   readonly servingLeases: ServingLeases;
   readonly routerLeases: RouterLeases;
@@ -37,7 +37,7 @@
 export interface Followers {
   readonly subscribe: (request: Subscribe) => void;
   /** Takes in that somebody follows a key, and sends what is newer than what it has. */
-  readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => Following;
+  readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => FollowStatus;
   /** Tells all followers of a row that is on a majority. */
   readonly push: (key: string, row: Row) => void;
   readonly announceMembership: () => void;
@@ -57,19 +57,19 @@
   }
 
   function push(key: string, row: Row): void {
-    if (row.version === 0 || isPrivate(key)) return;
+    if (row.version === 0 || isInternalKey(key)) return;
     for (const [follower, until] of followers) {
       if (until < world.now()) followers.delete(follower);
       else tell(follower, [newsOf(key, row)]);
     }
   }
 
-  function follow(key: string, version: number, membershipEpoch: number, from: Address): Following {
+  function follow(key: string, version: number, membershipEpoch: number, from: Address): FollowStatus {
     followers.set(from, world.now() + followedFor);
     const record = replica.membership();
     const voting = replica.state() === 'voting';
-    const leader = cluster.leader(key);
-    if (voting && options.isSettled() && !leader.leads() && options.shouldLead(key)) leader.take();
+    const leader = cluster.leaderOf(key);
+    if (voting && options.isSettled() && !leader.isLeading() && options.shouldLead(key)) leader.acquire();
     servingLeases.want(key);
     const row = committed.newest(key);
     if (row.version > version) tell(from, [newsOf(key, row)]);
@@ -88,9 +88,9 @@
     followers.set(from, world.now() + followedFor);
     const news: NewsItem[] = [];
     for (const had of request.have) {
-      const leader = cluster.leader(had.key);
-      if (!leader.leads() && options.shouldLead(had.key)) leader.take();
-      if (!leader.leads()) continue;
+      const leader = cluster.leaderOf(had.key);
+      if (!leader.isLeading() && options.shouldLead(had.key)) leader.acquire();
+      if (!leader.isLeading()) continue;
       if (leader.row().version > had.version) news.push(newsOf(had.key, leader.row()));
       if (isLeasedToRouters(had.key) && request.tenures.length > 0) options.routerLeases.grant(had.key, request);
     }
@@ -101,7 +101,7 @@
   function newsNotNamed(named: ReadonlySet<string>): NewsItem[] {
     const news: NewsItem[] = [];
     for (const [key, leader] of cluster.leaders()) {
-      const told = !named.has(key) && leader.leads() && leader.row().version > 0 && !isPrivate(key);
+      const told = !named.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
       if (told) news.push(newsOf(key, leader.row()));
     }
     return news;
--- a/packages/control-state/src/hand-over.ts
+++ b/packages/control-state/src/graceful-leave.ts
@@ -6,15 +6,15 @@
  */
 import { every, micros } from '@tansypost/inner-protocol';
 import type { VoteRequest } from './acceptor.js';
-import { isLocal, type Cluster } from './cluster.js';
-import { newer, type Row } from './row.js';
+import { isLocalKey, type NodeContext } from './node-context.js';
+import { isNewer, type Row } from './row.js';
 
 /** `replaced`: a successor votes; `copied`: those that stay hold all; `incomplete`: time ran out before either. */
-export type HandOverResult = 'replaced' | 'copied' | 'incomplete';
+export type LeaveResult = 'replaced' | 'copied' | 'incomplete';
 
 /** What leaving needs of the node. */
-export interface HandOverOptions {
-  readonly cluster: Cluster;
+export interface GracefulLeaveOptions {
+  readonly cluster: NodeContext;
   /** Whether a machine stands ready to take this replica's slot. */
   readonly hasCandidate: () => boolean;
   /** Tells the others at once that this replica leaves. */
@@ -22,9 +22,9 @@
 }
 
 /** The leaving of one replica. */
-export interface HandOver {
+export interface GracefulLeave {
   /** Leaves within `limit` microseconds and says how it ended. */
-  readonly begin: (limit: number, done: (result: HandOverResult) => void) => void;
+  readonly begin: (limit: number, done: (result: LeaveResult) => void) => void;
 }
 
 const lookEvery = micros(50_000);
@@ -33,21 +33,21 @@
 const roundPatience = 1_000_000;
 
 /** Makes the leaving side of a node; nothing happens before it begins. */
-export function createHandOver(options: HandOverOptions): HandOver {
+export function createGracefulLeave(options: GracefulLeaveOptions): GracefulLeave {
   const { world, replica, rounds } = options.cluster;
   const copied = new Map<string, Row>();
   const copying = new Set<string>();
 
-  function begin(limit: number, done: (result: HandOverResult) => void): void {
+  function begin(limit: number, done: (result: LeaveResult) => void): void {
     const begunAt = world.now();
-    function finish(result: HandOverResult): void {
+    function finish(result: LeaveResult): void {
       stop();
       world.log(2012, { result, tookMs: Math.round((world.now() - begunAt) / 1000) });
       done(result);
     }
     function look(): void {
       const taken = world.now() - begunAt;
-      if (replica.successorVotes()) return finish('replaced');
+      if (replica.isSuccessorVoting()) return finish('replaced');
       if (taken >= limit) return finish('incomplete');
       if (replica.state() === 'voting') copyRows();
       if (taken >= leastTime && !options.hasCandidate() && isCopied()) finish('copied');
@@ -58,7 +58,7 @@
   }
 
   function keysToCopy(): string[] {
-    return replica.keys().filter((key) => !isLocal(key) && replica.row(key).version > 0);
+    return replica.keys().filter((key) => !isLocalKey(key) && replica.row(key).version > 0);
   }
 
   /** Nothing is left to copy for a replica that holds nothing, or that others have replaced already. */
@@ -69,7 +69,7 @@
 
   function isCurrent(key: string): boolean {
     const known = copied.get(key);
-    return known !== undefined && !newer(replica.row(key), known);
+    return known !== undefined && !isNewer(replica.row(key), known);
   }
 
   function copyRows(): void {
@@ -86,7 +86,12 @@
       return { kind: 'Accept', id, from: '', key, epoch, membershipEpoch, version, value, changes };
     }
     rounds.start(
-      { make, without: replica.slot, patience: roundPatience, counts: (vote) => vote.ok || !newer(row, vote) },
+      {
+        buildRequest: make,
+        excludedSlot: replica.slot,
+        timeoutUs: roundPatience,
+        countsAsYes: (vote) => vote.ok || !isNewer(row, vote),
+      },
       (result) => {
         copying.delete(key);
         if (result.won) copied.set(key, row);
--- a/packages/control-state/src/claims.ts
+++ b/packages/control-state/src/idempotency-claims.ts
@@ -7,7 +7,7 @@
 import { hash32 } from '@tansypost/inner-protocol';
 
 /** Who holds a key, for which request, and how that ended; `at` is in microseconds of the leader's clock. */
-export interface ClaimEntry {
+export interface IdempotencyClaim {
   readonly holder: string;
   readonly request: string;
   readonly ended: string;
@@ -15,10 +15,10 @@
 }
 interface Bucket {
   epoch: number;
-  claims: { [key: string]: ClaimEntry };
+  claims: { [key: string]: IdempotencyClaim };
 }
 /** What a router asks for a key: to claim it, to give it back, or to tell how its request ended. */
-export type ClaimOp = {
+export type ClaimOperation = {
   readonly op: 'claim' | 'release' | 'ended';
   readonly key: string;
   readonly holder: string;
@@ -27,18 +27,23 @@
 };
 
 /** How long a claim is kept, in microseconds. */
-export const claimKeptFor = 900_000_000;
+export const claimRetentionUs = 900_000_000;
 
 /** The key of the control state that holds the bucket of an Idempotency-Key. */
-export function claimKey(k: string): string {
+export function claimBucketKey(k: string): string {
   return `claim/${(hash32(k) % 256).toString(16).padStart(2, '0')}`;
 }
 
 // Gives the bucket after the operation, and `won`, or what is known of the one who holds the claim.
-export function applyClaim(b: Buffer, epoch: number, now: number, c: ClaimOp): { value: Buffer; result: string } {
+export function applyClaimOperation(
+  b: Buffer,
+  epoch: number,
+  now: number,
+  c: ClaimOperation,
+): { value: Buffer; result: string } {
   const x: Bucket = b.length === 0 ? { epoch, claims: {} } : (JSON.parse(b.toString()) as Bucket);
   const claims = new Map(Object.entries(x.claims).map(([k, e]) => [k, x.epoch === epoch ? e : { ...e, at: now }]));
-  for (const [k, e] of claims) if (now - e.at > claimKeptFor) claims.delete(k);
+  for (const [k, e] of claims) if (now - e.at > claimRetentionUs) claims.delete(k);
   const had = claims.get(c.key);
   let result = 'won';
   if (c.op === 'claim') {
@@ -59,22 +64,26 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   it('lets one holder win, forgives its repeat, tells others what is known, and keeps it long over a new owner', () => {
-    const a: ClaimOp = { op: 'claim', key: 'k', holder: 'r1#1', request: 'q', ended: '' };
-    const b: ClaimOp = { ...a, holder: 'r2#1' };
-    const one = applyClaim(Buffer.alloc(0), 8, 0, a);
+    const a: ClaimOperation = { op: 'claim', key: 'k', holder: 'r1#1', request: 'q', ended: '' };
+    const b: ClaimOperation = { ...a, holder: 'r2#1' };
+    const one = applyClaimOperation(Buffer.alloc(0), 8, 0, a);
     expect(one.result).toBe('won');
-    expect(applyClaim(one.value, 8, 1, a).result).toBe('won');
-    expect(JSON.parse(applyClaim(one.value, 8, 1, b).result)).toEqual({
+    expect(applyClaimOperation(one.value, 8, 1, a).result).toBe('won');
+    expect(JSON.parse(applyClaimOperation(one.value, 8, 1, b).result)).toEqual({
       request: 'q',
       router: 'r1',
       ended: 'not known',
     });
-    const done = applyClaim(one.value, 8, 2, { ...a, op: 'ended', ended: 'whole' });
-    expect(JSON.parse(applyClaim(done.value, 8, 3, b).result)).toMatchObject({ ended: 'whole' });
-    expect(applyClaim(done.value, 8, 3, a).result).not.toBe('won');
-    expect(applyClaim(one.value, 16, claimKeptFor + 10, b).result).not.toBe('won');
-    expect(applyClaim(one.value, 8, claimKeptFor + 10, b).result).toBe('won');
-    expect(applyClaim(applyClaim(one.value, 8, 1, { ...b, op: 'release' }).value, 8, 2, b).result).not.toBe('won');
-    expect(applyClaim(applyClaim(one.value, 8, 1, { ...a, op: 'release' }).value, 8, 2, b).result).toBe('won');
+    const done = applyClaimOperation(one.value, 8, 2, { ...a, op: 'ended', ended: 'whole' });
+    expect(JSON.parse(applyClaimOperation(done.value, 8, 3, b).result)).toMatchObject({ ended: 'whole' });
+    expect(applyClaimOperation(done.value, 8, 3, a).result).not.toBe('won');
+    expect(applyClaimOperation(one.value, 16, claimRetentionUs + 10, b).result).not.toBe('won');
+    expect(applyClaimOperation(one.value, 8, claimRetentionUs + 10, b).result).toBe('won');
+    expect(
+      applyClaimOperation(applyClaimOperation(one.value, 8, 1, { ...b, op: 'release' }).value, 8, 2, b).result,
+    ).not.toBe('won');
+    expect(
+      applyClaimOperation(applyClaimOperation(one.value, 8, 1, { ...a, op: 'release' }).value, 8, 2, b).result,
+    ).toBe('won');
   });
 }
--- a/packages/control-state/src/journal.test.ts
+++ b/packages/control-state/src/journal.test.ts
@@ -22,7 +22,7 @@
   const two = Buffer.concat(rs.slice(0, 2));
   for (let n = 0; n < rs[2]!.length; n += 1) {
     const r = readJournal(Buffer.concat([two, rs[2]!.subarray(0, n)]));
-    expect(E.isRight(r) && [r.right.records.length, r.right.good, r.right.cut]).toEqual([2, two.length, n]);
+    expect(E.isRight(r) && [r.right.records.length, r.right.validBytes, r.right.tornBytes]).toEqual([2, two.length, n]);
   }
 });
 it('refuses a file with any one byte of a middle record altered', () => {
@@ -43,7 +43,7 @@
     const torn = Buffer.from(many);
     torn.fill(0xee, n, Math.min(n + 8, torn.length));
     const r = readJournal(Buffer.concat([rs[0]!, torn]));
-    expect(E.isRight(r) && [r.right.records.length, r.right.cut]).toEqual([1, many.length]);
+    expect(E.isRight(r) && [r.right.records.length, r.right.tornBytes]).toEqual([1, many.length]);
     expect(E.isLeft(readJournal(Buffer.concat([rs[0]!, torn, rs[0]!])))).toBe(true);
   }
 });
--- a/packages/control-state/src/journal.ts
+++ b/packages/control-state/src/journal.ts
@@ -101,14 +101,14 @@
 }
 
 /** The records of a file, how many of its bytes are sound, and how many at its end were torn. */
-export interface JournalRead {
+export interface JournalContents {
   readonly records: readonly JournalRecord[];
-  readonly good: number;
-  readonly cut: number;
+  readonly validBytes: number;
+  readonly tornBytes: number;
 }
 
 /** Reads a file. `DamagedFile` where something that was promised is missing. */
-export function readJournal(all: Buffer): E.Either<Error, JournalRead> {
+export function readJournal(all: Buffer): E.Either<Error, JournalContents> {
   const records: JournalRecord[] = [];
   let at = 0;
   while (at < all.length) {
@@ -127,9 +127,9 @@
     at = r.next;
   }
   const [first, ...others] = records;
-  if (first?.kind !== snapshotKind) return E.right({ records, good: at, cut: all.length - at });
+  if (first?.kind !== snapshotKind) return E.right({ records, validBytes: at, tornBytes: all.length - at });
   if (others.length < first.version) return E.left(cutShort(first.version, others.length));
-  return E.right({ records: others, good: at, cut: all.length - at });
+  return E.right({ records: others, validBytes: at, tornBytes: all.length - at });
 }
 
 function cutShort(expected: number, found: number): Error {
--- a/packages/control-state/src/key-leader.ts
+++ b/packages/control-state/src/key-leader.ts
@@ -11,7 +11,7 @@
 import { noReplacement } from './membership-changes.js';
 import type { QuorumRounds, RoundResult } from './quorum-round.js';
 import type { Replica } from './replica.js';
-import { emptyRow, merge, newer, nextEpoch, type Row } from './row.js';
+import { emptyRow, mergeRows, isNewer, nextEpoch, type Row } from './row.js';
 
 /**
  * `done`: taken, now or earlier; `lost`: another version is in force; `reused`: the id of the change stands for another
@@ -29,7 +29,7 @@
 /** A conditional write: taken if `base` is the version in force. */
 export interface Write {
   readonly change: string;
-  readonly base: number;
+  readonly expectedVersion: number;
   readonly value: Buffer;
   readonly done: (answer: WriteAnswer) => void;
 }
@@ -42,13 +42,13 @@
 
 /** The leader's side of one key. */
 export interface KeyLeader {
-  readonly leads: () => boolean;
+  readonly isLeading: () => boolean;
   /** Since when it has led, on its own clock. */
-  readonly since: () => number;
+  readonly leadingSince: () => number;
   readonly row: () => Row;
   /** The version that a change made, if it was taken and is still known. To be asked after a read only. */
   readonly versionOf: (change: string) => number | undefined;
-  readonly take: () => void;
+  readonly acquire: () => void;
   readonly write: (write: Write) => void;
   readonly mutate: (mutation: Mutation) => void;
   /** Gives the value in force, or undefined if no majority confirmed it. */
@@ -61,7 +61,7 @@
   readonly replica: Replica;
   readonly rounds: QuorumRounds;
   /** Told of every value that a majority holds. */
-  readonly committed: (row: Row) => void;
+  readonly onCommitted: (row: Row) => void;
 }
 
 type Role = 'follower' | 'candidate' | 'leader';
@@ -108,7 +108,7 @@
     const epoch = nextEpoch(Math.max(seenEpoch, replica.row(key).promised), replica.slot);
     const { membershipEpoch } = replica.membership();
     rounds.start(
-      { make: (id) => ({ kind: 'Prepare', id, from: '', key, epoch, membershipEpoch, ...noReplacement }) },
+      { buildRequest: (id) => ({ kind: 'Prepare', id, from: '', key, epoch, membershipEpoch, ...noReplacement }) },
       (prepared) => {
         noteEpochs(prepared.votes);
         if (!prepared.won) return missed();
@@ -119,14 +119,14 @@
 
   function rewriteNewest(prepared: RoundResult, epoch: number, membershipEpoch: number): void {
     const promises = prepared.votes.filter((vote) => vote.ok);
-    const newest = promises.reduce<Row>((found, vote) => merge(found, vote), emptyRow);
+    const newest = promises.reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
     const taken: Row = { ...newest, promised: epoch, epoch };
     const known = historyOf(promises, newest.version);
     if (newest.version === 0) return lead(taken, known);
     const last = known.at(newest.version);
     const changes = last === undefined ? [] : [{ ...last, epoch }];
     for (const change of changes) known.add(change);
-    rounds.start({ make: (id) => accept(id, taken, changes, membershipEpoch) }, (accepted) => {
+    rounds.start({ buildRequest: (id) => accept(id, taken, changes, membershipEpoch) }, (accepted) => {
       noteEpochs(accepted.votes);
       if (accepted.won) lead(taken, known);
       else missed();
@@ -156,7 +156,7 @@
     history = known;
     since = taken.version === 0 ? -Infinity : world.now();
     world.log(2002, { key, epoch: taken.epoch, version: taken.version });
-    options.committed(taken);
+    options.onCommitted(taken);
     nextRead();
     nextWrite();
   }
@@ -172,7 +172,7 @@
     const next = writes.shift();
     if (next === undefined) return nextMutations();
     const taken = history.versionOf(next.change, row.version);
-    if (taken !== undefined || next.base !== row.version) return answerWithoutWriting(next, taken);
+    if (taken !== undefined || next.expectedVersion !== row.version) return answerWithoutWriting(next, taken);
     writeNow(next);
   }
 
@@ -199,7 +199,7 @@
     const written: Row = { promised: epoch, epoch, version, value: next.value };
     const change: AppliedChange = { id: next.change, version, epoch };
     replicate(written, [change], (won) => {
-      if (won) options.committed(row);
+      if (won) options.onCommitted(row);
       next.done({ status: won ? 'done' : 'unknown', epoch, version });
     });
   }
@@ -208,7 +208,7 @@
   function replicate(next: Row, changes: readonly AppliedChange[], done: (won: boolean) => void): void {
     busy = true;
     const { membershipEpoch } = replica.membership();
-    rounds.start({ make: (id) => accept(id, next, changes, membershipEpoch) }, (accepted) => {
+    rounds.start({ buildRequest: (id) => accept(id, next, changes, membershipEpoch) }, (accepted) => {
       busy = false;
       noteEpochs(accepted.votes);
       if (accepted.won) {
@@ -253,7 +253,7 @@
     function make(id: string): VoteRequest {
       return { kind: 'Check', id, from: '', key, epoch: checked.epoch, membershipEpoch };
     }
-    rounds.start({ make, late }, (confirmed) => {
+    rounds.start({ buildRequest: make, onLateVote: late }, (confirmed) => {
       noteEpochs(confirmed.votes);
       if (!confirmed.won || role !== 'leader') {
         if (role === 'leader') stepDown();
@@ -271,7 +271,7 @@
     const request = accept(`repair/${key}`, current, last === undefined ? [] : [last], membershipEpoch);
     for (const vote of votes) {
       const entry = replica.membership().replicas.find((member) => member.slot === vote.slot);
-      if (entry === undefined || !newer(current, vote)) continue;
+      if (entry === undefined || !isNewer(current, vote)) continue;
       if (entry.slot === replica.slot) replica.vote(request, () => undefined);
       else world.send(entry.address as Address, request as Message);
       world.log(2004, { key, slot: entry.slot, version: current.version });
@@ -297,11 +297,11 @@
   }
 
   return {
-    leads: () => role === 'leader',
-    since: () => since,
+    isLeading: () => role === 'leader',
+    leadingSince: () => since,
     row: () => row,
     versionOf: (change) => history.versionOf(change, row.version),
-    take,
+    acquire: take,
     write,
     mutate,
     read,
--- a/packages/control-state/src/key-requests.ts
+++ b/packages/control-state/src/key-requests.ts
@@ -3,8 +3,8 @@
  * answers the origin. What a request asks for twice is told once: a change that was taken is answered as such.
  */
 import type { Address, MessageOf } from '@tansypost/inner-protocol';
-import { applyClaim, type ClaimOp } from './claims.js';
-import { isLeasedToRouters, type Cluster } from './cluster.js';
+import { applyClaimOperation, type ClaimOperation } from './idempotency-claims.js';
+import { isLeasedToRouters, type NodeContext } from './node-context.js';
 import type { KeyLeader, WriteAnswer, WriteStatus } from './key-leader.js';
 import type { RouterLeases } from './router-leases.js';
 import type { Row } from './row.js';
@@ -15,7 +15,7 @@
 
 /** What answering requests needs of the node. */
 export interface KeyRequestsOptions {
-  readonly cluster: Cluster;
+  readonly cluster: NodeContext;
   /** The slot of the replica that should lead a key. */
   readonly preferredLeader: (key: string) => number;
   readonly routerLeases: RouterLeases;
@@ -35,7 +35,7 @@
     if (replica.state() !== 'voting') return answer(request, 'retry');
     const preferred = options.preferredLeader(request.key);
     if (preferred !== replica.slot && request.hops < mostHops) return forward(request, preferred);
-    const leader = cluster.leader(request.key);
+    const leader = cluster.leaderOf(request.key);
     if (request.op === 'write') write(request, leader);
     else if (request.op === 'claim') claim(request, leader);
     else read(request, leader);
@@ -61,7 +61,7 @@
 
   function write(request: Ask, leader: KeyLeader): void {
     const { change, base, value } = request;
-    leader.write({ change, base, value, done: (written) => settle(request, written) });
+    leader.write({ change, expectedVersion: base, value, done: (written) => settle(request, written) });
   }
 
   function settle(request: Ask, written: WriteAnswer): void {
@@ -71,7 +71,7 @@
     if (status === 'lost') world.log(2102, { key, change });
     if (status === 'unknown') world.log(2103, { key, change });
     if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, told);
-    routerLeases.whenGoverns(key, version, () => {
+    routerLeases.whenApplied(key, version, () => {
       options.acknowledged(key, version);
       world.log(2101, { key, change, version });
       answer(request, 'done', told);
@@ -79,9 +79,9 @@
   }
 
   function claim(request: Ask, leader: KeyLeader): void {
-    const operation = JSON.parse(request.value.toString()) as ClaimOp;
+    const operation = JSON.parse(request.value.toString()) as ClaimOperation;
     leader.mutate({
-      apply: (value, epoch) => applyClaim(value, epoch, world.now(), operation),
+      apply: (value, epoch) => applyClaimOperation(value, epoch, world.now(), operation),
       done: (status, result) => answer(request, status, { epoch: 0, version: 0, value: Buffer.from(result) }),
     });
   }
@@ -100,7 +100,7 @@
     if (version === undefined) return answer(request, 'none', found);
     if (!isLeasedToRouters(request.key)) return answer(request, 'done', found);
     // A look-up acknowledges as much as the answer it stands for, so it waits for the same.
-    routerLeases.whenGoverns(request.key, version, () => answer(request, 'done', found));
+    routerLeases.whenApplied(request.key, version, () => answer(request, 'done', found));
   }
 
   return receive;
--- a/packages/control-state/src/membership-changes.ts
+++ b/packages/control-state/src/membership-changes.ts
@@ -6,11 +6,11 @@
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
-import type { Cluster } from './cluster.js';
+import type { NodeContext } from './node-context.js';
 import { encodeMembership, membershipKey, withAdded, withReplaced } from './membership-record.js';
 import type { PeerLiveness } from './peer-liveness.js';
-import { mostReplicas } from './replica-limits.js';
-import { emptyRow, merge, nextEpoch, type Row } from './row.js';
+import { maxReplicas } from './replica-limits.js';
+import { emptyRow, mergeRows, nextEpoch, type Row } from './row.js';
 
 /** `finish` writes the newest record once more, where one replica took it and the others did not. */
 export type MembershipChange =
@@ -23,7 +23,7 @@
 
 /** What changing the membership needs of the node. */
 export interface MembershipChangesOptions {
-  readonly cluster: Cluster;
+  readonly cluster: NodeContext;
   readonly peers: PeerLiveness;
   /** Whether slots are stated in the settings; a machine then takes only its own. */
   readonly slotsAreStated: boolean;
@@ -32,7 +32,7 @@
   /** Told after each try, so that the others hear of the record. */
   readonly tried: () => void;
   /** How many replicas a cluster grows to as far as there are machines; without it, as many as there may be. */
-  readonly wantedReplicas?: number;
+  readonly targetReplicas?: number;
 }
 
 /** Proposes and refuses changes of the membership. */
@@ -61,7 +61,7 @@
 export function createMembershipChanges(options: MembershipChangesOptions): MembershipChanges {
   const { cluster, peers } = options;
   const { world, replica, rounds } = cluster;
-  const wantedReplicas = Math.min(options.wantedReplicas ?? mostReplicas, mostReplicas);
+  const wantedReplicas = Math.min(options.targetReplicas ?? maxReplicas, maxReplicas);
   const candidates = new Map<string, Candidate>();
   let changing = false;
   let seenEpoch = 0;
@@ -120,7 +120,7 @@
     function make(id: string): VoteRequest {
       return { kind: 'Prepare', id, from: '', key: membershipKey, epoch, membershipEpoch, ...replacement };
     }
-    rounds.start({ without, make }, (prepared) => {
+    rounds.start({ excludedSlot: without, buildRequest: make }, (prepared) => {
       for (const vote of prepared.votes) seenEpoch = Math.max(seenEpoch, vote.promised);
       const newest = newestOf(prepared.votes);
       const value = prepared.won ? valueAfter(wanted, newest, membershipEpoch) : undefined;
@@ -136,7 +136,7 @@
   }
 
   function newestOf(votes: readonly Vote[]): Row {
-    return votes.filter((vote) => vote.ok).reduce<Row>((found, vote) => merge(found, vote), emptyRow);
+    return votes.filter((vote) => vote.ok).reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
   }
 
   /** The record to write; none where another change came in between. */
@@ -155,7 +155,7 @@
     function make(id: string): VoteRequest {
       return { kind: 'Accept', id, from: '', key: membershipKey, epoch, membershipEpoch, version, value, changes: [] };
     }
-    rounds.start({ without, make }, () => {
+    rounds.start({ excludedSlot: without, buildRequest: make }, () => {
       world.log(2006, { ...wanted, membershipEpoch: replica.membership().membershipEpoch });
       pause();
       options.tried();
--- a/packages/control-state/src/cluster.ts
+++ b/packages/control-state/src/node-context.ts
@@ -5,13 +5,13 @@
 import type { Replica } from './replica.js';
 
 /** One node's replica, rounds and leaders, as its modules use them. */
-export interface Cluster {
+export interface NodeContext {
   readonly world: World;
   readonly self: Address;
   readonly replica: Replica;
   readonly rounds: QuorumRounds;
   /** The leader's side of a key at this node, made on first use. */
-  readonly leader: (key: string) => KeyLeader;
+  readonly leaderOf: (key: string) => KeyLeader;
   /** The leaders made so far. */
   readonly leaders: () => ReadonlyMap<string, KeyLeader>;
 }
@@ -22,11 +22,11 @@
 }
 
 /** Keys for the cluster's own use, never told to followers. */
-export function isPrivate(key: string): boolean {
+export function isInternalKey(key: string): boolean {
   return key.startsWith('claim/') || key.startsWith('tenures/');
 }
 
 /** Rows that no leader writes: what a voter has promised in elections of duties. */
-export function isLocal(key: string): boolean {
+export function isLocalKey(key: string): boolean {
   return key.startsWith('~');
 }
--- a/packages/control-state/src/peer-liveness.ts
+++ b/packages/control-state/src/peer-liveness.ts
@@ -8,7 +8,7 @@
 /** When a replica counts as missing, and who is told of a reunion. */
 export interface PeerLivenessOptions {
   /** After what silence a replica may be replaced. */
-  readonly missingAfter?: number;
+  readonly missingAfterUs?: number;
   /** Told when a replica is heard again after a silence, or this node after one of its own. */
   readonly reunited: () => void;
 }
@@ -54,7 +54,7 @@
 
 /** Makes the table of the other replicas; it knows nobody yet. */
 export function createPeerLiveness(world: World, replica: Replica, options: PeerLivenessOptions): PeerLiveness {
-  const missingAfter = options.missingAfter ?? defaultMissingAfter;
+  const missingAfter = options.missingAfterUs ?? defaultMissingAfter;
   const peers = new Map<number, Heard>();
   const disks = new Map<number, string>();
   let greetedAt = world.now();
--- a/packages/control-state/src/quorum-round.ts
+++ b/packages/control-state/src/quorum-round.ts
@@ -18,21 +18,21 @@
 
 /** What a round asks, and how its votes count. */
 export interface RoundOptions {
-  readonly make: (id: string) => VoteRequest;
+  readonly buildRequest: (id: string) => VoteRequest;
   /** A slot whose vote does not count. */
-  readonly without?: number;
+  readonly excludedSlot?: number;
   /** How long the round may take, in microseconds. */
-  readonly patience?: number;
+  readonly timeoutUs?: number;
   /** Which votes count as yes; without it, those that say so. */
-  readonly counts?: (vote: Vote) => boolean;
+  readonly countsAsYes?: (vote: Vote) => boolean;
   /** Told of the votes that come after the round was won. */
-  readonly late?: (vote: Vote) => void;
+  readonly onLateVote?: (vote: Vote) => void;
 }
 
 /** The rounds of one process. */
 export interface QuorumRounds {
   readonly start: (options: RoundOptions, done: (result: RoundResult) => void) => void;
-  readonly vote: (vote: MessageOf<'Vote'>) => void;
+  readonly receiveVote: (vote: MessageOf<'Vote'>) => void;
 }
 
 interface OpenRound {
@@ -60,17 +60,17 @@
 
   function start(options: RoundOptions, done: (result: RoundResult) => void): void {
     const id = nextId();
-    const request = options.make(id);
+    const request = options.buildRequest(id);
     const { membershipEpoch } = replica.membership();
     const votes = new Map<number, Vote>();
-    const limit = world.now() + (options.patience ?? defaultPatience);
+    const limit = world.now() + (options.timeoutUs ?? defaultPatience);
     let cancel: Cancel | undefined;
 
     function end(won: boolean): void {
       if (!open.delete(id)) return;
       cancel?.();
-      if (won && options.late !== undefined && votes.size < replica.membership().replicas.length)
-        keepLate(id, options.late);
+      if (won && options.onLateVote !== undefined && votes.size < replica.membership().replicas.length)
+        keepLate(id, options.onLateVote);
       done({ won, votes: [...votes.values()] });
     }
 
@@ -109,14 +109,14 @@
     if (!isFromMember(received)) return;
     const round = open.get(received.id);
     if (round === undefined) return lateVotes.get(received.id)?.(received);
-    if (received.slot === round.options.without) return;
+    if (received.slot === round.options.excludedSlot) return;
     round.votes.set(received.slot, received);
     decide(round);
   }
 
   function decide(round: OpenRound): void {
     const votes = [...round.votes.values()];
-    const counts = round.options.counts ?? saysYes;
+    const counts = round.options.countsAsYes ?? saysYes;
     const yes = votes.filter(counts).length;
     const all = replica.membership().replicas.length;
     if (yes >= majorityOf(all)) return round.end(true);
@@ -125,7 +125,7 @@
     if (request.kind === 'Prepare' && votes.some((vote) => !vote.ok && vote.promised > request.epoch)) round.end(false);
   }
 
-  return { start, vote };
+  return { start, receiveVote: vote };
 }
 
 function saysYes(vote: Vote): boolean {
--- a/packages/control-state/src/replicas-wanted.test.ts
+++ b/packages/control-state/src/replica-count.test.ts
@@ -1,10 +1,10 @@
 import { expect, it } from 'vitest';
 import { majorityOf } from './membership-record.js';
-import { mostReplicas } from './replica-limits.js';
-import { replicasFor } from './replicas-wanted.js';
+import { maxReplicas } from './replica-limits.js';
+import { targetReplicaCount } from './replica-count.js';
 
 it.each([0, 1, 2, 3, 4])('bears the loss of %d machines with their disks', (machines) => {
-  const replicas = replicasFor({ machines, zones: 0, regions: 0 });
+  const replicas = targetReplicaCount({ machines, zones: 0, regions: 0 });
   expect(replicas % 2).toBe(1);
   // A majority is left, and any majority that acknowledged a value has one disk among those that are left.
   expect(replicas - machines).toBeGreaterThanOrEqual(majorityOf(replicas));
@@ -12,7 +12,7 @@
 });
 
 it('stands on as many machines as there may be where zones or regions may go, or many machines', () => {
-  expect(replicasFor({ machines: 1, zones: 1, regions: 0 })).toBe(mostReplicas);
-  expect(replicasFor({ machines: 1, zones: 0, regions: 1 })).toBe(mostReplicas);
-  expect(replicasFor({ machines: 40, zones: 0, regions: 0 })).toBe(mostReplicas);
+  expect(targetReplicaCount({ machines: 1, zones: 1, regions: 0 })).toBe(maxReplicas);
+  expect(targetReplicaCount({ machines: 1, zones: 0, regions: 1 })).toBe(maxReplicas);
+  expect(targetReplicaCount({ machines: 40, zones: 0, regions: 0 })).toBe(maxReplicas);
 });
--- a/packages/control-state/src/replicas-wanted.ts
+++ b/packages/control-state/src/replica-count.ts
@@ -1,5 +1,5 @@
 /** How many replicas a control cluster has, by the losses that it must bear at one moment. */
-import { mostReplicas } from './replica-limits.js';
+import { maxReplicas } from './replica-limits.js';
 
 /** What may be lost at the same time while everything acknowledged stays and the cluster goes on. */
 export interface FaultBudget {
@@ -10,23 +10,26 @@
 }
 
 /** Fewer could not take any decision while one of them restarts. */
-const fewestReplicas = 3;
+const minReplicas = 3;
 
 /** With how many machines a cluster is founded that none of the seeds founds. */
-export interface FounderCount {
+export interface BootstrapSize {
   /** With fewer, a loss that the fault budget allows could take what was acknowledged. */
-  readonly fewest: number;
-  readonly most: number;
+  readonly minMembers: number;
+  readonly maxMembers: number;
 }
 
 /** Where no fault budget is stated. */
-export const defaultFounders: FounderCount = { fewest: fewestReplicas, most: fewestReplicas };
+export const defaultBootstrapSize: BootstrapSize = { minMembers: minReplicas, maxMembers: minReplicas };
 
 /** The machines that found a cluster together: as many as bear the losses, and no more than are wanted as replicas. */
-export function foundersFor(budget: FaultBudget): FounderCount {
+export function bootstrapSizeFor(budget: FaultBudget): BootstrapSize {
   const spansZones = budget.zones > 0 || budget.regions > 0;
-  const forMachines = Math.min(mostReplicas, 2 * budget.machines + 1);
-  return { fewest: spansZones ? Math.max(fewestReplicas, forMachines) : forMachines, most: replicasFor(budget) };
+  const forMachines = Math.min(maxReplicas, 2 * budget.machines + 1);
+  return {
+    minMembers: spansZones ? Math.max(minReplicas, forMachines) : forMachines,
+    maxMembers: targetReplicaCount(budget),
+  };
 }
 
 /**
@@ -35,7 +38,7 @@
  * all others lose power at the same moment and come back. Where whole zones or regions may go, replicas stand on as
  * many machines as there may be, since which machines share a zone is not weighed here.
  */
-export function replicasFor(budget: FaultBudget): number {
-  if (budget.zones > 0 || budget.regions > 0) return mostReplicas;
-  return Math.min(mostReplicas, Math.max(fewestReplicas, 2 * budget.machines + 1));
+export function targetReplicaCount(budget: FaultBudget): number {
+  if (budget.zones > 0 || budget.regions > 0) return maxReplicas;
+  return Math.min(maxReplicas, Math.max(minReplicas, 2 * budget.machines + 1));
 }
--- a/packages/control-state/src/replica-limits.ts
+++ b/packages/control-state/src/replica-limits.ts
@@ -1,4 +1,4 @@
 /** Limits on the number of replicas. */
 
 /** More replicas than this make each round dearer and bear no losses that a deployment asks for. */
-export const mostReplicas = 9;
+export const maxReplicas = 9;
--- a/packages/control-state/src/replica-shortage.ts
+++ b/packages/control-state/src/replica-shortage.ts
@@ -6,7 +6,7 @@
   readonly replica: Pick<Replica, 'state' | 'membership'>;
   /** Whether this node is the one that sees to changes of the membership. */
   readonly isCoordinator: () => boolean;
-  readonly wantedReplicas: number;
+  readonly targetReplicas: number;
 }
 
 const lookEvery = micros(1_000_000);
@@ -15,8 +15,8 @@
 const tellEvery = 60_000_000;
 
 /** Looks each second until it is stopped. */
-export function watchReplicaShortage(world: World, options: ReplicaShortageOptions): () => void {
-  const { replica, wantedReplicas } = options;
+export function reportReplicaShortage(world: World, options: ReplicaShortageOptions): () => void {
+  const { replica, targetReplicas: wantedReplicas } = options;
   let enoughAt = world.now();
   let toldAt = -Infinity;
 
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -32,7 +32,7 @@
   /** The identity that a disk without one gets. */
   readonly newDiskId: string;
   /** The size of the journal in bytes above which it is rewritten. */
-  readonly rewriteOver?: number;
+  readonly compactAboveBytes?: number;
   /** Told once, when the disk has refused a write. */
   readonly failed: (error: Error) => void;
 }
@@ -161,7 +161,7 @@
   }
 
   function rewriteIfLong(): void {
-    const limit = Math.max(options.rewriteOver ?? defaultRewriteOver, rewriteFactor * liveBytes());
+    const limit = Math.max(options.compactAboveBytes ?? defaultRewriteOver, rewriteFactor * liveBytes());
     if (rewriting || broken || options.disk.size() < limit) return;
     rewriting = true;
     options.disk.rewrite(snapshot(), (error) => {
--- a/packages/control-state/src/replica.test.ts
+++ b/packages/control-state/src/replica.test.ts
@@ -33,11 +33,11 @@
     return createReplica(w, {
       slot: 0,
       self: 'a' as Address,
-      core: [],
+      bootstrapMembers: [],
       disk,
       found: [...file],
       newDiskId: 'fresh',
-      rewriteOver: 4000,
+      compactAboveBytes: 4000,
     });
   }
   const a = open();
@@ -73,7 +73,14 @@
     record('row', 'k', 17),
   ];
   function accept(o: { membershipEpoch?: number; epoch?: number }, from = found): boolean {
-    const p = createReplica(w, { slot: undefined, self: 'a' as Address, core: [], disk, found: from, newDiskId: 'x' });
+    const p = createReplica(w, {
+      slot: undefined,
+      self: 'a' as Address,
+      bootstrapMembers: [],
+      disk,
+      found: from,
+      newDiskId: 'x',
+    });
     let ok = false;
     p.vote(
       {
@@ -111,7 +118,14 @@
       { kind: 'disk', key: own, promised: 0, epoch: 0, version: 0, value: Buffer.alloc(0), changes: [] },
       { kind: 'row', key: 'core', ...row, value, changes: [] },
     ];
-    const replica = createReplica(w, { slot: undefined, self: 'a' as Address, core: [], disk, found, newDiskId: 'x' });
+    const replica = createReplica(w, {
+      slot: undefined,
+      self: 'a' as Address,
+      bootstrapMembers: [],
+      disk,
+      found,
+      newDiskId: 'x',
+    });
     replica.tick();
     return replica.state();
   }
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -9,8 +9,8 @@
 import { createAcceptor, type Acceptor } from './acceptor.js';
 import { createCatchUp, type CatchUp } from './catch-up.js';
 import type { AppliedChange, ChangeHistory } from './change-history.js';
-import { createFounding } from './founding.js';
-import { createRosterFounding, type FoundingWait, type RosterFounding } from './roster-founding.js';
+import { createSeedBootstrap } from './seed-bootstrap.js';
+import { createDiscoveryBootstrap, type BootstrapWait, type DiscoveryBootstrap } from './discovery-bootstrap.js';
 import {
   decodeMembership,
   encodeMembership,
@@ -25,7 +25,7 @@
   type ReplicaStorageOptions,
   type Written,
 } from './replica-storage.js';
-import { defaultFounders, type FounderCount } from './replicas-wanted.js';
+import { defaultBootstrapSize, type BootstrapSize } from './replica-count.js';
 import type { Row } from './row.js';
 
 type ReplicaHello = MessageOf<'ReplicaHello'>;
@@ -35,20 +35,20 @@
   /** Undefined where the membership record alone says which slot this disk has, if any. */
   readonly slot: number | undefined;
   /** The slot it has when it founds a cluster, where no slot is stated. */
-  readonly foundingSlot?: number;
+  readonly bootstrapSlot?: number;
   /** Whether it may begin a cluster. */
-  readonly founds?: boolean;
+  readonly mayBootstrap?: boolean;
   readonly self: Address;
   /** The founders' addresses. */
-  readonly core: readonly Address[];
+  readonly bootstrapMembers: readonly Address[];
   /** The seeds of the first start, from which founders come whatever the settings name later; `core` where not given. */
-  readonly firstSeeds?: readonly Address[];
+  readonly initialSeeds?: readonly Address[];
   /** With how many machines a cluster is founded where no seed holds state. */
-  readonly founders?: FounderCount;
+  readonly bootstrapSize?: BootstrapSize;
   /** Whether this process has opened its disk before, and so may have told others what it does not know any more. */
   readonly reopened?: boolean;
   /** Told whenever the state has changed. */
-  readonly entered?: (state: ReplicaState) => void;
+  readonly onStateChange?: (state: ReplicaState) => void;
   /** Told when a learner, which no membership record names yet, has copied enough to become a member. */
   readonly learned?: () => void;
 }
@@ -74,23 +74,23 @@
   /** Fenced, and a majority of those in the record that fenced it votes under it: nobody needs this copy. */
   readonly isSuperseded: () => boolean;
   /** Fenced, and the disk that took its slot was heard to vote lately. */
-  readonly successorVotes: () => boolean;
+  readonly isSuccessorVoting: () => boolean;
   /** What it says of itself; a slim one is for those who have the same membership record. */
   readonly hello: (slim?: boolean) => ReplicaHello;
   /** Whether a hello comes from another cluster; it is then not to be heard. */
-  readonly isForeign: (hello: ReplicaHello) => boolean;
-  readonly heard: (hello: ReplicaHello) => void;
+  readonly isFromOtherCluster: (hello: ReplicaHello) => boolean;
+  readonly receiveHello: (hello: ReplicaHello) => void;
   /** A machine among the founders' addresses has said that it holds no state and never will. */
-  readonly withoutState: (address: Address) => void;
+  readonly markStateless: (address: Address) => void;
   readonly catchUp: CatchUp;
   /** Founds a cluster of one, or goes on copying. */
   readonly tick: () => void;
   /** Takes in who else has asked a seed that holds no state, or whom another candidate knows. */
-  readonly candidates: (message: MessageOf<'FoundingRoster' | 'FoundingView'>) => void;
+  readonly receiveCandidates: (message: MessageOf<'FoundingRoster' | 'FoundingView'>) => void;
   /** What other candidates are to be told as long as there is no cluster. */
-  readonly foundingView: RosterFounding['greeting'];
+  readonly bootstrapView: DiscoveryBootstrap['greeting'];
   /** Why this machine holds no replica yet; undefined once it knows a cluster. */
-  readonly waitsFor: () => FoundingWait | undefined;
+  readonly waitsFor: () => BootstrapWait | undefined;
 }
 
 const votingHeardFor = 2_000_000;
@@ -134,18 +134,18 @@
       else noteLearned();
     },
   });
-  const founding = createFounding(world, {
+  const founding = createSeedBootstrap(world, {
     self: options.self,
-    founders: options.firstSeeds ?? options.core,
-    mayBegin: options.founds ?? true,
+    founders: options.initialSeeds ?? options.bootstrapMembers,
+    mayBegin: options.mayBootstrap ?? true,
     diskId,
   });
-  const rosterFounding = createRosterFounding({
+  const rosterFounding = createDiscoveryBootstrap({
     self: options.self,
-    seeds: options.firstSeeds ?? options.core,
-    mayBegin: (options.founds ?? true) && options.reopened !== true,
+    seeds: options.initialSeeds ?? options.bootstrapMembers,
+    mayBegin: (options.mayBootstrap ?? true) && options.reopened !== true,
     diskId,
-    ...(options.founders ?? defaultFounders),
+    ...(options.bootstrapSize ?? defaultBootstrapSize),
   });
 
   refreshMembership();
@@ -164,7 +164,7 @@
     if (options.slot !== undefined) return options.slot;
     const entry = membership.replicas.find((replica) => replica.disk === diskId());
     if (entry !== undefined) return entry.slot;
-    return membership.membershipEpoch === 0 ? (options.foundingSlot ?? -1) : -1;
+    return membership.membershipEpoch === 0 ? (options.bootstrapSlot ?? -1) : -1;
   }
 
   function isMember(): boolean {
@@ -174,7 +174,7 @@
   function failed(error: Error): void {
     world.log(2005, { why: error.message });
     state = 'failed';
-    options.entered?.(state);
+    options.onStateChange?.(state);
   }
 
   function refreshMembership(): void {
@@ -223,7 +223,7 @@
     state = next;
     votingSince = world.now();
     world.log(2001, { state, disk: diskId(), membershipEpoch: membership.membershipEpoch });
-    options.entered?.(next);
+    options.onStateChange?.(next);
     fenceIfReplaced();
   }
 
@@ -283,10 +283,10 @@
     if (members !== undefined) found(members);
   }
 
-  function waitsFor(): FoundingWait | undefined {
+  function waitsFor(): BootstrapWait | undefined {
     if (!isUnfounded()) return undefined;
-    const isSeed = (options.firstSeeds ?? options.core).includes(options.self);
-    if (!isSeed || options.founds === false) return rosterFounding.waitsFor();
+    const isSeed = (options.initialSeeds ?? options.bootstrapMembers).includes(options.self);
+    if (!isSeed || options.mayBootstrap === false) return rosterFounding.waitsFor();
     return { why: 'founders not heard', machines: founding.silent() };
   }
 
@@ -352,15 +352,15 @@
       leaving = true;
     },
     isSuperseded,
-    successorVotes: () => state === 'fenced' && successor !== undefined && votesNow(successor),
+    isSuccessorVoting: () => state === 'fenced' && successor !== undefined && votesNow(successor),
     hello,
-    isForeign,
-    heard,
-    withoutState: founding.withoutState,
+    isFromOtherCluster: isForeign,
+    receiveHello: heard,
+    markStateless: founding.withoutState,
     catchUp,
     tick,
-    candidates,
-    foundingView: () => (isUnfounded() ? rosterFounding.greeting() : undefined),
+    receiveCandidates: candidates,
+    bootstrapView: () => (isUnfounded() ? rosterFounding.greeting() : undefined),
     waitsFor,
   };
 }
--- a/packages/control-state/src/router-leases.ts
+++ b/packages/control-state/src/router-leases.ts
@@ -6,7 +6,7 @@
  * takeover.
  */
 import { micros, type Address, type MessageOf } from '@tansypost/inner-protocol';
-import type { Cluster } from './cluster.js';
+import type { NodeContext } from './node-context.js';
 import type { KeyLeader } from './key-leader.js';
 import { decodeRegister, encodeRegister } from './lease-register.js';
 import type { Row } from './row.js';
@@ -18,7 +18,7 @@
   /** Grants what a follower asks for on behalf of its routers. */
   readonly grant: (key: string, request: Subscribe) => void;
   /** Calls back once a version governs at every router that may serve. */
-  readonly whenGoverns: (key: string, version: number, done: () => void) => void;
+  readonly whenApplied: (key: string, version: number, done: () => void) => void;
   /** Takes those out of the registers that can hold no lease any more, so that the next leader need not wait for them. */
   readonly prune: () => void;
 }
@@ -42,7 +42,7 @@
 const lookAgainAfter = 100_000;
 
 /** Makes the leases of a node; `leaseLength` is in microseconds. */
-export function createRouterLeases(cluster: Cluster, leaseLength: number): RouterLeases {
+export function createRouterLeases(cluster: NodeContext, leaseLength: number): RouterLeases {
   const { world } = cluster;
   const leases = new Map<string, Map<string, RouterLease>>();
   const registers = new Map<string, Register>();
@@ -85,20 +85,20 @@
   }
 
   function governs(key: string, version: number): boolean {
-    const leader = cluster.leader(key);
+    const leader = cluster.leaderOf(key);
     const now = world.now();
     const held = leasesOf(key);
     const applied = [...held.values()].every((lease) => lease.expires <= now || lease.applied >= version);
-    if (!leader.leads() || !applied) return false;
+    if (!leader.isLeading() || !applied) return false;
     if (now >= earlierLeasesEnd(leader)) return true;
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.since();
+    const known = register !== undefined && register.askedAt >= leader.leadingSince();
     return known && [...register.routers].every((router) => (held.get(router)?.applied ?? -1) >= version);
   }
 
   /** When the last lease that an earlier leader may have granted has ended. */
   function earlierLeasesEnd(leader: KeyLeader): number {
-    return leader.since() + leaseLength + clockSlack;
+    return leader.leadingSince() + leaseLength + clockSlack;
   }
 
   /**
@@ -106,7 +106,7 @@
    * asking, that this leader's epoch still holds.
    */
   function grant(key: string, request: Subscribe): void {
-    const leader = cluster.leader(key);
+    const leader = cluster.leaderOf(key);
     leader.read((row) => {
       if (row !== undefined) grantFor(key, leader, row, request);
     });
@@ -115,7 +115,7 @@
   function grantFor(key: string, leader: KeyLeader, row: Row, request: Subscribe): void {
     const held = leasesOf(key);
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.since() ? register : undefined;
+    const known = register !== undefined && register.askedAt >= leader.leadingSince() ? register : undefined;
     const strangers: string[] = [];
     const grants: { router: string; asked: number; version: number }[] = [];
     for (const asked of request.tenures) {
@@ -140,7 +140,7 @@
     const askedAt = world.now();
     const held = leasesOf(key);
     let enrolled: string[] = [];
-    cluster.leader(registerKey(key)).mutate({
+    cluster.leaderOf(registerKey(key)).mutate({
       apply: (value) => {
         const listed = decodeRegister(value);
         const all = askedAt < earlierLeasesEnd(leader);
@@ -153,7 +153,7 @@
       done: (status) => {
         if (status !== 'done') return;
         registers.set(key, { routers: new Set(enrolled), askedAt });
-        if (request !== undefined && leader.leads() && askedAt >= leader.since()) grant(key, request);
+        if (request !== undefined && leader.isLeading() && askedAt >= leader.leadingSince()) grant(key, request);
       },
     });
   }
@@ -162,14 +162,15 @@
     const now = world.now();
     for (const [key, register] of registers) {
       const leader = cluster.leaders().get(key);
-      if (leader?.leads() !== true || register.askedAt < leader.since() || now < earlierLeasesEnd(leader)) continue;
+      if (leader?.isLeading() !== true || register.askedAt < leader.leadingSince() || now < earlierLeasesEnd(leader))
+        continue;
       const held = leasesOf(key);
       const someEnded = [...register.routers].some((router) => (held.get(router)?.expires ?? 0) <= now);
       if (someEnded) enrol(key, leader, []);
     }
   }
 
-  return { grant, whenGoverns, prune };
+  return { grant, whenApplied: whenGoverns, prune };
 }
 
 /** The key of the register that belongs to a key. */
--- a/packages/control-state/src/row.ts
+++ b/packages/control-state/src/row.ts
@@ -10,19 +10,19 @@
 }
 
 /** What orders two values of one key: the epoch first, then the version. */
-export type Stamp = Pick<Row, 'epoch' | 'version'>;
+export type RowVersion = Pick<Row, 'epoch' | 'version'>;
 
 /** What a replica holds of a key that it never heard of. */
 export const emptyRow: Row = { promised: 0, epoch: 0, version: 0, value: Buffer.alloc(0) };
 
 /** Whether the left one is newer than the right one. */
-export function newer(left: Stamp, right: Stamp): boolean {
+export function isNewer(left: RowVersion, right: RowVersion): boolean {
   return left.epoch > right.epoch || (left.epoch === right.epoch && left.version > right.version);
 }
 
 /** The newer value of two, under the higher promise of the two. */
-export function merge(left: Row, right: Row): Row {
-  const { epoch, version, value } = newer(right, left) ? right : left;
+export function mergeRows(left: Row, right: Row): Row {
+  const { epoch, version, value } = isNewer(right, left) ? right : left;
   return { promised: Math.max(left.promised, right.promised), epoch, version, value };
 }
 
--- a/packages/control-state/src/founding.test.ts
+++ b/packages/control-state/src/seed-bootstrap.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import { micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
-import { createFounding } from './founding.js';
+import { createSeedBootstrap } from './seed-bootstrap.js';
 
 const [self, second, third] = ['a:1', 'b:1', 'c:1'] as Address[];
 const world = { now: () => micros(0) } as World;
@@ -23,7 +23,7 @@
 }
 
 function founding(founders: readonly Address[], mayBegin = true) {
-  return createFounding(world, { self: self!, founders, mayBegin, diskId: () => 'disk 0' });
+  return createSeedBootstrap(world, { self: self!, founders, mayBegin, diskId: () => 'disk 0' });
 }
 
 it('waits for all founders, but for those that have said that they hold no state', () => {
--- a/packages/control-state/src/founding.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -8,7 +8,7 @@
 type ReplicaHello = MessageOf<'ReplicaHello'>;
 
 /** Who may found a cluster together. */
-export interface FoundingOptions {
+export interface SeedBootstrapOptions {
   readonly self: Address;
   /** The addresses of the founders, this one among them. */
   readonly founders: readonly Address[];
@@ -18,7 +18,7 @@
 }
 
 /** Decides when a cluster is founded. */
-export interface Founding {
+export interface SeedBootstrap {
   /** Takes in what another replica says of itself; gives the members of the cluster once it is time to found it. */
   readonly heard: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
   /** Takes in that the machine at a founder's address holds no state. */
@@ -38,7 +38,7 @@
 const heardFor = 2_000_000;
 
 /** Makes the founding side of a blank replica. */
-export function createFounding(world: World, options: FoundingOptions): Founding {
+export function createSeedBootstrap(world: World, options: SeedBootstrapOptions): SeedBootstrap {
   const blanks = new Map<number, HeardBlank>();
   const stateless = new Set<Address>();
 
--- a/packages/control-state/src/serving-lease.ts
+++ b/packages/control-state/src/serving-lease.ts
@@ -8,15 +8,15 @@
  */
 import { micros, type Micros } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
-import type { Cluster } from './cluster.js';
+import type { NodeContext } from './node-context.js';
 import type { CommittedRows } from './committed-rows.js';
-import { emptyRow, newer, type Stamp } from './row.js';
+import { emptyRow, isNewer, type RowVersion } from './row.js';
 
 /** How far what is handed out under a lease may be behind, in microseconds. */
-export const leaseLength = 1_000_000;
+export const servingLeaseUs = 1_000_000;
 
 /** By what part a clock may run slow, at the most. */
-export const clockDrift = 0.01;
+export const maxClockDrift = 0.01;
 
 /** The serving leases of one node, by key. */
 export interface ServingLeases {
@@ -29,7 +29,7 @@
 }
 
 /** How often leases are renewed. */
-export const renewEvery: Micros = micros(300_000);
+export const renewalInterval: Micros = micros(300_000);
 /** Above any epoch in use, so that every replica's confirmation counts whoever leads the key. */
 const anyEpoch = 2 ** 52;
 const wantedFor = 10_000_000;
@@ -42,7 +42,7 @@
 }
 
 /** Makes the serving leases of a node; it holds none yet. */
-export function createServingLeases(cluster: Cluster, committed: CommittedRows): ServingLeases {
+export function createServingLeases(cluster: NodeContext, committed: CommittedRows): ServingLeases {
   const { world, replica, rounds } = cluster;
   const leases = new Map<string, Lease>();
 
@@ -76,16 +76,16 @@
     function make(id: string): VoteRequest {
       return { kind: 'Check', id, from: '', key, epoch: anyEpoch, membershipEpoch };
     }
-    rounds.start({ make, patience: roundPatience }, (confirmed) => {
+    rounds.start({ buildRequest: make, timeoutUs: roundPatience }, (confirmed) => {
       lease.renewing = false;
       const current = confirmed.won && newestOf(confirmed.votes).version <= committed.newest(key).version;
-      if (current) lease.validUntil = askedAt + leaseLength * (1 - clockDrift);
+      if (current) lease.validUntil = askedAt + servingLeaseUs * (1 - maxClockDrift);
     });
   }
 
   return { want, holds, renew };
 }
 
-function newestOf(votes: readonly Vote[]): Stamp {
-  return votes.reduce<Stamp>((found, vote) => (newer(vote, found) ? vote : found), emptyRow);
+function newestOf(votes: readonly Vote[]): RowVersion {
+  return votes.reduce<RowVersion>((found, vote) => (isNewer(vote, found) ? vote : found), emptyRow);
 }
--- a/packages/duty-log/src/duty-runner.test.ts
+++ b/packages/duty-log/src/duty-runner.test.ts
@@ -47,12 +47,12 @@
   const calls: SeenCall[] = [];
   const voter = createVoter(clock.world, {
     slot: () => 0,
-    disk: () => 'disk',
-    voting: () => true,
+    diskId: () => 'disk',
+    isVoting: () => true,
     votingSince: () => -leaseDuration,
     membershipEpoch: () => 1,
     leaseDuration,
-    store: { epoch: () => 0, keep: (_duty, _epoch, done) => done(true) },
+    store: { epoch: () => 0, save: (_duty, _epoch, done) => done(true) },
   });
 
   function newest(key: string): StoredVersion {
@@ -74,7 +74,7 @@
     });
   }
   function send(_to: Address, message: Message): void {
-    if (message.kind === 'Ballot') voter.ballot(message, runner.vote);
+    if (message.kind === 'Ballot') voter.requestVote(message, runner.vote);
   }
   const runner = createDutyRunner(
     { ...clock.world, send },
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -62,7 +62,7 @@
   let stopped = false;
   const pacer = createCallPacer(world, options.callsPerSecond, look);
   const candidate = createCandidate(world, {
-    duty: role,
+    role,
     member: options.member,
     self: options.self,
     get slot() {
@@ -70,9 +70,9 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: options.replicas,
-    willing: options.willing,
-    won: endTerms,
-    lost: endTerms,
+    isWilling: options.willing,
+    onElected: endTerms,
+    onLeaseLost: endTerms,
   });
   for (const duty of options.duties) tasks.push(createTask(world, options, duty, candidate, pacer, look));
 
@@ -81,15 +81,15 @@
   }
 
   function look(): void {
-    if (stopped || candidate.holds() === undefined) return;
+    if (stopped || candidate.heldEpoch() === undefined) return;
     const longestWaitFirst = [...tasks].sort((a, b) => a.lastCallAt() - b.lastCallAt());
     for (const task of longestWaitFirst) task.look();
   }
 
   const stopLooking = every(world, () => lookEvery, look);
   return {
-    vote: candidate.vote,
-    status: () => ({ holder: candidate.holder(), duties: tasks.map((task) => task.status()) }),
+    vote: candidate.receiveVote,
+    status: () => ({ holder: candidate.leader(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
       stopLooking();
@@ -115,8 +115,8 @@
     record: options.record(dutyRecordKey(duty.name)),
     port: options.port,
     pacer,
-    holds: () => candidate.holds() !== undefined,
-    mayCall: () => candidate.holdsFor(least) !== undefined,
+    holds: () => candidate.heldEpoch() !== undefined,
+    mayCall: () => candidate.heldEpochFor(least) !== undefined,
     standBack: least,
     callOnItsWay,
     callPatience: options.callPatience,
--- a/packages/duty/src/candidate.test.ts
+++ b/packages/duty/src/candidate.test.ts
@@ -39,7 +39,7 @@
     log: () => undefined,
   };
   const candidate = createCandidate(world, {
-    duty: 'training',
+    role: 'training',
     member: 'a',
     self: 'a:1' as Address,
     slot: 5,
@@ -48,9 +48,9 @@
       membershipEpoch: 1,
       replicas: [0, 1, 2].map((slot) => ({ slot, address: `core${slot}:1`, disk: `disk${slot}` })),
     }),
-    willing: () => willing,
-    won: (epoch) => events.push(`won ${epoch}`),
-    lost: () => events.push('lost'),
+    isWilling: () => willing,
+    onElected: (epoch) => events.push(`won ${epoch}`),
+    onLeaseLost: () => events.push('lost'),
   });
   function advance(by: number): void {
     const until = now + by;
@@ -66,7 +66,7 @@
   }
   function grant(slot: number, disk = `disk${slot}`): void {
     const { id, duty, epoch } = ballots.at(-1)!;
-    candidate.vote({ kind: 'BallotVote', id, slot, disk, duty, granted: true, epoch, holder: '', address: '' });
+    candidate.receiveVote({ kind: 'BallotVote', id, slot, disk, duty, granted: true, epoch, holder: '', address: '' });
   }
   function stopWanting(): void {
     willing = false;
@@ -82,9 +82,9 @@
   scene.grant(0);
   scene.grant(0);
   scene.grant(1, 'another disk');
-  expect(scene.candidate.holds()).toBeUndefined();
+  expect(scene.candidate.heldEpoch()).toBeUndefined();
   scene.grant(2);
-  expect(scene.candidate.holds()).toBe(69);
+  expect(scene.candidate.heldEpoch()).toBe(69);
   expect(scene.events).toEqual(['won 69']);
 });
 
@@ -97,9 +97,9 @@
   scene.grant(0);
   scene.grant(1);
   scene.advance(leaseDuration - 1);
-  expect(scene.candidate.holds()).toBe(69);
+  expect(scene.candidate.heldEpoch()).toBe(69);
   scene.advance(1);
-  expect(scene.candidate.holds()).toBeUndefined();
+  expect(scene.candidate.heldEpoch()).toBeUndefined();
   expect(scene.events).toEqual(['won 69', 'lost']);
 });
 
@@ -111,15 +111,15 @@
   expect(scene.ballots).toHaveLength(3);
   scene.grant(0);
   scene.grant(1);
-  expect(scene.candidate.holds()).toBeUndefined();
+  expect(scene.candidate.heldEpoch()).toBeUndefined();
 });
 
 it('calls no election while another is known to hold the role, and a higher epoch after that', () => {
   const scene = createScene();
-  scene.candidate.heard({ duty: 'training', holder: 'b', address: 'b:1', epoch: 200 });
+  scene.candidate.observeLeader({ duty: 'training', holder: 'b', address: 'b:1', epoch: 200 });
   scene.advance(leaseDuration - 1);
   expect(scene.ballots).toHaveLength(0);
-  expect(scene.candidate.holder()?.holder).toBe('b');
+  expect(scene.candidate.leader()?.holder).toBe('b');
   scene.advance(leaseDuration / 6 + 1);
   expect(scene.ballots[0]!.epoch).toBe(256 + 5);
 });
@@ -135,14 +135,14 @@
     const epochs = new Map<string, number>();
     return createVoter(clock.world, {
       slot: () => slot,
-      disk: () => disk,
-      voting: () => true,
+      diskId: () => disk,
+      isVoting: () => true,
       votingSince: () => -leaseDuration,
       membershipEpoch: () => 1,
       leaseDuration,
       store: {
         epoch: (duty) => epochs.get(duty) ?? 0,
-        keep: (duty, epoch, done) => {
+        save: (duty, epoch, done) => {
           epochs.set(duty, epoch);
           done(true);
         },
@@ -157,25 +157,27 @@
           const target = Number(to.slice(1, 2));
           if (message.kind !== 'Ballot') return;
           after(slot, target, () =>
-            voters[target]!.ballot(message, (vote) => after(target, slot, () => candidates[slot]!.vote(vote))),
+            voters[target]!.requestVote(message, (vote) =>
+              after(target, slot, () => candidates[slot]!.receiveVote(vote)),
+            ),
           );
         },
       },
       {
-        duty: 'training',
+        role: 'training',
         member: `m${slot}`,
         self: address as Address,
         slot,
         leaseDuration,
         replicas: () => ({ membershipEpoch: 1, replicas }),
-        willing: () => true,
-        won: () => undefined,
-        lost: () => undefined,
+        isWilling: () => true,
+        onElected: () => undefined,
+        onLeaseLost: () => undefined,
       },
     ),
   );
   await clock.runTo(until);
-  return candidates.flatMap((candidate, slot) => (candidate.holds() === undefined ? [] : [`m${slot}`]));
+  return candidates.flatMap((candidate, slot) => (candidate.heldEpoch() === undefined ? [] : [`m${slot}`]));
 }
 
 it('elects one after a split of the votes, which the losers let lapse', async () => {
--- a/packages/duty/src/candidate.ts
+++ b/packages/duty/src/candidate.ts
@@ -24,7 +24,7 @@
 /** What a candidate is told when it is made. */
 export interface CandidateOptions {
   /** Name of the role. */
-  readonly duty: string;
+  readonly role: string;
   readonly member: string;
   readonly self: Address;
   /** A number below 64 that no other candidate has: it keeps the epochs of two candidates apart. */
@@ -34,23 +34,23 @@
   /** Those whose votes count now. */
   readonly replicas: () => VoterGroup;
   /** Whether it wants the role now; a lease that is of no use is not renewed. */
-  readonly willing: () => boolean;
-  readonly won: (epoch: number) => void;
-  readonly lost: () => void;
+  readonly isWilling: () => boolean;
+  readonly onElected: (epoch: number) => void;
+  readonly onLeaseLost: () => void;
 }
 
 /** One member's candidacy for one role. */
 export interface Candidate {
   /** The epoch under which this member holds the role, while it does. */
-  readonly holds: () => number | undefined;
+  readonly heldEpoch: () => number | undefined;
   /** The same, if it goes on holding the role for so long, in microseconds, whatever becomes of its next renewal. */
-  readonly holdsFor: (least: number) => number | undefined;
+  readonly heldEpochFor: (least: number) => number | undefined;
   /** Who holds the role as far as is known. */
-  readonly holder: () => DutyMark | undefined;
+  readonly leader: () => DutyMark | undefined;
   /** Takes in a voter's answer. */
-  readonly vote: (answer: MessageOf<'BallotVote'>) => void;
+  readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
   /** Takes in what others tell of a holder. */
-  readonly heard: (told: DutyMark) => void;
+  readonly observeLeader: (told: DutyMark) => void;
   readonly stop: () => void;
 }
 
@@ -106,11 +106,11 @@
     nextElectionAt: 0,
   };
   return {
-    holds: () => epochHeld(state, world, options),
-    holdsFor: (least) => (state.leaseUntil - world.now() < least ? undefined : epochHeld(state, world, options)),
-    holder: () => currentHolder(state, world, options),
-    vote: (answer) => takeVote(state, world, options, answer),
-    heard: (told) => takeHolder(state, world, options, told),
+    heldEpoch: () => epochHeld(state, world, options),
+    heldEpochFor: (least) => (state.leaseUntil - world.now() < least ? undefined : epochHeld(state, world, options)),
+    leader: () => currentHolder(state, world, options),
+    receiveVote: (answer) => takeVote(state, world, options, answer),
+    observeLeader: (told) => takeHolder(state, world, options, told),
     stop: every(
       world,
       () => micros(options.leaseDuration / checksPerLease),
@@ -122,15 +122,15 @@
 function epochHeld(state: CandidateState, world: World, options: CandidateOptions): number | undefined {
   if (state.holding && world.now() >= state.leaseUntil) {
     state.holding = false;
-    world.log(3102, { duty: options.duty, epoch: state.epoch });
-    options.lost();
+    world.log(3102, { duty: options.role, epoch: state.epoch });
+    options.onLeaseLost();
   }
   return state.holding ? state.epoch : undefined;
 }
 
 function currentHolder(state: CandidateState, world: World, options: CandidateOptions): DutyMark | undefined {
   if (epochHeld(state, world, options) !== undefined) {
-    return { duty: options.duty, holder: options.member, address: options.self, epoch: state.epoch };
+    return { duty: options.role, holder: options.member, address: options.self, epoch: state.epoch };
   }
   return world.now() - state.knownAt < options.leaseDuration ? state.knownHolder : undefined;
 }
@@ -138,10 +138,10 @@
 /** Renews the lease that is held, or calls an election where the role seems vacant. */
 function check(state: CandidateState, world: World, options: CandidateOptions): void {
   if (epochHeld(state, world, options) !== undefined) {
-    if (options.willing()) callElection(state, world, options, state.epoch);
+    if (options.isWilling()) callElection(state, world, options, state.epoch);
     return;
   }
-  if (!options.willing() || world.now() < state.nextElectionAt) return;
+  if (!options.isWilling() || world.now() < state.nextElectionAt) return;
   if (currentHolder(state, world, options) !== undefined || yieldsToRival(state, world, options)) return;
   state.nextElectionAt = world.now() + retryAfter.least + Math.round(world.random() * retryAfter.spread);
   const round = Math.floor(state.highestEpochSeen / epochsPerRound) + 1;
@@ -175,7 +175,7 @@
 
 function callElection(state: CandidateState, world: World, options: CandidateOptions, epoch: number): void {
   state.electionsCalled += 1;
-  const id = `${options.duty}/${options.member}/${state.electionsCalled}`;
+  const id = `${options.role}/${options.member}/${state.electionsCalled}`;
   const { membershipEpoch, replicas } = options.replicas();
   state.election = {
     id,
@@ -191,7 +191,7 @@
       kind: 'Ballot',
       id,
       from: options.self,
-      duty: options.duty,
+      duty: options.role,
       candidate: options.member,
       epoch,
       membershipEpoch,
@@ -205,11 +205,11 @@
   options: CandidateOptions,
   answer: MessageOf<'BallotVote'>,
 ): void {
-  if (answer.duty !== options.duty) return;
+  if (answer.duty !== options.role) return;
   state.highestEpochSeen = Math.max(state.highestEpochSeen, answer.epoch);
   if (answer.holder !== '' && answer.holder !== options.member) {
     const { holder, address, epoch } = answer;
-    takeHolder(state, world, options, { duty: options.duty, holder, address, epoch });
+    takeHolder(state, world, options, { duty: options.role, holder, address, epoch });
     state.knownAt = Math.min(state.knownAt, world.now() - options.leaseDuration + secondHandBelief);
   }
   const { election } = state;
@@ -235,12 +235,12 @@
   if (state.holding) return;
   state.holding = true;
   state.epoch = election.epoch;
-  world.log(3101, { duty: options.duty, epoch: state.epoch });
-  options.won(state.epoch);
+  world.log(3101, { duty: options.role, epoch: state.epoch });
+  options.onElected(state.epoch);
 }
 
 function takeHolder(state: CandidateState, world: World, options: CandidateOptions, told: DutyMark): void {
-  if (told.duty !== options.duty || told.holder === options.member) return;
+  if (told.duty !== options.role || told.holder === options.member) return;
   if (told.epoch < (state.knownHolder?.epoch ?? 0)) return;
   state.highestEpochSeen = Math.max(state.highestEpochSeen, told.epoch);
   state.knownHolder = told;
--- a/packages/duty/src/voter.test.ts
+++ b/packages/duty/src/voter.test.ts
@@ -16,14 +16,14 @@
     },
     {
       slot: () => 0,
-      disk: () => 'd',
-      voting: () => true,
+      diskId: () => 'd',
+      isVoting: () => true,
       votingSince: () => 0,
       membershipEpoch: () => 1,
       leaseDuration: 3_000_000,
       store: {
         epoch: () => kept,
-        keep: (_duty, epoch, done) => {
+        save: (_duty, epoch, done) => {
           kept = epoch;
           done(true);
         },
@@ -32,7 +32,7 @@
   );
   function ask(candidate: string, epoch: number, from = `${candidate}:1`): boolean {
     const got: MessageOf<'BallotVote'>[] = [];
-    v.ballot({ kind: 'Ballot', id: 'x', from, duty: 'training', candidate, epoch, membershipEpoch: 1 }, (x) =>
+    v.requestVote({ kind: 'Ballot', id: 'x', from, duty: 'training', candidate, epoch, membershipEpoch: 1 }, (x) =>
       got.push(x),
     );
     return got[0]!.granted;
--- a/packages/duty/src/voter.ts
+++ b/packages/duty/src/voter.ts
@@ -9,15 +9,15 @@
 export interface EpochStore {
   readonly epoch: (duty: string) => number;
   /** Calls `done` when the epoch is synced to disk (true) or could not be (false). */
-  readonly keep: (duty: string, epoch: number, done: (synced: boolean) => void) => void;
+  readonly save: (duty: string, epoch: number, done: (synced: boolean) => void) => void;
 }
 
 /** What a voter is told when it is made. */
 export interface VoterOptions {
   readonly slot: () => number;
-  readonly disk: () => string;
+  readonly diskId: () => string;
   /** Whether the replica beside it votes now, and since when, in microseconds. */
-  readonly voting: () => boolean;
+  readonly isVoting: () => boolean;
   readonly votingSince: () => number;
   readonly membershipEpoch: () => number;
   /** In microseconds; the same for all candidates and voters. */
@@ -27,7 +27,7 @@
 
 /** Answers candidates. */
 export interface Voter {
-  readonly ballot: (ballot: MessageOf<'Ballot'>, answer: (vote: MessageOf<'BallotVote'>) => void) => void;
+  readonly requestVote: (ballot: MessageOf<'Ballot'>, answer: (vote: MessageOf<'BallotVote'>) => void) => void;
 }
 
 /** The vote that a voter has given for one role. */
@@ -49,7 +49,7 @@
     function reply(granted: boolean, epoch: number): void {
       answer(voteMessage(options, ballot, current, granted, epoch));
     }
-    if (!options.voting() || ballot.membershipEpoch !== options.membershipEpoch()) {
+    if (!options.isVoting() || ballot.membershipEpoch !== options.membershipEpoch()) {
       return reply(false, options.store.epoch(ballot.duty));
     }
     if (current !== undefined && current.holder === ballot.candidate && current.epoch === ballot.epoch) {
@@ -61,12 +61,12 @@
     if (silent || isOther(current, ballot) || ballot.epoch <= highestEpoch) return reply(false, highestEpoch);
     const next = { holder: ballot.candidate, address: ballot.from, epoch: ballot.epoch, until: Infinity };
     grantedVotes.set(ballot.duty, next);
-    options.store.keep(ballot.duty, ballot.epoch, (synced) => {
+    options.store.save(ballot.duty, ballot.epoch, (synced) => {
       next.until = world.now() + options.leaseDuration;
       reply(synced, ballot.epoch);
     });
   }
-  return { ballot };
+  return { requestVote: ballot };
 }
 
 /**
@@ -89,7 +89,7 @@
     kind: 'BallotVote',
     id: ballot.id,
     slot: options.slot(),
-    disk: options.disk(),
+    disk: options.diskId(),
     duty: ballot.duty,
     granted,
     epoch,
--- a/packages/learning/src/control-node-learning.ts
+++ b/packages/learning/src/control-node-learning.ts
@@ -51,7 +51,7 @@
   const writer = createRecordWriter(w, learnedService, o.asker, () => undefined);
   const training = createTrainingDuty(w, {
     service: learnedService,
-    holds: duties.training.holds,
+    holds: duties.training.heldEpoch,
     record,
     asker: o.asker,
     writer,
@@ -61,7 +61,7 @@
     approval: () => 'automatic',
   });
   const keeping = createRehearsalDuty(w, {
-    holds: duties.rehearsals.holds,
+    holds: duties.rehearsals.heldEpoch,
     record,
     writer,
     timeLimit: o.rehearsalLimit ?? learningDefaults.rehearsalLimit,
@@ -71,7 +71,7 @@
 
   function candidate(duty: string, willing: () => boolean): ReturnType<typeof createCandidate> {
     return createCandidate(w, {
-      duty,
+      role: duty,
       member: o.member,
       self: o.self,
       get slot() {
@@ -79,9 +79,9 @@
       },
       leaseDuration: o.tenure,
       replicas: () => o.keeper()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
-      willing: () => o.keeper()?.replica.state() === 'voting' && willing(),
-      won: () => undefined,
-      lost: () => undefined,
+      isWilling: () => o.keeper()?.replica.state() === 'voting' && willing(),
+      onElected: () => undefined,
+      onLeaseLost: () => undefined,
     });
   }
   // As this place holds it: good enough to begin with, as each write is on the version read.
@@ -109,7 +109,7 @@
 
   function onSamples(m: Extract<Message, { kind: 'Samples' }>, from: Address): void {
     if (m.width !== width) return;
-    const holder = duties.training.holder();
+    const holder = duties.training.leader();
     const routed =
       o
         .keeper()
@@ -126,22 +126,22 @@
       armsAt = w.now();
       keeping.arms(m);
     } else if (m.kind === 'BallotVote') {
-      duties.training.vote(m);
-      duties.rehearsals.vote(m);
+      duties.training.receiveVote(m);
+      duties.rehearsals.receiveVote(m);
     } else return false;
     return true;
   }
 
   function tick(): void {
-    if (duties.training.holds() !== undefined && wantsTraining()) training.tick();
-    if (duties.rehearsals.holds() !== undefined) keeping.tick();
+    if (duties.training.heldEpoch() !== undefined && wantsTraining()) training.tick();
+    if (duties.rehearsals.heldEpoch() !== undefined) keeping.tick();
   }
   const stop = every(w, () => micros(tickEvery), tick);
   return {
     receive,
     figures: () => ({
       ...training.figures(),
-      holds: Object.entries(duties).flatMap(([k, d]) => (d.holds() === undefined ? [] : [k])),
+      holds: Object.entries(duties).flatMap(([k, d]) => (d.heldEpoch() === undefined ? [] : [k])),
     }),
     stop: () => {
       stop();
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -24,9 +24,9 @@
 
 /** The settings of the shipped program, in microseconds. */
 const settings = {
-  tenure: 10_000_000,
+  routerLeaseUs: 10_000_000,
   dutyTenure: 3_000_000,
-  sweepEvery: 2_000_000,
+  antiEntropyIntervalUs: 2_000_000,
   firstPause: 300_000,
   longestPause: 1_000_000,
 } as const;
@@ -108,11 +108,11 @@
     return createControlNodeHost(world, {
       ...settings,
       slot: undefined,
-      foundingSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
-      founds,
+      bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
+      mayBootstrap: founds,
       rejoins: true,
       self,
-      core: seeds,
+      bootstrapMembers: seeds,
       seeds: [],
       newDiskId: () => `${process.name}.${Math.floor(world.random() * 2 ** 48).toString(36)}`,
       open: (afresh, blank) => this.openDisk(afresh, blank),
--- a/packages/model-checker/src/duties/duty-mutations.ts
+++ b/packages/model-checker/src/duties/duty-mutations.ts
@@ -38,7 +38,7 @@
     'the fence is the version of the write of the term',
     runner,
     'port: options.port,',
-    'port: { call: (call) => options.port.call({ ...call, fence: candidate.holds() ?? 0 }) },',
+    'port: { call: (call) => options.port.call({ ...call, fence: candidate.heldEpoch() ?? 0 }) },',
   ),
   removed(
     leasesOverlap,
@@ -51,8 +51,8 @@
     fencesChecked,
     'a call is made only while the lease outlasts the pause between holders',
     runner,
-    'candidate.holdsFor(least) !== undefined',
-    'candidate.holds() !== undefined',
+    'candidate.heldEpochFor(least) !== undefined',
+    'candidate.heldEpoch() !== undefined',
   ),
   removed(
     fencesUnchecked,
@@ -104,8 +104,8 @@
     fencesUnchecked,
     'a lost lease ends the terms',
     runner,
-    'won: endTerms,\n    lost: endTerms,',
-    'won: () => undefined,\n    lost: () => undefined,',
+    'onElected: endTerms,\n    onLeaseLost: endTerms,',
+    'onElected: () => undefined,\n    onLeaseLost: () => undefined,',
   ),
   {
     kind: leasesOverlap,
--- a/packages/model-checker/src/duties/duty-node.ts
+++ b/packages/model-checker/src/duties/duty-node.ts
@@ -141,15 +141,15 @@
   const { epochs, id } = node.disk;
   const store: EpochStore = {
     epoch: (duty) => epochs.get(duty) ?? 0,
-    keep: (duty, epoch, done) => {
+    save: (duty, epoch, done) => {
       epochs.set(duty, epoch);
       done(true);
     },
   };
   node.voter = createVoter(world as World, {
     slot: () => node.slot,
-    disk: () => id,
-    voting: () => true,
+    diskId: () => id,
+    isVoting: () => true,
     votingSince: () => votingSince,
     membershipEpoch: () => cluster.membership().membershipEpoch,
     leaseDuration: times.leaseDuration,
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -115,7 +115,7 @@
 
   function receive(node: DutyNode, received: Message): void {
     if (received.kind === 'Ballot')
-      node.voter?.ballot(received, (vote) => node.runner && replyTo(received.from as Address, vote, node));
+      node.voter?.requestVote(received, (vote) => node.runner && replyTo(received.from as Address, vote, node));
     if (received.kind === 'BallotVote') node.runner?.vote(received);
   }
 
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/founding-schedules.ts
@@ -4,7 +4,7 @@
  * restarted, and a disk that is lost, each between any two messages. No time passes, so a schedule takes microseconds.
  */
 import { createControlGuide, type ControlGuide } from '@tansypost/control-feed';
-import { createRosterFounding, type RosterFounding } from '@tansypost/control-state';
+import { createDiscoveryBootstrap, type DiscoveryBootstrap } from '@tansypost/control-state';
 import { seeded, type Address, type Message, type ReplicaEntry } from '@tansypost/inner-protocol';
 import type { Violation } from './quorum-checks.js';
 
@@ -19,7 +19,7 @@
   disk: string;
   /** Whether its process has run since the first start. */
   first: boolean;
-  founding: RosterFounding;
+  founding: DiscoveryBootstrap;
   record: readonly ReplicaEntry[] | undefined;
 }
 
@@ -95,15 +95,15 @@
     return candidate;
   }
 
-  private foundingOf(candidate: Pick<Candidate, 'address' | 'disk' | 'first'>): RosterFounding {
+  private foundingOf(candidate: Pick<Candidate, 'address' | 'disk' | 'first'>): DiscoveryBootstrap {
     const { address, disk, first } = candidate;
-    return createRosterFounding({
+    return createDiscoveryBootstrap({
       self: address,
       diskId: () => disk,
       seeds: Array.from({ length: seedCount }, (_unused, index) => `s${index}:1` as Address),
       mayBegin: first,
-      fewest: this.fewest,
-      most: 9,
+      minMembers: this.fewest,
+      maxMembers: 9,
     });
   }
 
--- a/packages/model-checker/src/invariants.ts
+++ b/packages/model-checker/src/invariants.ts
@@ -3,7 +3,7 @@
  * and followers were told; none looks into the memory of a program.
  */
 import type { ControlFeed } from '@tansypost/control-feed';
-import { leaseLength } from '@tansypost/control-state';
+import { servingLeaseUs } from '@tansypost/control-state';
 import type { Message } from '@tansypost/inner-protocol';
 import type { ControlMachine } from './control-machine.js';
 import { disksOf, type DurableState } from './durable-state.js';
@@ -124,7 +124,7 @@
   // An answer given as current reflects every change acknowledged earlier than a lease's length before it.
   private checkBeat(to: Process, beat: Beat): void {
     if (!beat.leased) return;
-    const oldest = this.kernel.now() - leaseLength;
+    const oldest = this.kernel.now() - servingLeaseUs;
     const missed = this.acknowledgements.find((each) => each.timeUs < oldest && each.version > beat.version);
     if (missed === undefined) return;
     this.fail(
--- a/packages/model-checker/src/make-move.ts
+++ b/packages/model-checker/src/make-move.ts
@@ -1,5 +1,5 @@
 /** Brings a move about in a cluster. */
-import type { HandOverResult } from '@tansypost/control-state';
+import type { LeaveResult } from '@tansypost/control-state';
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 import { isEventMove, type EventMove, type Fault, type Move } from './moves.js';
@@ -106,7 +106,7 @@
 }
 
 /** Its disk goes with it where the hand-over says that nobody needs it, or where that is a loss that is borne. */
-function endFor(cluster: Cluster, machine: ControlMachine, result: HandOverResult): void {
+function endFor(cluster: Cluster, machine: ControlMachine, result: LeaveResult): void {
   machine.crash(0);
   if (result === 'incomplete' && !cluster.invariants.bearsLossOf(machine)) restart(machine);
   else machine.loseDisk();
--- a/packages/model-checker/src/model-checker.test.ts
+++ b/packages/model-checker/src/model-checker.test.ts
@@ -95,7 +95,7 @@
   }
 }, 60_000);
 
-// The fourth one, no founding after a restart, was not found in 40,000 schedules; roster-founding.test.ts shows it.
+// The fourth one, no founding after a restart, was not found in 40,000 schedules; discovery-bootstrap.test.ts shows it.
 it.each(foundingMutations.slice(0, 3).map((mutation) => mutation.name))(
   'finds that this is missing at a first start: %s',
   async (name) => {
--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -19,14 +19,14 @@
 const catchUp = `${controlState}/catch-up.ts`;
 const changeHistory = `${controlState}/change-history.ts`;
 const committedRows = `${controlState}/committed-rows.ts`;
-const handOver = `${controlState}/hand-over.ts`;
+const gracefulLeave = `${controlState}/graceful-leave.ts`;
 const keyLeader = `${controlState}/key-leader.ts`;
 const membershipChanges = `${controlState}/membership-changes.ts`;
 const membershipRecord = `${controlState}/membership-record.ts`;
 const quorumRound = `${controlState}/quorum-round.ts`;
 const replica = `${controlState}/replica.ts`;
 const replicaStorage = `${controlState}/replica-storage.ts`;
-const rosterFounding = `${controlState}/roster-founding.ts`;
+const discoveryBootstrap = `${controlState}/discovery-bootstrap.ts`;
 const row = `${controlState}/row.ts`;
 const servingLease = `${controlState}/serving-lease.ts`;
 
@@ -38,23 +38,23 @@
 export const foundingMutations: readonly Mutation[] = [
   removed(
     'a founder is listed by a majority of the seeds',
-    rosterFounding,
+    discoveryBootstrap,
     'const needed = majorityOf(seeds.length);',
     'const needed = 1;',
   ),
   removed(
     'a seed that was restarted does not vouch',
-    rosterFounding,
+    discoveryBootstrap,
     'if (message.firstStart && isListed)',
     'if (isListed)',
   ),
   removed(
     'all of its view have told a founder the same view',
-    rosterFounding,
+    discoveryBootstrap,
     'views.get(nameOf(candidate)) !== own);',
     'views.get(nameOf(candidate)) === undefined && own === undefined);',
   ),
-  removed('no machine founds after a restart', rosterFounding, 'if (!options.mayBegin)', 'if (seeds.length < 0)'),
+  removed('no machine founds after a restart', discoveryBootstrap, 'if (!options.mayBegin)', 'if (seeds.length < 0)'),
 ];
 
 /** All mechanisms that are taken away. */
@@ -87,8 +87,8 @@
   removed(
     'nothing is accepted below the promise',
     acceptor,
-    'if (request.epoch < row.promised) return answer(voteFor(request, false, withoutValue(row)));\n    if (!newer',
-    'if (!newer',
+    'if (request.epoch < row.promised) return answer(voteFor(request, false, withoutValue(row)));\n    if (!isNewer',
+    'if (!isNewer',
   ),
   removed('a takeover rewrites the newest value', keyLeader, 'if (newest.version === 0) return', 'return'),
   removed(
@@ -126,7 +126,7 @@
   removed(
     'a write names the version that it builds on',
     keyLeader,
-    'if (taken !== undefined || next.base !== row.version) return',
+    'if (taken !== undefined || next.expectedVersion !== row.version) return',
     'if (taken !== undefined) return',
   ),
   removed(
@@ -181,7 +181,7 @@
   removed(
     'a lease is renewed only by a majority',
     servingLease,
-    'rounds.start({ make, patience: roundPatience }, (confirmed) => {',
+    'rounds.start({ buildRequest: make, timeoutUs: roundPatience }, (confirmed) => {',
     'void make;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (confirmed: typeof local) => void) => done(local))((confirmed) => {',
   ),
   removed(
@@ -200,8 +200,8 @@
   removed(
     'catching up keeps to the promises',
     catchUp,
-    'const isNewer = newer(copied, present) && epoch >= present.promised;',
-    'const isNewer = newer(copied, present);',
+    'const replaces = isNewer(copied, present) && epoch >= present.promised;',
+    'const replaces = isNewer(copied, present);',
   ),
   removed(
     'a copy counts under one membership only',
@@ -211,8 +211,8 @@
   ),
   removed(
     'a leaver ends only once those that stay hold all',
-    handOver,
-    'return known !== undefined && !newer(replica.row(key), known);',
+    gracefulLeave,
+    'return known !== undefined && !isNewer(replica.row(key), known);',
     'return key !== undefined || known !== undefined;',
   ),
   removed(
@@ -224,8 +224,8 @@
   removed(
     'a change that was chosen stays known in the copies',
     catchUp,
-    'options.putRow(key, merge(present, copied), changes, done)',
-    'options.putRow(key, merge(present, copied), [], done)',
+    'options.putRow(key, mergeRows(present, copied), changes, done)',
+    'options.putRow(key, mergeRows(present, copied), [], done)',
   ),
   ...foundingMutations,
 ];
--- a/packages/model-checker/src/situation.ts
+++ b/packages/model-checker/src/situation.ts
@@ -20,7 +20,7 @@
   if (!machine.process.alive) return machine.disk.durable().disk === '' ? 'gone' : 'down';
   const core = machine.host()?.core();
   if (core === undefined) return 'opening';
-  const holds = core.owned().some((led) => led.key === configurationKey) ? '+' : '';
+  const holds = core.ledKeys().some((led) => led.key === configurationKey) ? '+' : '';
   return `${machine.process.frozen ? 'frozen ' : ''}${core.replica.state()}${holds}`;
 }
 
--- a/packages/simulator/src/control-runs/control-cluster.ts
+++ b/packages/simulator/src/control-runs/control-cluster.ts
@@ -164,7 +164,7 @@
       votes(m) &&
       m
         .host!.core()!
-        .owned()
+        .ledKeys()
         .some((k) => k.key === configurationKey)
     );
   }
--- a/packages/simulator/src/core-machine.ts
+++ b/packages/simulator/src/core-machine.ts
@@ -12,7 +12,7 @@
   type FeedServerOptions,
 } from '@tansypost/control-feed';
 import { createControlNodeHost, type ControlNodeHost, type OpenDisk } from '@tansypost/control-node';
-import { readJournal, type FounderCount } from '@tansypost/control-state';
+import { readJournal, type BootstrapSize } from '@tansypost/control-state';
 import { micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
 import type { Network } from './network.js';
@@ -52,7 +52,7 @@
   readonly sweepEvery?: number;
   readonly wantedReplicas?: number;
   /** With how many machines a cluster is founded where no seed holds state. */
-  readonly founderCount?: FounderCount;
+  readonly founderCount?: BootstrapSize;
   /** The size of the journal in bytes above which it is rewritten, where it isn't the usual one. */
   readonly rewriteOver?: number;
   readonly feed: (proc: Proc) => Omit<FeedServerOptions, 'keeper' | 'self'>;
@@ -97,7 +97,7 @@
 ): Promise<E.Either<Error, OpenDisk>> {
   if (blank) machine.disk.lose();
   const journal = readJournal(machine.disk.bytes());
-  if (E.isRight(journal)) machine.disk.cut(journal.right.good);
+  if (E.isRight(journal)) machine.disk.cut(journal.right.validBytes);
   const found = E.isLeft(journal) ? [] : journal.right.records;
   const disk = machine.disk.open(machine.proc);
   const error = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
@@ -130,21 +130,21 @@
   const { founders } = o;
   const host = createControlNodeHost(world, {
     slot: undefined,
-    foundingSlot: founders.includes(self) ? founders.indexOf(self) : undefined,
-    founds: o.bootstrap,
+    bootstrapSlot: founders.includes(self) ? founders.indexOf(self) : undefined,
+    mayBootstrap: o.bootstrap,
     rejoins: true,
     firstPause: 300_000,
     longestPause: 1_000_000,
     self,
-    core: founders,
-    firstSeeds: [...founders],
+    bootstrapMembers: founders,
+    initialSeeds: [...founders],
     seeds: [],
-    tenure: 10_000_000,
+    routerLeaseUs: 10_000_000,
     dutyTenure: o.dutyTenure,
-    ...(o.sweepEvery === undefined ? {} : { sweepEvery: o.sweepEvery }),
-    ...(o.wantedReplicas === undefined ? {} : { wantedReplicas: o.wantedReplicas }),
-    ...(o.founderCount === undefined ? {} : { founders: o.founderCount }),
-    ...(o.rewriteOver === undefined ? {} : { rewriteOver: o.rewriteOver }),
+    ...(o.sweepEvery === undefined ? {} : { antiEntropyIntervalUs: o.sweepEvery }),
+    ...(o.wantedReplicas === undefined ? {} : { targetReplicas: o.wantedReplicas }),
+    ...(o.founderCount === undefined ? {} : { bootstrapSize: o.founderCount }),
+    ...(o.rewriteOver === undefined ? {} : { compactAboveBytes: o.rewriteOver }),
     newDiskId: () => Math.floor(site.random() * 2 ** 48).toString(36),
     open: (afresh, blank) => openDisk(machine, afresh, blank),
   });
--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -2,7 +2,7 @@
  * One virtual day: the fleet starts on empty disks, the first document is taken, traffic comes, troubles come and go,
  * and the day ends in calm or with a closing fault, after which the document is read back.
  */
-import { foundersFor, replicasFor } from '@tansypost/control-state';
+import { bootstrapSizeFor, targetReplicaCount } from '@tansypost/control-state';
 import { seeded } from '@tansypost/inner-protocol';
 import { createEngine } from '../engine.js';
 import { createNetwork, type Network } from '../network.js';
@@ -76,11 +76,11 @@
   const workers = createVirtualWorkers(g);
   const losses = names.length >= 5 ? 2 : 1;
   const budget = { machines: losses, zones: 0, regions: 0 };
-  const wantedReplicas = replicasFor(budget);
+  const wantedReplicas = targetReplicaCount(budget);
   const core = createVirtualCore(g, workers, {
     seeds: firstSeeds(),
     wantedReplicas,
-    founderCount: foundersFor(budget),
+    founderCount: bootstrapSizeFor(budget),
   });
   function firstSeeds(): string[] {
     const gateways = Array.from({ length: o.gatewaySeeds ?? 0 }, (_, i) => `r${d.routers - 1 - i}`);
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -16,7 +16,7 @@
   createSlicedTrainer,
   type ControlNodeLearning,
 } from '@tansypost/learning';
-import type { FounderCount } from '@tansypost/control-state';
+import type { BootstrapSize } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { createDecodeRecovery, orderRecordKey, type ServedService } from '@tansypost/worker-stages';
 import { addMachine, startControlNode, type SimulatedMachine } from '../core-machine.js';
@@ -55,7 +55,7 @@
   /** The machines that all are told of at the first start. */
   readonly seeds: readonly string[];
   readonly wantedReplicas: number;
-  readonly founderCount: FounderCount;
+  readonly founderCount: BootstrapSize;
 }
 const patience = 850_000;
 const betweenHolders = 3_000_000;
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -243,12 +243,12 @@
       const host = createControlNodeHost(world(proc, a), {
         slot,
         self: address(a),
-        core: coreAt.map((x, i) => address(i === slot ? a : x)),
+        bootstrapMembers: coreAt.map((x, i) => address(i === slot ? a : x)),
         seeds: seedsAt,
-        tenure,
+        routerLeaseUs: tenure,
         dutyTenure: 3_000_000,
-        rewriteOver: 100_000,
-        sweepEvery: 2_000_000,
+        compactAboveBytes: 100_000,
+        antiEntropyIntervalUs: 2_000_000,
         newDiskId: () => Math.floor(r() * 2 ** 48).toString(36),
         open,
       });
@@ -262,7 +262,7 @@
       if (afresh) n.disk.crash();
       const f = readJournal(n.disk.bytes());
       if (E.isLeft(f)) n.disk.lose();
-      else n.disk.cut(f.right.good);
+      else n.disk.cut(f.right.validBytes);
       const found = E.isLeft(f) ? [] : f.right.records;
       const disk = n.disk.open(proc);
       const err = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -96,7 +96,7 @@
       clock.world.after(1000 as never, () => {
         if (!alive.has(target)) return;
         if (message.kind === 'Ballot')
-          voters[target]!.ballot(message, (vote) => send(target)(message.from as Address, vote));
+          voters[target]!.requestVote(message, (vote) => send(target)(message.from as Address, vote));
         if (message.kind === 'BallotVote') recoveries[target]!.vote(message);
       });
     };
@@ -111,14 +111,14 @@
     const votingSince = clock.world.now() === 0 ? -leaseDuration : clock.world.now();
     voters[node] = createVoter(world, {
       slot: () => node,
-      disk: () => `disk${node}`,
-      voting: () => true,
+      diskId: () => `disk${node}`,
+      isVoting: () => true,
       votingSince: () => votingSince,
       membershipEpoch: () => 1,
       leaseDuration,
       store: {
         epoch: (duty) => epochs.get(duty) ?? 0,
-        keep: (duty, epoch, done) => {
+        save: (duty, epoch, done) => {
           epochs.set(duty, epoch);
           done(true);
         },
@@ -136,7 +136,7 @@
       row: (key: string) => ({ version: 0, value: Buffer.alloc(0), ...(key === orderRecordKey ? stored : {}) }),
     };
     const rank = [...alive].sort().indexOf(node);
-    const controlNode = { replica, rank: () => rank } as unknown as ControlNode;
+    const controlNode = { replica, rankAmongLive: () => rank } as unknown as ControlNode;
     recoveries[node] = createDecodeRecovery(world, {
       self: `${name}:1` as Address,
       member: name,
--- a/packages/worker-stages/src/decode-recovery.ts
+++ b/packages/worker-stages/src/decode-recovery.ts
@@ -79,12 +79,12 @@
   const silence = createDecodeSilence(world, {
     workers: options.workers,
     served,
-    isAsker: () => options.controlNode()?.rank() === 0,
+    isAsker: () => options.controlNode()?.rankAmongLive() === 0,
     report: options.workerOrders.report,
   });
   const needs = createRecoveryNeeds(world, { workers: silence.answeringWorkers, served, rank, ordered });
   const candidate = createCandidate(world, {
-    duty: role,
+    role,
     member: options.member,
     self: options.self,
     get slot() {
@@ -92,23 +92,23 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: () => options.controlNode()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
-    willing: () => options.controlNode()?.replica.state() === 'voting' && needs.due() !== undefined,
-    won: () => undefined,
-    lost: () => undefined,
+    isWilling: () => options.controlNode()?.replica.state() === 'voting' && needs.due() !== undefined,
+    onElected: () => undefined,
+    onLeaseLost: () => undefined,
   });
   const least = options.betweenHolders + orderOnItsWay;
   function served(): string[] {
     return options.services().map((service) => service.name);
   }
   function rank(): number {
-    return options.controlNode()?.rank() ?? 0;
+    return options.controlNode()?.rankAmongLive() ?? 0;
   }
   function mayOrder(): boolean {
-    return candidate.holdsFor(least) !== undefined;
+    return candidate.heldEpochFor(least) !== undefined;
   }
   const stopLooking = startLooking({ world, options, needs, silence, ordered, mayOrder });
   return {
-    vote: candidate.vote,
+    vote: candidate.receiveVote,
     stop: () => {
       stopLooking();
       candidate.stop();
--- a/programs/control-node/src/control-node-host.test.ts
+++ b/programs/control-node/src/control-node-host.test.ts
@@ -54,9 +54,9 @@
   const h = createControlNodeHost(w, {
     slot: 0,
     self: 'k0:1' as Address,
-    core: ['k0:1', 'k1:1', 'k2:1'] as Address[],
+    bootstrapMembers: ['k0:1', 'k1:1', 'k2:1'] as Address[],
     seeds: [],
-    tenure: 10_000_000,
+    routerLeaseUs: 10_000_000,
     dutyTenure: 3_000_000,
     newDiskId: () => `d${(ids += 1)}`,
     open: async (afresh) => {
--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -6,7 +6,7 @@
  * anew as a blank machine that asks for a place, where it may.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import type { ControlNode, Disk, HandOverResult, JournalRecord } from '@tansypost/control-state';
+import type { ControlNode, Disk, LeaveResult, JournalRecord } from '@tansypost/control-state';
 import { every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import { createVotingControlNode, type VotingControlNodeOptions } from './voting-control-node.js';
 
@@ -35,7 +35,7 @@
   // The first opening: an error here is for the program to report, as nothing has run yet.
   readonly begin: () => Promise<E.Either<Error, void>>;
   // Leaves within `limit` microseconds; without a sound disk there is nothing to hand over.
-  readonly leave: (limit: number, done: (result: HandOverResult) => void) => void;
+  readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => Promise<void>;
 }
 export function createControlNodeHost(w: World, o: ControlNodeHostOptions): ControlNodeHost {
@@ -57,12 +57,12 @@
     if (disk.aside !== undefined) w.log(2009, { why: disk.aside });
     core = createVotingControlNode(w, {
       ...o,
-      ...(blank ? { founds: false, foundingSlot: undefined } : {}),
+      ...(blank ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
       reopened: afresh,
       disk: disk.disk,
       found: disk.found,
       newDiskId: o.newDiskId(),
-      entered: (s) => {
+      onStateChange: (s) => {
         if (s === 'failed') w.after(micros(0), look);
       },
     });
--- a/programs/control-node/src/file-disk.ts
+++ b/programs/control-node/src/file-disk.ts
@@ -90,13 +90,13 @@
   if (blank) await files.rm(name, { force: true });
   const read = readJournal(await readIfThere(files, name));
   const aside = E.isLeft(read) ? `${read.left.message} It is now ${await putAside(files, folder, name)}.` : undefined;
-  const r = E.isLeft(read) ? { right: { records: [], good: 0, cut: 0 } } : read;
-  if (r.right.cut > 0) await files.truncate(name, r.right.good);
+  const r = E.isLeft(read) ? { right: { records: [], validBytes: 0, tornBytes: 0 } } : read;
+  if (r.right.tornBytes > 0) await files.truncate(name, r.right.validBytes);
   let file: OpenFile = await files.open(name, 'a');
   // The process before may have been killed before its sync: what is found is told to others, so it must last first.
   await file.datasync();
   await syncFolder(files, folder);
-  let size = r.right.good;
+  let size = r.right.validBytes;
   let jobs: Job[] = [];
   let working = false;
   let busy: Promise<void> = Promise.resolve();
@@ -153,7 +153,7 @@
   return {
     disk,
     found: r.right.records,
-    cut: r.right.cut,
+    cut: r.right.tornBytes,
     ...(aside === undefined ? {} : { aside }),
     close: async () => {
       await busy;
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -23,13 +23,13 @@
     const host = createControlNodeHost(real.world, {
       slot: b.slot,
       self,
-      core: b.core as Address[],
+      bootstrapMembers: b.core as Address[],
       seeds: b.seeds as Address[],
       open: (afresh, blank) => openFileDisk(b.data, afresh, blank),
       newDiskId: () => randomBytes(8).toString('hex'),
-      tenure: (b.feedTenureMs ?? 10_000) * 1000,
+      routerLeaseUs: (b.feedTenureMs ?? 10_000) * 1000,
       dutyTenure: (b.dutyTenureMs ?? 3000) * 1000,
-      note: (what, key, version) => {
+      observe: (what, key, version) => {
         if (!key.startsWith('desired/')) return;
         traces.push({ at: Date.now() * 1000, what, key, version });
         if (traces.length > 500) traces.shift();
@@ -47,7 +47,7 @@
         state: core?.replica.state() ?? 'failed',
         disk: core?.replica.diskId(),
         core: core?.replica.membership(),
-        owned: core?.owned(),
+        owned: core?.ledKeys(),
         bytes: host.bytes(),
       });
     });
@@ -58,7 +58,7 @@
       a
         .type('text/plain; version=0.0.4')
         .send(
-          `tansypost_place_voting ${host.core()?.replica.state() === 'voting' ? 1 : 0}\ntansypost_core_generation ${host.core()?.replica.membership().membershipEpoch ?? 0}\ntansypost_keys_owned ${host.core()?.owned().length ?? 0}\ntansypost_file_bytes ${host.bytes()}\n`,
+          `tansypost_place_voting ${host.core()?.replica.state() === 'voting' ? 1 : 0}\ntansypost_core_generation ${host.core()?.replica.membership().membershipEpoch ?? 0}\ntansypost_keys_owned ${host.core()?.ledKeys().length ?? 0}\ntansypost_file_bytes ${host.bytes()}\n`,
         ),
     );
     await app.listen(splitAddress(b.http));
--- a/programs/control-node/src/voting-control-node.ts
+++ b/programs/control-node/src/voting-control-node.ts
@@ -14,19 +14,19 @@
   const k = createControlNode(w, o);
   const voter = createVoter(w, {
     slot: () => k.replica.slot,
-    disk: k.replica.diskId,
-    voting: () => k.replica.state() === 'voting',
+    diskId: k.replica.diskId,
+    isVoting: () => k.replica.state() === 'voting',
     votingSince: k.replica.votingSince,
     membershipEpoch: () => k.replica.membership().membershipEpoch,
     leaseDuration: o.dutyTenure,
     store: {
       epoch: (d) => k.replica.row(`~ballot/${d}`).promised,
-      keep: (d, epoch, done) =>
+      save: (d, epoch, done) =>
         k.replica.putRow(`~ballot/${d}`, { ...k.replica.row(`~ballot/${d}`), promised: epoch }, [], done),
     },
   });
   function receive(m: Message, from: Address): void {
-    if (m.kind === 'Ballot') voter.ballot(m, (v) => w.send(m.from as Address, v));
+    if (m.kind === 'Ballot') voter.requestVote(m, (v) => w.send(m.from as Address, v));
     else k.receive(m, from);
   }
   return { ...k, receive };
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -17,7 +17,7 @@
   type World,
 } from '@tansypost/inner-protocol';
 import { checkDesiredState, needsApproval, type DesiredState, type Fault } from '@tansypost/desired-state';
-import { claimKey } from '@tansypost/control-state';
+import { claimBucketKey } from '@tansypost/control-state';
 import { createCandidate, type Candidate } from '@tansypost/duty';
 import {
   createRecordWriter,
@@ -144,17 +144,17 @@
     dutyNames.map((d) => [
       d,
       createCandidate(w, {
-        duty: d,
+        role: d,
         member: o.member,
         self: o.self,
         slot: o.slot,
         leaseDuration: o.dutyTenure,
         replicas: () => core,
-        willing: () => w.now() - started > 1_000_000,
-        won: () => {
+        isWilling: () => w.now() - started > 1_000_000,
+        onElected: () => {
           if (d === 'parts') parts.won();
         },
-        lost: () => undefined,
+        onLeaseLost: () => undefined,
       }),
     ]),
   );
@@ -162,7 +162,7 @@
 
   function duties(): DutyMark[] {
     return [...candidates].flatMap(([d, c]) => {
-      const e = c.holds();
+      const e = c.heldEpoch();
       return e === undefined ? [] : [{ duty: d, holder: o.member, address: o.self, epoch: e }];
     });
   }
@@ -182,7 +182,7 @@
     core: () => core,
     duties,
     heardCore,
-    heardDuty: (d) => candidates.get(d.duty)?.heard(d),
+    heardDuty: (d) => candidates.get(d.duty)?.observeLeader(d),
     save,
   });
   function save(es: readonly Entry[]): void {
@@ -255,7 +255,7 @@
   });
 
   function holds(d: string): number | undefined {
-    return candidates.get(d)?.holds();
+    return candidates.get(d)?.heldEpoch();
   }
   function approval(): 'automatic' | 'operator' {
     const n = news.get(`desired/${o.service}`);
@@ -345,7 +345,7 @@
   }
 
   function toHolder(d: string, m: Message, self: () => void): void {
-    const h = candidates.get(d)?.holder();
+    const h = candidates.get(d)?.leader();
     if (h === undefined) return;
     if (h.address === o.self) self();
     else w.send(h.address as Address, m);
@@ -377,7 +377,7 @@
       case 'Leases':
         return news.onTenures(m);
       case 'BallotVote':
-        return candidates.get(m.duty)?.vote(m);
+        return candidates.get(m.duty)?.receiveVote(m);
       case 'Reports':
         return reports.take(m);
       case 'Demand':
@@ -414,7 +414,7 @@
     const value = Buffer.from(
       JSON.stringify({ op: m.op, key: m.key, holder: m.holder, request: m.request, ended: m.ended }),
     );
-    void asker.ask({ op: 'claim', key: claimKey(m.key), value, patience: 2_500_000 }).then((r) => {
+    void asker.ask({ op: 'claim', key: claimBucketKey(m.key), value, patience: 2_500_000 }).then((r) => {
       const known = r.value.toString();
       const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
       w.send(o.router, { kind: 'ClaimAnswer', id: m.id, status, known });
