--- a/packages/control-state/src/acceptor.ts
+++ b/packages/control-state/src/acceptor.ts
@@ -30,8 +30,8 @@
   readonly refuse: (request: VoteRequest, answer: (vote: Vote) => void) => void;
 }
 
-const noBytes = Buffer.alloc(0);
-const mayNotVote: ReadonlySet<ReplicaState> = new Set(['fenced', 'failed', 'unusable']);
+const emptyBuffer = Buffer.alloc(0);
+const refusingStates: ReadonlySet<ReplicaState> = new Set(['fenced', 'failed', 'unusable']);
 
 /** Makes the acceptor of a replica. */
 export function createAcceptor(options: AcceptorOptions): Acceptor {
@@ -59,7 +59,7 @@
     const row = storage.row(request.key);
     const state = options.state();
     const outdated = request.membershipEpoch < options.membershipEpoch();
-    if (outdated || mayNotVote.has(state)) return answer(voteFor(request, false, withoutValue(row)));
+    if (outdated || refusingStates.has(state)) return answer(voteFor(request, false, withoutValue(row)));
     if (request.kind === 'Check') return answer(voteFor(request, row.promised <= request.epoch, withoutValue(row)));
     if (request.kind === 'Prepare') return prepare(request, row, answer);
     accept(request, row, answer);
@@ -80,9 +80,9 @@
   function accept(request: MessageOf<'Accept'>, row: Row, answer: (vote: Vote) => void): void {
     if (request.epoch < row.promised) return answer(voteFor(request, false, withoutValue(row)));
     if (!isNewer(request, row)) {
-      const same = request.epoch === row.epoch;
+      const isSameEpoch = request.epoch === row.epoch;
       return options.putRow(request.key, row, request.changes, (ok) =>
-        answer(voteFor(request, ok && same, withoutValue(row))),
+        answer(voteFor(request, ok && isSameEpoch, withoutValue(row))),
       );
     }
     const { epoch, version, value, changes } = request;
@@ -97,5 +97,5 @@
 }
 
 function withoutValue(row: Row): Row {
-  return { ...row, value: noBytes };
+  return { ...row, value: emptyBuffer };
 }
--- a/packages/control-state/src/anti-entropy.ts
+++ b/packages/control-state/src/anti-entropy.ts
@@ -8,25 +8,25 @@
 export interface AntiEntropyOptions {
   readonly cluster: NodeContext;
   readonly shouldLead: (key: string) => boolean;
-  readonly confirmed: (key: string, row: Row) => void;
+  readonly onConfirmed: (key: string, row: Row) => void;
 }
 
 /** Gives the function that reads the next key. */
 export function createAntiEntropy(options: AntiEntropyOptions): () => void {
   const { replica, leaderOf: leader } = options.cluster;
-  let turn = 0;
+  let position = 0;
 
-  function isSwept(key: string): boolean {
+  function isCovered(key: string): boolean {
     return key !== membershipKey && !isLocalKey(key) && options.shouldLead(key);
   }
 
-  return function sweepOne(): void {
-    const keys = replica.keys().filter(isSwept).sort();
+  return function readNextKey(): void {
+    const keys = replica.keys().filter(isCovered).sort();
     if (replica.state() !== 'voting' || keys.length === 0) return;
-    turn += 1;
-    const key = keys[turn % keys.length]!;
+    position += 1;
+    const key = keys[position % keys.length]!;
     leader(key).read((row) => {
-      if (row !== undefined) options.confirmed(key, row);
+      if (row !== undefined) options.onConfirmed(key, row);
     });
   };
 }
--- a/packages/control-state/src/bootstrap-wait-report.ts
+++ b/packages/control-state/src/bootstrap-wait-report.ts
@@ -2,27 +2,27 @@
 import { every, micros, type World } from '@tansypost/inner-protocol';
 import type { Replica } from './replica.js';
 
-const lookEvery = micros(1_000_000);
+const checkInterval = micros(1_000_000);
 /** A first start of the whole system takes less. */
-const toleratedFor = 8_000_000;
-const tellEvery = 30_000_000;
+const gracePeriodUs = 8_000_000;
+const logIntervalUs = 30_000_000;
 
 /** Looks each second until it is stopped. */
 export function reportBootstrapWait(world: World, replica: Pick<Replica, 'waitsFor'>): () => void {
-  let foundedAt = world.now();
-  let toldAt = -Infinity;
+  let notWaitingAt = world.now();
+  let loggedAt = -Infinity;
 
-  function look(): void {
+  function check(): void {
     const wait = replica.waitsFor();
     const now = world.now();
     if (wait === undefined) {
-      foundedAt = now;
+      notWaitingAt = now;
       return;
     }
-    if (now - foundedAt < toleratedFor || now - toldAt < tellEvery) return;
-    toldAt = now;
+    if (now - notWaitingAt < gracePeriodUs || now - loggedAt < logIntervalUs) return;
+    loggedAt = now;
     world.log(2019, { ...wait });
   }
 
-  return every(world, () => lookEvery, look);
+  return every(world, () => checkInterval, check);
 }
--- a/packages/control-state/src/catch-up.ts
+++ b/packages/control-state/src/catch-up.ts
@@ -23,14 +23,14 @@
   readonly isMember: () => boolean;
   readonly putRow: ReplicaStorage['putRow'];
   /** Told when so many sources have been copied whole that a blank replica may vote once it is a member. */
-  readonly copied: () => void;
+  readonly onCopied: () => void;
 }
 
 /** Copies from the other replicas, and answers those that copy from this one. */
 export interface CatchUp {
   /** Asks the sources that have not been copied whole, or of a learner's sources all, for what is newer. */
   readonly tick: () => void;
-  readonly page: (page: CopyPage) => void;
+  readonly receivePage: (page: CopyPage) => void;
   /** The answer to another replica that copies from this one. */
   readonly answer: (request: CopyRequest) => CopyPage;
   /** Whether enough sources were copied whole lately, under the present membership. */
@@ -46,7 +46,7 @@
   readonly after: number;
   readonly membershipEpoch: number;
   /** When the last page that left nothing out was asked for; -Infinity if there is none under this membership. */
-  readonly wholeAt: number;
+  readonly completeAt: number;
 }
 
 interface OpenRequest {
@@ -54,19 +54,19 @@
   readonly after: number;
 }
 
-const pageBytes = 1024 * 1024;
-const rowOverhead = 64;
-const askAgainAfter = 150_000;
-const retryAfter = 50_000;
-const learnAgainAfter = 250_000;
-const caughtUpFor = 3_000_000;
+const maxPageBytes = 1024 * 1024;
+const rowOverheadBytes = 64;
+const requestTimeoutUs = 150_000;
+const retryDelayUs = 50_000;
+const learnerRefreshUs = 250_000;
+const caughtUpWindowUs = 3_000_000;
 
 /** Makes the copying side of a replica; it asks nobody before its first tick. */
 export function createCatchUp(world: World, options: CatchUpOptions): CatchUp {
   const { storage } = options;
   const progress = new Map<number, Progress>();
-  const open = new Map<number, OpenRequest>();
-  const missing = new Set<number>();
+  const openRequests = new Map<number, OpenRequest>();
+  const slotsToCopy = new Set<number>();
 
   function sources(): ReplicaEntry[] {
     const { replicas } = options.membership();
@@ -77,33 +77,35 @@
     const { membershipEpoch } = options.membership();
     const present = progress.get(entry.slot);
     if (present === undefined || present.disk !== entry.disk)
-      return { disk: entry.disk, source: '', after: 0, membershipEpoch, wholeAt: -Infinity };
-    return present.membershipEpoch === membershipEpoch ? present : { ...present, membershipEpoch, wholeAt: -Infinity };
+      return { disk: entry.disk, source: '', after: 0, membershipEpoch, completeAt: -Infinity };
+    return present.membershipEpoch === membershipEpoch
+      ? present
+      : { ...present, membershipEpoch, completeAt: -Infinity };
   }
 
   function tick(): void {
     const state = options.state();
     if (state !== 'blank' && state !== 'voting') return;
     for (const entry of sources()) {
-      const asked = open.get(entry.slot);
-      const isOpen = asked !== undefined && world.now() - asked.askedAt < askAgainAfter;
-      if (!isOpen && isWanted(entry, state)) ask(entry);
+      const pending = openRequests.get(entry.slot);
+      const isPending = pending !== undefined && world.now() - pending.askedAt < requestTimeoutUs;
+      if (!isPending && needsCopy(entry, state)) requestPage(entry);
     }
   }
 
   /** A learner asks all again and again; a member asks each source until it has been copied whole. */
-  function isWanted(entry: ReplicaEntry, state: ReplicaState): boolean {
-    if (state === 'voting') return missing.has(entry.slot);
-    const { wholeAt } = progressOf(entry);
-    return options.isMember() ? wholeAt === -Infinity : world.now() - wholeAt >= learnAgainAfter;
+  function needsCopy(entry: ReplicaEntry, state: ReplicaState): boolean {
+    if (state === 'voting') return slotsToCopy.has(entry.slot);
+    const { completeAt: wholeAt } = progressOf(entry);
+    return options.isMember() ? wholeAt === -Infinity : world.now() - wholeAt >= learnerRefreshUs;
   }
 
-  function ask(entry: ReplicaEntry): void {
+  function requestPage(entry: ReplicaEntry): void {
     const { after, source } = progressOf(entry);
     const request: OpenRequest = { askedAt: world.now(), after };
-    open.set(entry.slot, request);
-    world.after(micros(askAgainAfter), () => {
-      if (open.get(entry.slot) === request) tick();
+    openRequests.set(entry.slot, request);
+    world.after(micros(requestTimeoutUs), () => {
+      if (openRequests.get(entry.slot) === request) tick();
     });
     world.send(entry.address as Address, {
       kind: 'CopyAsk',
@@ -115,31 +117,31 @@
     });
   }
 
-  function page(received: CopyPage): void {
+  function receivePage(received: CopyPage): void {
     const entry = sources().find((member) => member.slot === received.slot && member.disk === received.disk);
-    const asked = open.get(received.slot);
-    if (entry === undefined || asked === undefined || received.after !== asked.after) return;
-    open.delete(received.slot);
-    const same = received.membershipEpoch === options.membership().membershipEpoch;
-    if (!received.ok || !same) return void world.after(micros(retryAfter), tick);
-    takeIn(received, (ok) => {
-      if (ok) settle(entry, received, asked.askedAt);
+    const pending = openRequests.get(received.slot);
+    if (entry === undefined || pending === undefined || received.after !== pending.after) return;
+    openRequests.delete(received.slot);
+    const isSameMembership = received.membershipEpoch === options.membership().membershipEpoch;
+    if (!received.ok || !isSameMembership) return void world.after(micros(retryDelayUs), tick);
+    storeRows(received, (ok) => {
+      if (ok) recordProgress(entry, received, pending.askedAt);
     });
   }
 
-  function takeIn(received: CopyPage, done: (ok: boolean) => void): void {
-    let left = received.records.length;
-    let sound = true;
-    if (left === 0) return done(true);
+  function storeRows(received: CopyPage, done: (ok: boolean) => void): void {
+    let remaining = received.records.length;
+    let allStored = true;
+    if (remaining === 0) return done(true);
     for (const record of received.records)
-      takeRow(record, (ok) => {
-        left -= 1;
-        sound = sound && ok;
-        if (left === 0) done(sound);
+      storeRow(record, (ok) => {
+        remaining -= 1;
+        allStored = allStored && ok;
+        if (remaining === 0) done(allStored);
       });
   }
 
-  function takeRow(record: CopiedRow, done: (ok: boolean) => void): void {
+  function storeRow(record: CopiedRow, done: (ok: boolean) => void): void {
     const { key, promised, epoch, version, value, changes } = record;
     const copied: Row = { promised, epoch, version, value };
     const present = storage.row(key);
@@ -151,27 +153,33 @@
     options.putRow(key, replaces ? { ...copied, promised: epoch } : present, missed, done);
   }
 
-  function settle(entry: ReplicaEntry, received: CopyPage, askedAt: number): void {
+  function recordProgress(entry: ReplicaEntry, received: CopyPage, askedAt: number): void {
     const { membershipEpoch } = options.membership();
     if (received.membershipEpoch !== membershipEpoch) return;
     const after = received.records.at(-1)?.sequence ?? received.after;
     const wholeAt = received.last ? askedAt : -Infinity;
-    progress.set(entry.slot, { disk: entry.disk, source: received.source, after, membershipEpoch, wholeAt });
-    if (!received.last) return ask(entry);
-    missing.delete(entry.slot);
-    if (countWhole(-Infinity) >= copiesNeeded(options.membership().replicas.length)) options.copied();
+    progress.set(entry.slot, {
+      disk: entry.disk,
+      source: received.source,
+      after,
+      membershipEpoch,
+      completeAt: wholeAt,
+    });
+    if (!received.last) return requestPage(entry);
+    slotsToCopy.delete(entry.slot);
+    if (countComplete(-Infinity) >= copiesNeeded(options.membership().replicas.length)) options.onCopied();
   }
 
-  function countWhole(since: number): number {
+  function countComplete(since: number): number {
     return sources().filter((entry) => {
-      const { wholeAt } = progressOf(entry);
+      const { completeAt: wholeAt } = progressOf(entry);
       return wholeAt > since;
     }).length;
   }
 
   function isCaughtUp(): boolean {
     const { replicas } = options.membership();
-    return replicas.length > 0 && countWhole(world.now() - caughtUpFor) >= copiesNeeded(replicas.length);
+    return replicas.length > 0 && countComplete(world.now() - caughtUpWindowUs) >= copiesNeeded(replicas.length);
   }
 
   function answer(request: CopyRequest): CopyPage {
@@ -182,9 +190,9 @@
     const records: CopiedRow[] = [];
     let bytes = 0;
     for (const { key, sequence, row, changes } of changed) {
-      if (bytes > pageBytes) break;
+      if (bytes > maxPageBytes) break;
       records.push({ key, sequence, ...row, changes: [...changes] });
-      bytes += row.value.length + rowOverhead * (changes.length + 1);
+      bytes += row.value.length + rowOverheadBytes * (changes.length + 1);
     }
     return {
       kind: 'CopyPage',
@@ -200,10 +208,10 @@
   }
 
   function restart(): void {
-    for (const entry of sources()) missing.add(entry.slot);
-    open.clear();
+    for (const entry of sources()) slotsToCopy.add(entry.slot);
+    openRequests.clear();
     tick();
   }
 
-  return { tick, page, answer, isCaughtUp, restart };
+  return { tick, receivePage, answer, isCaughtUp, restart };
 }
--- a/packages/control-state/src/change-history.ts
+++ b/packages/control-state/src/change-history.ts
@@ -35,31 +35,32 @@
 }
 
 /** Makes an empty history that keeps the changes of so many versions. */
-export function createChangeHistory(kept = maxKeptChanges): ChangeHistory {
+export function createChangeHistory(maxVersions = maxKeptChanges): ChangeHistory {
   const byVersion = new Map<number, AppliedChange>();
-  const versions = new Map<string, number>();
+  const versionById = new Map<string, number>();
   let oldest = Infinity;
   let newest = 0;
 
   function add(change: AppliedChange): boolean {
     const present = byVersion.get(change.version);
-    if (change.version <= newest - kept || (present !== undefined && present.epoch >= change.epoch)) return false;
+    if (change.version <= newest - maxVersions || (present !== undefined && present.epoch >= change.epoch))
+      return false;
     if (present !== undefined) remove(present);
     byVersion.set(change.version, change);
-    versions.set(change.id, Math.max(versions.get(change.id) ?? 0, change.version));
+    versionById.set(change.id, Math.max(versionById.get(change.id) ?? 0, change.version));
     oldest = Math.min(oldest, change.version);
     newest = Math.max(newest, change.version);
-    dropOld();
+    dropExpired();
     return true;
   }
 
   function remove(change: AppliedChange): void {
     byVersion.delete(change.version);
-    if (versions.get(change.id) === change.version) versions.delete(change.id);
+    if (versionById.get(change.id) === change.version) versionById.delete(change.id);
   }
 
-  function dropOld(): void {
-    for (; oldest <= newest - kept; oldest += 1) {
+  function dropExpired(): void {
+    for (; oldest <= newest - maxVersions; oldest += 1) {
       const change = byVersion.get(oldest);
       if (change !== undefined) remove(change);
     }
@@ -77,7 +78,7 @@
   return {
     add,
     versionOf: (id, upTo) => {
-      const version = versions.get(id);
+      const version = versionById.get(id);
       return version === undefined || version > upTo ? undefined : version;
     },
     at: (version) => byVersion.get(version),
@@ -93,8 +94,8 @@
 
 /** Reads that form, and the `id@version` of earlier releases, which kept no epoch. */
 export function decodeChange(text: string): AppliedChange {
-  const present = /^#(\d+)@(\d+)@(.*)$/s.exec(text);
-  if (present !== null) return { version: Number(present[1]), epoch: Number(present[2]), id: present[3]! };
-  const cut = text.lastIndexOf('@');
-  return { id: text.slice(0, cut), version: Number(text.slice(cut + 1)), epoch: 0 };
+  const current = /^#(\d+)@(\d+)@(.*)$/s.exec(text);
+  if (current !== null) return { version: Number(current[1]), epoch: Number(current[2]), id: current[3]! };
+  const separator = text.lastIndexOf('@');
+  return { id: text.slice(0, separator), version: Number(text.slice(separator + 1)), epoch: 0 };
 }
--- a/packages/control-state/src/control-node.ts
+++ b/packages/control-state/src/control-node.ts
@@ -68,22 +68,22 @@
   readonly stop: () => void;
 }
 
-const greetEvery = micros(300_000);
-const announceEvery = micros(1_000_000);
-const pruneEvery = micros(1_000_000);
-const defaultSweepEvery = 500_000;
-const behindAtMost = 600_000;
+const helloInterval = micros(300_000);
+const announceInterval = micros(1_000_000);
+const pruneInterval = micros(1_000_000);
+const defaultAntiEntropyIntervalUs = 500_000;
+const maxBehindUs = 600_000;
 
 /** Starts a control node on what its disk holds. */
 export function createControlNode(world: World, options: ControlNodeOptions): ControlNode {
-  const replica = createReplica(world, { ...options, onStateChange: entered, learned });
+  const replica = createReplica(world, { ...options, onStateChange, learned: onLearned });
   const rounds = createQuorumRounds({ ...world, send: sendFromSelf }, replica);
   const leaders = new Map<string, KeyLeader>();
-  const cluster: NodeContext = { world, self: options.self, replica, rounds, leaderOf: leader, leaders: () => leaders };
-  const slotsAreStated = options.slot !== undefined;
+  const cluster: NodeContext = { world, self: options.self, replica, rounds, leaderOf, leaders: () => leaders };
+  const hasConfiguredSlots = options.slot !== undefined;
   const peers = createPeerLiveness(world, replica, {
     ...(options.missingAfterUs === undefined ? {} : { missingAfterUs: options.missingAfterUs }),
-    reunited: replica.catchUp.restart,
+    onReconnected: replica.catchUp.restart,
   });
   const committed = createCommittedRows(cluster);
   const servingLeases = createServingLeases(cluster, committed);
@@ -100,9 +100,9 @@
   const membershipChanges = createMembershipChanges({
     cluster,
     peers,
-    slotsAreStated,
+    hasConfiguredSlots,
     isCoordinator: () => shouldLead(membershipKey),
-    tried: greet,
+    onAttempted: sendHellos,
     ...(options.targetReplicas === undefined ? {} : { targetReplicas: options.targetReplicas }),
   });
   const request = createKeyRequests({
@@ -111,8 +111,12 @@
     routerLeases,
     acknowledged: (key, version) => options.observe?.('acknowledged', key, version),
   });
-  const sweep = createAntiEntropy({ cluster, shouldLead, confirmed: announceCommit });
-  const handOver = createGracefulLeave({ cluster, hasCandidate: membershipChanges.hasCandidate, announce: greet });
+  const runAntiEntropy = createAntiEntropy({ cluster, shouldLead, onConfirmed: announceCommit });
+  const gracefulLeave = createGracefulLeave({
+    cluster,
+    hasCandidate: membershipChanges.hasCandidate,
+    announce: sendHellos,
+  });
 
   function sendFromSelf(to: Address, message: Message): void {
     world.send(
@@ -121,7 +125,7 @@
     );
   }
 
-  function leader(key: string): KeyLeader {
+  function leaderOf(key: string): KeyLeader {
     let present = leaders.get(key);
     if (present === undefined) {
       present = createKeyLeader(world, { key, replica, rounds, onCommitted: (row) => onCommitted(key, row) });
@@ -139,7 +143,7 @@
 
   /** The register of a key's leases is led where the key is. */
   function preferredLeader(key: string): number {
-    const [first] = rendezvous(key.replace(/^tenures\//, ''), peers.fit(), (entry) => `${entry.slot}`);
+    const [first] = rendezvous(key.replace(/^tenures\//, ''), peers.healthy(), (entry) => `${entry.slot}`);
     return first?.slot ?? replica.slot;
   }
 
@@ -155,7 +159,7 @@
       if (entry.slot !== replica.slot) world.send(entry.address as Address, { kind: 'Committed', key, epoch, version });
   }
 
-  function rank(): number {
+  function rankAmongLive(): number {
     const live = peers.live();
     const index = live.findIndex((entry) => entry.slot === replica.slot);
     return index < 0 ? live.length : index;
@@ -163,11 +167,11 @@
 
   function onHello(hello: MessageOf<'ReplicaHello'>): void {
     if (replica.isFromOtherCluster(hello)) return;
-    if (!slotsAreStated) peers.noticeNewDisks();
+    if (!hasConfiguredSlots) peers.noteNewDisks();
     const from = hello.from as Address;
     const entry = replica.membership().replicas.find((member) => member.slot === hello.slot);
     const isOtherDisk = entry !== undefined && entry.disk !== hello.disk;
-    if (hello.slot !== replica.slot && hello.slot >= 0 && (!isOtherDisk || slotsAreStated)) notePeer(hello, from);
+    if (hello.slot !== replica.slot && hello.slot >= 0 && (!isOtherDisk || hasConfiguredSlots)) recordPeer(hello, from);
     const { membershipEpoch } = replica.membership();
     // Told slimly of a membership record that it has not, as who tells it knew the disk before it was lost.
     if (hello.membershipEpoch > membershipEpoch && hello.replicas.length === 0) world.send(from, replica.hello());
@@ -175,13 +179,13 @@
     if (replica.state() === 'blank' && replica.membership().membershipEpoch > membershipEpoch) replica.tick();
     if (replica.state() !== 'voting' || hello.slot === replica.slot) return;
     if (!isOtherDisk) finishMembershipIfBehind(hello);
-    if (!slotsAreStated && (isOtherDisk || entry === undefined)) return answerStranger(hello, from);
+    if (!hasConfiguredSlots && (isOtherDisk || entry === undefined)) return answerNonMember(hello, from);
     if (hello.state === 'blank' && entry !== undefined) onBlankMember(hello, isOtherDisk);
   }
 
-  function notePeer(hello: MessageOf<'ReplicaHello'>, from: Address): void {
+  function recordPeer(hello: MessageOf<'ReplicaHello'>, from: Address): void {
     const didVote = peers.live().some((entry) => entry.slot === hello.slot);
-    peers.heard(hello);
+    peers.receiveHello(hello);
     if (!didVote && hello.state === 'voting') world.send(from, replica.hello());
   }
 
@@ -189,11 +193,11 @@
   function finishMembershipIfBehind(hello: MessageOf<'ReplicaHello'>): void {
     const behind = hello.membershipEpoch > 0 && hello.membershipEpoch < replica.membership().membershipEpoch;
     if (hello.state !== 'voting' || !behind) return;
-    if (slotsAreStated || world.now() - peers.behindSince(hello.slot) > behindAtMost)
-      membershipChanges.change({ kind: 'finish' });
+    if (hasConfiguredSlots || world.now() - peers.behindSince(hello.slot) > maxBehindUs)
+      membershipChanges.propose({ kind: 'finish' });
   }
 
-  function answerStranger(hello: MessageOf<'ReplicaHello'>, from: Address): void {
+  function answerNonMember(hello: MessageOf<'ReplicaHello'>, from: Address): void {
     const outdated = hello.membershipEpoch < replica.membership().membershipEpoch;
     if (outdated || hello.state === 'fenced') world.send(from, replica.hello());
   }
@@ -201,28 +205,30 @@
   /** A blank disk on a slot of the record: it is told the record, or replaces the disk that was there once it has copied. */
   function onBlankMember(hello: MessageOf<'ReplicaHello'>, isOtherDisk: boolean): void {
     const { slot, disk } = hello;
-    const mayReplace = slotsAreStated && isOtherDisk && !replica.hello().founders.includes(disk);
+    const mayReplace = hasConfiguredSlots && isOtherDisk && !replica.hello().founders.includes(disk);
     if (!isOtherDisk || (mayReplace && !hello.caughtUp)) world.send(hello.from as Address, replica.hello());
-    if (mayReplace && hello.caughtUp) membershipChanges.change({ kind: 'replace', slot, address: hello.from, disk });
+    if (mayReplace && hello.caughtUp) membershipChanges.propose({ kind: 'replace', slot, address: hello.from, disk });
   }
 
   /** Replicas known to have the same membership record are told no more than that this one is there. */
-  function greet(): void {
-    peers.noticeOwnSilence();
-    if (replica.slot >= 0 || replica.state() === 'fenced') greetReplicas();
-    if (!slotsAreStated && replica.state() === 'blank' && !replica.isMember()) askToJoin();
-    tellFoundingView();
+  function sendHellos(): void {
+    peers.noteOwnPause();
+    if (replica.slot >= 0 || replica.state() === 'fenced') sendHellosToReplicas();
+    if (!hasConfiguredSlots && replica.state() === 'blank' && !replica.isMember()) askToJoin();
+    sendBootstrapView();
     replica.tick();
   }
 
-  function greetReplicas(): void {
+  function sendHellosToReplicas(): void {
     const { replicas, membershipEpoch } = replica.membership();
-    const same = new Set(replicas.filter((entry) => peers.hasSameMembership(entry.slot)).map((entry) => entry.address));
-    const founders = slotsAreStated || membershipEpoch === 0 ? options.bootstrapMembers : [];
-    const whole = replica.hello();
-    const slim = replica.hello(true);
-    for (const address of others([...founders, ...replicas.map((entry) => entry.address)]))
-      world.send(address, membershipEpoch > 0 && same.has(address) ? slim : whole);
+    const addressesUpToDate = new Set(
+      replicas.filter((entry) => peers.hasSameMembership(entry.slot)).map((entry) => entry.address),
+    );
+    const configured = hasConfiguredSlots || membershipEpoch === 0 ? options.bootstrapMembers : [];
+    const fullHello = replica.hello();
+    const briefHello = replica.hello(true);
+    for (const address of others([...configured, ...replicas.map((entry) => entry.address)]))
+      world.send(address, membershipEpoch > 0 && addressesUpToDate.has(address) ? briefHello : fullHello);
   }
 
   function askToJoin(): void {
@@ -234,7 +240,7 @@
   }
 
   /** Only machines that hold no state yet tell it, and only where no seed holds any. */
-  function tellFoundingView(): void {
+  function sendBootstrapView(): void {
     const view = replica.bootstrapView();
     for (const address of view?.to ?? []) world.send(address, view!.message);
   }
@@ -251,13 +257,13 @@
     return [...found] as Address[];
   }
 
-  function entered(state: ReplicaState): void {
+  function onStateChange(state: ReplicaState): void {
     options.onStateChange?.(state);
-    if (state !== 'fenced') world.after(micros(0), greet);
+    if (state !== 'fenced') world.after(micros(0), sendHellos);
   }
 
-  function learned(): void {
-    world.after(micros(0), greet);
+  function onLearned(): void {
+    world.after(micros(0), sendHellos);
   }
 
   function prepare(asked: MessageOf<'Prepare'>): void {
@@ -285,12 +291,12 @@
       case 'FoundingView':
         return onFoundingView(message);
       case 'Join':
-        peers.noticeOwnSilence();
+        peers.noteOwnPause();
         return membershipChanges.join(message);
       case 'CopyAsk':
         return world.send(message.from as Address, replica.catchUp.answer(message));
       case 'CopyPage':
-        return replica.catchUp.page(message);
+        return replica.catchUp.receivePage(message);
       case 'Subscribe':
         return followers.subscribe(message);
       case 'Committed':
@@ -300,12 +306,12 @@
     }
   }
 
-  greet();
+  sendHellos();
   const stops = [
-    every(world, () => greetEvery, greet),
-    every(world, () => announceEvery, followers.announceMembership),
-    every(world, () => pruneEvery, routerLeases.prune),
-    every(world, () => micros(options.antiEntropyIntervalUs ?? defaultSweepEvery), sweep),
+    every(world, () => helloInterval, sendHellos),
+    every(world, () => announceInterval, followers.announceMembership),
+    every(world, () => pruneInterval, routerLeases.prune),
+    every(world, () => micros(options.antiEntropyIntervalUs ?? defaultAntiEntropyIntervalUs), runAntiEntropy),
     every(world, () => renewalInterval, servingLeases.renew),
   ];
   stops.push(reportBootstrapWait(world, replica));
@@ -321,10 +327,10 @@
     receive,
     replica,
     follow: followers.follow,
-    rankAmongLive: rank,
+    rankAmongLive,
     liveReplicas: () => peers.live().map((entry) => entry.address as Address),
     ledKeys: () => [...leaders].filter(([, each]) => each.isLeading()).map(([key, each]) => ledKey(key, each)),
-    leave: handOver.begin,
+    leave: gracefulLeave.start,
     stop: () => stops.forEach((stop) => stop()),
   };
 }
--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -22,7 +22,7 @@
   /** The seeds of the first start; all machines were given the same. */
   readonly seeds: readonly Address[];
   /** Whether this process may begin a cluster: it has run since the first start of the whole system. */
-  readonly mayBegin: boolean;
+  readonly mayBootstrap: boolean;
   /** The fewest machines that found a cluster. */
   readonly minMembers: number;
   /** The most machines that hold a replica at first. */
@@ -42,9 +42,9 @@
 /** The founding side of a blank replica that no seed can help to find others but by hearsay. */
 export interface DiscoveryBootstrap {
   /** Takes in whom a seed has heard. */
-  readonly roster: (message: FoundingRoster) => void;
+  readonly receiveRoster: (message: FoundingRoster) => void;
   /** Takes in the view of another candidate. */
-  readonly view: (message: FoundingView) => void;
+  readonly receiveView: (message: FoundingView) => void;
   /** The members of the cluster once it is time to found it. */
   readonly members: () => readonly ReplicaEntry[] | undefined;
   /** What the other candidates are to be told; nobody is known where the seeds hold state. */
@@ -56,94 +56,97 @@
 /** Makes the founding side; it knows nobody yet. */
 export function createDiscoveryBootstrap(options: DiscoveryBootstrapOptions): DiscoveryBootstrap {
   const seeds = [...options.seeds];
-  const known = new Map<string, FoundingCandidate>();
+  const knownCandidates = new Map<string, FoundingCandidate>();
   const statelessSeeds = new Set<string>();
-  const listedAt = new Set<string>();
-  const views = new Map<string, string>();
+  const listingSeeds = new Set<string>();
+  const viewKeyByCandidate = new Map<string, string>();
 
   function self(): FoundingCandidate {
     return { address: options.self, disk: options.diskId() };
   }
 
-  function learn(candidates: readonly FoundingCandidate[]): void {
-    for (const candidate of candidates) known.set(nameOf(candidate), candidate);
+  function addCandidates(candidates: readonly FoundingCandidate[]): void {
+    for (const candidate of candidates) knownCandidates.set(candidateId(candidate), candidate);
   }
 
-  function candidates(): FoundingCandidate[] {
-    const all = new Map(known).set(nameOf(self()), self());
-    return [...all.values()].sort(byName);
+  function allCandidates(): FoundingCandidate[] {
+    const all = new Map(knownCandidates).set(candidateId(self()), self());
+    return [...all.values()].sort(byCandidateId);
   }
 
-  function others(): FoundingCandidate[] {
-    const own = nameOf(self());
-    return candidates().filter((candidate) => nameOf(candidate) !== own);
+  function otherCandidates(): FoundingCandidate[] {
+    const own = candidateId(self());
+    return allCandidates().filter((candidate) => candidateId(candidate) !== own);
   }
 
-  function roster(message: FoundingRoster): void {
+  function receiveRoster(message: FoundingRoster): void {
     if (!seeds.includes(message.from as Address)) return;
     statelessSeeds.add(message.from);
-    learn(message.candidates);
-    const own = nameOf(self());
-    const isListed = message.candidates.some((candidate) => nameOf(candidate) === own);
-    if (message.firstStart && isListed) listedAt.add(message.from);
+    addCandidates(message.candidates);
+    const own = candidateId(self());
+    const isListed = message.candidates.some((candidate) => candidateId(candidate) === own);
+    if (message.firstStart && isListed) listingSeeds.add(message.from);
   }
 
   /** A view that comes late only shows what its teller once said; as views grow, that is safe to count. */
-  function view(message: FoundingView): void {
-    const teller = nameOf({ address: message.from, disk: message.disk });
-    learn(message.candidates);
-    views.set(teller, keyOf(message.candidates));
+  function receiveView(message: FoundingView): void {
+    const senderId = candidateId({ address: message.from, disk: message.disk });
+    addCandidates(message.candidates);
+    viewKeyByCandidate.set(senderId, viewKeyOf(message.candidates));
   }
 
-  function founders(): ReplicaEntry[] {
-    const all = candidates();
+  function chooseMembers(): ReplicaEntry[] {
+    const all = allCandidates();
     const count = Math.min(all.length, options.maxMembers);
     // An even number bears no more losses than one less.
-    const odd = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
-    return all.slice(0, odd).map(({ address, disk }, slot) => ({ slot, address, disk }));
+    const memberCount = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
+    return all.slice(0, memberCount).map(({ address, disk }, slot) => ({ slot, address, disk }));
   }
 
   function members(): readonly ReplicaEntry[] | undefined {
-    return waitsFor() === undefined ? founders() : undefined;
+    return waitsFor() === undefined ? chooseMembers() : undefined;
   }
 
   function greeting(): ReturnType<DiscoveryBootstrap['greeting']> {
-    const to = others().map((candidate) => candidate.address as Address);
+    const to = otherCandidates().map((candidate) => candidate.address as Address);
     if (to.length === 0) return undefined;
     const { address: from, disk } = self();
-    return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: candidates() } };
+    return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: allCandidates() } };
   }
 
   function waitsFor(): BootstrapWait | undefined {
-    if (!options.mayBegin) return { why: 'not the first start' };
-    const silent = seeds.filter((seed) => !statelessSeeds.has(seed));
-    if (seeds.length === 0 || silent.length > 0) return { why: 'seeds not heard', seeds: silent };
+    if (!options.mayBootstrap) return { why: 'not the first start' };
+    const unheardSeeds = seeds.filter((seed) => !statelessSeeds.has(seed));
+    if (seeds.length === 0 || unheardSeeds.length > 0) return { why: 'seeds not heard', seeds: unheardSeeds };
     const needed = majorityOf(seeds.length);
-    if (listedAt.size < needed)
-      return { why: 'too few seeds remember the first start', remembering: listedAt.size, needed };
-    const all = candidates();
+    if (listingSeeds.size < needed)
+      return { why: 'too few seeds remember the first start', remembering: listingSeeds.size, needed };
+    const all = allCandidates();
     if (all.length < options.minMembers)
       return { why: 'too few machines with a disk', known: all.length, needed: options.minMembers };
-    const own = keyOf(all);
-    const apart = others().filter((candidate) => views.get(nameOf(candidate)) !== own);
-    if (apart.length > 0)
-      return { why: 'machines not heard or not of one view', machines: apart.map((candidate) => candidate.address) };
-    const chosen = founders();
+    const own = viewKeyOf(all);
+    const differing = otherCandidates().filter((candidate) => viewKeyByCandidate.get(candidateId(candidate)) !== own);
+    if (differing.length > 0)
+      return {
+        why: 'machines not heard or not of one view',
+        machines: differing.map((candidate) => candidate.address),
+      };
+    const chosen = chooseMembers();
     if (chosen.some((entry) => entry.disk === options.diskId())) return undefined;
     return { why: 'founders have yet to begin', machines: chosen.map((entry) => entry.address) };
   }
 
-  return { roster, view, members, greeting, waitsFor };
+  return { receiveRoster, receiveView, members, greeting, waitsFor };
 }
 
-function nameOf({ address, disk }: FoundingCandidate): string {
+function candidateId({ address, disk }: FoundingCandidate): string {
   return `${address} ${disk}`;
 }
 
-function byName(left: FoundingCandidate, right: FoundingCandidate): number {
-  return nameOf(left) < nameOf(right) ? -1 : 1;
+function byCandidateId(left: FoundingCandidate, right: FoundingCandidate): number {
+  return candidateId(left) < candidateId(right) ? -1 : 1;
 }
 
-function keyOf(candidates: readonly FoundingCandidate[]): string {
-  return candidates.map(nameOf).sort().join('\n');
+function viewKeyOf(candidates: readonly FoundingCandidate[]): string {
+  return candidates.map(candidateId).sort().join('\n');
 }
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -43,7 +43,7 @@
   readonly announceMembership: () => void;
 }
 
-const followedFor = micros(3_000_000);
+const followerTimeoutUs = micros(3_000_000);
 
 /** Makes the table of followers of a node. */
 export function createFollowers(options: FollowersOptions): Followers {
@@ -51,29 +51,29 @@
   const { world, replica } = cluster;
   const followers = new Map<Address, number>();
 
-  function tell(to: Address, news: NewsItem[]): void {
+  function sendUpdates(to: Address, updates: NewsItem[]): void {
     const { membershipEpoch, replicas } = replica.membership();
-    world.send(to, { kind: 'News', news, membershipEpoch, replicas: [...replicas] });
+    world.send(to, { kind: 'News', news: updates, membershipEpoch, replicas: [...replicas] });
   }
 
   function push(key: string, row: Row): void {
     if (row.version === 0 || isInternalKey(key)) return;
     for (const [follower, until] of followers) {
       if (until < world.now()) followers.delete(follower);
-      else tell(follower, [newsOf(key, row)]);
+      else sendUpdates(follower, [updateOf(key, row)]);
     }
   }
 
   function follow(key: string, version: number, membershipEpoch: number, from: Address): FollowStatus {
-    followers.set(from, world.now() + followedFor);
+    followers.set(from, world.now() + followerTimeoutUs);
     const record = replica.membership();
     const voting = replica.state() === 'voting';
     const leader = cluster.leaderOf(key);
     if (voting && options.isSettled() && !leader.isLeading() && options.shouldLead(key)) leader.acquire();
-    servingLeases.want(key);
+    servingLeases.keepAlive(key);
     const row = committed.newest(key);
-    if (row.version > version) tell(from, [newsOf(key, row)]);
-    else if (record.membershipEpoch > membershipEpoch) tell(from, []);
+    if (row.version > version) sendUpdates(from, [updateOf(key, row)]);
+    else if (record.membershipEpoch > membershipEpoch) sendUpdates(from, []);
     return {
       version: row.version,
       membershipEpoch: record.membershipEpoch,
@@ -85,35 +85,35 @@
   function subscribe(request: Subscribe): void {
     const from = request.from as Address;
     if (replica.state() !== 'voting') return;
-    followers.set(from, world.now() + followedFor);
-    const news: NewsItem[] = [];
-    for (const had of request.have) {
-      const leader = cluster.leaderOf(had.key);
-      if (!leader.isLeading() && options.shouldLead(had.key)) leader.acquire();
+    followers.set(from, world.now() + followerTimeoutUs);
+    const updates: NewsItem[] = [];
+    for (const held of request.have) {
+      const leader = cluster.leaderOf(held.key);
+      if (!leader.isLeading() && options.shouldLead(held.key)) leader.acquire();
       if (!leader.isLeading()) continue;
-      if (leader.row().version > had.version) news.push(newsOf(had.key, leader.row()));
-      if (isLeasedToRouters(had.key) && request.tenures.length > 0) options.routerLeases.grant(had.key, request);
+      if (leader.row().version > held.version) updates.push(updateOf(held.key, leader.row()));
+      if (isLeasedToRouters(held.key) && request.tenures.length > 0) options.routerLeases.grant(held.key, request);
     }
-    news.push(...newsNotNamed(new Set(request.have.map((had) => had.key))));
-    tell(from, news);
+    updates.push(...updatesOfOtherKeys(new Set(request.have.map((had) => had.key))));
+    sendUpdates(from, updates);
   }
 
-  function newsNotNamed(named: ReadonlySet<string>): NewsItem[] {
-    const news: NewsItem[] = [];
+  function updatesOfOtherKeys(requestedKeys: ReadonlySet<string>): NewsItem[] {
+    const updates: NewsItem[] = [];
     for (const [key, leader] of cluster.leaders()) {
-      const told = !named.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
-      if (told) news.push(newsOf(key, leader.row()));
+      const isDue = !requestedKeys.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
+      if (isDue) updates.push(updateOf(key, leader.row()));
     }
-    return news;
+    return updates;
   }
 
   function announceMembership(): void {
-    if (replica.membership().membershipEpoch > 0) for (const seed of options.seeds) tell(seed, []);
+    if (replica.membership().membershipEpoch > 0) for (const seed of options.seeds) sendUpdates(seed, []);
   }
 
   return { subscribe, follow, push, announceMembership };
 }
 
-function newsOf(key: string, row: Row): NewsItem {
+function updateOf(key: string, row: Row): NewsItem {
   return { key, epoch: row.epoch, version: row.version, value: row.value };
 }
--- a/packages/control-state/src/graceful-leave.ts
+++ b/packages/control-state/src/graceful-leave.ts
@@ -24,13 +24,13 @@
 /** The leaving of one replica. */
 export interface GracefulLeave {
   /** Leaves within `limit` microseconds and says how it ended. */
-  readonly begin: (limit: number, done: (result: LeaveResult) => void) => void;
+  readonly start: (timeoutUs: number, done: (result: LeaveResult) => void) => void;
 }
 
-const lookEvery = micros(50_000);
+const checkInterval = micros(50_000);
 /** Time for the other replicas to lead the keys of this one, before it may end. */
-const leastTime = 300_000;
-const roundPatience = 1_000_000;
+const minDurationUs = 300_000;
+const roundTimeoutUs = 1_000_000;
 
 /** Makes the leaving side of a node; nothing happens before it begins. */
 export function createGracefulLeave(options: GracefulLeaveOptions): GracefulLeave {
@@ -38,23 +38,23 @@
   const copied = new Map<string, Row>();
   const copying = new Set<string>();
 
-  function begin(limit: number, done: (result: LeaveResult) => void): void {
-    const begunAt = world.now();
+  function start(timeoutUs: number, done: (result: LeaveResult) => void): void {
+    const startedAt = world.now();
     function finish(result: LeaveResult): void {
       stop();
-      world.log(2012, { result, tookMs: Math.round((world.now() - begunAt) / 1000) });
+      world.log(2012, { result, tookMs: Math.round((world.now() - startedAt) / 1000) });
       done(result);
     }
-    function look(): void {
-      const taken = world.now() - begunAt;
+    function check(): void {
+      const elapsedUs = world.now() - startedAt;
       if (replica.isSuccessorVoting()) return finish('replaced');
-      if (taken >= limit) return finish('incomplete');
+      if (elapsedUs >= timeoutUs) return finish('incomplete');
       if (replica.state() === 'voting') copyRows();
-      if (taken >= leastTime && !options.hasCandidate() && isCopied()) finish('copied');
+      if (elapsedUs >= minDurationUs && !options.hasCandidate() && isCopied()) finish('copied');
     }
     replica.leave();
     options.announce();
-    const stop = every(world, () => lookEvery, look);
+    const stop = every(world, () => checkInterval, check);
   }
 
   function keysToCopy(): string[] {
@@ -82,14 +82,14 @@
     const { epoch, version, value } = row;
     const { membershipEpoch } = replica.membership();
     const changes = replica.history(key).list(version);
-    function make(id: string): VoteRequest {
+    function buildRequest(id: string): VoteRequest {
       return { kind: 'Accept', id, from: '', key, epoch, membershipEpoch, version, value, changes };
     }
     rounds.start(
       {
-        buildRequest: make,
+        buildRequest,
         excludedSlot: replica.slot,
-        timeoutUs: roundPatience,
+        timeoutUs: roundTimeoutUs,
         countsAsYes: (vote) => vote.ok || !isNewer(row, vote),
       },
       (result) => {
@@ -99,5 +99,5 @@
     );
   }
 
-  return { begin };
+  return { start };
 }
--- a/packages/control-state/src/journal.ts
+++ b/packages/control-state/src/journal.ts
@@ -10,11 +10,11 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { DamagedFile, toSchema, type Of } from '@tansypost/inner-protocol';
 
-const magic = Buffer.from('TPJ1');
-const magicOfMany = Buffer.from('TPJM');
-const magics = [magic, magicOfMany];
-const headSize = 12;
-const shape = {
+const recordMagic = Buffer.from('TPJ1');
+const batchMagic = Buffer.from('TPJM');
+const magics = [recordMagic, batchMagic];
+const headerBytes = 12;
+const recordShape = {
   kind: 'string',
   key: 'string',
   promised: 'long',
@@ -24,29 +24,29 @@
   changes: ['string'],
 } as const;
 /** One record of the file. `kind` is `disk`, `state` or `row`; of the others' fields those that the kind does not use are empty. */
-export type JournalRecord = Of<typeof shape>;
+export type JournalRecord = Of<typeof recordShape>;
 
-const made: { codec?: avsc.Type } = {};
+const codecCache: { codec?: avsc.Type } = {};
 
 function codec(): avsc.Type {
-  made.codec ??= avsc.Type.forSchema(toSchema('Record', shape));
-  return made.codec;
+  codecCache.codec ??= avsc.Type.forSchema(toSchema('Record', recordShape));
+  return codecCache.codec;
 }
 
 /** Encodes one record under a checksum of its own. */
-export function encodeRecord(r: JournalRecord): Buffer {
-  return withHead(magic, codec().toBuffer(r));
+export function encodeRecord(record: JournalRecord): Buffer {
+  return withHeader(recordMagic, codec().toBuffer(record));
 }
 
 /** Puts encoded records under one checksum. */
-export function joinRecords(bs: readonly Buffer[]): Buffer {
-  if (bs.length === 1) return bs[0]!;
-  const parts = bs.flatMap((b) => {
-    const n = Buffer.allocUnsafe(4);
-    n.writeUInt32BE(b.length - headSize);
-    return [n, b.subarray(headSize)];
+export function joinRecords(records: readonly Buffer[]): Buffer {
+  if (records.length === 1) return records[0]!;
+  const parts = records.flatMap((record) => {
+    const length = Buffer.allocUnsafe(4);
+    length.writeUInt32BE(record.length - headerBytes);
+    return [length, record.subarray(headerBytes)];
   });
-  return withHead(magicOfMany, Buffer.concat(parts));
+  return withHeader(batchMagic, Buffer.concat(parts));
 }
 
 /** The kind of the record that begins a snapshot; its version is the number of records that belong to it. */
@@ -54,7 +54,7 @@
 
 /** Encodes the records of a snapshot, with the head that tells how many they are. */
 export function encodeSnapshot(records: readonly JournalRecord[]): Buffer {
-  const head: JournalRecord = {
+  const header: JournalRecord = {
     kind: snapshotKind,
     key: '',
     promised: 0,
@@ -63,39 +63,39 @@
     value: Buffer.alloc(0),
     changes: [],
   };
-  return Buffer.concat([head, ...records].map(encodeRecord));
+  return Buffer.concat([header, ...records].map(encodeRecord));
 }
 
-function withHead(m: Buffer, b: Buffer): Buffer {
-  const h = Buffer.allocUnsafe(headSize);
-  m.copy(h);
-  h.writeUInt32BE(b.length, 4);
-  h.writeUInt32BE(crc32(b), 8);
-  return Buffer.concat([h, b]);
+function withHeader(magic: Buffer, body: Buffer): Buffer {
+  const header = Buffer.allocUnsafe(headerBytes);
+  magic.copy(header);
+  header.writeUInt32BE(body.length, 4);
+  header.writeUInt32BE(crc32(body), 8);
+  return Buffer.concat([header, body]);
 }
 
-function readAt(all: Buffer, at: number): { bodies: Buffer[]; next: number } | undefined {
-  if (at + headSize > all.length) return undefined;
-  const many = all.compare(magicOfMany, 0, 4, at, at + 4) === 0;
-  if (!many && all.compare(magic, 0, 4, at, at + 4) !== 0) return undefined;
-  const next = at + headSize + all.readUInt32BE(at + 4);
-  if (next > all.length) return undefined;
-  const body = all.subarray(at + headSize, next);
-  if (crc32(body) !== all.readUInt32BE(at + 8)) return undefined;
-  if (!many) return { bodies: [body], next };
+function readAt(file: Buffer, offset: number): { bodies: Buffer[]; next: number } | undefined {
+  if (offset + headerBytes > file.length) return undefined;
+  const isBatch = file.compare(batchMagic, 0, 4, offset, offset + 4) === 0;
+  if (!isBatch && file.compare(recordMagic, 0, 4, offset, offset + 4) !== 0) return undefined;
+  const end = offset + headerBytes + file.readUInt32BE(offset + 4);
+  if (end > file.length) return undefined;
+  const body = file.subarray(offset + headerBytes, end);
+  if (crc32(body) !== file.readUInt32BE(offset + 8)) return undefined;
+  if (!isBatch) return { bodies: [body], next: end };
   const bodies: Buffer[] = [];
-  for (let n = 0; n < body.length;) {
-    const end = n + 4 + body.readUInt32BE(n);
-    bodies.push(body.subarray(n + 4, end));
-    n = end;
+  for (let position = 0; position < body.length;) {
+    const bodyEnd = position + 4 + body.readUInt32BE(position);
+    bodies.push(body.subarray(position + 4, bodyEnd));
+    position = bodyEnd;
   }
-  return { bodies, next };
+  return { bodies, next: end };
 }
 
-function wholeBehind(all: Buffer, at: number): boolean {
-  return magics.some((m) => {
-    for (let n = all.indexOf(m, at + 1); n >= 0; n = all.indexOf(m, n + 1))
-      if (readAt(all, n) !== undefined) return true;
+function hasIntactRecordAfter(file: Buffer, offset: number): boolean {
+  return magics.some((magic) => {
+    for (let position = file.indexOf(magic, offset + 1); position >= 0; position = file.indexOf(magic, position + 1))
+      if (readAt(file, position) !== undefined) return true;
     return false;
   });
 }
@@ -108,31 +108,31 @@
 }
 
 /** Reads a file. `DamagedFile` where something that was promised is missing. */
-export function readJournal(all: Buffer): E.Either<Error, JournalContents> {
+export function readJournal(file: Buffer): E.Either<Error, JournalContents> {
   const records: JournalRecord[] = [];
-  let at = 0;
-  while (at < all.length) {
-    const r = readAt(all, at);
-    if (r === undefined) {
-      if (wholeBehind(all, at)) {
+  let offset = 0;
+  while (offset < file.length) {
+    const entry = readAt(file, offset);
+    if (entry === undefined) {
+      if (hasIntactRecordAfter(file, offset)) {
         return E.left(
           new DamagedFile(
-            `The data file is damaged at byte ${at} with whole records behind it. It is not served; the replica copies from the others.`,
+            `The data file is damaged at byte ${offset} with whole records behind it. It is not served; the replica copies from the others.`,
           ),
         );
       }
       break;
     }
-    for (const b of r.bodies) records.push(codec().fromBuffer(b) as JournalRecord);
-    at = r.next;
+    for (const body of entry.bodies) records.push(codec().fromBuffer(body) as JournalRecord);
+    offset = entry.next;
   }
   const [first, ...others] = records;
-  if (first?.kind !== snapshotKind) return E.right({ records, validBytes: at, tornBytes: all.length - at });
-  if (others.length < first.version) return E.left(cutShort(first.version, others.length));
-  return E.right({ records: others, validBytes: at, tornBytes: all.length - at });
+  if (first?.kind !== snapshotKind) return E.right({ records, validBytes: offset, tornBytes: file.length - offset });
+  if (others.length < first.version) return E.left(truncatedSnapshot(first.version, others.length));
+  return E.right({ records: others, validBytes: offset, tornBytes: file.length - offset });
 }
 
-function cutShort(expected: number, found: number): Error {
+function truncatedSnapshot(expected: number, found: number): Error {
   return new DamagedFile(
     `The snapshot in the data file is cut short: ${found} of its ${expected} records are there. It is not served; the replica copies from the others.`,
   );
--- a/packages/control-state/src/key-leader.ts
+++ b/packages/control-state/src/key-leader.ts
@@ -66,10 +66,10 @@
 
 type Role = 'follower' | 'candidate' | 'leader';
 
-const mostTries = 4;
-const leastPause = 20_000;
-const pauseSpread = 80_000;
-const notTaken: WriteAnswer = { status: 'retry', epoch: 0, version: 0 };
+const maxAttempts = 4;
+const minRetryDelayUs = 20_000;
+const retryJitterUs = 80_000;
+const notWritten: WriteAnswer = { status: 'retry', epoch: 0, version: 0 };
 
 /** Makes the leader's side of a key; it takes the key over on first use. */
 export function createKeyLeader(world: World, options: KeyLeaderOptions): KeyLeader {
@@ -77,9 +77,9 @@
   let role: Role = 'follower';
   let row: Row = emptyRow;
   let history: ChangeHistory = createChangeHistory();
-  let seenEpoch = 0;
-  let since = 0;
-  let tries = 0;
+  let highestEpochSeen = 0;
+  let leadingSince = 0;
+  let attempts = 0;
   let busy = false;
   let checking = false;
   const writes: Write[] = [];
@@ -94,24 +94,24 @@
     reads = [];
     mutations = [];
     for (const done of waitingReads) done(undefined);
-    for (const write of writes.splice(0)) write.done(notTaken);
+    for (const write of writes.splice(0)) write.done(notWritten);
     for (const mutation of waitingMutations) mutation.done('retry', '');
   }
 
   function noteEpochs(votes: readonly Vote[]): void {
-    for (const vote of votes) seenEpoch = Math.max(seenEpoch, vote.promised);
+    for (const vote of votes) highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
   }
 
-  function take(): void {
+  function acquire(): void {
     if (role !== 'follower' || replica.state() !== 'voting') return;
     role = 'candidate';
-    const epoch = nextEpoch(Math.max(seenEpoch, replica.row(key).promised), replica.slot);
+    const epoch = nextEpoch(Math.max(highestEpochSeen, replica.row(key).promised), replica.slot);
     const { membershipEpoch } = replica.membership();
     rounds.start(
       { buildRequest: (id) => ({ kind: 'Prepare', id, from: '', key, epoch, membershipEpoch, ...noReplacement }) },
       (prepared) => {
         noteEpochs(prepared.votes);
-        if (!prepared.won) return missed();
+        if (!prepared.won) return onAcquireFailed();
         rewriteNewest(prepared, epoch, membershipEpoch);
       },
     );
@@ -120,16 +120,16 @@
   function rewriteNewest(prepared: RoundResult, epoch: number, membershipEpoch: number): void {
     const promises = prepared.votes.filter((vote) => vote.ok);
     const newest = promises.reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
-    const taken: Row = { ...newest, promised: epoch, epoch };
+    const acquired: Row = { ...newest, promised: epoch, epoch };
     const known = historyOf(promises, newest.version);
-    if (newest.version === 0) return lead(taken, known);
+    if (newest.version === 0) return becomeLeader(acquired, known);
     const last = known.at(newest.version);
     const changes = last === undefined ? [] : [{ ...last, epoch }];
     for (const change of changes) known.add(change);
-    rounds.start({ buildRequest: (id) => accept(id, taken, changes, membershipEpoch) }, (accepted) => {
+    rounds.start({ buildRequest: (id) => accept(id, acquired, changes, membershipEpoch) }, (accepted) => {
       noteEpochs(accepted.votes);
-      if (accepted.won) lead(taken, known);
-      else missed();
+      if (accepted.won) becomeLeader(acquired, known);
+      else onAcquireFailed();
     });
   }
 
@@ -138,62 +138,63 @@
     return { kind: 'Accept', id, from: '', key, epoch, membershipEpoch, version, value, changes: [...changes] };
   }
 
-  function missed(): void {
+  function onAcquireFailed(): void {
     role = 'follower';
-    tries += 1;
-    if (tries < mostTries && writes.length + reads.length + mutations.length > 0) {
-      world.after(micros((leastPause + world.random() * pauseSpread) * tries), take);
+    attempts += 1;
+    if (attempts < maxAttempts && writes.length + reads.length + mutations.length > 0) {
+      world.after(micros((minRetryDelayUs + world.random() * retryJitterUs) * attempts), acquire);
     } else {
-      tries = 0;
+      attempts = 0;
       stepDown();
     }
   }
 
-  function lead(taken: Row, known: ChangeHistory): void {
+  function becomeLeader(acquired: Row, known: ChangeHistory): void {
     role = 'leader';
-    tries = 0;
-    row = taken;
+    attempts = 0;
+    row = acquired;
     history = known;
-    since = taken.version === 0 ? -Infinity : world.now();
-    world.log(2002, { key, epoch: taken.epoch, version: taken.version });
-    options.onCommitted(taken);
-    nextRead();
-    nextWrite();
+    leadingSince = acquired.version === 0 ? -Infinity : world.now();
+    world.log(2002, { key, epoch: acquired.epoch, version: acquired.version });
+    options.onCommitted(acquired);
+    startNextRead();
+    startNextWrite();
   }
 
   function write(next: Write): void {
     writes.push(next);
-    if (role === 'follower') take();
-    else nextWrite();
+    if (role === 'follower') acquire();
+    else startNextWrite();
   }
 
-  function nextWrite(): void {
+  function startNextWrite(): void {
     if (role !== 'leader' || busy) return;
     const next = writes.shift();
-    if (next === undefined) return nextMutations();
-    const taken = history.versionOf(next.change, row.version);
-    if (taken !== undefined || next.expectedVersion !== row.version) return answerWithoutWriting(next, taken);
-    writeNow(next);
+    if (next === undefined) return startNextMutations();
+    const writtenVersion = history.versionOf(next.change, row.version);
+    if (writtenVersion !== undefined || next.expectedVersion !== row.version)
+      return answerWithoutWriting(next, writtenVersion);
+    writeChange(next);
   }
 
   /** An order that was taken already, or builds on another version: either is said only after a majority confirmed it. */
-  function answerWithoutWriting(next: Write, taken: number | undefined): void {
+  function answerWithoutWriting(next: Write, writtenVersion: number | undefined): void {
     busy = true;
-    check((ok) => {
+    confirmEpoch((ok) => {
       busy = false;
-      next.done(ok ? outcomeOf(next, taken) : notTaken);
-      nextWrite();
+      next.done(ok ? outcomeOf(next, writtenVersion) : notWritten);
+      startNextWrite();
     });
   }
 
-  function outcomeOf(next: Write, taken: number | undefined): WriteAnswer {
+  function outcomeOf(next: Write, writtenVersion: number | undefined): WriteAnswer {
     const { epoch } = row;
-    if (taken === undefined) return { status: 'lost', epoch, version: row.version };
-    const reused = taken === row.version && !row.value.equals(next.value);
-    return { status: reused ? 'reused' : 'done', epoch, version: taken };
+    if (writtenVersion === undefined) return { status: 'lost', epoch, version: row.version };
+    const reused = writtenVersion === row.version && !row.value.equals(next.value);
+    return { status: reused ? 'reused' : 'done', epoch, version: writtenVersion };
   }
 
-  function writeNow(next: Write): void {
+  function writeChange(next: Write): void {
     const { epoch } = row;
     const version = row.version + 1;
     const written: Row = { promised: epoch, epoch, version, value: next.value };
@@ -216,17 +217,17 @@
         for (const change of changes) history.add(change);
       } else stepDown();
       done(accepted.won);
-      nextWrite();
+      startNextWrite();
     });
   }
 
   function mutate(mutation: Mutation): void {
     mutations.push(mutation);
-    if (role === 'follower') take();
-    else nextWrite();
+    if (role === 'follower') acquire();
+    else startNextWrite();
   }
 
-  function nextMutations(): void {
+  function startNextMutations(): void {
     if (mutations.length === 0) return;
     const waiting = mutations;
     mutations = [];
@@ -243,17 +244,17 @@
   }
 
   /** Asks a majority whether this epoch still holds, and repairs old copies on the way. */
-  function check(done: (ok: boolean) => void): void {
+  function confirmEpoch(done: (ok: boolean) => void): void {
     const checked = row;
     const { membershipEpoch } = replica.membership();
-    function late(vote: Vote): void {
-      seenEpoch = Math.max(seenEpoch, vote.promised);
+    function onLateVote(vote: Vote): void {
+      highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
       if (role === 'leader') repair(checked, [vote], membershipEpoch);
     }
-    function make(id: string): VoteRequest {
+    function buildRequest(id: string): VoteRequest {
       return { kind: 'Check', id, from: '', key, epoch: checked.epoch, membershipEpoch };
     }
-    rounds.start({ buildRequest: make, onLateVote: late }, (confirmed) => {
+    rounds.start({ buildRequest, onLateVote }, (confirmed) => {
       noteEpochs(confirmed.votes);
       if (!confirmed.won || role !== 'leader') {
         if (role === 'leader') stepDown();
@@ -280,28 +281,28 @@
 
   function read(done: (row: Row | undefined) => void): void {
     reads.push(done);
-    if (role === 'follower') take();
-    else nextRead();
+    if (role === 'follower') acquire();
+    else startNextRead();
   }
 
-  function nextRead(): void {
+  function startNextRead(): void {
     if (role !== 'leader' || checking || reads.length === 0) return;
     checking = true;
     const waiting = reads;
     reads = [];
-    check((ok) => {
+    confirmEpoch((ok) => {
       checking = false;
       for (const done of waiting) done(ok ? row : undefined);
-      nextRead();
+      startNextRead();
     });
   }
 
   return {
     isLeading: () => role === 'leader',
-    leadingSince: () => since,
+    leadingSince: () => leadingSince,
     row: () => row,
     versionOf: (change) => history.versionOf(change, row.version),
-    acquire: take,
+    acquire,
     write,
     mutate,
     read,
--- a/packages/control-state/src/key-requests.ts
+++ b/packages/control-state/src/key-requests.ts
@@ -11,7 +11,7 @@
 
 type Ask = MessageOf<'Ask'>;
 type AnswerStatus = WriteStatus | 'value' | 'none';
-type Answered = Pick<Row, 'epoch' | 'version' | 'value'>;
+type RowAnswer = Pick<Row, 'epoch' | 'version' | 'value'>;
 
 /** What answering requests needs of the node. */
 export interface KeyRequestsOptions {
@@ -22,9 +22,9 @@
   readonly acknowledged: (key: string, version: number) => void;
 }
 
-const mostHops = 2;
-const noBytes = Buffer.alloc(0);
-const nothing: Answered = { epoch: 0, version: 0, value: noBytes };
+const maxHops = 2;
+const emptyBuffer = Buffer.alloc(0);
+const emptyRowAnswer: RowAnswer = { epoch: 0, version: 0, value: emptyBuffer };
 
 /** Gives the function that takes a request in. */
 export function createKeyRequests(options: KeyRequestsOptions): (request: Ask) => void {
@@ -34,14 +34,14 @@
   function receive(request: Ask): void {
     if (replica.state() !== 'voting') return answer(request, 'retry');
     const preferred = options.preferredLeader(request.key);
-    if (preferred !== replica.slot && request.hops < mostHops) return forward(request, preferred);
+    if (preferred !== replica.slot && request.hops < maxHops) return forward(request, preferred);
     const leader = cluster.leaderOf(request.key);
     if (request.op === 'write') write(request, leader);
     else if (request.op === 'claim') claim(request, leader);
     else read(request, leader);
   }
 
-  function answer(request: Ask, status: AnswerStatus, row: Answered = nothing): void {
+  function answer(request: Ask, status: AnswerStatus, row: RowAnswer = emptyRowAnswer): void {
     const { epoch, version, value } = row;
     world.send(request.origin as Address, {
       kind: 'Answer',
@@ -61,20 +61,20 @@
 
   function write(request: Ask, leader: KeyLeader): void {
     const { change, base, value } = request;
-    leader.write({ change, expectedVersion: base, value, done: (written) => settle(request, written) });
+    leader.write({ change, expectedVersion: base, value, done: (written) => onWritten(request, written) });
   }
 
-  function settle(request: Ask, written: WriteAnswer): void {
+  function onWritten(request: Ask, written: WriteAnswer): void {
     const { key, change } = request;
     const { status, epoch, version } = written;
-    const told: Answered = { epoch, version, value: noBytes };
+    const rowAnswer: RowAnswer = { epoch, version, value: emptyBuffer };
     if (status === 'lost') world.log(2102, { key, change });
     if (status === 'unknown') world.log(2103, { key, change });
-    if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, told);
+    if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, rowAnswer);
     routerLeases.whenApplied(key, version, () => {
       options.acknowledged(key, version);
       world.log(2101, { key, change, version });
-      answer(request, 'done', told);
+      answer(request, 'done', rowAnswer);
     });
   }
 
@@ -90,13 +90,13 @@
     leader.read((row) => {
       if (row === undefined) return answer(request, 'retry');
       if (request.op === 'read') return answer(request, 'value', row);
-      lookUp(request, leader, row);
+      lookUpChange(request, leader, row);
     });
   }
 
-  function lookUp(request: Ask, leader: KeyLeader, row: Row): void {
+  function lookUpChange(request: Ask, leader: KeyLeader, row: Row): void {
     const version = leader.versionOf(request.change);
-    const found: Answered = { epoch: row.epoch, version: version ?? row.version, value: noBytes };
+    const found: RowAnswer = { epoch: row.epoch, version: version ?? row.version, value: emptyBuffer };
     if (version === undefined) return answer(request, 'none', found);
     if (!isLeasedToRouters(request.key)) return answer(request, 'done', found);
     // A look-up acknowledges as much as the answer it stands for, so it waits for the same.
--- a/packages/control-state/src/membership-changes.ts
+++ b/packages/control-state/src/membership-changes.ts
@@ -26,11 +26,11 @@
   readonly cluster: NodeContext;
   readonly peers: PeerLiveness;
   /** Whether slots are stated in the settings; a machine then takes only its own. */
-  readonly slotsAreStated: boolean;
+  readonly hasConfiguredSlots: boolean;
   /** Whether this node is the one that sees to changes of the membership. */
   readonly isCoordinator: () => boolean;
   /** Told after each try, so that the others hear of the record. */
-  readonly tried: () => void;
+  readonly onAttempted: () => void;
   /** How many replicas a cluster grows to as far as there are machines; without it, as many as there may be. */
   readonly targetReplicas?: number;
 }
@@ -38,57 +38,58 @@
 /** Proposes and refuses changes of the membership. */
 export interface MembershipChanges {
   readonly join: (request: MessageOf<'Join'>) => void;
-  readonly change: (change: MembershipChange) => void;
+  readonly propose: (change: MembershipChange) => void;
   /** Whether this node must refuse a Prepare, as it hears the replica that is to be replaced. */
   readonly mustRefuse: (request: MessageOf<'Prepare'>) => boolean;
   /** Whether a machine that could take a slot has asked for one lately. */
   readonly hasCandidate: () => boolean;
 }
 
-interface Candidate {
-  readonly since: number;
-  readonly at: number;
-  readonly first: boolean;
+interface JoinCandidate {
+  readonly askingSince: number;
+  readonly lastAskedAt: number;
+  readonly sinceFirstStart: boolean;
 }
 
-const askingFor = 1_000_000;
-const forgottenAfter = 1_500_000;
-const takesOverAfter = 1_500_000;
-const leastPause = 200_000;
-const pauseSpread = 400_000;
+const candidateTimeoutUs = 1_000_000;
+const candidateResetUs = 1_500_000;
+const coordinatorTimeoutUs = 1_500_000;
+const minCooldownUs = 200_000;
+const cooldownJitterUs = 400_000;
 
 /** Makes the part of a node that sees to the membership. */
 export function createMembershipChanges(options: MembershipChangesOptions): MembershipChanges {
   const { cluster, peers } = options;
   const { world, replica, rounds } = cluster;
-  const wantedReplicas = Math.min(options.targetReplicas ?? maxReplicas, maxReplicas);
-  const candidates = new Map<string, Candidate>();
-  let changing = false;
-  let seenEpoch = 0;
+  const targetReplicas = Math.min(options.targetReplicas ?? maxReplicas, maxReplicas);
+  const candidates = new Map<string, JoinCandidate>();
+  let isChanging = false;
+  let highestEpochSeen = 0;
 
   function join(request: MessageOf<'Join'>): void {
-    if (replica.state() !== 'voting' || options.slotsAreStated) return;
-    peers.noticeNewDisks();
+    if (replica.state() !== 'voting' || options.hasConfiguredSlots) return;
+    peers.noteNewDisks();
     world.send(request.from as Address, replica.hello());
-    const since = noteCandidate(request);
-    const mayAct = options.isCoordinator() || world.now() - since > takesOverAfter;
+    const askingSince = recordCandidate(request);
+    const mayAct = options.isCoordinator() || world.now() - askingSince > coordinatorTimeoutUs;
     const isMember = replica.membership().replicas.some((entry) => entry.disk === request.disk);
-    if (changing || isMember || !mayAct || !request.caughtUp) return;
-    const vacant = vacantFor(request.from);
-    if (vacant !== undefined)
-      return change({ kind: 'replace', slot: vacant.slot, address: request.from, disk: request.disk });
-    if (request.first && mayGrow()) change({ kind: 'add', address: request.from, disk: request.disk });
+    if (isChanging || isMember || !mayAct || !request.caughtUp) return;
+    const replaceable = replaceableEntryFor(request.from);
+    if (replaceable !== undefined)
+      return propose({ kind: 'replace', slot: replaceable.slot, address: request.from, disk: request.disk });
+    if (request.first && mayGrow()) propose({ kind: 'add', address: request.from, disk: request.disk });
   }
 
-  function noteCandidate(request: MessageOf<'Join'>): number {
+  function recordCandidate(request: MessageOf<'Join'>): number {
     const known = candidates.get(request.from);
-    const since = known === undefined || world.now() - known.at > forgottenAfter ? world.now() : known.since;
-    candidates.set(request.from, { since, at: world.now(), first: request.first });
-    return since;
+    const askingSince =
+      known === undefined || world.now() - known.lastAskedAt > candidateResetUs ? world.now() : known.askingSince;
+    candidates.set(request.from, { askingSince, lastAskedAt: world.now(), sinceFirstStart: request.first });
+    return askingSince;
   }
 
   /** The slot of its own address, whose disk is gone with it; else one whose replica leaves or has been silent. */
-  function vacantFor(address: string): ReplicaEntry | undefined {
+  function replaceableEntryFor(address: string): ReplicaEntry | undefined {
     const { replicas } = replica.membership();
     const own = replicas.find((entry) => entry.address === address);
     if (own !== undefined) return own;
@@ -99,40 +100,43 @@
   function mayGrow(): boolean {
     const { replicas } = replica.membership();
     if (peers.live().length !== replicas.length) return false;
-    if (replicas.length % 2 === 0) return replicas.length < wantedReplicas;
+    if (replicas.length % 2 === 0) return replicas.length < targetReplicas;
     const asking = [...candidates].filter(
-      ([address, candidate]) => candidate.first && isAsking(candidate) && !replicas.some((r) => r.address === address),
+      ([address, candidate]) =>
+        candidate.sinceFirstStart && isRecent(candidate) && !replicas.some((r) => r.address === address),
     );
-    return asking.length > 1 && replicas.length < wantedReplicas - 1;
+    return asking.length > 1 && replicas.length < targetReplicas - 1;
   }
 
-  function isAsking(candidate: Candidate): boolean {
-    return world.now() - candidate.at < askingFor;
+  function isRecent(candidate: JoinCandidate): boolean {
+    return world.now() - candidate.lastAskedAt < candidateTimeoutUs;
   }
 
-  function change(wanted: MembershipChange): void {
-    if (changing) return;
-    changing = true;
+  function propose(proposal: MembershipChange): void {
+    if (isChanging) return;
+    isChanging = true;
     const { membershipEpoch } = replica.membership();
-    const epoch = nextEpoch(Math.max(replica.row(membershipKey).promised, seenEpoch), replica.slot);
-    const without = wanted.kind === 'replace' ? wanted.slot : undefined;
-    const replacement = replacementOf(wanted);
-    function make(id: string): VoteRequest {
+    const epoch = nextEpoch(Math.max(replica.row(membershipKey).promised, highestEpochSeen), replica.slot);
+    const excludedSlot = proposal.kind === 'replace' ? proposal.slot : undefined;
+    const replacement = replacementOf(proposal);
+    function buildRequest(id: string): VoteRequest {
       return { kind: 'Prepare', id, from: '', key: membershipKey, epoch, membershipEpoch, ...replacement };
     }
-    rounds.start({ excludedSlot: without, buildRequest: make }, (prepared) => {
-      for (const vote of prepared.votes) seenEpoch = Math.max(seenEpoch, vote.promised);
+    rounds.start({ excludedSlot, buildRequest }, (prepared) => {
+      for (const vote of prepared.votes) highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
       const newest = newestOf(prepared.votes);
-      const value = prepared.won ? valueAfter(wanted, newest, membershipEpoch) : undefined;
-      if (value === undefined) return pause();
-      write({ promised: epoch, epoch, version: newest.version + 1, value }, membershipEpoch, wanted);
+      const value = prepared.won ? valueAfter(proposal, newest, membershipEpoch) : undefined;
+      if (value === undefined) return startCooldown();
+      write({ promised: epoch, epoch, version: newest.version + 1, value }, membershipEpoch, proposal);
     });
   }
 
-  function replacementOf(wanted: MembershipChange): typeof noReplacement | { replacedDisk: string; successor: string } {
-    if (wanted.kind !== 'replace') return noReplacement;
-    const replaced = replica.membership().replicas.find((entry) => entry.slot === wanted.slot);
-    return { replacedDisk: replaced?.disk ?? '', successor: wanted.address };
+  function replacementOf(
+    proposal: MembershipChange,
+  ): typeof noReplacement | { replacedDisk: string; successor: string } {
+    if (proposal.kind !== 'replace') return noReplacement;
+    const replaced = replica.membership().replicas.find((entry) => entry.slot === proposal.slot);
+    return { replacedDisk: replaced?.disk ?? '', successor: proposal.address };
   }
 
   function newestOf(votes: readonly Vote[]): Row {
@@ -140,32 +144,32 @@
   }
 
   /** The record to write; none where another change came in between. */
-  function valueAfter(wanted: MembershipChange, newest: Row, membershipEpoch: number): Buffer | undefined {
-    if (wanted.kind === 'finish') return newest.epoch < membershipEpoch ? undefined : newest.value;
+  function valueAfter(proposal: MembershipChange, newest: Row, membershipEpoch: number): Buffer | undefined {
+    if (proposal.kind === 'finish') return newest.epoch < membershipEpoch ? undefined : newest.value;
     if (newest.epoch !== membershipEpoch) return undefined;
     const record = replica.membership();
-    const { address, disk } = wanted;
-    if (wanted.kind === 'add') return encodeMembership(record.cluster, withAdded(record, address, disk));
-    return encodeMembership(record.cluster, withReplaced(record, { slot: wanted.slot, address, disk }));
+    const { address, disk } = proposal;
+    if (proposal.kind === 'add') return encodeMembership(record.cluster, withAdded(record, address, disk));
+    return encodeMembership(record.cluster, withReplaced(record, { slot: proposal.slot, address, disk }));
   }
 
-  function write(row: Row, membershipEpoch: number, wanted: MembershipChange): void {
-    const without = wanted.kind === 'replace' ? wanted.slot : undefined;
+  function write(row: Row, membershipEpoch: number, proposal: MembershipChange): void {
+    const excludedSlot = proposal.kind === 'replace' ? proposal.slot : undefined;
     const { epoch, version, value } = row;
-    function make(id: string): VoteRequest {
+    function buildRequest(id: string): VoteRequest {
       return { kind: 'Accept', id, from: '', key: membershipKey, epoch, membershipEpoch, version, value, changes: [] };
     }
-    rounds.start({ excludedSlot: without, buildRequest: make }, () => {
-      world.log(2006, { ...wanted, membershipEpoch: replica.membership().membershipEpoch });
-      pause();
-      options.tried();
-      if (wanted.kind !== 'finish') world.send(wanted.address as Address, replica.hello());
+    rounds.start({ excludedSlot, buildRequest }, () => {
+      world.log(2006, { ...proposal, membershipEpoch: replica.membership().membershipEpoch });
+      startCooldown();
+      options.onAttempted();
+      if (proposal.kind !== 'finish') world.send(proposal.address as Address, replica.hello());
     });
   }
 
-  function pause(): void {
-    world.after(micros(leastPause + world.random() * pauseSpread), () => {
-      changing = false;
+  function startCooldown(): void {
+    world.after(micros(minCooldownUs + world.random() * cooldownJitterUs), () => {
+      isChanging = false;
     });
   }
 
@@ -178,8 +182,8 @@
 
   return {
     join,
-    change,
+    propose,
     mustRefuse,
-    hasCandidate: () => [...candidates.values()].some(isAsking),
+    hasCandidate: () => [...candidates.values()].some(isRecent),
   };
 }
--- a/packages/control-state/src/peer-liveness.ts
+++ b/packages/control-state/src/peer-liveness.ts
@@ -10,20 +10,20 @@
   /** After what silence a replica may be replaced. */
   readonly missingAfterUs?: number;
   /** Told when a replica is heard again after a silence, or this node after one of its own. */
-  readonly reunited: () => void;
+  readonly onReconnected: () => void;
 }
 
 /** What is known of the other replicas. */
 export interface PeerLiveness {
-  readonly heard: (hello: MessageOf<'ReplicaHello'>) => void;
+  readonly receiveHello: (hello: MessageOf<'ReplicaHello'>) => void;
   /** Gives a disk that is new in the membership record the same time to be heard as any other. */
-  readonly noticeNewDisks: () => void;
+  readonly noteNewDisks: () => void;
   /** To be called at every greeting: a silence of this node's own counts against nobody. */
-  readonly noticeOwnSilence: () => void;
+  readonly noteOwnPause: () => void;
   /** The replicas that vote and were heard lately, this one among them. */
   readonly live: () => readonly ReplicaEntry[];
   /** Of the live ones those that neither leave nor wait for their disks, if there are any. */
-  readonly fit: () => readonly ReplicaEntry[];
+  readonly healthy: () => readonly ReplicaEntry[];
   /** Whether this node has listened long enough to know who is there. */
   readonly isSettled: () => boolean;
   readonly isLeaving: (slot: number) => boolean;
@@ -35,79 +35,79 @@
   readonly behindSince: (slot: number) => number;
 }
 
-interface Heard {
+interface PeerStatus {
   readonly at: number;
   readonly voting: boolean;
-  readonly fit: boolean;
+  readonly healthy: boolean;
   readonly leaving: boolean;
   readonly membershipEpoch: number;
   readonly behindSince: number;
 }
 
 /** A replica that was silent this long may be replaced, where a machine stands ready to take its slot. */
-export const defaultMissingAfter = 1_500_000;
-const liveFor = 1_000_000;
-const presentFor = 1_000_000;
-const settledAfter = 500_000;
-const ownSilence = 900_000;
-const reunionAfter = 1_000_000;
+export const defaultMissingAfterUs = 1_500_000;
+const liveTimeoutUs = 1_000_000;
+const presenceTimeoutUs = 1_000_000;
+const settleDelayUs = 500_000;
+const ownPauseUs = 900_000;
+const reconnectAfterUs = 1_000_000;
 
 /** Makes the table of the other replicas; it knows nobody yet. */
 export function createPeerLiveness(world: World, replica: Replica, options: PeerLivenessOptions): PeerLiveness {
-  const missingAfter = options.missingAfterUs ?? defaultMissingAfter;
-  const peers = new Map<number, Heard>();
-  const disks = new Map<number, string>();
-  let greetedAt = world.now();
-  let hearingSince = world.now();
+  const missingAfterUs = options.missingAfterUs ?? defaultMissingAfterUs;
+  const peers = new Map<number, PeerStatus>();
+  const diskBySlot = new Map<number, string>();
+  let lastHelloAt = world.now();
+  let listeningSince = world.now();
 
-  function heard(hello: MessageOf<'ReplicaHello'>): void {
+  function receiveHello(hello: MessageOf<'ReplicaHello'>): void {
     const known = peers.get(hello.slot);
     const { membershipEpoch } = replica.membership();
-    const behind = hello.membershipEpoch < membershipEpoch;
+    const isBehind = hello.membershipEpoch < membershipEpoch;
     peers.set(hello.slot, {
       at: world.now(),
       voting: hello.state === 'voting',
-      fit: !hello.ill && !hello.leaving,
+      healthy: !hello.ill && !hello.leaving,
       leaving: hello.leaving,
       membershipEpoch: hello.membershipEpoch,
-      behindSince: behind ? Math.min(known?.behindSince ?? Infinity, world.now()) : Infinity,
+      behindSince: isBehind ? Math.min(known?.behindSince ?? Infinity, world.now()) : Infinity,
     });
-    if (known !== undefined && world.now() - known.at > reunionAfter) options.reunited();
+    if (known !== undefined && world.now() - known.at > reconnectAfterUs) options.onReconnected();
   }
 
-  function noticeNewDisks(): void {
+  function noteNewDisks(): void {
     for (const { slot, disk } of replica.membership().replicas) {
-      const present = disks.get(slot);
-      disks.set(slot, disk);
-      if (present !== undefined && present !== disk) peers.set(slot, notHeard(world.now()));
+      const present = diskBySlot.get(slot);
+      diskBySlot.set(slot, disk);
+      if (present !== undefined && present !== disk) peers.set(slot, unheardPeer(world.now()));
     }
   }
 
-  function noticeOwnSilence(): void {
-    if (world.now() - greetedAt > ownSilence) {
-      hearingSince = world.now();
-      options.reunited();
+  function noteOwnPause(): void {
+    if (world.now() - lastHelloAt > ownPauseUs) {
+      listeningSince = world.now();
+      options.onReconnected();
     }
-    greetedAt = world.now();
+    lastHelloAt = world.now();
   }
 
   function live(): readonly ReplicaEntry[] {
     return replica.membership().replicas.filter(({ slot }) => {
       if (slot === replica.slot) return replica.state() === 'voting';
       const peer = peers.get(slot);
-      return peer !== undefined && peer.voting && world.now() - peer.at < liveFor;
+      return peer !== undefined && peer.voting && world.now() - peer.at < liveTimeoutUs;
     });
   }
 
-  function isFit(slot: number): boolean {
+  function isHealthy(slot: number): boolean {
     if (slot === replica.slot) return !replica.isSlow() && !replica.isLeaving();
-    return peers.get(slot)?.fit === true;
+    return peers.get(slot)?.healthy === true;
   }
 
-  function fit(): readonly ReplicaEntry[] {
+  function healthy(): readonly ReplicaEntry[] {
     const candidates = live();
-    const found = candidates.filter(({ slot }) => isFit(slot));
-    return found.length > 0 ? found : candidates;
+    const healthyReplicas = candidates.filter(({ slot }) => isHealthy(slot));
+    return healthyReplicas.length > 0 ? healthyReplicas : candidates;
   }
 
   function isPresent(disk: string): boolean {
@@ -115,24 +115,24 @@
     if (entry === undefined) return false;
     if (entry.slot === replica.slot) return true;
     const peer = peers.get(entry.slot);
-    return peer !== undefined && peer.voting && !peer.leaving && world.now() - peer.at < presentFor;
+    return peer !== undefined && peer.voting && !peer.leaving && world.now() - peer.at < presenceTimeoutUs;
   }
 
   return {
-    heard,
-    noticeNewDisks,
-    noticeOwnSilence,
+    receiveHello,
+    noteNewDisks,
+    noteOwnPause,
     live,
-    fit,
-    isSettled: () => live().length > 1 || world.now() - hearingSince > settledAfter,
+    healthy,
+    isSettled: () => live().length > 1 || world.now() - listeningSince > settleDelayUs,
     isLeaving: (slot) => peers.get(slot)?.leaving === true,
-    isMissing: (slot) => world.now() - Math.max(peers.get(slot)?.at ?? 0, hearingSince) > missingAfter,
+    isMissing: (slot) => world.now() - Math.max(peers.get(slot)?.at ?? 0, listeningSince) > missingAfterUs,
     isPresent,
     hasSameMembership: (slot) => peers.get(slot)?.membershipEpoch === replica.membership().membershipEpoch,
     behindSince: (slot) => peers.get(slot)?.behindSince ?? Infinity,
   };
 }
 
-function notHeard(now: number): Heard {
-  return { at: now, voting: false, fit: false, leaving: false, membershipEpoch: 0, behindSince: Infinity };
+function unheardPeer(now: number): PeerStatus {
+  return { at: now, voting: false, healthy: false, leaving: false, membershipEpoch: 0, behindSince: Infinity };
 }
--- a/packages/control-state/src/quorum-round.ts
+++ b/packages/control-state/src/quorum-round.ts
@@ -42,15 +42,15 @@
   readonly end: (won: boolean) => void;
 }
 
-const defaultPatience = 1_500_000;
-const retransmitEvery = 200_000;
-const lateVotesFor = 1_000_000;
+const defaultTimeoutUs = 1_500_000;
+const retransmitIntervalUs = 200_000;
+const lateVoteWindowUs = 1_000_000;
 
 /** Makes the rounds of a process on its replica. */
 export function createQuorumRounds(world: World, replica: Replica): QuorumRounds {
   const run = Math.floor(world.random() * 2 ** 40).toString(36);
-  const open = new Map<string, OpenRound>();
-  const lateVotes = new Map<string, (vote: Vote) => void>();
+  const openRounds = new Map<string, OpenRound>();
+  const lateVoteHandlers = new Map<string, (vote: Vote) => void>();
   let count = 0;
 
   function nextId(): string {
@@ -63,41 +63,42 @@
     const request = options.buildRequest(id);
     const { membershipEpoch } = replica.membership();
     const votes = new Map<number, Vote>();
-    const limit = world.now() + (options.timeoutUs ?? defaultPatience);
+    const deadline = world.now() + (options.timeoutUs ?? defaultTimeoutUs);
     let cancel: Cancel | undefined;
 
     function end(won: boolean): void {
-      if (!open.delete(id)) return;
+      if (!openRounds.delete(id)) return;
       cancel?.();
       if (won && options.onLateVote !== undefined && votes.size < replica.membership().replicas.length)
-        keepLate(id, options.onLateVote);
+        keepLateVoteHandler(id, options.onLateVote);
       done({ won, votes: [...votes.values()] });
     }
 
     function hasEnded(): boolean {
       const changed = replica.membership().membershipEpoch !== membershipEpoch;
-      return world.now() >= limit || changed || replica.state() !== 'voting';
+      return world.now() >= deadline || changed || replica.state() !== 'voting';
     }
 
     function transmit(): void {
-      if (!open.has(id)) return;
+      if (!openRounds.has(id)) return;
       if (hasEnded()) return end(false);
-      for (const entry of replica.membership().replicas) if (!votes.has(entry.slot)) ask(entry.slot, entry.address);
-      if (open.has(id)) cancel = world.after(micros(retransmitEvery), transmit);
+      for (const entry of replica.membership().replicas)
+        if (!votes.has(entry.slot)) sendRequest(entry.slot, entry.address);
+      if (openRounds.has(id)) cancel = world.after(micros(retransmitIntervalUs), transmit);
     }
 
-    function ask(slot: number, address: string): void {
-      if (slot === replica.slot) replica.vote(request, vote);
+    function sendRequest(slot: number, address: string): void {
+      if (slot === replica.slot) replica.vote(request, receiveVote);
       else world.send(address as Address, request as Message);
     }
 
-    open.set(id, { options, request, votes, end });
+    openRounds.set(id, { options, request, votes, end });
     transmit();
   }
 
-  function keepLate(id: string, late: (vote: Vote) => void): void {
-    lateVotes.set(id, late);
-    world.after(micros(lateVotesFor), () => lateVotes.delete(id));
+  function keepLateVoteHandler(id: string, onLateVote: (vote: Vote) => void): void {
+    lateVoteHandlers.set(id, onLateVote);
+    world.after(micros(lateVoteWindowUs), () => lateVoteHandlers.delete(id));
   }
 
   function isFromMember(vote: Vote): boolean {
@@ -105,10 +106,10 @@
     return member !== undefined && member.disk === vote.disk && vote.voting;
   }
 
-  function vote(received: Vote): void {
+  function receiveVote(received: Vote): void {
     if (!isFromMember(received)) return;
-    const round = open.get(received.id);
-    if (round === undefined) return lateVotes.get(received.id)?.(received);
+    const round = openRounds.get(received.id);
+    if (round === undefined) return lateVoteHandlers.get(received.id)?.(received);
     if (received.slot === round.options.excludedSlot) return;
     round.votes.set(received.slot, received);
     decide(round);
@@ -116,18 +117,18 @@
 
   function decide(round: OpenRound): void {
     const votes = [...round.votes.values()];
-    const counts = round.options.countsAsYes ?? saysYes;
-    const yes = votes.filter(counts).length;
-    const all = replica.membership().replicas.length;
-    if (yes >= majorityOf(all)) return round.end(true);
-    if (votes.length - yes > all - majorityOf(all)) return round.end(false);
+    const countsAsYes = round.options.countsAsYes ?? isGranted;
+    const yesCount = votes.filter(countsAsYes).length;
+    const replicaCount = replica.membership().replicas.length;
+    if (yesCount >= majorityOf(replicaCount)) return round.end(true);
+    if (votes.length - yesCount > replicaCount - majorityOf(replicaCount)) return round.end(false);
     const { request } = round;
     if (request.kind === 'Prepare' && votes.some((vote) => !vote.ok && vote.promised > request.epoch)) round.end(false);
   }
 
-  return { start, receiveVote: vote };
+  return { start, receiveVote };
 }
 
-function saysYes(vote: Vote): boolean {
+function isGranted(vote: Vote): boolean {
   return vote.ok;
 }
--- a/packages/control-state/src/replica-shortage.ts
+++ b/packages/control-state/src/replica-shortage.ts
@@ -9,28 +9,28 @@
   readonly targetReplicas: number;
 }
 
-const lookEvery = micros(1_000_000);
+const checkInterval = micros(1_000_000);
 /** A cluster that starts, or replaces a machine, has its replicas sooner. */
-const toleratedFor = 10_000_000;
-const tellEvery = 60_000_000;
+const gracePeriodUs = 10_000_000;
+const logIntervalUs = 60_000_000;
 
 /** Looks each second until it is stopped. */
 export function reportReplicaShortage(world: World, options: ReplicaShortageOptions): () => void {
   const { replica, targetReplicas: wantedReplicas } = options;
-  let enoughAt = world.now();
-  let toldAt = -Infinity;
+  let sufficientAt = world.now();
+  let loggedAt = -Infinity;
 
-  function look(): void {
+  function check(): void {
     const replicas = replica.membership().replicas.length;
     const now = world.now();
     if (replica.state() !== 'voting' || !options.isCoordinator() || replicas >= wantedReplicas) {
-      enoughAt = now;
+      sufficientAt = now;
       return;
     }
-    if (now - enoughAt < toleratedFor || now - toldAt < tellEvery) return;
-    toldAt = now;
+    if (now - sufficientAt < gracePeriodUs || now - loggedAt < logIntervalUs) return;
+    loggedAt = now;
     world.log(2015, { replicas, wanted: wantedReplicas });
   }
 
-  return every(world, () => lookEvery, look);
+  return every(world, () => checkInterval, check);
 }
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -46,7 +46,7 @@
 }
 
 /** Told whether a write is synced (true) or was refused (false). */
-export type Written = (ok: boolean) => void;
+export type SyncCallback = (ok: boolean) => void;
 
 /** The durable state of one replica. */
 export interface ReplicaStorage {
@@ -56,75 +56,75 @@
   /** The state that the journal held when it was opened, or that was written last. */
   readonly storedState: () => ReplicaState;
   /** The disks that founded the cluster together with this one, as far as this one took part. */
-  readonly founders: () => readonly string[];
-  readonly setFounders: (disks: readonly string[]) => void;
+  readonly bootstrapDisks: () => readonly string[];
+  readonly setBootstrapDisks: (disks: readonly string[]) => void;
   readonly row: (key: string) => Row;
   readonly rows: () => ReadonlyMap<string, Row>;
   readonly history: (key: string) => ChangeHistory;
   /** Takes a row and changes of it in at once and calls back once they are synced, or with false if the disk refused. */
-  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: Written) => void;
+  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
   /** Writes a row once more, unchanged, and calls back once all earlier writes are synced as well. */
-  readonly syncRow: (key: string, done: Written) => void;
-  readonly putState: (state: ReplicaState, done: Written) => void;
+  readonly syncRow: (key: string, done: SyncCallback) => void;
+  readonly putState: (state: ReplicaState, done: SyncCallback) => void;
   /** The rows taken in after a sequence number, the earliest first. */
   readonly changedSince: (sequence: number) => ChangedRow[];
   /** Whether a write has waited for the disk longer than a sound disk takes. */
   readonly isSlow: () => boolean;
 }
 
-const slowAfter = 400_000;
-const defaultRewriteOver = 8 * 1024 * 1024;
-const rewriteFactor = 3;
-const rowOverhead = 256;
+const slowWriteUs = 400_000;
+const defaultCompactAboveBytes = 8 * 1024 * 1024;
+const compactionFactor = 3;
+const rowOverheadBytes = 256;
 
 /** Opens the storage on what was found; a disk without an identity is given one. */
 export function createReplicaStorage(world: World, options: ReplicaStorageOptions): ReplicaStorage {
   const rows = new Map<string, Row>();
   const histories = new Map<string, ChangeHistory>();
-  const rowSequence = new Map<string, number>();
-  const changeSequence = new Map<string, Map<number, number>>();
-  const pendingSince: number[] = [];
+  const sequenceByKey = new Map<string, number>();
+  const changeSequencesByKey = new Map<string, Map<number, number>>();
+  const pendingWriteTimes: number[] = [];
   const copySource = Math.floor(world.random() * 2 ** 40).toString(36);
   let sequence = 0;
-  let disk = options.newDiskId;
+  let diskId = options.newDiskId;
   let state: ReplicaState = 'blank';
-  let founders: readonly string[] = [];
-  let rewriting = false;
-  let broken = false;
+  let bootstrapDisks: readonly string[] = [];
+  let isCompacting = false;
+  let hasFailed = false;
 
   for (const record of options.found) load(record);
   if (options.found.length === 0) append(identityRecord(), () => undefined);
 
   function load(record: JournalRecord): void {
-    if (record.kind === 'disk') disk = record.key;
+    if (record.kind === 'disk') diskId = record.key;
     if (record.kind === 'state') {
       state = record.key as ReplicaState;
-      founders = [...record.changes];
+      bootstrapDisks = [...record.changes];
     }
     if (record.kind === 'row') {
       const { promised, epoch, version, value } = record;
-      takeIn(record.key, { promised, epoch, version, value }, record.changes.map(decodeChange));
+      applyRow(record.key, { promised, epoch, version, value }, record.changes.map(decodeChange));
     }
   }
 
   /** Gives those of the changes that were not known yet. */
-  function takeIn(key: string, row: Row, changes: readonly AppliedChange[]): AppliedChange[] {
+  function applyRow(key: string, row: Row, changes: readonly AppliedChange[]): AppliedChange[] {
     sequence += 1;
     rows.set(key, row);
-    rowSequence.set(key, sequence);
+    sequenceByKey.set(key, sequence);
     const added = changes.filter((change) => history(key).add(change));
-    for (const change of added) noteChange(key, change.version);
+    for (const change of added) recordChangeSequence(key, change.version);
     return added;
   }
 
-  function noteChange(key: string, version: number): void {
-    let sequences = changeSequence.get(key);
-    if (sequences === undefined) changeSequence.set(key, (sequences = new Map<number, number>()));
+  function recordChangeSequence(key: string, version: number): void {
+    let sequences = changeSequencesByKey.get(key);
+    if (sequences === undefined) changeSequencesByKey.set(key, (sequences = new Map<number, number>()));
     sequences.delete(version);
     sequences.set(version, sequence);
-    for (const old of sequences.keys()) {
-      if (history(key).at(old) !== undefined) break;
-      sequences.delete(old);
+    for (const oldVersion of sequences.keys()) {
+      if (history(key).at(oldVersion) !== undefined) break;
+      sequences.delete(oldVersion);
     }
   }
 
@@ -134,38 +134,38 @@
     return present;
   }
 
-  function append(record: JournalRecord, done: Written): void {
-    if (broken) return done(false);
-    pendingSince.push(world.now());
+  function append(record: JournalRecord, done: SyncCallback): void {
+    if (hasFailed) return done(false);
+    pendingWriteTimes.push(world.now());
     options.disk.append(record, (error) => {
-      pendingSince.shift();
+      pendingWriteTimes.shift();
       if (error !== undefined) {
         fail(error);
         return done(false);
       }
       done(true);
-      rewriteIfLong();
+      compactIfLarge();
     });
   }
 
   function fail(error: Error): void {
-    if (broken) return;
-    broken = true;
+    if (hasFailed) return;
+    hasFailed = true;
     options.failed(error);
   }
 
   function liveBytes(): number {
     let bytes = 0;
-    for (const row of rows.values()) bytes += row.value.length + rowOverhead;
+    for (const row of rows.values()) bytes += row.value.length + rowOverheadBytes;
     return bytes;
   }
 
-  function rewriteIfLong(): void {
-    const limit = Math.max(options.compactAboveBytes ?? defaultRewriteOver, rewriteFactor * liveBytes());
-    if (rewriting || broken || options.disk.size() < limit) return;
-    rewriting = true;
+  function compactIfLarge(): void {
+    const limit = Math.max(options.compactAboveBytes ?? defaultCompactAboveBytes, compactionFactor * liveBytes());
+    if (isCompacting || hasFailed || options.disk.size() < limit) return;
+    isCompacting = true;
     options.disk.rewrite(snapshot(), (error) => {
-      rewriting = false;
+      isCompacting = false;
       if (error !== undefined) fail(error);
       else world.log(2007, { bytes: options.disk.size() });
     });
@@ -180,18 +180,18 @@
   }
 
   function identityRecord(): JournalRecord {
-    return { kind: 'disk', key: disk, ...emptyRow, changes: [] };
+    return { kind: 'disk', key: diskId, ...emptyRow, changes: [] };
   }
 
   function stateRecord(next: ReplicaState): JournalRecord {
-    return { kind: 'state', key: next, ...emptyRow, changes: [...founders] };
+    return { kind: 'state', key: next, ...emptyRow, changes: [...bootstrapDisks] };
   }
 
-  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: Written): void {
-    append(rowRecord(key, row, takeIn(key, row, changes)), done);
+  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback): void {
+    append(rowRecord(key, row, applyRow(key, row, changes)), done);
   }
 
-  function putState(next: ReplicaState, done: Written): void {
+  function putState(next: ReplicaState, done: SyncCallback): void {
     append(stateRecord(next), (ok) => {
       if (ok) state = next;
       done(ok);
@@ -199,7 +199,7 @@
   }
 
   function changedSince(after: number): ChangedRow[] {
-    return [...rowSequence]
+    return [...sequenceByKey]
       .filter(([, at]) => at > after)
       .sort((left, right) => left[1] - right[1])
       .map(([key, at]) => ({ key, sequence: at, row: rows.get(key)!, changes: changesSince(key, after) }));
@@ -207,7 +207,7 @@
 
   function changesSince(key: string, after: number): AppliedChange[] {
     const found: AppliedChange[] = [];
-    for (const [version, at] of changeSequence.get(key) ?? []) {
+    for (const [version, at] of changeSequencesByKey.get(key) ?? []) {
       const change = at > after ? history(key).at(version) : undefined;
       if (change !== undefined) found.push(change);
     }
@@ -215,12 +215,12 @@
   }
 
   return {
-    diskId: () => disk,
+    diskId: () => diskId,
     copySource,
     storedState: () => state,
-    founders: () => founders,
-    setFounders: (disks) => {
-      founders = [...disks];
+    bootstrapDisks: () => bootstrapDisks,
+    setBootstrapDisks: (disks) => {
+      bootstrapDisks = [...disks];
     },
     row: (key) => rows.get(key) ?? emptyRow,
     rows: () => rows,
@@ -229,7 +229,7 @@
     syncRow: (key, done) => append(rowRecord(key, rows.get(key) ?? emptyRow, []), done),
     putState,
     changedSince,
-    isSlow: () => broken || (pendingSince.length > 0 && world.now() - pendingSince[0]! > slowAfter),
+    isSlow: () => hasFailed || (pendingWriteTimes.length > 0 && world.now() - pendingWriteTimes[0]! > slowWriteUs),
   };
 }
 
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -23,7 +23,7 @@
   createReplicaStorage,
   type ReplicaState,
   type ReplicaStorageOptions,
-  type Written,
+  type SyncCallback,
 } from './replica-storage.js';
 import { defaultBootstrapSize, type BootstrapSize } from './replica-count.js';
 import type { Row } from './row.js';
@@ -66,7 +66,7 @@
   readonly row: (key: string) => Row;
   readonly keys: () => string[];
   readonly history: (key: string) => ChangeHistory;
-  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: Written) => void;
+  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
   /** Whether its disk keeps what waits for it waiting. */
   readonly isSlow: () => boolean;
   readonly isLeaving: () => boolean;
@@ -93,29 +93,29 @@
   readonly waitsFor: () => BootstrapWait | undefined;
 }
 
-const votingHeardFor = 2_000_000;
+const voterFreshnessUs = 2_000_000;
 /** Only a founding writes the membership record under it; all later epochs are higher. */
-const foundingEpoch = 1;
-const wrongCluster =
+const bootstrapEpoch = 1;
+const foreignClusterMessage =
   'Most machines of the membership record on this disk belong to another cluster. The replica does not vote; bring the disk back to its cluster, or empty the data folder to let the machine join this one.';
 
 /** Starts a replica on what its disk holds. */
 export function createReplica(world: World, options: ReplicaOptions): Replica {
   const storage = createReplicaStorage(world, { ...options, failed });
   const diskId = storage.diskId;
-  const votingUnder = new Map<string, number>();
-  const foreign = new Set<string>();
+  const lastHeardVoting = new Map<string, number>();
+  const foreignAddresses = new Set<string>();
   let state: ReplicaState = storage.storedState();
-  let entering: ReplicaState | undefined;
+  let pendingState: ReplicaState | undefined;
   let membership: MembershipRecord = noMembership;
   let votingSince = 0;
   let leaving = false;
   let successor: string | undefined;
-  let learnedUnder = 0;
+  let reportedLearnedEpoch = 0;
 
   const acceptor = createAcceptor({
     storage,
-    slot: slotNow,
+    slot: currentSlot,
     state: () => state,
     membershipEpoch: () => membership.membershipEpoch,
     putRow,
@@ -123,27 +123,27 @@
   const catchUp = createCatchUp(world, {
     self: options.self,
     storage,
-    slot: slotNow,
+    slot: currentSlot,
     state: () => state,
     membership: () => membership,
     isMember,
     putRow,
-    copied: () => {
+    onCopied: () => {
       if (state !== 'blank') return;
-      if (isMember()) enter('voting');
-      else noteLearned();
+      if (isMember()) changeState('voting');
+      else reportLearned();
     },
   });
-  const founding = createSeedBootstrap(world, {
+  const seedBootstrap = createSeedBootstrap(world, {
     self: options.self,
-    founders: options.initialSeeds ?? options.bootstrapMembers,
-    mayBegin: options.mayBootstrap ?? true,
+    members: options.initialSeeds ?? options.bootstrapMembers,
+    mayBootstrap: options.mayBootstrap ?? true,
     diskId,
   });
-  const rosterFounding = createDiscoveryBootstrap({
+  const discoveryBootstrap = createDiscoveryBootstrap({
     self: options.self,
     seeds: options.initialSeeds ?? options.bootstrapMembers,
-    mayBegin: (options.mayBootstrap ?? true) && options.reopened !== true,
+    mayBootstrap: (options.mayBootstrap ?? true) && options.reopened !== true,
     diskId,
     ...(options.bootstrapSize ?? defaultBootstrapSize),
   });
@@ -154,13 +154,13 @@
     catchUp.restart();
   }
 
-  function noteLearned(): void {
-    if (learnedUnder === membership.membershipEpoch) return;
-    learnedUnder = membership.membershipEpoch;
+  function reportLearned(): void {
+    if (reportedLearnedEpoch === membership.membershipEpoch) return;
+    reportedLearnedEpoch = membership.membershipEpoch;
     options.learned?.();
   }
 
-  function slotNow(): number {
+  function currentSlot(): number {
     if (options.slot !== undefined) return options.slot;
     const entry = membership.replicas.find((replica) => replica.disk === diskId());
     if (entry !== undefined) return entry.slot;
@@ -180,7 +180,7 @@
   function refreshMembership(): void {
     const row = storage.row(membershipKey);
     if (row.epoch <= membership.membershipEpoch) return;
-    const slot = slotNow();
+    const slot = currentSlot();
     const decoded = decodeMembership(row.epoch, row.value);
     if (E.isLeft(decoded)) return becomeUnusable(decoded.left.message);
     membership = decoded.right;
@@ -196,29 +196,29 @@
   }
 
   /** A replica that hears another cluster at most of the addresses of its own record has come to the wrong place. */
-  function isForeign(hello: ReplicaHello): boolean {
+  function isFromOtherCluster(hello: ReplicaHello): boolean {
     const known = membership.cluster;
     if (known === '' || hello.cluster === '' || hello.cluster === known) return false;
-    foreign.add(hello.from);
-    const there = membership.replicas.filter((entry) => foreign.has(entry.address)).length;
-    if (there >= majorityOf(membership.replicas.length)) becomeUnusable(wrongCluster);
+    foreignAddresses.add(hello.from);
+    const foreignCount = membership.replicas.filter((entry) => foreignAddresses.has(entry.address)).length;
+    if (foreignCount >= majorityOf(membership.replicas.length)) becomeUnusable(foreignClusterMessage);
     return true;
   }
 
   function fenceIfReplaced(): void {
-    if (state === 'voting' && !isMember()) enter('fenced');
+    if (state === 'voting' && !isMember()) changeState('fenced');
   }
 
-  function enter(next: ReplicaState): void {
-    if (state === next || entering === next || state === 'failed' || state === 'unusable') return;
-    entering = next;
+  function changeState(next: ReplicaState): void {
+    if (state === next || pendingState === next || state === 'failed' || state === 'unusable') return;
+    pendingState = next;
     storage.putState(next, (ok) => {
-      if (entering === next) entering = undefined;
-      if (ok) entered(next);
+      if (pendingState === next) pendingState = undefined;
+      if (ok) onStateStored(next);
     });
   }
 
-  function entered(next: ReplicaState): void {
+  function onStateStored(next: ReplicaState): void {
     if (state === 'unusable') return;
     state = next;
     votingSince = world.now();
@@ -227,17 +227,17 @@
     fenceIfReplaced();
   }
 
-  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: Written): void {
+  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback): void {
     storage.putRow(key, row, changes, done);
     if (key === membershipKey) refreshMembership();
   }
 
-  function found(members: readonly ReplicaEntry[]): void {
-    storage.setFounders(members.map((member) => member.disk));
-    const value = encodeMembership(clusterOf(members), members);
-    const row: Row = { promised: foundingEpoch, epoch: foundingEpoch, version: 1, value };
+  function bootstrapWith(members: readonly ReplicaEntry[]): void {
+    storage.setBootstrapDisks(members.map((member) => member.disk));
+    const value = encodeMembership(clusterNameOf(members), members);
+    const row: Row = { promised: bootstrapEpoch, epoch: bootstrapEpoch, version: 1, value };
     putRow(membershipKey, row, [], (ok) => {
-      if (ok) enter('voting');
+      if (ok) changeState('voting');
     });
   }
 
@@ -254,68 +254,68 @@
     putRow(membershipKey, row, [], () => undefined);
   }
 
-  function heard(hello: ReplicaHello): void {
+  function receiveHello(hello: ReplicaHello): void {
     if (state === 'unusable') return;
-    const slot = slotNow();
-    const tellsNewer = hello.membershipEpoch > membership.membershipEpoch && hello.replicas.length > 0;
+    const slot = currentSlot();
+    const hasNewerMembership = hello.membershipEpoch > membership.membershipEpoch && hello.replicas.length > 0;
     if (hello.state === 'voting' && hello.membershipEpoch >= membership.membershipEpoch)
-      votingUnder.set(hello.disk, world.now());
+      lastHeardVoting.set(hello.disk, world.now());
     if (slot >= 0 && hello.slot === slot) {
-      if (hello.disk !== diskId() && state === 'voting' && tellsNewer) adoptMembership(hello);
+      if (hello.disk !== diskId() && state === 'voting' && hasNewerMembership) adoptMembership(hello);
       return;
     }
-    if (isUnfounded()) {
-      const members = founding.heard(hello, slot);
-      if (members !== undefined) return found(members);
+    if (knowsNoCluster()) {
+      const members = seedBootstrap.receiveHello(hello, slot);
+      if (members !== undefined) return bootstrapWith(members);
     }
-    if (tellsNewer) adoptMembership(hello);
+    if (hasNewerMembership) adoptMembership(hello);
   }
 
-  function isUnfounded(): boolean {
+  function knowsNoCluster(): boolean {
     return state === 'blank' && membership.membershipEpoch === 0;
   }
 
-  function candidates(message: MessageOf<'FoundingRoster' | 'FoundingView'>): void {
-    if (!isUnfounded()) return;
-    if (message.kind === 'FoundingRoster') rosterFounding.roster(message);
-    else rosterFounding.view(message);
-    const members = rosterFounding.members();
-    if (members !== undefined) found(members);
+  function receiveCandidates(message: MessageOf<'FoundingRoster' | 'FoundingView'>): void {
+    if (!knowsNoCluster()) return;
+    if (message.kind === 'FoundingRoster') discoveryBootstrap.receiveRoster(message);
+    else discoveryBootstrap.receiveView(message);
+    const members = discoveryBootstrap.members();
+    if (members !== undefined) bootstrapWith(members);
   }
 
-  function waitsFor(): BootstrapWait | undefined {
-    if (!isUnfounded()) return undefined;
+  function bootstrapWait(): BootstrapWait | undefined {
+    if (!knowsNoCluster()) return undefined;
     const isSeed = (options.initialSeeds ?? options.bootstrapMembers).includes(options.self);
-    if (!isSeed || options.mayBootstrap === false) return rosterFounding.waitsFor();
-    return { why: 'founders not heard', machines: founding.silent() };
+    if (!isSeed || options.mayBootstrap === false) return discoveryBootstrap.waitsFor();
+    return { why: 'founders not heard', machines: seedBootstrap.unheardMembers() };
   }
 
   function tick(): void {
-    if (isUnfounded()) {
-      const members = founding.alone();
-      if (members !== undefined) return found(members);
+    if (knowsNoCluster()) {
+      const members = seedBootstrap.soleMember();
+      if (members !== undefined) return bootstrapWith(members);
     }
-    if (state === 'blank' && isFounder()) return enter('voting');
+    if (state === 'blank' && isBootstrapMember()) return changeState('voting');
     catchUp.tick();
   }
 
   /** A founder's disk that lost power between the record and the state holds all that it has ever voted for: nothing. */
-  function isFounder(): boolean {
-    const founders = membership.membershipEpoch === foundingEpoch ? membership.replicas.length : 0;
-    return isMember() && storage.founders().length + founders > 0;
+  function isBootstrapMember(): boolean {
+    const recordedMembers = membership.membershipEpoch === bootstrapEpoch ? membership.replicas.length : 0;
+    return isMember() && storage.bootstrapDisks().length + recordedMembers > 0;
   }
 
-  function hello(slim = false): ReplicaHello {
+  function hello(brief = false): ReplicaHello {
     return {
       kind: 'ReplicaHello',
       from: options.self,
-      slot: slotNow(),
+      slot: currentSlot(),
       disk: diskId(),
       state,
-      founders: slim ? [] : [...storage.founders()],
+      founders: brief ? [] : [...storage.bootstrapDisks()],
       membershipEpoch: membership.membershipEpoch,
       cluster: membership.cluster,
-      replicas: slim ? [] : [...membership.replicas],
+      replicas: brief ? [] : [...membership.replicas],
       leaving,
       ill: storage.isSlow(),
       caughtUp: state === 'blank' && catchUp.isCaughtUp(),
@@ -324,17 +324,17 @@
 
   function isSuperseded(): boolean {
     if (state !== 'fenced') return false;
-    const fresh = membership.replicas.filter((replica) => votesNow(replica.disk));
-    return fresh.length >= majorityOf(membership.replicas.length);
+    const votingReplicas = membership.replicas.filter((replica) => isVotingNow(replica.disk));
+    return votingReplicas.length >= majorityOf(membership.replicas.length);
   }
 
-  function votesNow(disk: string): boolean {
-    return world.now() - (votingUnder.get(disk) ?? -Infinity) < votingHeardFor;
+  function isVotingNow(disk: string): boolean {
+    return world.now() - (lastHeardVoting.get(disk) ?? -Infinity) < voterFreshnessUs;
   }
 
   return {
     get slot() {
-      return slotNow();
+      return currentSlot();
     },
     ...acceptor,
     diskId,
@@ -352,20 +352,20 @@
       leaving = true;
     },
     isSuperseded,
-    isSuccessorVoting: () => state === 'fenced' && successor !== undefined && votesNow(successor),
+    isSuccessorVoting: () => state === 'fenced' && successor !== undefined && isVotingNow(successor),
     hello,
-    isFromOtherCluster: isForeign,
-    receiveHello: heard,
-    markStateless: founding.withoutState,
+    isFromOtherCluster,
+    receiveHello,
+    markStateless: seedBootstrap.markStateless,
     catchUp,
     tick,
-    receiveCandidates: candidates,
-    bootstrapView: () => (isUnfounded() ? rosterFounding.greeting() : undefined),
-    waitsFor,
+    receiveCandidates,
+    bootstrapView: () => (knowsNoCluster() ? discoveryBootstrap.greeting() : undefined),
+    waitsFor: bootstrapWait,
   };
 }
 
 /** The name of a cluster that these replicas found; each of them finds the same. */
-function clusterOf(founders: readonly ReplicaEntry[]): string {
+function clusterNameOf(founders: readonly ReplicaEntry[]): string {
   return founders.map((founder) => founder.disk.slice(0, 8)).join('-');
 }
--- a/packages/control-state/src/router-leases.ts
+++ b/packages/control-state/src/router-leases.ts
@@ -30,7 +30,7 @@
 
 interface Register {
   readonly routers: Set<string>;
-  readonly askedAt: number;
+  readonly readAt: number;
 }
 
 interface Acknowledgement {
@@ -38,16 +38,16 @@
   readonly done: () => void;
 }
 
-const clockSlack = 100_000;
-const lookAgainAfter = 100_000;
+const clockSlackUs = 100_000;
+const recheckDelayUs = 100_000;
 
 /** Makes the leases of a node; `leaseLength` is in microseconds. */
-export function createRouterLeases(cluster: NodeContext, leaseLength: number): RouterLeases {
+export function createRouterLeases(cluster: NodeContext, leaseDurationUs: number): RouterLeases {
   const { world } = cluster;
   const leases = new Map<string, Map<string, RouterLease>>();
   const registers = new Map<string, Register>();
-  const waiting = new Map<string, Acknowledgement[]>();
-  let lookingAgain = false;
+  const pendingAcknowledgements = new Map<string, Acknowledgement[]>();
+  let isRecheckScheduled = false;
 
   function leasesOf(key: string): Map<string, RouterLease> {
     let present = leases.get(key);
@@ -55,36 +55,36 @@
     return present;
   }
 
-  function whenGoverns(key: string, version: number, done: () => void): void {
-    waiting.set(key, [...(waiting.get(key) ?? []), { version, done }]);
+  function whenApplied(key: string, version: number, done: () => void): void {
+    pendingAcknowledgements.set(key, [...(pendingAcknowledgements.get(key) ?? []), { version, done }]);
     acknowledge(key);
-    lookAgain();
+    scheduleRecheck();
   }
 
-  function lookAgain(): void {
-    if (lookingAgain || waiting.size === 0) return;
-    lookingAgain = true;
-    world.after(micros(lookAgainAfter), () => {
-      lookingAgain = false;
-      for (const key of [...waiting.keys()]) acknowledge(key);
-      lookAgain();
+  function scheduleRecheck(): void {
+    if (isRecheckScheduled || pendingAcknowledgements.size === 0) return;
+    isRecheckScheduled = true;
+    world.after(micros(recheckDelayUs), () => {
+      isRecheckScheduled = false;
+      for (const key of [...pendingAcknowledgements.keys()]) acknowledge(key);
+      scheduleRecheck();
     });
   }
 
   /** Lets go of each acknowledgement whose version every live lease has applied. */
   function acknowledge(key: string): void {
-    const list = waiting.get(key);
+    const list = pendingAcknowledgements.get(key);
     if (list === undefined) return;
-    const left = list.filter(({ version, done }) => {
-      if (!governs(key, version)) return true;
+    const remaining = list.filter(({ version, done }) => {
+      if (!isAppliedByAll(key, version)) return true;
       done();
       return false;
     });
-    if (left.length > 0) waiting.set(key, left);
-    else waiting.delete(key);
+    if (remaining.length > 0) pendingAcknowledgements.set(key, remaining);
+    else pendingAcknowledgements.delete(key);
   }
 
-  function governs(key: string, version: number): boolean {
+  function isAppliedByAll(key: string, version: number): boolean {
     const leader = cluster.leaderOf(key);
     const now = world.now();
     const held = leasesOf(key);
@@ -92,13 +92,13 @@
     if (!leader.isLeading() || !applied) return false;
     if (now >= earlierLeasesEnd(leader)) return true;
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.leadingSince();
+    const known = register !== undefined && register.readAt >= leader.leadingSince();
     return known && [...register.routers].every((router) => (held.get(router)?.applied ?? -1) >= version);
   }
 
   /** When the last lease that an earlier leader may have granted has ended. */
   function earlierLeasesEnd(leader: KeyLeader): number {
-    return leader.leadingSince() + leaseLength + clockSlack;
+    return leader.leadingSince() + leaseDurationUs + clockSlackUs;
   }
 
   /**
@@ -115,8 +115,8 @@
   function grantFor(key: string, leader: KeyLeader, row: Row, request: Subscribe): void {
     const held = leasesOf(key);
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.leadingSince() ? register : undefined;
-    const strangers: string[] = [];
+    const known = register !== undefined && register.readAt >= leader.leadingSince() ? register : undefined;
+    const unregistered: string[] = [];
     const grants: { router: string; asked: number; version: number }[] = [];
     for (const asked of request.tenures) {
       const lease = held.get(asked.router) ?? { expires: 0, applied: 0 };
@@ -124,35 +124,35 @@
       held.set(asked.router, lease);
       if (asked.applied !== row.version) continue;
       if (known?.routers.has(asked.router) !== true) {
-        strangers.push(asked.router);
+        unregistered.push(asked.router);
         continue;
       }
-      lease.expires = world.now() + leaseLength;
+      lease.expires = world.now() + leaseDurationUs;
       grants.push({ router: asked.router, asked: asked.asked, version: row.version });
     }
-    if (known === undefined || strangers.length > 0) enrol(key, leader, strangers, request);
+    if (known === undefined || unregistered.length > 0) updateRegister(key, leader, unregistered, request);
     if (grants.length > 0) world.send(request.from as Address, { kind: 'Leases', grants });
     acknowledge(key);
   }
 
   /** Brings the register up to date, then grants what waited for it. Who can hold no lease any more is dropped. */
-  function enrol(key: string, leader: KeyLeader, strangers: readonly string[], request?: Subscribe): void {
+  function updateRegister(key: string, leader: KeyLeader, unregistered: readonly string[], request?: Subscribe): void {
     const askedAt = world.now();
     const held = leasesOf(key);
-    let enrolled: string[] = [];
+    let registered: string[] = [];
     cluster.leaderOf(registerKey(key)).mutate({
       apply: (value) => {
         const listed = decodeRegister(value);
-        const all = askedAt < earlierLeasesEnd(leader);
-        const kept = all ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > askedAt);
-        enrolled = [...new Set([...kept, ...strangers])];
+        const mustKeepAll = askedAt < earlierLeasesEnd(leader);
+        const kept = mustKeepAll ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > askedAt);
+        registered = [...new Set([...kept, ...unregistered])];
         // Whoever is dropped must not be granted anything while the write is under way.
-        for (const router of listed) if (!enrolled.includes(router)) registers.get(key)?.routers.delete(router);
-        return { value: encodeRegister(enrolled), result: '' };
+        for (const router of listed) if (!registered.includes(router)) registers.get(key)?.routers.delete(router);
+        return { value: encodeRegister(registered), result: '' };
       },
       done: (status) => {
         if (status !== 'done') return;
-        registers.set(key, { routers: new Set(enrolled), askedAt });
+        registers.set(key, { routers: new Set(registered), readAt: askedAt });
         if (request !== undefined && leader.isLeading() && askedAt >= leader.leadingSince()) grant(key, request);
       },
     });
@@ -162,15 +162,15 @@
     const now = world.now();
     for (const [key, register] of registers) {
       const leader = cluster.leaders().get(key);
-      if (leader?.isLeading() !== true || register.askedAt < leader.leadingSince() || now < earlierLeasesEnd(leader))
+      if (leader?.isLeading() !== true || register.readAt < leader.leadingSince() || now < earlierLeasesEnd(leader))
         continue;
       const held = leasesOf(key);
       const someEnded = [...register.routers].some((router) => (held.get(router)?.expires ?? 0) <= now);
-      if (someEnded) enrol(key, leader, []);
+      if (someEnded) updateRegister(key, leader, []);
     }
   }
 
-  return { grant, whenApplied: whenGoverns, prune };
+  return { grant, whenApplied, prune };
 }
 
 /** The key of the register that belongs to a key. */
--- a/packages/control-state/src/seed-bootstrap.test.ts
+++ b/packages/control-state/src/seed-bootstrap.test.ts
@@ -22,32 +22,32 @@
   };
 }
 
-function founding(founders: readonly Address[], mayBegin = true) {
-  return createSeedBootstrap(world, { self: self!, founders, mayBegin, diskId: () => 'disk 0' });
+function founding(founders: readonly Address[], mayBootstrap = true) {
+  return createSeedBootstrap(world, { self: self!, members: founders, mayBootstrap, diskId: () => 'disk 0' });
 }
 
 it('waits for all founders, but for those that have said that they hold no state', () => {
   const three = founding([self!, second!, third!]);
-  expect(three.heard(blankHello(second!, 1), 0)).toBeUndefined();
-  three.withoutState(third!);
-  expect(three.heard(blankHello(second!, 1), 0)?.map((member) => member.address)).toEqual([self, second]);
+  expect(three.receiveHello(blankHello(second!, 1), 0)).toBeUndefined();
+  three.markStateless(third!);
+  expect(three.receiveHello(blankHello(second!, 1), 0)?.map((member) => member.address)).toEqual([self, second]);
 });
 
 it('founds alone only where every other founder holds no state, and never where it may not begin', () => {
   const three = founding([self!, second!, third!]);
-  three.withoutState(second!);
-  expect(three.alone()).toBeUndefined();
-  three.withoutState(third!);
-  expect(three.alone()?.map((member) => member.address)).toEqual([self]);
+  three.markStateless(second!);
+  expect(three.soleMember()).toBeUndefined();
+  three.markStateless(third!);
+  expect(three.soleMember()?.map((member) => member.address)).toEqual([self]);
   const joining = founding([self!, second!], false);
-  joining.withoutState(second!);
-  expect(joining.alone()).toBeUndefined();
+  joining.markStateless(second!);
+  expect(joining.soleMember()).toBeUndefined();
 });
 
 it('takes no word of a machine that is no founder, nor of itself', () => {
   const two = founding([self!, second!]);
-  two.withoutState(self!);
-  two.withoutState('z:1' as Address);
-  expect(two.alone()).toBeUndefined();
-  expect(two.heard(blankHello(second!, 1), 0)?.length).toBe(2);
+  two.markStateless(self!);
+  two.markStateless('z:1' as Address);
+  expect(two.soleMember()).toBeUndefined();
+  expect(two.receiveHello(blankHello(second!, 1), 0)?.length).toBe(2);
 });
--- a/packages/control-state/src/seed-bootstrap.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -11,78 +11,78 @@
 export interface SeedBootstrapOptions {
   readonly self: Address;
   /** The addresses of the founders, this one among them. */
-  readonly founders: readonly Address[];
+  readonly members: readonly Address[];
   /** Whether this replica may begin a cluster, or only follow others that do. */
-  readonly mayBegin: boolean;
+  readonly mayBootstrap: boolean;
   readonly diskId: () => string;
 }
 
 /** Decides when a cluster is founded. */
 export interface SeedBootstrap {
   /** Takes in what another replica says of itself; gives the members of the cluster once it is time to found it. */
-  readonly heard: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
+  readonly receiveHello: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
   /** Takes in that the machine at a founder's address holds no state. */
-  readonly withoutState: (address: Address) => void;
+  readonly markStateless: (address: Address) => void;
   /** The members of a cluster that has one founder only. */
-  readonly alone: () => readonly ReplicaEntry[] | undefined;
+  readonly soleMember: () => readonly ReplicaEntry[] | undefined;
   /** The other founders that were not heard lately. */
-  readonly silent: () => readonly Address[];
+  readonly unheardMembers: () => readonly Address[];
 }
 
-interface HeardBlank {
+interface BlankPeer {
   readonly disk: string;
   readonly address: string;
   readonly at: number;
 }
 
-const heardFor = 2_000_000;
+const helloFreshnessUs = 2_000_000;
 
 /** Makes the founding side of a blank replica. */
 export function createSeedBootstrap(world: World, options: SeedBootstrapOptions): SeedBootstrap {
-  const blanks = new Map<number, HeardBlank>();
-  const stateless = new Set<Address>();
+  const blankPeers = new Map<number, BlankPeer>();
+  const statelessMembers = new Set<Address>();
 
-  function founders(): readonly Address[] {
-    return options.founders.filter((address) => !stateless.has(address));
+  function expectedMembers(): readonly Address[] {
+    return options.members.filter((address) => !statelessMembers.has(address));
   }
 
-  function heard(hello: ReplicaHello, slot: number): readonly ReplicaEntry[] | undefined {
+  function receiveHello(hello: ReplicaHello, slot: number): readonly ReplicaEntry[] | undefined {
     if (hello.state === 'blank' && hello.slot >= 0)
-      blanks.set(hello.slot, { disk: hello.disk, address: hello.from, at: world.now() });
-    else blanks.delete(hello.slot);
-    const foundedWithUs = hello.state === 'voting' && hello.membershipEpoch === 1;
-    if (foundedWithUs && hello.founders.includes(options.diskId())) return hello.replicas;
-    return options.mayBegin && slot >= 0 ? together(slot) : undefined;
+      blankPeers.set(hello.slot, { disk: hello.disk, address: hello.from, at: world.now() });
+    else blankPeers.delete(hello.slot);
+    const hasBootstrapped = hello.state === 'voting' && hello.membershipEpoch === 1;
+    if (hasBootstrapped && hello.founders.includes(options.diskId())) return hello.replicas;
+    return options.mayBootstrap && slot >= 0 ? membersOnceComplete(slot) : undefined;
   }
 
-  function isFresh({ at }: HeardBlank): boolean {
-    return world.now() - at < heardFor;
+  function isFresh({ at }: BlankPeer): boolean {
+    return world.now() - at < helloFreshnessUs;
   }
 
-  function silent(): readonly Address[] {
-    const heardLately = new Set([...blanks.values()].filter(isFresh).map(({ address }) => address));
-    return founders().filter((address) => address !== options.self && !heardLately.has(address));
+  function unheardMembers(): readonly Address[] {
+    const heardRecently = new Set([...blankPeers.values()].filter(isFresh).map(({ address }) => address));
+    return expectedMembers().filter((address) => address !== options.self && !heardRecently.has(address));
   }
 
-  function together(slot: number): readonly ReplicaEntry[] | undefined {
-    const fresh = [...blanks].filter(([, blank]) => isFresh(blank));
-    if (fresh.length !== founders().length - 1) return undefined;
+  function membersOnceComplete(slot: number): readonly ReplicaEntry[] | undefined {
+    const fresh = [...blankPeers].filter(([, blank]) => isFresh(blank));
+    if (fresh.length !== expectedMembers().length - 1) return undefined;
     const others = fresh.map(([other, blank]) => ({ slot: other, address: blank.address, disk: blank.disk }));
     return [{ slot, address: options.self, disk: options.diskId() }, ...others].sort(
       (left, right) => left.slot - right.slot,
     );
   }
 
-  function alone(): readonly ReplicaEntry[] | undefined {
+  function soleMember(): readonly ReplicaEntry[] | undefined {
     const { self } = options;
-    const [only, ...others] = founders();
-    if (!options.mayBegin || only !== self || others.length > 0) return undefined;
+    const [only, ...others] = expectedMembers();
+    if (!options.mayBootstrap || only !== self || others.length > 0) return undefined;
     return [{ slot: 0, address: self, disk: options.diskId() }];
   }
 
-  function withoutState(address: Address): void {
-    if (address !== options.self && options.founders.includes(address)) stateless.add(address);
+  function markStateless(address: Address): void {
+    if (address !== options.self && options.members.includes(address)) statelessMembers.add(address);
   }
 
-  return { heard, withoutState, alone, silent };
+  return { receiveHello, markStateless, soleMember, unheardMembers };
 }
--- a/packages/control-state/src/serving-lease.ts
+++ b/packages/control-state/src/serving-lease.ts
@@ -21,7 +21,7 @@
 /** The serving leases of one node, by key. */
 export interface ServingLeases {
   /** Keeps the lease of a key alive for as long as somebody asks for it. */
-  readonly want: (key: string) => void;
+  readonly keepAlive: (key: string) => void;
   /** Whether this node may hand out the key's newest committed row as current. */
   readonly holds: (key: string) => boolean;
   /** Begins the next renewals; to be called every `renewEvery`. */
@@ -31,12 +31,12 @@
 /** How often leases are renewed. */
 export const renewalInterval: Micros = micros(300_000);
 /** Above any epoch in use, so that every replica's confirmation counts whoever leads the key. */
-const anyEpoch = 2 ** 52;
-const wantedFor = 10_000_000;
-const roundPatience = 500_000;
+const epochAboveAll = 2 ** 52;
+const leaseRetentionUs = 10_000_000;
+const roundTimeoutUs = 500_000;
 
 interface Lease {
-  wantedUntil: number;
+  keepUntil: number;
   validUntil: number;
   renewing: boolean;
 }
@@ -46,15 +46,15 @@
   const { world, replica, rounds } = cluster;
   const leases = new Map<string, Lease>();
 
-  function want(key: string): void {
+  function keepAlive(key: string): void {
     const lease = leases.get(key);
     if (lease !== undefined) {
-      lease.wantedUntil = world.now() + wantedFor;
+      lease.keepUntil = world.now() + leaseRetentionUs;
       return;
     }
-    const begun: Lease = { wantedUntil: world.now() + wantedFor, validUntil: -Infinity, renewing: false };
-    leases.set(key, begun);
-    renewOne(key, begun);
+    const created: Lease = { keepUntil: world.now() + leaseRetentionUs, validUntil: -Infinity, renewing: false };
+    leases.set(key, created);
+    renewLease(key, created);
   }
 
   function holds(key: string): boolean {
@@ -63,27 +63,27 @@
 
   function renew(): void {
     for (const [key, lease] of leases) {
-      if (lease.wantedUntil < world.now()) leases.delete(key);
-      else renewOne(key, lease);
+      if (lease.keepUntil < world.now()) leases.delete(key);
+      else renewLease(key, lease);
     }
   }
 
-  function renewOne(key: string, lease: Lease): void {
+  function renewLease(key: string, lease: Lease): void {
     if (lease.renewing || replica.state() !== 'voting') return;
     lease.renewing = true;
     const askedAt = world.now();
     const { membershipEpoch } = replica.membership();
-    function make(id: string): VoteRequest {
-      return { kind: 'Check', id, from: '', key, epoch: anyEpoch, membershipEpoch };
+    function buildRequest(id: string): VoteRequest {
+      return { kind: 'Check', id, from: '', key, epoch: epochAboveAll, membershipEpoch };
     }
-    rounds.start({ buildRequest: make, timeoutUs: roundPatience }, (confirmed) => {
+    rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (confirmed) => {
       lease.renewing = false;
       const current = confirmed.won && newestOf(confirmed.votes).version <= committed.newest(key).version;
       if (current) lease.validUntil = askedAt + servingLeaseUs * (1 - maxClockDrift);
     });
   }
 
-  return { want, holds, renew };
+  return { keepAlive, holds, renew };
 }
 
 function newestOf(votes: readonly Vote[]): RowVersion {
--- a/packages/duty/src/candidate.ts
+++ b/packages/duty/src/candidate.ts
@@ -44,13 +44,13 @@
   /** The epoch under which this member holds the role, while it does. */
   readonly heldEpoch: () => number | undefined;
   /** The same, if it goes on holding the role for so long, in microseconds, whatever becomes of its next renewal. */
-  readonly heldEpochFor: (least: number) => number | undefined;
+  readonly heldEpochFor: (spanUs: number) => number | undefined;
   /** Who holds the role as far as is known. */
   readonly leader: () => DutyMark | undefined;
   /** Takes in a voter's answer. */
   readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
   /** Takes in what others tell of a holder. */
-  readonly observeLeader: (told: DutyMark) => void;
+  readonly observeLeader: (leader: DutyMark) => void;
   readonly stop: () => void;
 }
 
@@ -59,11 +59,11 @@
 /** A candidate looks at the role this many times within one lease. */
 const checksPerLease = 6;
 /** Bounds of the wait between two elections of one candidate, in microseconds. */
-const retryAfter = { least: 500_000, spread: 1_500_000 } as const;
+const retryDelayUs = { min: 500_000, jitter: 1_500_000 } as const;
 /** The longest time between two elections that a candidate calls, in microseconds; it looks a little later than it may. */
-const longestRetry = 3_000_000;
+const maxRetryDelayUs = 3_000_000;
 /** A holder that only a voter told of is believed for so long, as it may be gone: in microseconds. */
-const secondHandBelief = 700_000;
+const secondHandLeaderTimeoutUs = 700_000;
 
 interface Election {
   readonly id: string;
@@ -72,10 +72,10 @@
   /** Slots of the replicas that granted their vote. */
   readonly granted: Set<number>;
   /** Who has the vote of the replicas that refused theirs, by slot. */
-  readonly refusedFor: Map<number, string>;
+  readonly refusedInFavorOf: Map<number, string>;
   decided: boolean;
   /** Whether it was looked at how the votes were split. */
-  judged: boolean;
+  splitExamined: boolean;
 }
 
 interface CandidateState {
@@ -83,10 +83,10 @@
   /** Of the lease that is or was held. */
   epoch: number;
   leaseUntil: number;
-  holding: boolean;
+  isHolding: boolean;
   /** Another member that holds the role, and when that was last known to be so. */
-  knownHolder: DutyMark | undefined;
-  knownAt: number;
+  knownLeader: DutyMark | undefined;
+  leaderKnownAt: number;
   election: Election | undefined;
   electionsCalled: number;
   nextElectionAt: number;
@@ -98,19 +98,19 @@
     highestEpochSeen: 0,
     epoch: 0,
     leaseUntil: 0,
-    holding: false,
-    knownHolder: undefined,
-    knownAt: -Infinity,
+    isHolding: false,
+    knownLeader: undefined,
+    leaderKnownAt: -Infinity,
     election: undefined,
     electionsCalled: 0,
     nextElectionAt: 0,
   };
   return {
-    heldEpoch: () => epochHeld(state, world, options),
-    heldEpochFor: (least) => (state.leaseUntil - world.now() < least ? undefined : epochHeld(state, world, options)),
-    leader: () => currentHolder(state, world, options),
-    receiveVote: (answer) => takeVote(state, world, options, answer),
-    observeLeader: (told) => takeHolder(state, world, options, told),
+    heldEpoch: () => heldEpoch(state, world, options),
+    heldEpochFor: (spanUs) => (state.leaseUntil - world.now() < spanUs ? undefined : heldEpoch(state, world, options)),
+    leader: () => currentLeader(state, world, options),
+    receiveVote: (answer) => handleVote(state, world, options, answer),
+    observeLeader: (leader) => recordLeader(state, world, options, leader),
     stop: every(
       world,
       () => micros(options.leaseDuration / checksPerLease),
@@ -119,31 +119,31 @@
   };
 }
 
-function epochHeld(state: CandidateState, world: World, options: CandidateOptions): number | undefined {
-  if (state.holding && world.now() >= state.leaseUntil) {
-    state.holding = false;
+function heldEpoch(state: CandidateState, world: World, options: CandidateOptions): number | undefined {
+  if (state.isHolding && world.now() >= state.leaseUntil) {
+    state.isHolding = false;
     world.log(3102, { duty: options.role, epoch: state.epoch });
     options.onLeaseLost();
   }
-  return state.holding ? state.epoch : undefined;
+  return state.isHolding ? state.epoch : undefined;
 }
 
-function currentHolder(state: CandidateState, world: World, options: CandidateOptions): DutyMark | undefined {
-  if (epochHeld(state, world, options) !== undefined) {
+function currentLeader(state: CandidateState, world: World, options: CandidateOptions): DutyMark | undefined {
+  if (heldEpoch(state, world, options) !== undefined) {
     return { duty: options.role, holder: options.member, address: options.self, epoch: state.epoch };
   }
-  return world.now() - state.knownAt < options.leaseDuration ? state.knownHolder : undefined;
+  return world.now() - state.leaderKnownAt < options.leaseDuration ? state.knownLeader : undefined;
 }
 
 /** Renews the lease that is held, or calls an election where the role seems vacant. */
 function check(state: CandidateState, world: World, options: CandidateOptions): void {
-  if (epochHeld(state, world, options) !== undefined) {
+  if (heldEpoch(state, world, options) !== undefined) {
     if (options.isWilling()) callElection(state, world, options, state.epoch);
     return;
   }
   if (!options.isWilling() || world.now() < state.nextElectionAt) return;
-  if (currentHolder(state, world, options) !== undefined || yieldsToRival(state, world, options)) return;
-  state.nextElectionAt = world.now() + retryAfter.least + Math.round(world.random() * retryAfter.spread);
+  if (currentLeader(state, world, options) !== undefined || yieldsToRival(state, world, options)) return;
+  state.nextElectionAt = world.now() + retryDelayUs.min + Math.round(world.random() * retryDelayUs.jitter);
   const round = Math.floor(state.highestEpochSeen / epochsPerRound) + 1;
   callElection(state, world, options, round * epochsPerRound + options.slot);
 }
@@ -154,18 +154,18 @@
  */
 function yieldsToRival(state: CandidateState, world: World, options: CandidateOptions): boolean {
   const { election } = state;
-  if (election === undefined || election.decided || election.judged) return false;
-  election.judged = true;
+  if (election === undefined || election.decided || election.splitExamined) return false;
+  election.splitExamined = true;
   if (!isBehind(election, options)) return false;
-  const pause = options.leaseDuration + longestRetry + Math.round(world.random() * retryAfter.spread);
-  state.nextElectionAt = election.calledAt + pause;
+  const delay = options.leaseDuration + maxRetryDelayUs + Math.round(world.random() * retryDelayUs.jitter);
+  state.nextElectionAt = election.calledAt + delay;
   return world.now() < state.nextElectionAt;
 }
 
 /** Whether another has more votes, though no majority; between equals the name decides. */
 function isBehind(election: Election, options: CandidateOptions): boolean {
   const votes = new Map<string, number>();
-  for (const holder of election.refusedFor.values()) votes.set(holder, (votes.get(holder) ?? 0) + 1);
+  for (const holder of election.refusedInFavorOf.values()) votes.set(holder, (votes.get(holder) ?? 0) + 1);
   const majority = options.replicas().replicas.length / 2;
   const counts = [...votes];
   if (counts.some(([, count]) => count > majority)) return false;
@@ -182,9 +182,9 @@
     calledAt: world.now(),
     epoch,
     granted: new Set(),
-    refusedFor: new Map(),
+    refusedInFavorOf: new Map(),
     decided: false,
-    judged: false,
+    splitExamined: false,
   };
   for (const replica of replicas) {
     world.send(replica.address as Address, {
@@ -199,7 +199,7 @@
   }
 }
 
-function takeVote(
+function handleVote(
   state: CandidateState,
   world: World,
   options: CandidateOptions,
@@ -209,40 +209,44 @@
   state.highestEpochSeen = Math.max(state.highestEpochSeen, answer.epoch);
   if (answer.holder !== '' && answer.holder !== options.member) {
     const { holder, address, epoch } = answer;
-    takeHolder(state, world, options, { duty: options.role, holder, address, epoch });
-    state.knownAt = Math.min(state.knownAt, world.now() - options.leaseDuration + secondHandBelief);
+    recordLeader(state, world, options, { duty: options.role, holder, address, epoch });
+    state.leaderKnownAt = Math.min(
+      state.leaderKnownAt,
+      world.now() - options.leaseDuration + secondHandLeaderTimeoutUs,
+    );
   }
   const { election } = state;
   if (election === undefined || election.id !== answer.id || election.decided) return;
-  if (!answer.granted) return noteRefusal(election, answer, options);
+  if (!answer.granted) return recordRefusal(election, answer, options);
   const { replicas } = options.replicas();
   if (!replicas.some((replica) => replica.slot === answer.slot && replica.disk === answer.disk)) return;
   election.granted.add(answer.slot);
   if (election.granted.size <= replicas.length / 2) return;
   election.decided = true;
-  takeLease(state, world, options, election);
+  acquireLease(state, world, options, election);
 }
 
-function noteRefusal(election: Election, answer: MessageOf<'BallotVote'>, options: CandidateOptions): void {
-  if (answer.holder !== '' && answer.holder !== options.member) election.refusedFor.set(answer.slot, answer.holder);
+function recordRefusal(election: Election, answer: MessageOf<'BallotVote'>, options: CandidateOptions): void {
+  if (answer.holder !== '' && answer.holder !== options.member)
+    election.refusedInFavorOf.set(answer.slot, answer.holder);
 }
 
 /** The lease counts from before the votes were asked for, so it ends before any voter's own time for it. */
-function takeLease(state: CandidateState, world: World, options: CandidateOptions, election: Election): void {
+function acquireLease(state: CandidateState, world: World, options: CandidateOptions, election: Election): void {
   const until = election.calledAt + options.leaseDuration;
   if (world.now() >= until) return;
   state.leaseUntil = until;
-  if (state.holding) return;
-  state.holding = true;
+  if (state.isHolding) return;
+  state.isHolding = true;
   state.epoch = election.epoch;
   world.log(3101, { duty: options.role, epoch: state.epoch });
   options.onElected(state.epoch);
 }
 
-function takeHolder(state: CandidateState, world: World, options: CandidateOptions, told: DutyMark): void {
-  if (told.duty !== options.role || told.holder === options.member) return;
-  if (told.epoch < (state.knownHolder?.epoch ?? 0)) return;
-  state.highestEpochSeen = Math.max(state.highestEpochSeen, told.epoch);
-  state.knownHolder = told;
-  state.knownAt = world.now();
+function recordLeader(state: CandidateState, world: World, options: CandidateOptions, leader: DutyMark): void {
+  if (leader.duty !== options.role || leader.holder === options.member) return;
+  if (leader.epoch < (state.knownLeader?.epoch ?? 0)) return;
+  state.highestEpochSeen = Math.max(state.highestEpochSeen, leader.epoch);
+  state.knownLeader = leader;
+  state.leaderKnownAt = world.now();
 }
--- a/packages/duty/src/voter.ts
+++ b/packages/duty/src/voter.ts
@@ -43,30 +43,31 @@
 export function createVoter(world: World, options: VoterOptions): Voter {
   const grantedVotes = new Map<string, GrantedVote>();
 
-  function ballot(ballot: MessageOf<'Ballot'>, answer: (vote: MessageOf<'BallotVote'>) => void): void {
-    const previous = grantedVotes.get(ballot.duty);
+  function requestVote(request: MessageOf<'Ballot'>, answer: (vote: MessageOf<'BallotVote'>) => void): void {
+    const previous = grantedVotes.get(request.duty);
     const current = previous !== undefined && previous.until > world.now() ? previous : undefined;
     function reply(granted: boolean, epoch: number): void {
-      answer(voteMessage(options, ballot, current, granted, epoch));
+      answer(voteMessage(options, request, current, granted, epoch));
     }
-    if (!options.isVoting() || ballot.membershipEpoch !== options.membershipEpoch()) {
-      return reply(false, options.store.epoch(ballot.duty));
+    if (!options.isVoting() || request.membershipEpoch !== options.membershipEpoch()) {
+      return reply(false, options.store.epoch(request.duty));
     }
-    if (current !== undefined && current.holder === ballot.candidate && current.epoch === ballot.epoch) {
+    if (current !== undefined && current.holder === request.candidate && current.epoch === request.epoch) {
       current.until = world.now() + options.leaseDuration;
-      return reply(true, ballot.epoch);
+      return reply(true, request.epoch);
     }
-    const highestEpoch = options.store.epoch(ballot.duty);
-    const silent = world.now() < options.votingSince() + options.leaseDuration;
-    if (silent || isOther(current, ballot) || ballot.epoch <= highestEpoch) return reply(false, highestEpoch);
-    const next = { holder: ballot.candidate, address: ballot.from, epoch: ballot.epoch, until: Infinity };
-    grantedVotes.set(ballot.duty, next);
-    options.store.save(ballot.duty, ballot.epoch, (synced) => {
+    const highestEpoch = options.store.epoch(request.duty);
+    const inStartupPeriod = world.now() < options.votingSince() + options.leaseDuration;
+    if (inStartupPeriod || isGrantedToOther(current, request) || request.epoch <= highestEpoch)
+      return reply(false, highestEpoch);
+    const next = { holder: request.candidate, address: request.from, epoch: request.epoch, until: Infinity };
+    grantedVotes.set(request.duty, next);
+    options.store.save(request.duty, request.epoch, (synced) => {
       next.until = world.now() + options.leaseDuration;
-      reply(synced, ballot.epoch);
+      reply(synced, request.epoch);
     });
   }
-  return { requestVote: ballot };
+  return { requestVote };
 }
 
 /**
@@ -74,7 +75,7 @@
  * epoch: voters whose grants ended one after the other have granted it under different ones, and none of these has
  * a majority.
  */
-function isOther(current: GrantedVote | undefined, ballot: MessageOf<'Ballot'>): boolean {
+function isGrantedToOther(current: GrantedVote | undefined, ballot: MessageOf<'Ballot'>): boolean {
   return current !== undefined && (current.holder !== ballot.candidate || current.address !== ballot.from);
 }
 
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/founding-schedules.ts
@@ -101,7 +101,7 @@
       self: address,
       diskId: () => disk,
       seeds: Array.from({ length: seedCount }, (_unused, index) => `s${index}:1` as Address),
-      mayBegin: first,
+      mayBootstrap: first,
       minMembers: this.fewest,
       maxMembers: 9,
     });
@@ -151,8 +151,8 @@
 
   private receive(candidate: Candidate, message: Message): void {
     if (candidate.record !== undefined) return;
-    if (message.kind === 'FoundingRoster') candidate.founding.roster(message);
-    if (message.kind === 'FoundingView') candidate.founding.view(message);
+    if (message.kind === 'FoundingRoster') candidate.founding.receiveRoster(message);
+    if (message.kind === 'FoundingView') candidate.founding.receiveView(message);
     const members = candidate.founding.members();
     if (members === undefined) return;
     candidate.record = members;
--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -51,10 +51,15 @@
   removed(
     'all of its view have told a founder the same view',
     discoveryBootstrap,
-    'views.get(nameOf(candidate)) !== own);',
-    'views.get(nameOf(candidate)) === undefined && own === undefined);',
+    'viewKeyByCandidate.get(candidateId(candidate)) !== own);',
+    'viewKeyByCandidate.get(candidateId(candidate)) === undefined && own === undefined);',
+  ),
+  removed(
+    'no machine founds after a restart',
+    discoveryBootstrap,
+    'if (!options.mayBootstrap)',
+    'if (seeds.length < 0)',
   ),
-  removed('no machine founds after a restart', discoveryBootstrap, 'if (!options.mayBegin)', 'if (seeds.length < 0)'),
 ];
 
 /** All mechanisms that are taken away. */
@@ -68,14 +73,14 @@
   removed(
     'a blank member copies before it votes',
     replica,
-    'return isMember() && storage.founders().length + founders > 0;',
-    'return isMember() && storage.founders().length + founders >= 0;',
+    'return isMember() && storage.bootstrapDisks().length + recordedMembers > 0;',
+    'return isMember() && storage.bootstrapDisks().length + recordedMembers >= 0;',
   ),
   removed(
     'a vote is answered after the sync',
     replicaStorage,
-    'append(rowRecord(key, row, takeIn(key, row, changes)), done);',
-    'append(rowRecord(key, row, takeIn(key, row, changes)), () => undefined);\n    done(true);',
+    'append(rowRecord(key, row, applyRow(key, row, changes)), done);',
+    'append(rowRecord(key, row, applyRow(key, row, changes)), () => undefined);\n    done(true);',
   ),
   removed('epochs differ by slot', row, '* slots + slot', '* slots + 0 * slot'),
   removed(
@@ -102,12 +107,12 @@
     file: membershipChanges,
     edits: [
       {
-        from: "const without = wanted.kind === 'replace' ? wanted.slot : undefined;\n    const replacement",
-        to: 'const without = undefined;\n    const replacement',
+        from: "const excludedSlot = proposal.kind === 'replace' ? proposal.slot : undefined;\n    const replacement",
+        to: 'const excludedSlot = undefined;\n    const replacement',
       },
       {
-        from: "const without = wanted.kind === 'replace' ? wanted.slot : undefined;\n    const { epoch",
-        to: 'const without = undefined;\n    const { epoch',
+        from: "const excludedSlot = proposal.kind === 'replace' ? proposal.slot : undefined;\n    const { epoch",
+        to: 'const excludedSlot = undefined;\n    const { epoch',
       },
     ],
   },
@@ -126,8 +131,8 @@
   removed(
     'a write names the version that it builds on',
     keyLeader,
-    'if (taken !== undefined || next.expectedVersion !== row.version) return',
-    'if (taken !== undefined) return',
+    'if (writtenVersion !== undefined || next.expectedVersion !== row.version)',
+    'if (writtenVersion !== undefined)',
   ),
   removed(
     'a vote counts only from the disk that the membership names',
@@ -144,7 +149,7 @@
   {
     name: 'a replaced replica is fenced',
     file: replica,
-    edits: [{ from: "if (state === 'voting' && !isMember()) enter('fenced');", to: '' }],
+    edits: [{ from: "if (state === 'voting' && !isMember()) changeState('fenced');", to: '' }],
   },
   removed(
     'a replacement copies from as many as every majority meets',
@@ -161,8 +166,8 @@
   removed(
     'a restart finds its promises',
     replicaStorage,
-    'takeIn(record.key, { promised, epoch, version, value },',
-    'takeIn(record.key, { promised: Math.min(promised, epoch), epoch, version, value },',
+    'applyRow(record.key, { promised, epoch, version, value },',
+    'applyRow(record.key, { promised: Math.min(promised, epoch), epoch, version, value },',
   ),
   removed(
     'a majority is more than half',
@@ -181,8 +186,8 @@
   removed(
     'a lease is renewed only by a majority',
     servingLease,
-    'rounds.start({ buildRequest: make, timeoutUs: roundPatience }, (confirmed) => {',
-    'void make;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (confirmed: typeof local) => void) => done(local))((confirmed) => {',
+    'rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (confirmed) => {',
+    'void buildRequest;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (confirmed: typeof local) => void) => done(local))((confirmed) => {',
   ),
   removed(
     'a lease shows what a majority may hold newer',
@@ -206,8 +211,8 @@
   removed(
     'a copy counts under one membership only',
     catchUp,
-    'return present.membershipEpoch === membershipEpoch ? present :',
-    'return present.membershipEpoch <= membershipEpoch ? { ...present, membershipEpoch } :',
+    'return present.membershipEpoch === membershipEpoch\n      ? present\n      :',
+    'return present.membershipEpoch <= membershipEpoch\n      ? { ...present, membershipEpoch }\n      :',
   ),
   removed(
     'a leaver ends only once those that stay hold all',
