--- a/packages/control-state/src/acceptor.ts
+++ b/packages/control-state/src/acceptor.ts
@@ -1,7 +1,7 @@
 /**
- * The acceptor of one replica: it answers Prepare, Accept and Check of a quorum round. What a vote promises is synced to
- * the disk before the vote is given. Only a voting replica's answers count, and only while the asker does not know an
- * older membership than this replica.
+ * The Paxos acceptor of one replica. It answers the Prepare, Accept and Check requests of quorum rounds. Whatever a
+ * vote promises is synced to disk before the vote is sent. An answer counts as a vote only if this replica is in the
+ * state `voting` and the requester's membership record is not older than its own.
  */
 import type { MessageOf } from '@tansypost/inner-protocol';
 import type { ReplicaState, ReplicaStorage } from './replica-storage.js';
@@ -10,30 +10,30 @@
 
 /** One replica's answer to a request of a quorum round. */
 export type Vote = MessageOf<'Vote'>;
-/** What a quorum round asks: a promise, the acceptance of a value, or whether an epoch still holds. */
+/** A request of a quorum round: for a promise, to accept a value, or to check that an epoch is still the highest. */
 export type VoteRequest = MessageOf<'Prepare' | 'Accept' | 'Check'>;
 
-/** What an acceptor needs of its replica. */
+/** Dependencies of an acceptor on its replica. */
 export interface AcceptorOptions {
   readonly storage: ReplicaStorage;
   readonly slot: () => number;
   readonly state: () => ReplicaState;
   readonly membershipEpoch: () => number;
-  /** Takes a row in and calls back once it is synced. */
+  /** Stores a row and calls back once it is synced to disk. */
   readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: (ok: boolean) => void) => void;
 }
 
-/** Gives the votes of one replica. */
+/** Answers the vote requests that one replica receives. */
 export interface Acceptor {
   readonly vote: (request: VoteRequest, answer: (vote: Vote) => void) => void;
-  /** A vote against, whatever the row says. */
+  /** Answers with a refusal, whatever the stored row is. */
   readonly refuse: (request: VoteRequest, answer: (vote: Vote) => void) => void;
 }
 
 const emptyBuffer = Buffer.alloc(0);
 const refusingStates: ReadonlySet<ReplicaState> = new Set(['fenced', 'failed', 'unusable']);
 
-/** Makes the acceptor of a replica. */
+/** Creates the acceptor of a replica. */
 export function createAcceptor(options: AcceptorOptions): Acceptor {
   const { storage } = options;
 
@@ -70,7 +70,8 @@
       return answer(voteFor(request, false, withoutValue(row)));
     const changes = storage.history(request.key).list(row.version);
     if (request.epoch === row.promised) {
-      // A repeated request may overtake the sync of the first, so this one waits for a sync of its own.
+      // A repeated request may arrive before the promise made for the first one is synced, so it waits for its own
+      // sync.
       return storage.syncRow(request.key, (ok) => answer(voteFor(request, ok, row, changes)));
     }
     const promised: Row = { ...row, promised: request.epoch };
--- a/packages/control-state/src/anti-entropy.ts
+++ b/packages/control-state/src/anti-entropy.ts
@@ -1,19 +1,22 @@
-/** Reads one key after the other that this node should lead, which repairs old copies, and tells the others of it. */
+/**
+ * Anti-entropy: reads the keys that this node should lead one after the other. Each read repairs outdated replicas of
+ * the key and announces the committed version to the other nodes.
+ */
 import type { NodeContext } from './node-context.js';
 import { isLocalKey } from './node-context.js';
 import { membershipKey } from './membership-record.js';
 import type { Row } from './row.js';
 
-/** What the sweep over the keys needs of its node. */
+/** Dependencies of anti-entropy on its node. */
 export interface AntiEntropyOptions {
-  readonly cluster: NodeContext;
+  readonly node: NodeContext;
   readonly shouldLead: (key: string) => boolean;
   readonly onConfirmed: (key: string, row: Row) => void;
 }
 
-/** Gives the function that reads the next key. */
+/** Returns a function that reads the next key in turn. */
 export function createAntiEntropy(options: AntiEntropyOptions): () => void {
-  const { replica, leaderOf: leader } = options.cluster;
+  const { replica, leaderOf } = options.node;
   let position = 0;
 
   function isCovered(key: string): boolean {
@@ -25,7 +28,7 @@
     if (replica.state() !== 'voting' || keys.length === 0) return;
     position += 1;
     const key = keys[position % keys.length]!;
-    leader(key).read((row) => {
+    leaderOf(key).read((row) => {
       if (row !== undefined) options.onConfirmed(key, row);
     });
   };
--- a/packages/control-state/src/bootstrap-wait-report.ts
+++ b/packages/control-state/src/bootstrap-wait-report.ts
@@ -1,13 +1,13 @@
-/** Tells the operator's log while a machine holds no control state yet and neither finds nor may found a cluster. */
+/** Logs a warning while a machine holds no control state, knows no control cluster and cannot bootstrap one. */
 import { every, micros, type World } from '@tansypost/inner-protocol';
 import type { Replica } from './replica.js';
 
 const checkInterval = micros(1_000_000);
-/** A first start of the whole system takes less. */
+/** The first start of the whole system takes less time than this. */
 const gracePeriodUs = 8_000_000;
 const logIntervalUs = 30_000_000;
 
-/** Looks each second until it is stopped. */
+/** Checks once per second until the returned function is called. */
 export function reportBootstrapWait(world: World, replica: Pick<Replica, 'waitsFor'>): () => void {
   let notWaitingAt = world.now();
   let loggedAt = -Infinity;
--- a/packages/control-state/src/catch-up.ts
+++ b/packages/control-state/src/catch-up.ts
@@ -1,11 +1,11 @@
 /**
- * Copying from the other replicas. A blank replica copies everything, as a learner before the membership record names
- * it, and once more what has changed since when it does; a voting one that was away takes in what it missed. A source
- * answers only under the membership epoch that the asker names, so what it sends includes all that it accepted under
- * earlier memberships, which it refuses to take part in from then on.
+ * Catch-up: copies rows from the other replicas. A blank replica copies everything as a learner before the membership
+ * record names it, and then once more what has changed since, as a member. A voting replica that was unreachable copies
+ * what it missed. A source answers only if the request names the source's own membership epoch. The copy therefore
+ * includes everything that the source accepted under earlier memberships, for which it refuses to vote from then on.
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
-import { copiesNeeded, type MembershipRecord } from './membership-record.js';
+import { requiredCopies, type MembershipRecord } from './membership-record.js';
 import type { ReplicaState, ReplicaStorage } from './replica-storage.js';
 import { mergeRows, isNewer, type Row } from './row.js';
 
@@ -13,7 +13,7 @@
 type CopyRequest = MessageOf<'CopyAsk'>;
 type CopiedRow = CopyPage['records'][number];
 
-/** What copying needs of its replica. */
+/** Dependencies of catch-up on its replica. */
 export interface CatchUpOptions {
   readonly self: Address;
   readonly storage: ReplicaStorage;
@@ -22,30 +22,30 @@
   readonly membership: () => MembershipRecord;
   readonly isMember: () => boolean;
   readonly putRow: ReplicaStorage['putRow'];
-  /** Told when so many sources have been copied whole that a blank replica may vote once it is a member. */
+  /** Called when enough sources have been copied completely for a blank replica to vote once it is a member. */
   readonly onCopied: () => void;
 }
 
-/** Copies from the other replicas, and answers those that copy from this one. */
+/** Copies from the other replicas, and serves copies to them. */
 export interface CatchUp {
-  /** Asks the sources that have not been copied whole, or of a learner's sources all, for what is newer. */
+  /** Requests newer rows from the sources that are not copied completely; a learner requests them from all sources. */
   readonly tick: () => void;
   readonly receivePage: (page: CopyPage) => void;
-  /** The answer to another replica that copies from this one. */
+  /** Returns the page to send to a replica that copies from this one. */
   readonly answer: (request: CopyRequest) => CopyPage;
-  /** Whether enough sources were copied whole lately, under the present membership. */
+  /** Whether enough sources were copied completely within the last seconds, under the current membership. */
   readonly isCaughtUp: () => boolean;
-  /** Lets a voting replica ask all others once more for what it may have missed. */
+  /** Makes a voting replica request from all others what it may have missed. */
   readonly restart: () => void;
 }
 
-/** How far the copy from one source has come. */
+/** Progress of the copy from one source. */
 interface Progress {
   readonly disk: string;
   readonly source: string;
   readonly after: number;
   readonly membershipEpoch: number;
-  /** When the last page that left nothing out was asked for; -Infinity if there is none under this membership. */
+  /** When the page that completed the copy was requested; -Infinity if there is none under the current membership. */
   readonly completeAt: number;
 }
 
@@ -61,7 +61,7 @@
 const learnerRefreshUs = 250_000;
 const caughtUpWindowUs = 3_000_000;
 
-/** Makes the copying side of a replica; it asks nobody before its first tick. */
+/** Creates the catch-up of a replica; it sends no request before the first tick. */
 export function createCatchUp(world: World, options: CatchUpOptions): CatchUp {
   const { storage } = options;
   const progress = new Map<number, Progress>();
@@ -93,11 +93,11 @@
     }
   }
 
-  /** A learner asks all again and again; a member asks each source until it has been copied whole. */
+  /** A learner copies from all sources periodically; a member copies from each source until that copy is complete. */
   function needsCopy(entry: ReplicaEntry, state: ReplicaState): boolean {
     if (state === 'voting') return slotsToCopy.has(entry.slot);
-    const { completeAt: wholeAt } = progressOf(entry);
-    return options.isMember() ? wholeAt === -Infinity : world.now() - wholeAt >= learnerRefreshUs;
+    const { completeAt } = progressOf(entry);
+    return options.isMember() ? completeAt === -Infinity : world.now() - completeAt >= learnerRefreshUs;
   }
 
   function requestPage(entry: ReplicaEntry): void {
@@ -146,7 +146,7 @@
     const copied: Row = { promised, epoch, version, value };
     const present = storage.row(key);
     if (options.state() === 'blank') return options.putRow(key, mergeRows(present, copied), changes, done);
-    // A voting replica takes a row as it would take the leader's Accept: never below what it has promised since.
+    // A voting replica takes a copied row under the same rule as a leader's Accept: never below its current promise.
     const replaces = isNewer(copied, present) && epoch >= present.promised;
     const missed = changes.filter((change) => (storage.history(key).at(change.version)?.epoch ?? -1) < change.epoch);
     if (!replaces && missed.length === 0) return done(true);
@@ -157,17 +157,17 @@
     const { membershipEpoch } = options.membership();
     if (received.membershipEpoch !== membershipEpoch) return;
     const after = received.records.at(-1)?.sequence ?? received.after;
-    const wholeAt = received.last ? askedAt : -Infinity;
+    const completeAt = received.last ? askedAt : -Infinity;
     progress.set(entry.slot, {
       disk: entry.disk,
       source: received.source,
       after,
       membershipEpoch,
-      completeAt: wholeAt,
+      completeAt,
     });
     if (!received.last) return requestPage(entry);
     slotsToCopy.delete(entry.slot);
-    if (countComplete(-Infinity) >= copiesNeeded(options.membership().replicas.length)) options.onCopied();
+    if (countComplete(-Infinity) >= requiredCopies(options.membership().replicas.length)) options.onCopied();
   }
 
   function countComplete(since: number): number {
@@ -179,7 +179,7 @@
 
   function isCaughtUp(): boolean {
     const { replicas } = options.membership();
-    return replicas.length > 0 && countComplete(world.now() - caughtUpWindowUs) >= copiesNeeded(replicas.length);
+    return replicas.length > 0 && countComplete(world.now() - caughtUpWindowUs) >= requiredCopies(replicas.length);
   }
 
   function answer(request: CopyRequest): CopyPage {
--- a/packages/control-state/src/change-history.ts
+++ b/packages/control-state/src/change-history.ts
@@ -1,40 +1,44 @@
 /**
- * Which change made which version of one key. It answers whether an order that is sent again has been taken already.
+ * Records which change produced which version of a key, so that a repeated write is recognised as already applied.
  *
- * Each Accept carries only the change of its own version, so a change costs the same however many came before. What was
- * chosen is on a majority, so the union of the histories of any majority holds every chosen change. A change that was
- * accepted but never chosen may stand beside it under the same version; the chosen one bears the higher epoch, as a
- * leader writes a version only after a majority has promised its epoch and shown no chosen value of that version.
+ * Each Accept carries only the change of its own version, so the cost of a change does not grow with the history. A
+ * chosen change is on a majority, so the union of the histories of any majority contains every chosen change. A change
+ * that was accepted but never chosen may exist under the same version. The chosen one then has the higher epoch,
+ * because a leader writes a version only after a majority has promised its epoch and reported no chosen value of that
+ * version.
  */
 
-/** A change that made one version of a key. */
+/** A change that produced one version of a key. */
 export interface AppliedChange {
   readonly id: string;
   readonly version: number;
-  /** The epoch of the leader that wrote it. */
+  /** Epoch of the leader that wrote it. */
   readonly epoch: number;
 }
 
 /**
- * How many versions back a change stays known: at 13 changes a second ten minutes, at 500 a day two weeks. A leader
- * writes one change after the other, each with a sync, so a disk of 5 ms a sync cannot use it up in less than 40 s.
+ * Number of versions for which a change is remembered: ten minutes at 13 changes per second, two weeks at 500 per day.
+ * A leader writes changes one at a time, each with a disk sync, so at 5 ms per sync the history covers at least 40 s.
  */
 export const maxKeptChanges = 8192;
 
-/** The changes of one key that are still known. */
+/** The remembered changes of one key. */
 export interface ChangeHistory {
-  /** Takes a change in. Gives false where one of a higher or the same epoch stands under that version already. */
+  /**
+   * Adds a change. Returns false if it is too old, or if that version already has a change of the same or a higher
+   * epoch.
+   */
   readonly add: (change: AppliedChange) => boolean;
-  /** The version that a change made, among versions up to `upTo`. */
+  /** The version that a change produced, if it is at most `upTo`. */
   readonly versionOf: (id: string, upTo: number) => number | undefined;
   readonly at: (version: number) => AppliedChange | undefined;
-  /** All that are kept up to a version, the oldest first. */
+  /** All remembered changes up to a version, oldest first. */
   readonly list: (upTo?: number) => AppliedChange[];
-  /** Drops all above a version: they were accepted somewhere, but never chosen. */
+  /** Drops all changes above a version: they were accepted somewhere but never chosen. */
   readonly dropAbove: (version: number) => void;
 }
 
-/** Makes an empty history that keeps the changes of so many versions. */
+/** Creates an empty history that remembers the changes of the last `maxVersions` versions. */
 export function createChangeHistory(maxVersions = maxKeptChanges): ChangeHistory {
   const byVersion = new Map<number, AppliedChange>();
   const versionById = new Map<string, number>();
@@ -87,12 +91,12 @@
   };
 }
 
-/** The form in which a change stands in the journal. */
+/** Encodes a change for the journal. */
 export function encodeChange(change: AppliedChange): string {
   return `#${change.version}@${change.epoch}@${change.id}`;
 }
 
-/** Reads that form, and the `id@version` of earlier releases, which kept no epoch. */
+/** Decodes a change from the journal, also in the format `id@version` of earlier releases, which has no epoch. */
 export function decodeChange(text: string): AppliedChange {
   const current = /^#(\d+)@(\d+)@(.*)$/s.exec(text);
   if (current !== null) return { version: Number(current[1]), epoch: Number(current[2]), id: current[3]! };
--- a/packages/control-state/src/control-node.ts
+++ b/packages/control-state/src/control-node.ts
@@ -1,6 +1,6 @@
 /**
- * One node of the control cluster: its replica, the keys it leads, the leases it grants and holds, and those who follow
- * it. The parts are wired here; each does its work in a module of its own.
+ * One node of the control cluster: its replica, the keys it leads, the leases it grants and holds, and its followers.
+ * This module wires the parts together; each is implemented in its own module.
  */
 import {
   every,
@@ -34,15 +34,16 @@
 
 /** The settings of a control node. */
 export interface ControlNodeOptions extends Omit<ReplicaOptions, 'learned'> {
-  /** The length of the leases that routers are granted, in microseconds. */
+  /** Duration of the leases that routers are granted. */
   readonly routerLeaseUs: number;
-  /** Addresses that are told the membership now and then without asking. */
+  /** Addresses that are sent the membership record periodically without a subscription. */
   readonly seeds: readonly Address[];
   readonly antiEntropyIntervalUs?: number;
-  /** After what silence a replica may be replaced. */
+  /** Time without a hello after which a replica may be replaced. */
   readonly missingAfterUs?: number;
-  /** How many replicas the cluster grows to; see `replicasFor`. */
+  /** Number of replicas that the cluster grows to; see `targetReplicaCount`. */
   readonly targetReplicas?: number;
+  /** Called when a row is committed, and when a change of it is acknowledged. */
   readonly observe?: (what: 'committed' | 'acknowledged', key: string, version: number) => void;
 }
 
@@ -53,18 +54,20 @@
   readonly version: number;
 }
 
-/** A control node, as its host uses it. */
+/** A control node. */
 export interface ControlNode {
   readonly receive: (message: Message, from: Address) => void;
   readonly replica: Replica;
-  /** Takes in that somebody follows a key, and sends what is newer than what it has. */
+  /** Registers a follower of a key and sends it the row and the membership record if they are newer than its own. */
   readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => FollowStatus;
-  /** Where this replica stands among the live ones: 0 is the first. */
+  /** Position of this replica among the live ones, starting at 0. */
   readonly rankAmongLive: () => number;
   readonly liveReplicas: () => readonly Address[];
   readonly ledKeys: () => LedKey[];
-  /** Leaves within `limit` microseconds: its keys and, if a machine stands ready, its slot go to others. */
-  readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
+  /**
+   * Starts a graceful leave, which ends within `timeoutUs`: its keys and, if a machine is ready, its slot go to others.
+   */
+  readonly leave: (timeoutUs: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => void;
 }
 
@@ -74,22 +77,22 @@
 const defaultAntiEntropyIntervalUs = 500_000;
 const maxBehindUs = 600_000;
 
-/** Starts a control node on what its disk holds. */
+/** Starts a control node from the contents of its disk. */
 export function createControlNode(world: World, options: ControlNodeOptions): ControlNode {
   const replica = createReplica(world, { ...options, onStateChange, learned: onLearned });
   const rounds = createQuorumRounds({ ...world, send: sendFromSelf }, replica);
   const leaders = new Map<string, KeyLeader>();
-  const cluster: NodeContext = { world, self: options.self, replica, rounds, leaderOf, leaders: () => leaders };
+  const node: NodeContext = { world, self: options.self, replica, rounds, leaderOf, leaders: () => leaders };
   const hasConfiguredSlots = options.slot !== undefined;
   const peers = createPeerLiveness(world, replica, {
     ...(options.missingAfterUs === undefined ? {} : { missingAfterUs: options.missingAfterUs }),
     onReconnected: replica.catchUp.restart,
   });
-  const committed = createCommittedRows(cluster);
-  const servingLeases = createServingLeases(cluster, committed);
-  const routerLeases = createRouterLeases(cluster, options.routerLeaseUs);
+  const committed = createCommittedRows(node);
+  const servingLeases = createServingLeases(node, committed);
+  const routerLeases = createRouterLeases(node, options.routerLeaseUs);
   const followers = createFollowers({
-    cluster,
+    node,
     committed,
     servingLeases,
     routerLeases,
@@ -98,23 +101,23 @@
     seeds: options.seeds,
   });
   const membershipChanges = createMembershipChanges({
-    cluster,
+    node,
     peers,
     hasConfiguredSlots,
     isCoordinator: () => shouldLead(membershipKey),
     onAttempted: sendHellos,
     ...(options.targetReplicas === undefined ? {} : { targetReplicas: options.targetReplicas }),
   });
-  const request = createKeyRequests({
-    cluster,
+  const handleKeyRequest = createKeyRequests({
+    node,
     preferredLeader,
     routerLeases,
-    acknowledged: (key, version) => options.observe?.('acknowledged', key, version),
+    onAcknowledged: (key, version) => options.observe?.('acknowledged', key, version),
   });
-  const runAntiEntropy = createAntiEntropy({ cluster, shouldLead, onConfirmed: announceCommit });
+  const runAntiEntropy = createAntiEntropy({ node, shouldLead, onConfirmed: announceCommit });
   const gracefulLeave = createGracefulLeave({
-    cluster,
-    hasCandidate: membershipChanges.hasCandidate,
+    node,
+    hasJoinCandidate: membershipChanges.hasCandidate,
     announce: sendHellos,
   });
 
@@ -135,13 +138,13 @@
   }
 
   function onCommitted(key: string, row: Row): void {
-    committed.written(key, row);
+    committed.onWritten(key, row);
     options.observe?.('committed', key, row.version);
     followers.push(key, row);
     announceCommit(key, row);
   }
 
-  /** The register of a key's leases is led where the key is. */
+  /** The lease register of a key is led by the same node as the key. */
   function preferredLeader(key: string): number {
     const [first] = rendezvous(key.replace(/^tenures\//, ''), peers.healthy(), (entry) => `${entry.slot}`);
     return first?.slot ?? replica.slot;
@@ -151,7 +154,7 @@
     return preferredLeader(key) === replica.slot;
   }
 
-  /** Tells the other replicas up to which row a key is on a majority. */
+  /** Announces to the other replicas the newest committed row of a key. */
   function announceCommit(key: string, row: Row): void {
     if (row.version === 0 || isInternalKey(key) || isLeasedToRouters(key)) return;
     const { epoch, version } = row;
@@ -173,7 +176,8 @@
     const isOtherDisk = entry !== undefined && entry.disk !== hello.disk;
     if (hello.slot !== replica.slot && hello.slot >= 0 && (!isOtherDisk || hasConfiguredSlots)) recordPeer(hello, from);
     const { membershipEpoch } = replica.membership();
-    // Told slimly of a membership record that it has not, as who tells it knew the disk before it was lost.
+    // A brief hello names a newer membership record without its members, because the sender knew this disk before it
+    // was lost.
     if (hello.membershipEpoch > membershipEpoch && hello.replicas.length === 0) world.send(from, replica.hello());
     replica.receiveHello(hello);
     if (replica.state() === 'blank' && replica.membership().membershipEpoch > membershipEpoch) replica.tick();
@@ -189,7 +193,10 @@
     if (!didVote && hello.state === 'voting') world.send(from, replica.hello());
   }
 
-  /** A record that one replica took and the others did not is written again, else they would fence each other for good. */
+  /**
+   * Rewrites a membership record that only some replicas have accepted; otherwise they would fence each other
+   * permanently.
+   */
   function finishMembershipIfBehind(hello: MessageOf<'ReplicaHello'>): void {
     const behind = hello.membershipEpoch > 0 && hello.membershipEpoch < replica.membership().membershipEpoch;
     if (hello.state !== 'voting' || !behind) return;
@@ -202,7 +209,10 @@
     if (outdated || hello.state === 'fenced') world.send(from, replica.hello());
   }
 
-  /** A blank disk on a slot of the record: it is told the record, or replaces the disk that was there once it has copied. */
+  /**
+   * Handles a blank disk on a slot of the membership record: it is sent the record, or it replaces the slot's previous
+   * disk once it has copied.
+   */
   function onBlankMember(hello: MessageOf<'ReplicaHello'>, isOtherDisk: boolean): void {
     const { slot, disk } = hello;
     const mayReplace = hasConfiguredSlots && isOtherDisk && !replica.hello().founders.includes(disk);
@@ -210,11 +220,14 @@
     if (mayReplace && hello.caughtUp) membershipChanges.propose({ kind: 'replace', slot, address: hello.from, disk });
   }
 
-  /** Replicas known to have the same membership record are told no more than that this one is there. */
+  /**
+   * Sends hellos and join requests. Replicas known to have the same membership record get a brief hello without the
+   * members.
+   */
   function sendHellos(): void {
     peers.noteOwnPause();
     if (replica.slot >= 0 || replica.state() === 'fenced') sendHellosToReplicas();
-    if (!hasConfiguredSlots && replica.state() === 'blank' && !replica.isMember()) askToJoin();
+    if (!hasConfiguredSlots && replica.state() === 'blank' && !replica.isMember()) sendJoinRequests();
     sendBootstrapView();
     replica.tick();
   }
@@ -231,7 +244,7 @@
       world.send(address, membershipEpoch > 0 && addressesUpToDate.has(address) ? briefHello : fullHello);
   }
 
-  function askToJoin(): void {
+  function sendJoinRequests(): void {
     const { replicas } = replica.membership();
     const caughtUp = replica.catchUp.isCaughtUp();
     const first = options.mayBootstrap === true;
@@ -239,13 +252,13 @@
       world.send(address, { kind: 'Join', from: options.self, disk: replica.diskId(), first, caughtUp });
   }
 
-  /** Only machines that hold no state yet tell it, and only where no seed holds any. */
+  /** Sent only by machines without control state, and only if no seed holds control state. */
   function sendBootstrapView(): void {
     const view = replica.bootstrapView();
     for (const address of view?.to ?? []) world.send(address, view!.message);
   }
 
-  /** A candidate that does not know of the cluster yet is shown it. */
+  /** Sends the membership to a candidate that does not know the cluster yet. */
   function onFoundingView(view: MessageOf<'FoundingView'>): void {
     if (replica.membership().membershipEpoch > 0) world.send(view.from as Address, replica.hello());
     else replica.receiveCandidates(view);
@@ -266,17 +279,17 @@
     world.after(micros(0), sendHellos);
   }
 
-  function prepare(asked: MessageOf<'Prepare'>): void {
-    const respond = membershipChanges.mustRefuse(asked) ? replica.refuse : replica.vote;
-    respond(asked, (vote) => world.send(asked.from as Address, vote));
+  function answerPrepare(request: MessageOf<'Prepare'>): void {
+    const respond = membershipChanges.mustRefuse(request) ? replica.refuse : replica.vote;
+    respond(request, (vote) => world.send(request.from as Address, vote));
   }
 
   function receive(message: Message): void {
     switch (message.kind) {
       case 'Ask':
-        return request(message);
+        return handleKeyRequest(message);
       case 'Prepare':
-        return prepare(message);
+        return answerPrepare(message);
       case 'Accept':
       case 'Check':
         return replica.vote(message, (vote) => world.send(message.from as Address, vote));
@@ -300,7 +313,7 @@
       case 'Subscribe':
         return followers.subscribe(message);
       case 'Committed':
-        return committed.announced(message.key, message);
+        return committed.onAnnounced(message.key, message);
       default:
         return undefined;
     }
--- a/packages/control-state/src/discovery-bootstrap.test.ts
+++ b/packages/control-state/src/discovery-bootstrap.test.ts
@@ -34,7 +34,7 @@
   const all = [a!, b!, c!];
   const node = founding(a!);
   for (const seed of seeds) node.receiveRoster(roster(seed, all));
-  expect(node.waitsFor()).toEqual({ why: 'machines not heard or not of one view', machines: ['b:1', 'c:1'] });
+  expect(node.waitsFor()).toEqual({ why: 'candidates not heard or with a different view', machines: ['b:1', 'c:1'] });
   node.receiveView(view(b!, all));
   node.receiveView(view(c!, [a!, c!]));
   expect(node.members()).toBeUndefined();
@@ -55,7 +55,7 @@
   const node = founding(a!, { minMembers: 1 });
   node.receiveRoster(roster(seeds[0]!, [a!]));
   for (const seed of seeds.slice(1)) node.receiveRoster(roster(seed, [a!], false));
-  const why = 'too few seeds remember the first start';
+  const why = 'too few seeds have run since the first start';
   expect([node.members(), node.waitsFor()]).toEqual([undefined, { why, remembering: 1, needed: 2 }]);
 });
 
@@ -78,7 +78,7 @@
   node.receiveView(view(b!, [...all, lost]));
   node.receiveView(view(lost, [...all, lost]));
   expect(node.members()).toBeUndefined();
-  expect(node.waitsFor()).toEqual({ why: 'machines not heard or not of one view', machines: ['c:1'] });
+  expect(node.waitsFor()).toEqual({ why: 'candidates not heard or with a different view', machines: ['c:1'] });
 });
 
 it('never founds in a process that was started again: it does not know what the earlier one has told', () => {
--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -1,13 +1,15 @@
 /**
- * How a cluster begins where none of the seeds holds control state. The machines with disks ask the seeds to join; each
- * seed answers with all that have asked it, so that the candidates learn of each other. They then tell each other whom
- * they know (their view) and one of them founds the cluster with all of its view.
+ * Bootstrap of a cluster when no seed holds control state. The machines with disks (the candidates) ask the seeds to
+ * join, and each seed answers with the list of all candidates that have asked it (its roster), so that the candidates
+ * discover each other. The candidates then exchange the sets of candidates that they know (their views), and one of
+ * them bootstraps the cluster with the members of its view.
  *
- * Why two groups cannot found apart: a candidate founds only once a majority of the seeds has listed it, each in a
- * process that has run since the first start of the whole system, and so has forgotten nobody. Of two founders one is
- * therefore in the view of the other. A candidate founds only after all of its view have told it the same view while
- * they were blank; a view only grows, and no machine founds after a restart. `docs/design-notes.md` has the full
- * argument. What cannot be known is waited for, never guessed.
+ * Two groups cannot bootstrap separate clusters. A candidate bootstraps only once a majority of the seeds has listed
+ * it, each in a process that has run since the first start of the whole system and therefore has forgotten no
+ * candidate. Of two candidates that bootstrap, one is therefore in the view of the other. A candidate also requires
+ * that every candidate in its view has reported the same view while it was blank. Views only grow, and no machine
+ * bootstraps after a restart. `docs/design-notes.md` has the full argument. A candidate waits for what it cannot know
+ * and never guesses.
  */
 import type { Address, FoundingCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
 import { majorityOf } from './membership-record.js';
@@ -15,45 +17,49 @@
 type FoundingRoster = MessageOf<'FoundingRoster'>;
 type FoundingView = MessageOf<'FoundingView'>;
 
-/** Who may found a cluster, and with how many. */
+/** Which machines may bootstrap a cluster, and with how many members. */
 export interface DiscoveryBootstrapOptions {
   readonly self: Address;
   readonly diskId: () => string;
-  /** The seeds of the first start; all machines were given the same. */
+  /** The seeds of the first start, which are the same on all machines. */
   readonly seeds: readonly Address[];
-  /** Whether this process may begin a cluster: it has run since the first start of the whole system. */
+  /** Whether this process may bootstrap a cluster, that is, has run since the first start of the whole system. */
   readonly mayBootstrap: boolean;
-  /** The fewest machines that found a cluster. */
+  /** Minimum number of machines that bootstrap a cluster. */
   readonly minMembers: number;
-  /** The most machines that hold a replica at first. */
+  /** Maximum number of machines that hold a replica after the bootstrap. */
   readonly maxMembers: number;
 }
 
-/** What a machine that holds no state yet waits for. */
+/** What a machine without control state waits for before a cluster can be bootstrapped. */
 export type BootstrapWait =
   | { readonly why: 'not the first start' }
-  | { readonly why: 'founders not heard'; readonly machines: readonly string[] }
-  | { readonly why: 'founders have yet to begin'; readonly machines: readonly string[] }
+  | { readonly why: 'bootstrap members not heard'; readonly machines: readonly string[] }
+  | { readonly why: 'bootstrap members have not bootstrapped yet'; readonly machines: readonly string[] }
   | { readonly why: 'seeds not heard'; readonly seeds: readonly string[] }
-  | { readonly why: 'too few seeds remember the first start'; readonly remembering: number; readonly needed: number }
+  | {
+      readonly why: 'too few seeds have run since the first start';
+      readonly remembering: number;
+      readonly needed: number;
+    }
   | { readonly why: 'too few machines with a disk'; readonly known: number; readonly needed: number }
-  | { readonly why: 'machines not heard or not of one view'; readonly machines: readonly string[] };
+  | { readonly why: 'candidates not heard or with a different view'; readonly machines: readonly string[] };
 
-/** The founding side of a blank replica that no seed can help to find others but by hearsay. */
+/** The bootstrap of a blank replica that discovers the other candidates through the seeds. */
 export interface DiscoveryBootstrap {
-  /** Takes in whom a seed has heard. */
+  /** Handles a seed's list of candidates. */
   readonly receiveRoster: (message: FoundingRoster) => void;
-  /** Takes in the view of another candidate. */
+  /** Handles the view of another candidate. */
   readonly receiveView: (message: FoundingView) => void;
-  /** The members of the cluster once it is time to found it. */
+  /** The members of the cluster once this machine may bootstrap it. */
   readonly members: () => readonly ReplicaEntry[] | undefined;
-  /** What the other candidates are to be told; nobody is known where the seeds hold state. */
+  /** The message to send to the other candidates; undefined if none is known, as when the seeds hold control state. */
   readonly greeting: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
-  /** Undefined where it could found a cluster now. */
+  /** Undefined if this machine could bootstrap a cluster now. */
   readonly waitsFor: () => BootstrapWait | undefined;
 }
 
-/** Makes the founding side; it knows nobody yet. */
+/** Creates the discovery bootstrap of a machine, without any known candidates. */
 export function createDiscoveryBootstrap(options: DiscoveryBootstrapOptions): DiscoveryBootstrap {
   const seeds = [...options.seeds];
   const knownCandidates = new Map<string, FoundingCandidate>();
@@ -88,7 +94,7 @@
     if (message.firstStart && isListed) listingSeeds.add(message.from);
   }
 
-  /** A view that comes late only shows what its teller once said; as views grow, that is safe to count. */
+  /** A delayed view shows what its sender knew earlier; views only grow, so it is safe to count. */
   function receiveView(message: FoundingView): void {
     const senderId = candidateId({ address: message.from, disk: message.disk });
     addCandidates(message.candidates);
@@ -98,7 +104,7 @@
   function chooseMembers(): ReplicaEntry[] {
     const all = allCandidates();
     const count = Math.min(all.length, options.maxMembers);
-    // An even number bears no more losses than one less.
+    // An even number of replicas tolerates no more failures than one replica less.
     const memberCount = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
     return all.slice(0, memberCount).map(({ address, disk }, slot) => ({ slot, address, disk }));
   }
@@ -120,7 +126,7 @@
     if (seeds.length === 0 || unheardSeeds.length > 0) return { why: 'seeds not heard', seeds: unheardSeeds };
     const needed = majorityOf(seeds.length);
     if (listingSeeds.size < needed)
-      return { why: 'too few seeds remember the first start', remembering: listingSeeds.size, needed };
+      return { why: 'too few seeds have run since the first start', remembering: listingSeeds.size, needed };
     const all = allCandidates();
     if (all.length < options.minMembers)
       return { why: 'too few machines with a disk', known: all.length, needed: options.minMembers };
@@ -128,12 +134,12 @@
     const differing = otherCandidates().filter((candidate) => viewKeyByCandidate.get(candidateId(candidate)) !== own);
     if (differing.length > 0)
       return {
-        why: 'machines not heard or not of one view',
+        why: 'candidates not heard or with a different view',
         machines: differing.map((candidate) => candidate.address),
       };
     const chosen = chooseMembers();
     if (chosen.some((entry) => entry.disk === options.diskId())) return undefined;
-    return { why: 'founders have yet to begin', machines: chosen.map((entry) => entry.address) };
+    return { why: 'bootstrap members have not bootstrapped yet', machines: chosen.map((entry) => entry.address) };
   }
 
   return { receiveRoster, receiveView, members, greeting, waitsFor };
--- a/packages/control-state/src/disk.ts
+++ b/packages/control-state/src/disk.ts
@@ -1,11 +1,11 @@
 /**
- * What a place asks of its disk. `append` calls back once the record is synced; records are synced
- * in the order given, several in one sync where they wait together. `rewrite` replaces the file by
- * the records given, whole or not at all.
+ * The disk interface of a replica. `append` calls back once the record is synced. Records are synced in the order
+ * given; records that are pending at the same time may share a sync. `rewrite` atomically replaces the file by the
+ * given records.
  */
 import type { JournalRecord } from './journal.js';
 
-/** An append-only file that can be replaced whole. */
+/** An append-only file that can be replaced atomically. */
 export interface Disk {
   readonly append: (r: JournalRecord, done: (e?: Error) => void) => void;
   readonly rewrite: (rs: readonly JournalRecord[], done: (e?: Error) => void) => void;
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The followers of this node: product agents that subscribe to keys and routers that follow one. They are told what is
- * on a majority, and nothing else, so two of them that are told one version of a key are told the same bytes.
+ * The followers of this node: agents that subscribe to keys, and routers that follow one key. They receive committed
+ * rows only, so two followers that receive the same version of a key receive the same bytes.
  */
 import { micros, type Address, type MessageOf, type NewsItem } from '@tansypost/inner-protocol';
 import { isLeasedToRouters, isInternalKey, type NodeContext } from './node-context.js';
@@ -11,44 +11,44 @@
 
 type Subscribe = MessageOf<'Subscribe'>;
 
-/** What a follower is told of a key when it asks. */
+/** The status of a key as reported to a follower. */
 export interface FollowStatus {
   readonly version: number;
   readonly membershipEpoch: number;
   readonly voting: boolean;
-  /** Whether this node holds the lease to hand the key out as current; if not, there may be newer. */
+  /** Whether this node holds the serving lease of the key; if not, a newer version may be committed. */
   readonly leased: boolean;
 }
 
-/** What telling followers needs of the node. */
+/** Dependencies of the followers table on its node. */
 export interface FollowersOptions {
-  readonly cluster: NodeContext;
+  readonly node: NodeContext;
   readonly committed: CommittedRows;
   readonly servingLeases: ServingLeases;
   readonly routerLeases: RouterLeases;
   readonly shouldLead: (key: string) => boolean;
-  /** Whether this node has listened long enough to know who else is there. */
+  /** Whether this node has listened long enough to know which other replicas are alive. */
   readonly isSettled: () => boolean;
-  /** Addresses that are told the membership now and then without asking. */
+  /** Addresses that are sent the membership record periodically without a subscription. */
   readonly seeds: readonly Address[];
 }
 
-/** Tells those who follow this node. */
+/** Sends updates to the followers of this node. */
 export interface Followers {
   readonly subscribe: (request: Subscribe) => void;
-  /** Takes in that somebody follows a key, and sends what is newer than what it has. */
+  /** Registers a follower of a key and sends it the row and the membership record if they are newer than its own. */
   readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => FollowStatus;
-  /** Tells all followers of a row that is on a majority. */
+  /** Sends a committed row to all followers. */
   readonly push: (key: string, row: Row) => void;
   readonly announceMembership: () => void;
 }
 
 const followerTimeoutUs = micros(3_000_000);
 
-/** Makes the table of followers of a node. */
+/** Creates the table of followers of a node. */
 export function createFollowers(options: FollowersOptions): Followers {
-  const { cluster, committed, servingLeases } = options;
-  const { world, replica } = cluster;
+  const { node, committed, servingLeases } = options;
+  const { world, replica } = node;
   const followers = new Map<Address, number>();
 
   function sendUpdates(to: Address, updates: NewsItem[]): void {
@@ -68,7 +68,7 @@
     followers.set(from, world.now() + followerTimeoutUs);
     const record = replica.membership();
     const voting = replica.state() === 'voting';
-    const leader = cluster.leaderOf(key);
+    const leader = node.leaderOf(key);
     if (voting && options.isSettled() && !leader.isLeading() && options.shouldLead(key)) leader.acquire();
     servingLeases.keepAlive(key);
     const row = committed.newest(key);
@@ -88,19 +88,19 @@
     followers.set(from, world.now() + followerTimeoutUs);
     const updates: NewsItem[] = [];
     for (const held of request.have) {
-      const leader = cluster.leaderOf(held.key);
+      const leader = node.leaderOf(held.key);
       if (!leader.isLeading() && options.shouldLead(held.key)) leader.acquire();
       if (!leader.isLeading()) continue;
       if (leader.row().version > held.version) updates.push(updateOf(held.key, leader.row()));
       if (isLeasedToRouters(held.key) && request.tenures.length > 0) options.routerLeases.grant(held.key, request);
     }
-    updates.push(...updatesOfOtherKeys(new Set(request.have.map((had) => had.key))));
+    updates.push(...updatesOfOtherKeys(new Set(request.have.map((held) => held.key))));
     sendUpdates(from, updates);
   }
 
   function updatesOfOtherKeys(requestedKeys: ReadonlySet<string>): NewsItem[] {
     const updates: NewsItem[] = [];
-    for (const [key, leader] of cluster.leaders()) {
+    for (const [key, leader] of node.leaders()) {
       const isDue = !requestedKeys.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
       if (isDue) updates.push(updateOf(key, leader.row()));
     }
--- a/packages/control-state/src/graceful-leave.ts
+++ b/packages/control-state/src/graceful-leave.ts
@@ -1,40 +1,43 @@
 /**
- * How a replica leaves. It says so, which moves its keys to other leaders and lets a learner take its slot, and goes on
- * voting meanwhile. It may end once it has been replaced and a majority votes without it, or, where no machine stands
- * ready to take its slot, once everything on its disk is on a majority of those that stay: then no acknowledged value
- * stands on its disk and one other alone.
+ * Graceful leave of a replica. The replica announces that it is leaving, so that other replicas take over its keys and
+ * a learner may take its slot, and it keeps voting meanwhile. It may stop once it has been replaced and its successor
+ * votes. If no machine is ready to take its slot, it may stop once everything on its disk is on a majority of the
+ * remaining replicas, so that no acknowledged write exists only on its disk and one other.
  */
 import { every, micros } from '@tansypost/inner-protocol';
 import type { VoteRequest } from './acceptor.js';
 import { isLocalKey, type NodeContext } from './node-context.js';
 import { isNewer, type Row } from './row.js';
 
-/** `replaced`: a successor votes; `copied`: those that stay hold all; `incomplete`: time ran out before either. */
+/**
+ * `replaced`: a successor votes; `copied`: the remaining replicas hold everything; `incomplete`: the timeout expired
+ * before either.
+ */
 export type LeaveResult = 'replaced' | 'copied' | 'incomplete';
 
-/** What leaving needs of the node. */
+/** Dependencies of a graceful leave on the node. */
 export interface GracefulLeaveOptions {
-  readonly cluster: NodeContext;
-  /** Whether a machine stands ready to take this replica's slot. */
-  readonly hasCandidate: () => boolean;
-  /** Tells the others at once that this replica leaves. */
+  readonly node: NodeContext;
+  /** Whether a machine is ready to take this replica's slot. */
+  readonly hasJoinCandidate: () => boolean;
+  /** Immediately tells the other replicas that this one is leaving. */
   readonly announce: () => void;
 }
 
-/** The leaving of one replica. */
+/** The graceful leave of one replica. */
 export interface GracefulLeave {
-  /** Leaves within `limit` microseconds and says how it ended. */
+  /** Starts leaving and calls back with the result within `timeoutUs`. */
   readonly start: (timeoutUs: number, done: (result: LeaveResult) => void) => void;
 }
 
 const checkInterval = micros(50_000);
-/** Time for the other replicas to lead the keys of this one, before it may end. */
+/** Leaves the other replicas time to take over the leadership of this replica's keys. */
 const minDurationUs = 300_000;
 const roundTimeoutUs = 1_000_000;
 
-/** Makes the leaving side of a node; nothing happens before it begins. */
+/** Creates the graceful leave of a node; nothing happens before `start`. */
 export function createGracefulLeave(options: GracefulLeaveOptions): GracefulLeave {
-  const { world, replica, rounds } = options.cluster;
+  const { world, replica, rounds } = options.node;
   const copied = new Map<string, Row>();
   const copying = new Set<string>();
 
@@ -50,7 +53,7 @@
       if (replica.isSuccessorVoting()) return finish('replaced');
       if (elapsedUs >= timeoutUs) return finish('incomplete');
       if (replica.state() === 'voting') copyRows();
-      if (elapsedUs >= minDurationUs && !options.hasCandidate() && isCopied()) finish('copied');
+      if (elapsedUs >= minDurationUs && !options.hasJoinCandidate() && isCopied()) finish('copied');
     }
     replica.leave();
     options.announce();
@@ -61,7 +64,7 @@
     return replica.keys().filter((key) => !isLocalKey(key) && replica.row(key).version > 0);
   }
 
-  /** Nothing is left to copy for a replica that holds nothing, or that others have replaced already. */
+  /** A replica that holds nothing, or that has already been replaced, has nothing to copy. */
   function isCopied(): boolean {
     if (replica.state() === 'blank' || replica.state() === 'fenced') return true;
     return replica.state() === 'voting' && keysToCopy().every((key) => isCurrent(key));
@@ -76,7 +79,7 @@
     for (const key of keysToCopy()) if (!isCurrent(key) && !copying.has(key)) copyRow(key, replica.row(key));
   }
 
-  /** Sends on the Accept that this replica has accepted; those that stay take it as if it came late from its leader. */
+  /** Repeats the Accept that this replica has accepted; the others treat it as a delayed Accept of its leader. */
   function copyRow(key: string, row: Row): void {
     copying.add(key);
     const { epoch, version, value } = row;
--- a/packages/control-state/src/index.ts
+++ b/packages/control-state/src/index.ts
@@ -1,6 +1,6 @@
 export * from './acceptor.js';
 export * from './change-history.js';
-export * from './idempotency-claims.js';
+export * from './claims.js';
 export * from './node-context.js';
 export * from './control-node.js';
 export * from './disk.js';
--- a/packages/control-state/src/journal.ts
+++ b/packages/control-state/src/journal.ts
@@ -1,9 +1,9 @@
 /**
- * The format of a replica's append-only file: a magic, a length, a checksum, then one record. Records that are written
- * together stand under one checksum, as what was not synced may be torn anywhere. A record that is cut or damaged at the
- * very end was never answered for and is cut away; a damaged one with whole records behind it means that the disk lost
- * something it had promised, and the file is refused. A file that was rewritten begins with a snapshot, whose head says
- * how many records belong to it: one of which any is missing is refused as well.
+ * The format of a replica's append-only file. Each entry is a magic number, a length, a checksum and one record.
+ * Records that are written together share one checksum, because an unsynced write may be torn at any byte. A truncated
+ * or damaged entry at the end of the file was never acknowledged and is cut off. A damaged entry followed by intact
+ * ones means that the disk lost data that it had synced, and the file is rejected. A rewritten file begins with a
+ * snapshot whose header contains the number of its records; a file with an incomplete snapshot is rejected as well.
  */
 import { crc32 } from 'node:zlib';
 import avsc from 'avsc';
@@ -23,7 +23,7 @@
   value: 'bytes',
   changes: ['string'],
 } as const;
-/** One record of the file. `kind` is `disk`, `state` or `row`; of the others' fields those that the kind does not use are empty. */
+/** One record of the file. `kind` is `disk`, `state` or `row`; fields that the kind does not use are empty. */
 export type JournalRecord = Of<typeof recordShape>;
 
 const codecCache: { codec?: avsc.Type } = {};
@@ -33,12 +33,12 @@
   return codecCache.codec;
 }
 
-/** Encodes one record under a checksum of its own. */
+/** Encodes one record with its own checksum. */
 export function encodeRecord(record: JournalRecord): Buffer {
   return withHeader(recordMagic, codec().toBuffer(record));
 }
 
-/** Puts encoded records under one checksum. */
+/** Combines encoded records into one entry with one checksum. */
 export function joinRecords(records: readonly Buffer[]): Buffer {
   if (records.length === 1) return records[0]!;
   const parts = records.flatMap((record) => {
@@ -49,10 +49,10 @@
   return withHeader(batchMagic, Buffer.concat(parts));
 }
 
-/** The kind of the record that begins a snapshot; its version is the number of records that belong to it. */
+/** The kind of a snapshot's header record; its `version` is the number of records in the snapshot. */
 const snapshotKind = 'snapshot';
 
-/** Encodes the records of a snapshot, with the head that tells how many they are. */
+/** Encodes the records of a snapshot after a header with their number. */
 export function encodeSnapshot(records: readonly JournalRecord[]): Buffer {
   const header: JournalRecord = {
     kind: snapshotKind,
@@ -74,7 +74,7 @@
   return Buffer.concat([header, body]);
 }
 
-function readAt(file: Buffer, offset: number): { bodies: Buffer[]; next: number } | undefined {
+function readAt(file: Buffer, offset: number): { bodies: Buffer[]; end: number } | undefined {
   if (offset + headerBytes > file.length) return undefined;
   const isBatch = file.compare(batchMagic, 0, 4, offset, offset + 4) === 0;
   if (!isBatch && file.compare(recordMagic, 0, 4, offset, offset + 4) !== 0) return undefined;
@@ -82,14 +82,14 @@
   if (end > file.length) return undefined;
   const body = file.subarray(offset + headerBytes, end);
   if (crc32(body) !== file.readUInt32BE(offset + 8)) return undefined;
-  if (!isBatch) return { bodies: [body], next: end };
+  if (!isBatch) return { bodies: [body], end: end };
   const bodies: Buffer[] = [];
   for (let position = 0; position < body.length;) {
     const bodyEnd = position + 4 + body.readUInt32BE(position);
     bodies.push(body.subarray(position + 4, bodyEnd));
     position = bodyEnd;
   }
-  return { bodies, next: end };
+  return { bodies, end: end };
 }
 
 function hasIntactRecordAfter(file: Buffer, offset: number): boolean {
@@ -100,14 +100,14 @@
   });
 }
 
-/** The records of a file, how many of its bytes are sound, and how many at its end were torn. */
+/** The records of a file, the number of its valid bytes, and the number of torn bytes at its end. */
 export interface JournalContents {
   readonly records: readonly JournalRecord[];
   readonly validBytes: number;
   readonly tornBytes: number;
 }
 
-/** Reads a file. `DamagedFile` where something that was promised is missing. */
+/** Reads a file. Left is `DamagedFile` if data that was synced is missing. */
 export function readJournal(file: Buffer): E.Either<Error, JournalContents> {
   const records: JournalRecord[] = [];
   let offset = 0;
@@ -117,14 +117,14 @@
       if (hasIntactRecordAfter(file, offset)) {
         return E.left(
           new DamagedFile(
-            `The data file is damaged at byte ${offset} with whole records behind it. It is not served; the replica copies from the others.`,
+            `The data file is damaged at byte ${offset} and intact records follow. It is not used; the replica copies from the others.`,
           ),
         );
       }
       break;
     }
     for (const body of entry.bodies) records.push(codec().fromBuffer(body) as JournalRecord);
-    offset = entry.next;
+    offset = entry.end;
   }
   const [first, ...others] = records;
   if (first?.kind !== snapshotKind) return E.right({ records, validBytes: offset, tornBytes: file.length - offset });
@@ -134,6 +134,6 @@
 
 function truncatedSnapshot(expected: number, found: number): Error {
   return new DamagedFile(
-    `The snapshot in the data file is cut short: ${found} of its ${expected} records are there. It is not served; the replica copies from the others.`,
+    `The snapshot in the data file is truncated: it has ${found} of ${expected} records. It is not used; the replica copies from the others.`,
   );
 }
--- a/packages/control-state/src/key-leader.ts
+++ b/packages/control-state/src/key-leader.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's side of one key. It takes the key over under a new epoch (a majority promises it, and the newest value
- * found is written again under that epoch), then writes one change after the other, each synced on a majority before it
- * is answered. Before a read, and before an order is refused, it asks a majority whether its epoch still holds, in a
- * round begun after the question came; on the way it repairs the copies that it finds old. A leader that loses a round
- * steps down.
+ * The leader role of one key. To become leader, it chooses a new epoch, collects promises from a majority, and rewrites
+ * the newest value found under that epoch. It then writes one change at a time, each synced on a majority before it is
+ * answered. Before it answers a read or rejects a write, it confirms its epoch with a majority in a round that starts
+ * after the request arrived, and repairs the outdated replicas that the round shows. A leader that loses a round steps
+ * down.
  */
 import { micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
@@ -14,19 +14,20 @@
 import { emptyRow, mergeRows, isNewer, nextEpoch, type Row } from './row.js';
 
 /**
- * `done`: taken, now or earlier; `lost`: another version is in force; `reused`: the id of the change stands for another
- * value in force; `unknown`: it may or may not be taken; `retry`: not taken, and another replica may know more.
+ * `done`: applied, now or earlier; `lost`: the current version is not the expected one; `reused`: the change id belongs
+ * to the current version, which has a different value; `unknown`: may or may not have been applied; `retry`: not
+ * applied, and another replica may be able to.
  */
 export type WriteStatus = 'done' | 'lost' | 'reused' | 'unknown' | 'retry';
 
-/** How a write ended, and the epoch and version that it is about. */
+/** The outcome of a write, with the epoch and version that the outcome refers to. */
 export interface WriteAnswer {
   readonly status: WriteStatus;
   readonly epoch: number;
   readonly version: number;
 }
 
-/** A conditional write: taken if `base` is the version in force. */
+/** A conditional write, applied if the current version is `expectedVersion`. */
 export interface Write {
   readonly change: string;
   readonly expectedVersion: number;
@@ -34,33 +35,33 @@
   readonly done: (answer: WriteAnswer) => void;
 }
 
-/** A change worked out from the value in force. Those that wait together are written together. */
+/** A change computed from the current value. Mutations that are pending at the same time are written together. */
 export interface Mutation {
   readonly apply: (value: Buffer, epoch: number) => { readonly value: Buffer; readonly result: string };
   readonly done: (status: WriteStatus, result: string) => void;
 }
 
-/** The leader's side of one key. */
+/** The leader role of one key. */
 export interface KeyLeader {
   readonly isLeading: () => boolean;
-  /** Since when it has led, on its own clock. */
+  /** When it became leader, by its own clock; -Infinity if the key had no value then. */
   readonly leadingSince: () => number;
   readonly row: () => Row;
-  /** The version that a change made, if it was taken and is still known. To be asked after a read only. */
+  /** The version that a change produced, if it was applied and is still remembered. Valid only after a read. */
   readonly versionOf: (change: string) => number | undefined;
   readonly acquire: () => void;
   readonly write: (write: Write) => void;
   readonly mutate: (mutation: Mutation) => void;
-  /** Gives the value in force, or undefined if no majority confirmed it. */
+  /** Calls back with the current row, or with undefined if no majority confirmed it. */
   readonly read: (done: (row: Row | undefined) => void) => void;
 }
 
-/** What a leader needs of its node. */
+/** Dependencies of a key leader on its node. */
 export interface KeyLeaderOptions {
   readonly key: string;
   readonly replica: Replica;
   readonly rounds: QuorumRounds;
-  /** Told of every value that a majority holds. */
+  /** Called for every row that a majority holds. */
   readonly onCommitted: (row: Row) => void;
 }
 
@@ -71,7 +72,7 @@
 const retryJitterUs = 80_000;
 const notWritten: WriteAnswer = { status: 'retry', epoch: 0, version: 0 };
 
-/** Makes the leader's side of a key; it takes the key over on first use. */
+/** Creates the leader role of a key; it acquires the leadership on first use. */
 export function createKeyLeader(world: World, options: KeyLeaderOptions): KeyLeader {
   const { key, replica, rounds } = options;
   let role: Role = 'follower';
@@ -98,7 +99,7 @@
     for (const mutation of waitingMutations) mutation.done('retry', '');
   }
 
-  function noteEpochs(votes: readonly Vote[]): void {
+  function recordPromisedEpochs(votes: readonly Vote[]): void {
     for (const vote of votes) highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
   }
 
@@ -110,7 +111,7 @@
     rounds.start(
       { buildRequest: (id) => ({ kind: 'Prepare', id, from: '', key, epoch, membershipEpoch, ...noReplacement }) },
       (prepared) => {
-        noteEpochs(prepared.votes);
+        recordPromisedEpochs(prepared.votes);
         if (!prepared.won) return onAcquireFailed();
         rewriteNewest(prepared, epoch, membershipEpoch);
       },
@@ -123,17 +124,17 @@
     const acquired: Row = { ...newest, promised: epoch, epoch };
     const known = historyOf(promises, newest.version);
     if (newest.version === 0) return becomeLeader(acquired, known);
-    const last = known.at(newest.version);
-    const changes = last === undefined ? [] : [{ ...last, epoch }];
+    const lastChange = known.at(newest.version);
+    const changes = lastChange === undefined ? [] : [{ ...lastChange, epoch }];
     for (const change of changes) known.add(change);
-    rounds.start({ buildRequest: (id) => accept(id, acquired, changes, membershipEpoch) }, (accepted) => {
-      noteEpochs(accepted.votes);
+    rounds.start({ buildRequest: (id) => buildAccept(id, acquired, changes, membershipEpoch) }, (accepted) => {
+      recordPromisedEpochs(accepted.votes);
       if (accepted.won) becomeLeader(acquired, known);
       else onAcquireFailed();
     });
   }
 
-  function accept(id: string, next: Row, changes: readonly AppliedChange[], membershipEpoch: number): VoteRequest {
+  function buildAccept(id: string, next: Row, changes: readonly AppliedChange[], membershipEpoch: number): VoteRequest {
     const { epoch, version, value } = next;
     return { kind: 'Accept', id, from: '', key, epoch, membershipEpoch, version, value, changes: [...changes] };
   }
@@ -177,7 +178,7 @@
     writeChange(next);
   }
 
-  /** An order that was taken already, or builds on another version: either is said only after a majority confirmed it. */
+  /** Answers a write that was already applied or expects another version, once a majority has confirmed the epoch. */
   function answerWithoutWriting(next: Write, writtenVersion: number | undefined): void {
     busy = true;
     confirmEpoch((ok) => {
@@ -205,13 +206,13 @@
     });
   }
 
-  /** Writes a row to a majority. A leader that fails to steps down, as the outcome is then unknown. */
+  /** Writes a row to a majority. If that fails, the outcome is unknown and the leader steps down. */
   function replicate(next: Row, changes: readonly AppliedChange[], done: (won: boolean) => void): void {
     busy = true;
     const { membershipEpoch } = replica.membership();
-    rounds.start({ buildRequest: (id) => accept(id, next, changes, membershipEpoch) }, (accepted) => {
+    rounds.start({ buildRequest: (id) => buildAccept(id, next, changes, membershipEpoch) }, (accepted) => {
       busy = false;
-      noteEpochs(accepted.votes);
+      recordPromisedEpochs(accepted.votes);
       if (accepted.won) {
         row = next;
         for (const change of changes) history.add(change);
@@ -243,7 +244,7 @@
     });
   }
 
-  /** Asks a majority whether this epoch still holds, and repairs old copies on the way. */
+  /** Confirms this leader's epoch with a majority, and repairs the outdated replicas that the votes show. */
   function confirmEpoch(done: (ok: boolean) => void): void {
     const checked = row;
     const { membershipEpoch } = replica.membership();
@@ -255,7 +256,7 @@
       return { kind: 'Check', id, from: '', key, epoch: checked.epoch, membershipEpoch };
     }
     rounds.start({ buildRequest, onLateVote }, (confirmed) => {
-      noteEpochs(confirmed.votes);
+      recordPromisedEpochs(confirmed.votes);
       if (!confirmed.won || role !== 'leader') {
         if (role === 'leader') stepDown();
         return done(false);
@@ -265,11 +266,16 @@
     });
   }
 
-  /** Sends the value in force to those that hold an older one. One that does not answer is repaired once it does. */
+  /** Read repair: sends the current row to replicas with an older one. Late votes are repaired when they arrive. */
   function repair(current: Row, votes: readonly Vote[], membershipEpoch: number): void {
     if (busy || row !== current || current.version === 0) return;
-    const last = history.at(current.version);
-    const request = accept(`repair/${key}`, current, last === undefined ? [] : [last], membershipEpoch);
+    const lastChange = history.at(current.version);
+    const request = buildAccept(
+      `repair/${key}`,
+      current,
+      lastChange === undefined ? [] : [lastChange],
+      membershipEpoch,
+    );
     for (const vote of votes) {
       const entry = replica.membership().replicas.find((member) => member.slot === vote.slot);
       if (entry === undefined || !isNewer(current, vote)) continue;
--- a/packages/control-state/src/key-requests.ts
+++ b/packages/control-state/src/key-requests.ts
@@ -1,9 +1,10 @@
 /**
- * Requests for keys. A node that a request reaches first sends it on to the replica that should lead the key; that one
- * answers the origin. What a request asks for twice is told once: a change that was taken is answered as such.
+ * Requests for keys. The node that receives a request first forwards it to the replica that should lead the key, and
+ * that one answers the origin. A repeated request is applied only once: a change that was already applied is answered
+ * as done.
  */
 import type { Address, MessageOf } from '@tansypost/inner-protocol';
-import { applyClaimOperation, type ClaimOperation } from './idempotency-claims.js';
+import { applyClaimOperation, type ClaimOperation } from './claims.js';
 import { isLeasedToRouters, type NodeContext } from './node-context.js';
 import type { KeyLeader, WriteAnswer, WriteStatus } from './key-leader.js';
 import type { RouterLeases } from './router-leases.js';
@@ -13,29 +14,29 @@
 type AnswerStatus = WriteStatus | 'value' | 'none';
 type RowAnswer = Pick<Row, 'epoch' | 'version' | 'value'>;
 
-/** What answering requests needs of the node. */
+/** Dependencies of request handling on the node. */
 export interface KeyRequestsOptions {
-  readonly cluster: NodeContext;
-  /** The slot of the replica that should lead a key. */
+  readonly node: NodeContext;
+  /** Slot of the replica that should lead a key. */
   readonly preferredLeader: (key: string) => number;
   readonly routerLeases: RouterLeases;
-  readonly acknowledged: (key: string, version: number) => void;
+  readonly onAcknowledged: (key: string, version: number) => void;
 }
 
 const maxHops = 2;
 const emptyBuffer = Buffer.alloc(0);
 const emptyRowAnswer: RowAnswer = { epoch: 0, version: 0, value: emptyBuffer };
 
-/** Gives the function that takes a request in. */
+/** Returns the handler of requests for keys. */
 export function createKeyRequests(options: KeyRequestsOptions): (request: Ask) => void {
-  const { cluster, routerLeases } = options;
-  const { world, replica } = cluster;
+  const { node, routerLeases } = options;
+  const { world, replica } = node;
 
   function receive(request: Ask): void {
     if (replica.state() !== 'voting') return answer(request, 'retry');
     const preferred = options.preferredLeader(request.key);
     if (preferred !== replica.slot && request.hops < maxHops) return forward(request, preferred);
-    const leader = cluster.leaderOf(request.key);
+    const leader = node.leaderOf(request.key);
     if (request.op === 'write') write(request, leader);
     else if (request.op === 'claim') claim(request, leader);
     else read(request, leader);
@@ -72,7 +73,7 @@
     if (status === 'unknown') world.log(2103, { key, change });
     if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, rowAnswer);
     routerLeases.whenApplied(key, version, () => {
-      options.acknowledged(key, version);
+      options.onAcknowledged(key, version);
       world.log(2101, { key, change, version });
       answer(request, 'done', rowAnswer);
     });
@@ -99,7 +100,7 @@
     const found: RowAnswer = { epoch: row.epoch, version: version ?? row.version, value: emptyBuffer };
     if (version === undefined) return answer(request, 'none', found);
     if (!isLeasedToRouters(request.key)) return answer(request, 'done', found);
-    // A look-up acknowledges as much as the answer it stands for, so it waits for the same.
+    // A lookup acknowledges the change just as the answer to the write does, so it waits for the same condition.
     routerLeases.whenApplied(request.key, version, () => answer(request, 'done', found));
   }
 
--- a/packages/control-state/src/lease-register.ts
+++ b/packages/control-state/src/lease-register.ts
@@ -1,16 +1,18 @@
-/** The register of the routers that may hold a lease, as it stands in the control state. */
+/** Encoding of the register of routers that may hold a lease, which is stored in the control state. */
 import { DamagedFile } from '@tansypost/inner-protocol';
 
-/** Encodes the names of the routers. */
+/** Encodes a list of router names. */
 export function encodeRegister(routers: readonly string[]): Buffer {
   return Buffer.from(JSON.stringify(routers));
 }
 
-/** Reads a register; an empty value is an empty one. Throws `DamagedFile` for anything that is no list of names. */
+/** Decodes a register; an empty value is an empty register. Throws `DamagedFile` if it is not a list of names. */
 export function decodeRegister(value: Buffer): string[] {
   if (value.length === 0) return [];
   const parsed: unknown = JSON.parse(value.toString());
   if (!Array.isArray(parsed) || !parsed.every((name) => typeof name === 'string'))
-    throw new DamagedFile('A register of router leases in the control state is no list of names.');
+    throw new DamagedFile(
+      'The register of router leases in the control state is invalid: it is not a JSON array of router names.',
+    );
   return parsed;
 }
--- a/packages/control-state/src/membership-changes.ts
+++ b/packages/control-state/src/membership-changes.ts
@@ -1,8 +1,9 @@
 /**
- * Changes of the membership record. A machine that asks for a slot first copies as a learner; only then is it written
- * into the record in the place of a replica that is gone, or beside the others while the cluster grows. A replacement is
- * agreed by a majority of the old members without the one replaced, so no majority of the old members is left that does
- * not know of it, and each of them refuses while it hears the one that is to be replaced.
+ * Changes of the membership record. A machine that asks for a slot first copies all rows as a learner. Only then is it
+ * written into the record, as the replacement of a lost replica or as an additional member while the cluster grows. A
+ * replacement needs a majority of the old members, not counting the replaced one. No majority of the old members is
+ * then left that does not know of the replacement. Each member refuses it while it still hears the replica to be
+ * replaced.
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
@@ -12,43 +13,43 @@
 import { maxReplicas } from './replica-limits.js';
 import { emptyRow, mergeRows, nextEpoch, type Row } from './row.js';
 
-/** `finish` writes the newest record once more, where one replica took it and the others did not. */
+/** `finish` rewrites the newest record if only some of the replicas have accepted it. */
 export type MembershipChange =
   | { readonly kind: 'finish' }
   | { readonly kind: 'add'; readonly address: string; readonly disk: string }
   | { readonly kind: 'replace'; readonly slot: number; readonly address: string; readonly disk: string };
 
-/** The fields of a Prepare that is about no replacement. */
+/** The fields of a Prepare that does not concern a replacement. */
 export const noReplacement = { replacedDisk: '', successor: '' } as const;
 
-/** What changing the membership needs of the node. */
+/** Dependencies and settings of membership changes. */
 export interface MembershipChangesOptions {
-  readonly cluster: NodeContext;
+  readonly node: NodeContext;
   readonly peers: PeerLiveness;
-  /** Whether slots are stated in the settings; a machine then takes only its own. */
+  /** Whether the settings assign the slots; a machine then only takes its own slot. */
   readonly hasConfiguredSlots: boolean;
-  /** Whether this node is the one that sees to changes of the membership. */
+  /** Whether this node coordinates membership changes. */
   readonly isCoordinator: () => boolean;
-  /** Told after each try, so that the others hear of the record. */
+  /** Called after each attempt so that the other nodes learn of the record. */
   readonly onAttempted: () => void;
-  /** How many replicas a cluster grows to as far as there are machines; without it, as many as there may be. */
+  /** Number of replicas that the cluster grows to if there are enough machines; the maximum if not given. */
   readonly targetReplicas?: number;
 }
 
-/** Proposes and refuses changes of the membership. */
+/** Proposes and refuses membership changes. */
 export interface MembershipChanges {
   readonly join: (request: MessageOf<'Join'>) => void;
   readonly propose: (change: MembershipChange) => void;
-  /** Whether this node must refuse a Prepare, as it hears the replica that is to be replaced. */
+  /** Whether this node must refuse a Prepare because it still hears the replica that is to be replaced. */
   readonly mustRefuse: (request: MessageOf<'Prepare'>) => boolean;
-  /** Whether a machine that could take a slot has asked for one lately. */
+  /** Whether a machine that could take a slot has recently asked for one. */
   readonly hasCandidate: () => boolean;
 }
 
 interface JoinCandidate {
   readonly askingSince: number;
   readonly lastAskedAt: number;
-  readonly sinceFirstStart: boolean;
+  readonly isFirstStart: boolean;
 }
 
 const candidateTimeoutUs = 1_000_000;
@@ -57,10 +58,10 @@
 const minCooldownUs = 200_000;
 const cooldownJitterUs = 400_000;
 
-/** Makes the part of a node that sees to the membership. */
+/** Creates the membership changes of a node. */
 export function createMembershipChanges(options: MembershipChangesOptions): MembershipChanges {
-  const { cluster, peers } = options;
-  const { world, replica, rounds } = cluster;
+  const { node, peers } = options;
+  const { world, replica, rounds } = node;
   const targetReplicas = Math.min(options.targetReplicas ?? maxReplicas, maxReplicas);
   const candidates = new Map<string, JoinCandidate>();
   let isChanging = false;
@@ -84,11 +85,14 @@
     const known = candidates.get(request.from);
     const askingSince =
       known === undefined || world.now() - known.lastAskedAt > candidateResetUs ? world.now() : known.askingSince;
-    candidates.set(request.from, { askingSince, lastAskedAt: world.now(), sinceFirstStart: request.first });
+    candidates.set(request.from, { askingSince, lastAskedAt: world.now(), isFirstStart: request.first });
     return askingSince;
   }
 
-  /** The slot of its own address, whose disk is gone with it; else one whose replica leaves or has been silent. */
+  /**
+   * The member that a machine at `address` may replace: the one with the same address, since its disk is then lost;
+   * otherwise one that is leaving or missing.
+   */
   function replaceableEntryFor(address: string): ReplicaEntry | undefined {
     const { replicas } = replica.membership();
     const own = replicas.find((entry) => entry.address === address);
@@ -96,14 +100,17 @@
     return replicas.find(({ slot }) => slot !== replica.slot && (peers.isLeaving(slot) || peers.isMissing(slot)));
   }
 
-  /** A cluster founded by fewer machines than there were grows by two at a time: an even number bears no more losses. */
+  /**
+   * A cluster that was bootstrapped by fewer machines than there were grows by two replicas at a time, because an even
+   * number of replicas tolerates no more failures.
+   */
   function mayGrow(): boolean {
     const { replicas } = replica.membership();
     if (peers.live().length !== replicas.length) return false;
     if (replicas.length % 2 === 0) return replicas.length < targetReplicas;
     const asking = [...candidates].filter(
       ([address, candidate]) =>
-        candidate.sinceFirstStart && isRecent(candidate) && !replicas.some((r) => r.address === address),
+        candidate.isFirstStart && isRecent(candidate) && !replicas.some((r) => r.address === address),
     );
     return asking.length > 1 && replicas.length < targetReplicas - 1;
   }
@@ -143,7 +150,7 @@
     return votes.filter((vote) => vote.ok).reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
   }
 
-  /** The record to write; none where another change came in between. */
+  /** The record to write; undefined if another change was made in the meantime. */
   function valueAfter(proposal: MembershipChange, newest: Row, membershipEpoch: number): Buffer | undefined {
     if (proposal.kind === 'finish') return newest.epoch < membershipEpoch ? undefined : newest.value;
     if (newest.epoch !== membershipEpoch) return undefined;
@@ -176,7 +183,7 @@
   function mustRefuse(request: MessageOf<'Prepare'>): boolean {
     if (request.replacedDisk === '') return false;
     const replaced = replica.membership().replicas.find((entry) => entry.disk === request.replacedDisk);
-    // A machine that asks from the address of the one replaced has lost that one's disk.
+    // A machine that asks from the address of the replica to be replaced has lost that replica's disk.
     return replaced !== undefined && replaced.address !== request.successor && peers.isPresent(replaced.disk);
   }
 
--- a/packages/control-state/src/membership-record.ts
+++ b/packages/control-state/src/membership-record.ts
@@ -1,7 +1,7 @@
 /**
- * The membership record: which disks hold the replicas of the control cluster. It is itself a key of the control state.
- * The epoch it was written under is the membership epoch: every message between replicas carries it, so that a replica
- * that was replaced is refused by those that remain.
+ * The membership record lists the disks that hold the replicas of the control cluster. It is itself a key of the
+ * control state. The epoch under which it was written is the membership epoch. Every message between replicas carries
+ * it, so that the current members refuse a replica that was replaced.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { UnreadableMembership, type ReplicaEntry } from '@tansypost/inner-protocol';
@@ -11,26 +11,26 @@
 
 /** The members of a cluster under one membership epoch. */
 export interface MembershipRecord {
-  /** 0 as long as no record is known. */
+  /** 0 if no record is known. */
   readonly membershipEpoch: number;
-  /** Names the cluster for as long as it lives; empty where a release that gave clusters no name founded it. */
+  /** Name of the cluster, which never changes; empty if a release without cluster names bootstrapped it. */
   readonly cluster: string;
   readonly replicas: readonly ReplicaEntry[];
 }
 
-/** What a disk knows that belongs to no cluster. */
+/** The record of a disk that belongs to no cluster. */
 export const noMembership: MembershipRecord = { membershipEpoch: 0, cluster: '', replicas: [] };
 
-/** The form in which the record is written. Earlier releases wrote the bare list of replicas. */
+/** Format version of the record. Earlier releases wrote only the list of replicas. */
 const recordFormat = 2;
 
-/** Encodes the members of a record; the epoch is kept beside it, as that of the row. */
+/** Encodes the cluster name and members of a record; its epoch is stored as the epoch of the row. */
 export function encodeMembership(cluster: string, replicas: readonly ReplicaEntry[]): Buffer {
   const entries = replicas.map(({ slot, address, disk }) => ({ slot, address, disk }));
   return Buffer.from(JSON.stringify({ format: recordFormat, cluster, replicas: entries }));
 }
 
-/** Reads a record in this form or the earlier one. `UnreadableMembership` if it is neither. */
+/** Decodes a record in the current or the earlier format. Left is `UnreadableMembership` if it is neither. */
 export function decodeMembership(membershipEpoch: number, bytes: Buffer): E.Either<Error, MembershipRecord> {
   if (membershipEpoch === 0 || bytes.length === 0) return E.right(noMembership);
   const parsed = parseJson(bytes);
@@ -65,7 +65,7 @@
 
 function damaged(): Error {
   return new UnreadableMembership(
-    'The membership record on this disk cannot be read. The replica does not vote; empty its data folder, so that it copies from the others.',
+    'The membership record on this disk cannot be decoded. The replica does not vote; empty its data folder so that it copies from the others.',
   );
 }
 
@@ -75,17 +75,20 @@
   );
 }
 
-/** The smallest number of replicas of which any two sets meet. */
+/** The smallest number of replicas such that any two sets of that size overlap. */
 export function majorityOf(replicas: number): number {
   return Math.floor(replicas / 2) + 1;
 }
 
-/** From how many of the others a new replica copies: one of so many holds whatever a majority holds or has promised. */
-export function copiesNeeded(replicas: number): number {
+/**
+ * The number of sources that a new replica copies from. Any majority includes at least one of them, so together they
+ * hold whatever a majority holds or has promised.
+ */
+export function requiredCopies(replicas: number): number {
   return replicas - majorityOf(replicas) + 1;
 }
 
-/** The members with one more, on the lowest slot that is free. */
+/** The members with one more replica on the lowest free slot. */
 export function withAdded(record: MembershipRecord, address: string, disk: string): ReplicaEntry[] {
   const taken = new Set(record.replicas.map((replica) => replica.slot));
   let slot = 0;
@@ -93,7 +96,7 @@
   return [...record.replicas, { slot, address, disk }];
 }
 
-/** The members with another disk on one slot. */
+/** The members with the replica on one slot replaced. */
 export function withReplaced(record: MembershipRecord, successor: ReplicaEntry): ReplicaEntry[] {
   return record.replicas.map((replica) => (replica.slot === successor.slot ? successor : replica));
 }
--- a/packages/control-state/src/node-context.ts
+++ b/packages/control-state/src/node-context.ts
@@ -1,32 +1,35 @@
-/** What the modules of one control node share. */
+/** The state that the modules of one control node share. */
 import type { Address, World } from '@tansypost/inner-protocol';
 import type { KeyLeader } from './key-leader.js';
 import type { QuorumRounds } from './quorum-round.js';
 import type { Replica } from './replica.js';
 
-/** One node's replica, rounds and leaders, as its modules use them. */
+/** A node's replica, quorum rounds and key leaders. */
 export interface NodeContext {
   readonly world: World;
   readonly self: Address;
   readonly replica: Replica;
   readonly rounds: QuorumRounds;
-  /** The leader's side of a key at this node, made on first use. */
+  /** The leader role of a key on this node, created on first use. */
   readonly leaderOf: (key: string) => KeyLeader;
-  /** The leaders made so far. */
+  /** The leader roles created so far, by key. */
   readonly leaders: () => ReadonlyMap<string, KeyLeader>;
 }
 
-/** Keys of the desired state are governed by the leases of the routers that serve by them. */
+/** Whether routers hold leases on a key: true for the keys of the desired state, which routers serve by. */
 export function isLeasedToRouters(key: string): boolean {
   return key.startsWith('desired/');
 }
 
-/** Keys for the cluster's own use, never told to followers. */
+/** Whether a key is internal to the control cluster and never sent to followers. */
 export function isInternalKey(key: string): boolean {
   return key.startsWith('claim/') || key.startsWith('tenures/');
 }
 
-/** Rows that no leader writes: what a voter has promised in elections of duties. */
+/**
+ * Whether a row belongs to this replica alone and has no leader: the promises of voters in elections of singleton
+ * roles.
+ */
 export function isLocalKey(key: string): boolean {
   return key.startsWith('~');
 }
--- a/packages/control-state/src/peer-liveness.ts
+++ b/packages/control-state/src/peer-liveness.ts
@@ -1,42 +1,48 @@
 /**
- * What this control node knows of the other replicas from their hellos: who is alive and votes, who is leaving, whose
- * disk keeps it waiting, who has been silent so long that it may be replaced, and who has an older membership record.
+ * What this control node knows of the other replicas from their hellos: which ones are alive and voting, are leaving,
+ * have a slow disk, have been silent for so long that they may be replaced, or have an outdated membership record.
  */
 import type { MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
 import type { Replica } from './replica.js';
 
-/** When a replica counts as missing, and who is told of a reunion. */
+/** Settings and callbacks of peer liveness. */
 export interface PeerLivenessOptions {
-  /** After what silence a replica may be replaced. */
+  /** Time without a hello after which a replica may be replaced. */
   readonly missingAfterUs?: number;
-  /** Told when a replica is heard again after a silence, or this node after one of its own. */
+  /** Called when a replica is heard again after a silence, or when this node resumes after a pause of its own. */
   readonly onReconnected: () => void;
 }
 
-/** What is known of the other replicas. */
+/** The known state of the other replicas. */
 export interface PeerLiveness {
   readonly receiveHello: (hello: MessageOf<'ReplicaHello'>) => void;
-  /** Gives a disk that is new in the membership record the same time to be heard as any other. */
+  /**
+   * Resets the state of slots whose disk has changed in the membership record, so that the new disk has time to be
+   * heard.
+   */
   readonly noteNewDisks: () => void;
-  /** To be called at every greeting: a silence of this node's own counts against nobody. */
+  /**
+   * Must be called with every hello sent: silence during a pause of this node itself is not held against other
+   * replicas.
+   */
   readonly noteOwnPause: () => void;
-  /** The replicas that vote and were heard lately, this one among them. */
+  /** The voting replicas that were heard recently, including this one. */
   readonly live: () => readonly ReplicaEntry[];
-  /** Of the live ones those that neither leave nor wait for their disks, if there are any. */
+  /** The live replicas that are neither leaving nor have a slow disk; all live replicas if there are none. */
   readonly healthy: () => readonly ReplicaEntry[];
-  /** Whether this node has listened long enough to know who is there. */
+  /** Whether this node has listened long enough to know which other replicas are alive. */
   readonly isSettled: () => boolean;
   readonly isLeaving: (slot: number) => boolean;
   readonly isMissing: (slot: number) => boolean;
-  /** Whether a disk of the membership record was heard so lately that it must not be replaced. */
+  /** Whether a disk of the membership record was heard so recently that it must not be replaced. */
   readonly isPresent: (disk: string) => boolean;
   readonly hasSameMembership: (slot: number) => boolean;
-  /** Since when a voting replica has had an older membership record than this one; Infinity if it has not. */
+  /** When a voting replica was first heard with an older membership record than this one; Infinity if it has none. */
   readonly behindSince: (slot: number) => number;
 }
 
 interface PeerStatus {
-  readonly at: number;
+  readonly heardAt: number;
   readonly voting: boolean;
   readonly healthy: boolean;
   readonly leaving: boolean;
@@ -44,7 +50,7 @@
   readonly behindSince: number;
 }
 
-/** A replica that was silent this long may be replaced, where a machine stands ready to take its slot. */
+/** A replica that was silent for this long may be replaced if a machine is ready to take its slot. */
 export const defaultMissingAfterUs = 1_500_000;
 const liveTimeoutUs = 1_000_000;
 const presenceTimeoutUs = 1_000_000;
@@ -52,7 +58,7 @@
 const ownPauseUs = 900_000;
 const reconnectAfterUs = 1_000_000;
 
-/** Makes the table of the other replicas; it knows nobody yet. */
+/** Creates the table of the other replicas, initially empty. */
 export function createPeerLiveness(world: World, replica: Replica, options: PeerLivenessOptions): PeerLiveness {
   const missingAfterUs = options.missingAfterUs ?? defaultMissingAfterUs;
   const peers = new Map<number, PeerStatus>();
@@ -65,14 +71,14 @@
     const { membershipEpoch } = replica.membership();
     const isBehind = hello.membershipEpoch < membershipEpoch;
     peers.set(hello.slot, {
-      at: world.now(),
+      heardAt: world.now(),
       voting: hello.state === 'voting',
       healthy: !hello.ill && !hello.leaving,
       leaving: hello.leaving,
       membershipEpoch: hello.membershipEpoch,
       behindSince: isBehind ? Math.min(known?.behindSince ?? Infinity, world.now()) : Infinity,
     });
-    if (known !== undefined && world.now() - known.at > reconnectAfterUs) options.onReconnected();
+    if (known !== undefined && world.now() - known.heardAt > reconnectAfterUs) options.onReconnected();
   }
 
   function noteNewDisks(): void {
@@ -95,7 +101,7 @@
     return replica.membership().replicas.filter(({ slot }) => {
       if (slot === replica.slot) return replica.state() === 'voting';
       const peer = peers.get(slot);
-      return peer !== undefined && peer.voting && world.now() - peer.at < liveTimeoutUs;
+      return peer !== undefined && peer.voting && world.now() - peer.heardAt < liveTimeoutUs;
     });
   }
 
@@ -115,7 +121,7 @@
     if (entry === undefined) return false;
     if (entry.slot === replica.slot) return true;
     const peer = peers.get(entry.slot);
-    return peer !== undefined && peer.voting && !peer.leaving && world.now() - peer.at < presenceTimeoutUs;
+    return peer !== undefined && peer.voting && !peer.leaving && world.now() - peer.heardAt < presenceTimeoutUs;
   }
 
   return {
@@ -126,7 +132,7 @@
     healthy,
     isSettled: () => live().length > 1 || world.now() - listeningSince > settleDelayUs,
     isLeaving: (slot) => peers.get(slot)?.leaving === true,
-    isMissing: (slot) => world.now() - Math.max(peers.get(slot)?.at ?? 0, listeningSince) > missingAfterUs,
+    isMissing: (slot) => world.now() - Math.max(peers.get(slot)?.heardAt ?? 0, listeningSince) > missingAfterUs,
     isPresent,
     hasSameMembership: (slot) => peers.get(slot)?.membershipEpoch === replica.membership().membershipEpoch,
     behindSince: (slot) => peers.get(slot)?.behindSince ?? Infinity,
@@ -134,5 +140,5 @@
 }
 
 function unheardPeer(now: number): PeerStatus {
-  return { at: now, voting: false, healthy: false, leaving: false, membershipEpoch: 0, behindSince: Infinity };
+  return { heardAt: now, voting: false, healthy: false, leaving: false, membershipEpoch: 0, behindSince: Infinity };
 }
--- a/packages/control-state/src/quorum-round.ts
+++ b/packages/control-state/src/quorum-round.ts
@@ -1,8 +1,9 @@
 /**
- * A quorum round asks all replicas one thing and counts their votes. It is won with a majority that says yes; it is lost
- * when no majority can any more, when a vote shows that a higher epoch was promised, when the membership changes, or
- * when time runs out. A vote counts only if it comes from the disk that the membership record names for that slot. The
- * ids of rounds bear a number drawn at the start of the process, as votes for the rounds before it may still come.
+ * A quorum round sends one request to all replicas and counts their votes. It is won when a majority votes yes. It is
+ * lost when a majority is no longer possible, when a vote shows that a higher epoch was promised, when the membership
+ * changes, or when the timeout expires. A vote counts only if it comes from the disk that the membership record names
+ * for its slot. The ids of rounds contain a random number that is drawn when the process starts, because votes of
+ * rounds from before a restart may still arrive.
  */
 import type { Address, Cancel, Message, MessageOf, World } from '@tansypost/inner-protocol';
 import { micros } from '@tansypost/inner-protocol';
@@ -10,26 +11,25 @@
 import { majorityOf } from './membership-record.js';
 import type { Replica } from './replica.js';
 
-/** Whether a round was won, and the votes that had come by then. */
+/** Whether a round was won, and the votes received by then. */
 export interface RoundResult {
   readonly won: boolean;
   readonly votes: readonly Vote[];
 }
 
-/** What a round asks, and how its votes count. */
+/** The request of a round, and how its votes are counted. */
 export interface RoundOptions {
   readonly buildRequest: (id: string) => VoteRequest;
   /** A slot whose vote does not count. */
   readonly excludedSlot?: number;
-  /** How long the round may take, in microseconds. */
   readonly timeoutUs?: number;
-  /** Which votes count as yes; without it, those that say so. */
+  /** Which votes count as yes; by default those with `ok`. */
   readonly countsAsYes?: (vote: Vote) => boolean;
-  /** Told of the votes that come after the round was won. */
+  /** Called for votes that arrive after the round was won. */
   readonly onLateVote?: (vote: Vote) => void;
 }
 
-/** The rounds of one process. */
+/** The quorum rounds of one process. */
 export interface QuorumRounds {
   readonly start: (options: RoundOptions, done: (result: RoundResult) => void) => void;
   readonly receiveVote: (vote: MessageOf<'Vote'>) => void;
@@ -46,7 +46,7 @@
 const retransmitIntervalUs = 200_000;
 const lateVoteWindowUs = 1_000_000;
 
-/** Makes the rounds of a process on its replica. */
+/** Creates the quorum rounds of a process. */
 export function createQuorumRounds(world: World, replica: Replica): QuorumRounds {
   const run = Math.floor(world.random() * 2 ** 40).toString(36);
   const openRounds = new Map<string, OpenRound>();
--- a/packages/control-state/src/replica-count.ts
+++ b/packages/control-state/src/replica-count.ts
@@ -1,28 +1,28 @@
-/** How many replicas a control cluster has, by the losses that it must bear at one moment. */
+/** Derives the number of replicas of the control cluster from the simultaneous failures that it must tolerate. */
 import { maxReplicas } from './replica-limits.js';
 
-/** What may be lost at the same time while everything acknowledged stays and the cluster goes on. */
+/** Failures that may occur at the same time without loss of acknowledged writes or of availability. */
 export interface FaultBudget {
-  /** Machines whose loss counts. */
+  /** Number of machines. */
   readonly machines: number;
   readonly zones: number;
   readonly regions: number;
 }
 
-/** Fewer could not take any decision while one of them restarts. */
+/** With fewer replicas there is no majority while one of them restarts. */
 const minReplicas = 3;
 
-/** With how many machines a cluster is founded that none of the seeds founds. */
+/** Number of machines that bootstrap a cluster when no seed holds control state. */
 export interface BootstrapSize {
-  /** With fewer, a loss that the fault budget allows could take what was acknowledged. */
+  /** With fewer, a failure within the fault budget could lose acknowledged writes. */
   readonly minMembers: number;
   readonly maxMembers: number;
 }
 
-/** Where no fault budget is stated. */
+/** Used when no fault budget is configured. */
 export const defaultBootstrapSize: BootstrapSize = { minMembers: minReplicas, maxMembers: minReplicas };
 
-/** The machines that found a cluster together: as many as bear the losses, and no more than are wanted as replicas. */
+/** The number of bootstrap members: enough to tolerate the fault budget, and at most the target number of replicas. */
 export function bootstrapSizeFor(budget: FaultBudget): BootstrapSize {
   const spansZones = budget.zones > 0 || budget.regions > 0;
   const forMachines = Math.min(maxReplicas, 2 * budget.machines + 1);
@@ -33,10 +33,10 @@
 }
 
 /**
- * The number of replicas to grow to. With n of them a value is on n/2 rounded down and one more disks before it is
- * acknowledged, and as many are needed to decide: f machines and their disks may be lost where n is 2 f + 1, also where
- * all others lose power at the same moment and come back. Where whole zones or regions may go, replicas stand on as
- * many machines as there may be, since which machines share a zone is not weighed here.
+ * The number of replicas that a cluster grows to. With n replicas, a write is on floor(n / 2) + 1 disks before it is
+ * acknowledged, and as many replicas are needed for a decision. With n = 2 f + 1, f machines may be lost together with
+ * their disks, even if all others lose power at the same moment and come back. If whole zones or regions may be lost,
+ * the cluster uses the maximum number of replicas, because placement does not consider which machines share a zone.
  */
 export function targetReplicaCount(budget: FaultBudget): number {
   if (budget.zones > 0 || budget.regions > 0) return maxReplicas;
--- a/packages/control-state/src/replica-limits.ts
+++ b/packages/control-state/src/replica-limits.ts
@@ -1,4 +1,4 @@
-/** Limits on the number of replicas. */
+/** Limits of the number of replicas. */
 
-/** More replicas than this make each round dearer and bear no losses that a deployment asks for. */
+/** More replicas would make each quorum round more expensive and tolerate more failures than a deployment asks for. */
 export const maxReplicas = 9;
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -1,10 +1,10 @@
 /**
- * What one replica keeps on its disk: the identity of the disk, the state of the replica, its rows and the history of
- * changes of each. Everything is written through to the journal; a callback comes once the record is synced. The journal
- * is rewritten as a snapshot when it has grown to several times what it holds.
+ * The durable state of one replica: the id of its disk, the state of the replica, its rows, and the change history of
+ * each row. Everything is written through to the journal, and callbacks run once the record is synced. The journal is
+ * compacted into a snapshot when it has grown to several times the size of its contents.
  *
- * Every row and change bears the sequence number of when this replica took it in, so that a copy can go on from where it
- * stopped. Sequence numbers hold for one opening of the disk, which `copySource` names.
+ * Every row and change has the sequence number at which this replica stored it, so that a copy can resume where it
+ * stopped. Sequence numbers are valid only until the disk is reopened; `copySource` identifies the current opening.
  */
 import type { World } from '@tansypost/inner-protocol';
 import {
@@ -19,25 +19,26 @@
 import { emptyRow, type Row } from './row.js';
 
 /**
- * `blank`: holds no complete copy and does not vote; `voting`: a full member; `fenced`: replaced by another disk;
- * `failed`: its disk refused a write; `unusable`: its membership record cannot be read, or is that of another cluster.
+ * `blank`: has no complete copy and does not vote; `voting`: a full member; `fenced`: replaced by another disk;
+ * `failed`: a write to its disk failed; `unusable`: its membership record cannot be decoded or belongs to another
+ * cluster.
  */
 export type ReplicaState = 'blank' | 'voting' | 'fenced' | 'failed' | 'unusable';
 
-/** What a replica's storage is opened with. */
+/** Settings and callbacks of a replica's storage. */
 export interface ReplicaStorageOptions {
   readonly disk: Disk;
   /** The records read from the journal when it was opened. */
   readonly found: readonly JournalRecord[];
-  /** The identity that a disk without one gets. */
+  /** The id assigned to a disk that has none. */
   readonly newDiskId: string;
-  /** The size of the journal in bytes above which it is rewritten. */
+  /** Size of the journal above which it is compacted. */
   readonly compactAboveBytes?: number;
-  /** Told once, when the disk has refused a write. */
+  /** Called once, when a write to the disk has failed. */
   readonly failed: (error: Error) => void;
 }
 
-/** A row that has changed since a sequence number, with the changes taken in since then. */
+/** A row that was stored after a sequence number, with the changes stored after it. */
 export interface ChangedRow {
   readonly key: string;
   readonly sequence: number;
@@ -45,30 +46,32 @@
   readonly changes: readonly AppliedChange[];
 }
 
-/** Told whether a write is synced (true) or was refused (false). */
+/** Called when a write is synced (true) or has failed (false). */
 export type SyncCallback = (ok: boolean) => void;
 
 /** The durable state of one replica. */
 export interface ReplicaStorage {
   readonly diskId: () => string;
-  /** Names this opening of the disk to those who copy from it. */
+  /** Identifies this opening of the disk to the replicas that copy from it. */
   readonly copySource: string;
-  /** The state that the journal held when it was opened, or that was written last. */
+  /** The state read from the journal when it was opened, or written last. */
   readonly storedState: () => ReplicaState;
-  /** The disks that founded the cluster together with this one, as far as this one took part. */
+  /** The disks that bootstrapped the cluster together with this one; empty if this one took no part. */
   readonly bootstrapDisks: () => readonly string[];
   readonly setBootstrapDisks: (disks: readonly string[]) => void;
   readonly row: (key: string) => Row;
   readonly rows: () => ReadonlyMap<string, Row>;
   readonly history: (key: string) => ChangeHistory;
-  /** Takes a row and changes of it in at once and calls back once they are synced, or with false if the disk refused. */
+  /**
+   * Stores a row and its changes in memory at once; calls back when they are synced (true) or the write failed (false).
+   */
   readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
-  /** Writes a row once more, unchanged, and calls back once all earlier writes are synced as well. */
+  /** Rewrites an unchanged row and calls back once it and all earlier writes are synced. */
   readonly syncRow: (key: string, done: SyncCallback) => void;
   readonly putState: (state: ReplicaState, done: SyncCallback) => void;
-  /** The rows taken in after a sequence number, the earliest first. */
+  /** The rows stored after a sequence number, in the order of their sequence numbers. */
   readonly changedSince: (sequence: number) => ChangedRow[];
-  /** Whether a write has waited for the disk longer than a sound disk takes. */
+  /** Whether a write has been pending for longer than a healthy disk takes, or a write has failed. */
   readonly isSlow: () => boolean;
 }
 
@@ -77,7 +80,7 @@
 const compactionFactor = 3;
 const rowOverheadBytes = 256;
 
-/** Opens the storage on what was found; a disk without an identity is given one. */
+/** Opens the storage with the records found on the disk; a disk without an id is assigned one. */
 export function createReplicaStorage(world: World, options: ReplicaStorageOptions): ReplicaStorage {
   const rows = new Map<string, Row>();
   const histories = new Map<string, ChangeHistory>();
@@ -107,7 +110,7 @@
     }
   }
 
-  /** Gives those of the changes that were not known yet. */
+  /** Stores a row in memory; returns those of its changes that were not known before. */
   function applyRow(key: string, row: Row, changes: readonly AppliedChange[]): AppliedChange[] {
     sequence += 1;
     rows.set(key, row);
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -1,8 +1,8 @@
 /**
- * One replica of the control cluster: the rows on its disk and its vote in the cluster's rounds. A blank replica does not
- * vote: either all founders found the cluster together, or it copies from the others, first as a learner that no record
- * names, then once more what is newer after the membership record names its disk. Which slot it holds is stated in its
- * settings, or else the membership record tells.
+ * One replica of the control cluster: the rows on its disk, and its votes in the quorum rounds. A blank replica does
+ * not vote. It starts to vote either when all bootstrap members bootstrap the cluster together, or after it has copied
+ * from the others: first as a learner that no membership record names, then once more the newer rows after the record
+ * names its disk. Its slot is configured or else follows from the membership record.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { Address, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
@@ -32,30 +32,33 @@
 
 /** The settings of a replica. */
 export interface ReplicaOptions extends Omit<ReplicaStorageOptions, 'failed'> {
-  /** Undefined where the membership record alone says which slot this disk has, if any. */
+  /** Undefined if only the membership record determines which slot this disk has, if any. */
   readonly slot: number | undefined;
-  /** The slot it has when it founds a cluster, where no slot is stated. */
+  /** Its slot in a cluster that it bootstraps, if no slot is configured. */
   readonly bootstrapSlot?: number;
-  /** Whether it may begin a cluster. */
+  /** Whether it may bootstrap a cluster. */
   readonly mayBootstrap?: boolean;
   readonly self: Address;
-  /** The founders' addresses. */
+  /** Addresses of the bootstrap members. */
   readonly bootstrapMembers: readonly Address[];
-  /** The seeds of the first start, from which founders come whatever the settings name later; `core` where not given. */
+  /**
+   * The seeds of the first start. The bootstrap members come from these whatever the settings name later; defaults to
+   * `bootstrapMembers`.
+   */
   readonly initialSeeds?: readonly Address[];
-  /** With how many machines a cluster is founded where no seed holds state. */
+  /** How many machines bootstrap a cluster when no seed holds control state. */
   readonly bootstrapSize?: BootstrapSize;
-  /** Whether this process has opened its disk before, and so may have told others what it does not know any more. */
+  /** Whether this process has opened its disk before, and so may have told others what it no longer knows. */
   readonly reopened?: boolean;
-  /** Told whenever the state has changed. */
+  /** Called whenever the state has changed. */
   readonly onStateChange?: (state: ReplicaState) => void;
-  /** Told when a learner, which no membership record names yet, has copied enough to become a member. */
+  /** Called when a learner, which no membership record names yet, has copied enough to become a member. */
   readonly learned?: () => void;
 }
 
-/** A replica, as its node uses it. */
+/** One replica of the control cluster. */
 export interface Replica extends Acceptor {
-  /** -1 as long as it has none. */
+  /** -1 if it has no slot. */
   readonly slot: number;
   readonly diskId: () => string;
   readonly state: () => ReplicaState;
@@ -67,39 +70,42 @@
   readonly keys: () => string[];
   readonly history: (key: string) => ChangeHistory;
   readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
-  /** Whether its disk keeps what waits for it waiting. */
+  /** Whether a write to its disk is pending for too long or has failed. */
   readonly isSlow: () => boolean;
   readonly isLeaving: () => boolean;
   readonly leave: () => void;
-  /** Fenced, and a majority of those in the record that fenced it votes under it: nobody needs this copy. */
+  /**
+   * Whether it is fenced and a majority of the members in the record that fenced it votes: this copy is no longer
+   * needed.
+   */
   readonly isSuperseded: () => boolean;
-  /** Fenced, and the disk that took its slot was heard to vote lately. */
+  /** Whether it is fenced and the disk that took its slot has recently been heard to vote. */
   readonly isSuccessorVoting: () => boolean;
-  /** What it says of itself; a slim one is for those who have the same membership record. */
-  readonly hello: (slim?: boolean) => ReplicaHello;
-  /** Whether a hello comes from another cluster; it is then not to be heard. */
+  /** The hello of this replica; a brief one is for nodes that have the same membership record. */
+  readonly hello: (brief?: boolean) => ReplicaHello;
+  /** Whether a hello comes from another cluster and must be ignored. */
   readonly isFromOtherCluster: (hello: ReplicaHello) => boolean;
   readonly receiveHello: (hello: ReplicaHello) => void;
-  /** A machine among the founders' addresses has said that it holds no state and never will. */
+  /** Records that the machine at the address of a bootstrap member holds no control state and never will. */
   readonly markStateless: (address: Address) => void;
   readonly catchUp: CatchUp;
-  /** Founds a cluster of one, or goes on copying. */
+  /** Bootstraps a cluster of one, or continues to copy. */
   readonly tick: () => void;
-  /** Takes in who else has asked a seed that holds no state, or whom another candidate knows. */
+  /** Handles the candidates that a seed or another candidate knows. */
   readonly receiveCandidates: (message: MessageOf<'FoundingRoster' | 'FoundingView'>) => void;
-  /** What other candidates are to be told as long as there is no cluster. */
+  /** The message to send to other candidates; undefined once this replica knows a cluster. */
   readonly bootstrapView: DiscoveryBootstrap['greeting'];
-  /** Why this machine holds no replica yet; undefined once it knows a cluster. */
+  /** What this machine waits for before it holds a replica; undefined once it knows a cluster. */
   readonly waitsFor: () => BootstrapWait | undefined;
 }
 
 const voterFreshnessUs = 2_000_000;
-/** Only a founding writes the membership record under it; all later epochs are higher. */
+/** Epoch of the membership record that a bootstrap writes; all later epochs are higher. */
 const bootstrapEpoch = 1;
 const foreignClusterMessage =
-  'Most machines of the membership record on this disk belong to another cluster. The replica does not vote; bring the disk back to its cluster, or empty the data folder to let the machine join this one.';
+  'A majority of the machines in the membership record on this disk belong to another cluster. The replica does not vote; return the disk to its own cluster, or empty the data folder so that the machine joins this one.';
 
-/** Starts a replica on what its disk holds. */
+/** Starts a replica from the contents of its disk. */
 export function createReplica(world: World, options: ReplicaOptions): Replica {
   const storage = createReplicaStorage(world, { ...options, failed });
   const diskId = storage.diskId;
@@ -188,14 +194,20 @@
     fenceIfReplaced();
   }
 
-  /** Not written to the disk: a release that can read it, or the right machine, finds it as it was. */
-  function becomeUnusable(why: string): void {
+  /**
+   * This state is not written to disk, so that a release that can decode the record, or the right machine, finds the
+   * disk unchanged.
+   */
+  function becomeUnusable(reason: string): void {
     if (state === 'unusable') return;
-    world.log(2013, { why });
+    world.log(2013, { why: reason });
     state = 'unusable';
   }
 
-  /** A replica that hears another cluster at most of the addresses of its own record has come to the wrong place. */
+  /**
+   * A replica that hears another cluster at a majority of the addresses in its own record is connected to the wrong
+   * cluster.
+   */
   function isFromOtherCluster(hello: ReplicaHello): boolean {
     const known = membership.cluster;
     if (known === '' || hello.cluster === '' || hello.cluster === known) return false;
@@ -287,7 +299,7 @@
     if (!knowsNoCluster()) return undefined;
     const isSeed = (options.initialSeeds ?? options.bootstrapMembers).includes(options.self);
     if (!isSeed || options.mayBootstrap === false) return discoveryBootstrap.waitsFor();
-    return { why: 'founders not heard', machines: seedBootstrap.unheardMembers() };
+    return { why: 'bootstrap members not heard', machines: seedBootstrap.unheardMembers() };
   }
 
   function tick(): void {
@@ -299,7 +311,10 @@
     catchUp.tick();
   }
 
-  /** A founder's disk that lost power between the record and the state holds all that it has ever voted for: nothing. */
+  /**
+   * Whether this disk is that of a bootstrap member which lost power between writing the record and the state. It may
+   * vote at once, since it has not voted for anything yet.
+   */
   function isBootstrapMember(): boolean {
     const recordedMembers = membership.membershipEpoch === bootstrapEpoch ? membership.replicas.length : 0;
     return isMember() && storage.bootstrapDisks().length + recordedMembers > 0;
@@ -365,7 +380,7 @@
   };
 }
 
-/** The name of a cluster that these replicas found; each of them finds the same. */
-function clusterNameOf(founders: readonly ReplicaEntry[]): string {
-  return founders.map((founder) => founder.disk.slice(0, 8)).join('-');
+/** The name of a cluster with these bootstrap members; the same on all of them. */
+function clusterNameOf(members: readonly ReplicaEntry[]): string {
+  return members.map((member) => member.disk.slice(0, 8)).join('-');
 }
--- a/packages/control-state/src/router-leases.ts
+++ b/packages/control-state/src/router-leases.ts
@@ -1,9 +1,9 @@
 /**
  * Leases that routers hold on a key of the desired state, and the acknowledgements that wait for them. A change is
- * acknowledged only when, beyond the majority, every router whose lease may be live has applied it. Whoever is granted
- * a lease stands in a register, a key beside the desired state's, before the first grant; so a new leader knows whom its
- * predecessor may have granted one, and waits for each of these to apply the change, or for one whole lease after its
- * takeover.
+ * acknowledged only when a majority has stored it and every router whose lease may be valid has applied it. Before a
+ * router is granted its first lease, it is written to a register, which is a key beside the key of the desired state. A
+ * new leader therefore knows which routers its predecessor may have granted a lease, and waits until each of them has
+ * applied the change or a whole lease duration has passed since it became leader.
  */
 import { micros, type Address, type MessageOf } from '@tansypost/inner-protocol';
 import type { NodeContext } from './node-context.js';
@@ -13,13 +13,15 @@
 
 type Subscribe = MessageOf<'Subscribe'>;
 
-/** Grants leases to routers and holds acknowledgements until they govern. */
+/** Grants leases to routers and delays acknowledgements until the routers have applied the change. */
 export interface RouterLeases {
-  /** Grants what a follower asks for on behalf of its routers. */
+  /** Grants the leases that an agent requests on behalf of its routers. */
   readonly grant: (key: string, request: Subscribe) => void;
-  /** Calls back once a version governs at every router that may serve. */
+  /** Calls back once every router that may serve has applied a version. */
   readonly whenApplied: (key: string, version: number, done: () => void) => void;
-  /** Takes those out of the registers that can hold no lease any more, so that the next leader need not wait for them. */
+  /**
+   * Removes routers that can hold no lease any more from the registers, so that the next leader need not wait for them.
+   */
   readonly prune: () => void;
 }
 
@@ -30,7 +32,7 @@
 
 interface Register {
   readonly routers: Set<string>;
-  readonly readAt: number;
+  readonly requestedAt: number;
 }
 
 interface Acknowledgement {
@@ -41,9 +43,9 @@
 const clockSlackUs = 100_000;
 const recheckDelayUs = 100_000;
 
-/** Makes the leases of a node; `leaseLength` is in microseconds. */
-export function createRouterLeases(cluster: NodeContext, leaseDurationUs: number): RouterLeases {
-  const { world } = cluster;
+/** Creates the router leases of a node. */
+export function createRouterLeases(node: NodeContext, leaseDurationUs: number): RouterLeases {
+  const { world } = node;
   const leases = new Map<string, Map<string, RouterLease>>();
   const registers = new Map<string, Register>();
   const pendingAcknowledgements = new Map<string, Acknowledgement[]>();
@@ -71,7 +73,7 @@
     });
   }
 
-  /** Lets go of each acknowledgement whose version every live lease has applied. */
+  /** Sends the acknowledgements of versions that all routers with a valid lease have applied. */
   function acknowledge(key: string): void {
     const list = pendingAcknowledgements.get(key);
     if (list === undefined) return;
@@ -85,28 +87,28 @@
   }
 
   function isAppliedByAll(key: string, version: number): boolean {
-    const leader = cluster.leaderOf(key);
+    const leader = node.leaderOf(key);
     const now = world.now();
     const held = leasesOf(key);
     const applied = [...held.values()].every((lease) => lease.expires <= now || lease.applied >= version);
     if (!leader.isLeading() || !applied) return false;
     if (now >= earlierLeasesEnd(leader)) return true;
     const register = registers.get(key);
-    const known = register !== undefined && register.readAt >= leader.leadingSince();
+    const known = register !== undefined && register.requestedAt >= leader.leadingSince();
     return known && [...register.routers].every((router) => (held.get(router)?.applied ?? -1) >= version);
   }
 
-  /** When the last lease that an earlier leader may have granted has ended. */
+  /** When the last lease that an earlier leader may have granted expires. */
   function earlierLeasesEnd(leader: KeyLeader): number {
     return leader.leadingSince() + leaseDurationUs + clockSlackUs;
   }
 
   /**
-   * A lease is granted only for the version in force, and only after a majority has said, in a round begun after the
-   * asking, that this leader's epoch still holds.
+   * Grants a lease only for the current version, and only after a majority has confirmed this leader's epoch in a round
+   * that started after the request arrived.
    */
   function grant(key: string, request: Subscribe): void {
-    const leader = cluster.leaderOf(key);
+    const leader = node.leaderOf(key);
     leader.read((row) => {
       if (row !== undefined) grantFor(key, leader, row, request);
     });
@@ -115,7 +117,7 @@
   function grantFor(key: string, leader: KeyLeader, row: Row, request: Subscribe): void {
     const held = leasesOf(key);
     const register = registers.get(key);
-    const known = register !== undefined && register.readAt >= leader.leadingSince() ? register : undefined;
+    const known = register !== undefined && register.requestedAt >= leader.leadingSince() ? register : undefined;
     const unregistered: string[] = [];
     const grants: { router: string; asked: number; version: number }[] = [];
     for (const asked of request.tenures) {
@@ -135,25 +137,28 @@
     acknowledge(key);
   }
 
-  /** Brings the register up to date, then grants what waited for it. Who can hold no lease any more is dropped. */
+  /**
+   * Updates the register, dropping routers that can hold no lease any more, and then grants the request that waited for
+   * it.
+   */
   function updateRegister(key: string, leader: KeyLeader, unregistered: readonly string[], request?: Subscribe): void {
-    const askedAt = world.now();
+    const requestedAt = world.now();
     const held = leasesOf(key);
     let registered: string[] = [];
-    cluster.leaderOf(registerKey(key)).mutate({
+    node.leaderOf(registerKey(key)).mutate({
       apply: (value) => {
         const listed = decodeRegister(value);
-        const mustKeepAll = askedAt < earlierLeasesEnd(leader);
-        const kept = mustKeepAll ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > askedAt);
+        const mustKeepAll = requestedAt < earlierLeasesEnd(leader);
+        const kept = mustKeepAll ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > requestedAt);
         registered = [...new Set([...kept, ...unregistered])];
-        // Whoever is dropped must not be granted anything while the write is under way.
+        // A router that is dropped must not be granted a lease while the write is in progress.
         for (const router of listed) if (!registered.includes(router)) registers.get(key)?.routers.delete(router);
         return { value: encodeRegister(registered), result: '' };
       },
       done: (status) => {
         if (status !== 'done') return;
-        registers.set(key, { routers: new Set(registered), readAt: askedAt });
-        if (request !== undefined && leader.isLeading() && askedAt >= leader.leadingSince()) grant(key, request);
+        registers.set(key, { routers: new Set(registered), requestedAt });
+        if (request !== undefined && leader.isLeading() && requestedAt >= leader.leadingSince()) grant(key, request);
       },
     });
   }
@@ -161,8 +166,12 @@
   function prune(): void {
     const now = world.now();
     for (const [key, register] of registers) {
-      const leader = cluster.leaders().get(key);
-      if (leader?.isLeading() !== true || register.readAt < leader.leadingSince() || now < earlierLeasesEnd(leader))
+      const leader = node.leaders().get(key);
+      if (
+        leader?.isLeading() !== true ||
+        register.requestedAt < leader.leadingSince() ||
+        now < earlierLeasesEnd(leader)
+      )
         continue;
       const held = leasesOf(key);
       const someEnded = [...register.routers].some((router) => (held.get(router)?.expires ?? 0) <= now);
@@ -173,7 +182,7 @@
   return { grant, whenApplied, prune };
 }
 
-/** The key of the register that belongs to a key. */
+/** The key of the lease register that belongs to a key. */
 export function registerKey(key: string): string {
   return `tenures/${key}`;
 }
--- a/packages/control-state/src/seed-bootstrap.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -1,43 +1,43 @@
 /**
- * How a cluster begins: the blank replicas of its first machines write one and the same membership record once each of
- * them has heard all the others lately, so none can found a cluster without the rest. A machine among them that holds no
- * state says so and is not waited for; as it never holds any, all others come to the same founders.
+ * Bootstrap of a cluster by its configured seeds. Each blank replica writes the same membership record once it has
+ * recently heard from all the others, so none can bootstrap a cluster without the rest. A seed that holds no control
+ * state says so and is not waited for. Because it never holds any, all others arrive at the same bootstrap members.
  */
 import type { Address, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
 
 type ReplicaHello = MessageOf<'ReplicaHello'>;
 
-/** Who may found a cluster together. */
+/** Which machines may bootstrap a cluster together. */
 export interface SeedBootstrapOptions {
   readonly self: Address;
-  /** The addresses of the founders, this one among them. */
+  /** Addresses of the configured bootstrap members, including this one. */
   readonly members: readonly Address[];
-  /** Whether this replica may begin a cluster, or only follow others that do. */
+  /** Whether this replica may start a bootstrap; otherwise it only joins one that others have started. */
   readonly mayBootstrap: boolean;
   readonly diskId: () => string;
 }
 
-/** Decides when a cluster is founded. */
+/** Decides when the cluster is bootstrapped. */
 export interface SeedBootstrap {
-  /** Takes in what another replica says of itself; gives the members of the cluster once it is time to found it. */
+  /** Handles the hello of another replica; returns the members of the cluster once it may be bootstrapped. */
   readonly receiveHello: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
-  /** Takes in that the machine at a founder's address holds no state. */
+  /** Records that the machine at a bootstrap member's address holds no control state and never will. */
   readonly markStateless: (address: Address) => void;
-  /** The members of a cluster that has one founder only. */
+  /** The membership of a cluster whose only bootstrap member is this replica. */
   readonly soleMember: () => readonly ReplicaEntry[] | undefined;
-  /** The other founders that were not heard lately. */
+  /** The other bootstrap members that have not been heard from recently. */
   readonly unheardMembers: () => readonly Address[];
 }
 
 interface BlankPeer {
   readonly disk: string;
   readonly address: string;
-  readonly at: number;
+  readonly heardAt: number;
 }
 
 const helloFreshnessUs = 2_000_000;
 
-/** Makes the founding side of a blank replica. */
+/** Creates the seed bootstrap of a blank replica. */
 export function createSeedBootstrap(world: World, options: SeedBootstrapOptions): SeedBootstrap {
   const blankPeers = new Map<number, BlankPeer>();
   const statelessMembers = new Set<Address>();
@@ -48,14 +48,14 @@
 
   function receiveHello(hello: ReplicaHello, slot: number): readonly ReplicaEntry[] | undefined {
     if (hello.state === 'blank' && hello.slot >= 0)
-      blankPeers.set(hello.slot, { disk: hello.disk, address: hello.from, at: world.now() });
+      blankPeers.set(hello.slot, { disk: hello.disk, address: hello.from, heardAt: world.now() });
     else blankPeers.delete(hello.slot);
     const hasBootstrapped = hello.state === 'voting' && hello.membershipEpoch === 1;
     if (hasBootstrapped && hello.founders.includes(options.diskId())) return hello.replicas;
     return options.mayBootstrap && slot >= 0 ? membersOnceComplete(slot) : undefined;
   }
 
-  function isFresh({ at }: BlankPeer): boolean {
+  function isFresh({ heardAt: at }: BlankPeer): boolean {
     return world.now() - at < helloFreshnessUs;
   }
 
--- a/packages/control-state/src/serving-lease.ts
+++ b/packages/control-state/src/serving-lease.ts
@@ -1,10 +1,10 @@
 /**
- * Leases to hand out a key as current. A node holds one for a short time after a majority has confirmed, in a round
- * that it began at the time the lease counts from, that no majority can hold anything newer than what it hands out:
- * whatever was acknowledged before is on a majority, so one of those that answer shows it. What a node hands out under
- * a lease is therefore at most `leaseLength` behind the newest acknowledgement, and a newer value on a majority ends
- * the lease at its next renewal. The length counts by this node's own monotonic clock, from its asking, less a part
- * for clocks that run too slow.
+ * Serving leases: a node that holds the serving lease of a key may serve its newest committed row as current. The lease
+ * is granted when a majority has confirmed, in a round that this node started, that no majority can hold a newer row
+ * than the one it serves: every acknowledged write is on a majority, so at least one of the votes shows it. The lease
+ * is valid from the start of that round. A row served under a lease is therefore at most `servingLeaseUs` older than
+ * the newest acknowledged write, and a newer row on a majority ends the lease at its next renewal. The duration is
+ * measured by this node's monotonic clock, reduced by a margin for clocks that run slow.
  */
 import { micros, type Micros } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
@@ -12,25 +12,25 @@
 import type { CommittedRows } from './committed-rows.js';
 import { emptyRow, isNewer, type RowVersion } from './row.js';
 
-/** How far what is handed out under a lease may be behind, in microseconds. */
+/** Duration of a serving lease, and the maximum staleness of a row served under it. */
 export const servingLeaseUs = 1_000_000;
 
-/** By what part a clock may run slow, at the most. */
+/** Maximum fraction by which a clock may run slow. */
 export const maxClockDrift = 0.01;
 
 /** The serving leases of one node, by key. */
 export interface ServingLeases {
-  /** Keeps the lease of a key alive for as long as somebody asks for it. */
+  /** Renews the lease of a key for as long as it is requested. */
   readonly keepAlive: (key: string) => void;
-  /** Whether this node may hand out the key's newest committed row as current. */
+  /** Whether this node may serve the key's newest committed row as current. */
   readonly holds: (key: string) => boolean;
-  /** Begins the next renewals; to be called every `renewEvery`. */
+  /** Starts the next renewals; must be called every `renewalInterval`. */
   readonly renew: () => void;
 }
 
-/** How often leases are renewed. */
+/** Interval between renewals. */
 export const renewalInterval: Micros = micros(300_000);
-/** Above any epoch in use, so that every replica's confirmation counts whoever leads the key. */
+/** Above any epoch in use, so that the vote of every replica counts whichever node leads the key. */
 const epochAboveAll = 2 ** 52;
 const leaseRetentionUs = 10_000_000;
 const roundTimeoutUs = 500_000;
@@ -41,9 +41,9 @@
   renewing: boolean;
 }
 
-/** Makes the serving leases of a node; it holds none yet. */
-export function createServingLeases(cluster: NodeContext, committed: CommittedRows): ServingLeases {
-  const { world, replica, rounds } = cluster;
+/** Creates the serving leases of a node; it holds none yet. */
+export function createServingLeases(node: NodeContext, committed: CommittedRows): ServingLeases {
+  const { world, replica, rounds } = node;
   const leases = new Map<string, Lease>();
 
   function keepAlive(key: string): void {
--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -199,8 +199,8 @@
   removed(
     'followers are told only what is on a majority',
     committedRows,
-    'if (stamp !== undefined && stored.epoch === stamp.epoch && stored.version === stamp.version) written(key, stored);',
-    'if (stored.version > 0) written(key, stored);',
+    'if (stamp !== undefined && stored.epoch === stamp.epoch && stored.version === stamp.version) onWritten(key, stored);',
+    'if (stored.version > 0) onWritten(key, stored);',
   ),
   removed(
     'catching up keeps to the promises',
