--- a/packages/duty/src/candidate.ts
+++ b/packages/duty/src/candidate.ts
@@ -1,8 +1,10 @@
 /**
- * The candidate's side of the elections for a role (duty). While a role seems vacant, the candidate calls an
- * election after a short random wait, under an epoch above all it has seen. It counts its lease from before it
- * asked, and renews it several times within its duration. A holder asks `holds` directly before each order, so that
- * a process that was suspended finds its lease expired by the clock; the worker's fence stops what slips past that.
+ * The candidate in the leader elections of a singleton role (called a duty in messages, settings and logs). While the
+ * role seems vacant, the candidate calls an election after a short random delay, under an epoch above all that it has
+ * seen. Its lease counts from before it requested the votes, and it renews the lease several times within the lease
+ * duration. The leader must check `heldEpoch` immediately before each operation, so that a process that was suspended
+ * finds its lease expired by the clock. Operations that slip past this check are rejected by the worker, which checks
+ * the fencing token.
  */
 import {
   every,
@@ -15,54 +17,57 @@
   type World,
 } from '@tansypost/inner-protocol';
 
-/** The control cluster as a candidate knows it. */
+/** The control cluster as known to a candidate. */
 export interface VoterGroup {
   readonly membershipEpoch: number;
   readonly replicas: readonly ReplicaEntry[];
 }
 
-/** What a candidate is told when it is made. */
+/** Settings and callbacks of a candidate. */
 export interface CandidateOptions {
-  /** Name of the role. */
+  /** Name of the singleton role. */
   readonly role: string;
   readonly member: string;
   readonly self: Address;
-  /** A number below 64 that no other candidate has: it keeps the epochs of two candidates apart. */
+  /** A number below 64 that is unique among the candidates, so that two candidates never use the same epoch. */
   readonly slot: number;
   /** In microseconds; the same for all candidates and voters. */
   readonly leaseDuration: number;
-  /** Those whose votes count now. */
+  /** The replicas whose votes count now. */
   readonly replicas: () => VoterGroup;
-  /** Whether it wants the role now; a lease that is of no use is not renewed. */
+  /** Whether this member wants the role now; a lease that it does not need is not renewed. */
   readonly isWilling: () => boolean;
   readonly onElected: (epoch: number) => void;
   readonly onLeaseLost: () => void;
 }
 
-/** One member's candidacy for one role. */
+/** A candidate of one member for one role. */
 export interface Candidate {
-  /** The epoch under which this member holds the role, while it does. */
+  /** The epoch under which this member holds the role; undefined if it does not. */
   readonly heldEpoch: () => number | undefined;
-  /** The same, if it goes on holding the role for so long, in microseconds, whatever becomes of its next renewal. */
+  /** The same, or undefined if the lease expires within `spanUs` without a renewal. */
   readonly heldEpochFor: (spanUs: number) => number | undefined;
-  /** Who holds the role as far as is known. */
+  /** The current leader of the role, if known. */
   readonly leader: () => DutyMark | undefined;
-  /** Takes in a voter's answer. */
+  /** Handles a voter's answer. */
   readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
-  /** Takes in what others tell of a holder. */
+  /** Records a leader that other members have reported. */
   readonly observeLeader: (leader: DutyMark) => void;
   readonly stop: () => void;
 }
 
-/** Epochs come in blocks of this size, one number for each candidate's slot. */
+/** Epochs are allocated in blocks of this size, with one epoch for each candidate slot. */
 const epochsPerRound = 64;
-/** A candidate looks at the role this many times within one lease. */
+/** Number of checks of the role within one lease duration. */
 const checksPerLease = 6;
-/** Bounds of the wait between two elections of one candidate, in microseconds. */
+/** Minimum and random jitter of the delay between two elections of one candidate, in microseconds. */
 const retryDelayUs = { min: 500_000, jitter: 1_500_000 } as const;
-/** The longest time between two elections that a candidate calls, in microseconds; it looks a little later than it may. */
+/**
+ * Maximum time between two elections of one candidate, in microseconds. It is above the delay because the candidate
+ * checks the role periodically.
+ */
 const maxRetryDelayUs = 3_000_000;
-/** A holder that only a voter told of is believed for so long, as it may be gone: in microseconds. */
+/** How long a leader that is known only from a voter is assumed to exist, in microseconds, since it may be gone. */
 const secondHandLeaderTimeoutUs = 700_000;
 
 interface Election {
@@ -71,20 +76,20 @@
   readonly epoch: number;
   /** Slots of the replicas that granted their vote. */
   readonly granted: Set<number>;
-  /** Who has the vote of the replicas that refused theirs, by slot. */
+  /** The member that holds the vote of each replica that refused, by slot. */
   readonly refusedInFavorOf: Map<number, string>;
   decided: boolean;
-  /** Whether it was looked at how the votes were split. */
+  /** Whether the split of the votes has been examined. */
   splitExamined: boolean;
 }
 
 interface CandidateState {
   highestEpochSeen: number;
-  /** Of the lease that is or was held. */
+  /** Epoch of the current or last lease. */
   epoch: number;
   leaseUntil: number;
   isHolding: boolean;
-  /** Another member that holds the role, and when that was last known to be so. */
+  /** Another member that leads the role, and when that was last known to be true. */
   knownLeader: DutyMark | undefined;
   leaderKnownAt: number;
   election: Election | undefined;
@@ -92,7 +97,7 @@
   nextElectionAt: number;
 }
 
-/** Makes a candidate, which begins to look at the role at once. */
+/** Creates a candidate, which starts checking the role at once. */
 export function createCandidate(world: World, options: CandidateOptions): Candidate {
   const state: CandidateState = {
     highestEpochSeen: 0,
@@ -135,7 +140,7 @@
   return world.now() - state.leaderKnownAt < options.leaseDuration ? state.knownLeader : undefined;
 }
 
-/** Renews the lease that is held, or calls an election where the role seems vacant. */
+/** Renews a held lease, or calls an election if the role seems vacant. */
 function check(state: CandidateState, world: World, options: CandidateOptions): void {
   if (heldEpoch(state, world, options) !== undefined) {
     if (options.isWilling()) callElection(state, world, options, state.epoch);
@@ -149,8 +154,9 @@
 }
 
 /**
- * After an election that nobody won, the candidates with fewer votes let them lapse, and leave the one with most the time
- * to ask for them. Otherwise each would keep its own by asking again within their lease, and none would have a majority.
+ * After an election without a winner, the candidates with fewer votes stop asking until their votes expire, which gives
+ * the candidate with the most votes time to win the others. Otherwise each candidate would keep its votes by asking
+ * again within their lease, and none would reach a majority.
  */
 function yieldsToRival(state: CandidateState, world: World, options: CandidateOptions): boolean {
   const { election } = state;
@@ -162,7 +168,7 @@
   return world.now() < state.nextElectionAt;
 }
 
-/** Whether another has more votes, though no majority; between equals the name decides. */
+/** Whether another candidate has more votes, though no majority; ties are broken by member name. */
 function isBehind(election: Election, options: CandidateOptions): boolean {
   const votes = new Map<string, number>();
   for (const holder of election.refusedInFavorOf.values()) votes.set(holder, (votes.get(holder) ?? 0) + 1);
@@ -231,7 +237,7 @@
     election.refusedInFavorOf.set(answer.slot, answer.holder);
 }
 
-/** The lease counts from before the votes were asked for, so it ends before any voter's own time for it. */
+/** The lease counts from before the votes were requested, so that it expires before any voter's record of it. */
 function acquireLease(state: CandidateState, world: World, options: CandidateOptions, election: Election): void {
   const until = election.calledAt + options.leaseDuration;
   if (world.now() >= until) return;
--- a/packages/duty/src/voter.ts
+++ b/packages/duty/src/voter.ts
@@ -1,22 +1,23 @@
 /**
- * The voter's side of the elections for a role (duty), one beside each replica of the control state. A voter grants
- * its vote to one candidate at a time, for one lease. The epoch of a role is on disk before a vote is given; who
- * holds it is not, so a voter that starts, or that has just begun to vote, refuses for one whole lease.
+ * The voter in the leader elections of singleton roles, one beside each replica of the control state. A voter grants
+ * its vote for a role to one candidate at a time, for one lease duration. The epoch of a role is on disk before the
+ * vote is sent. Who holds the vote is not stored, so a voter that has started or has just become a voting replica
+ * refuses all requests for one whole lease duration.
  */
 import type { MessageOf, World } from '@tansypost/inner-protocol';
 
-/** Keeps the highest epoch voted for, by role, on disk. */
+/** Stores the highest epoch voted for, by role, on disk. */
 export interface EpochStore {
   readonly epoch: (duty: string) => number;
-  /** Calls `done` when the epoch is synced to disk (true) or could not be (false). */
+  /** Calls `done` when the epoch is synced to disk (true) or the write has failed (false). */
   readonly save: (duty: string, epoch: number, done: (synced: boolean) => void) => void;
 }
 
-/** What a voter is told when it is made. */
+/** Settings and dependencies of a voter. */
 export interface VoterOptions {
   readonly slot: () => number;
   readonly diskId: () => string;
-  /** Whether the replica beside it votes now, and since when, in microseconds. */
+  /** Whether the replica beside it is voting, and since when, in microseconds. */
   readonly isVoting: () => boolean;
   readonly votingSince: () => number;
   readonly membershipEpoch: () => number;
@@ -25,21 +26,21 @@
   readonly store: EpochStore;
 }
 
-/** Answers candidates. */
+/** Answers the vote requests of candidates. */
 export interface Voter {
   readonly requestVote: (ballot: MessageOf<'Ballot'>, answer: (vote: MessageOf<'BallotVote'>) => void) => void;
 }
 
-/** The vote that a voter has given for one role. */
+/** The vote granted for one role. */
 interface GrantedVote {
   readonly holder: string;
   readonly address: string;
   readonly epoch: number;
-  /** Infinite until its epoch is on disk. */
+  /** When the grant expires; Infinity until its epoch is on disk. */
   until: number;
 }
 
-/** Makes a voter that has granted nothing yet. */
+/** Creates a voter that has granted no vote yet. */
 export function createVoter(world: World, options: VoterOptions): Voter {
   const grantedVotes = new Map<string, GrantedVote>();
 
@@ -71,9 +72,9 @@
 }
 
 /**
- * Whether the vote is granted to someone other than this candidate. Who has the vote may take it again under a higher
- * epoch: voters whose grants ended one after the other have granted it under different ones, and none of these has
- * a majority.
+ * Whether the vote is granted to another candidate. A candidate that holds the vote may renew it under a higher epoch:
+ * voters whose grants expired at different times may have granted it under different epochs, none of which has a
+ * majority.
  */
 function isGrantedToOther(current: GrantedVote | undefined, ballot: MessageOf<'Ballot'>): boolean {
   return current !== undefined && (current.holder !== ballot.candidate || current.address !== ballot.from);
