--- a/packages/pass-through/src/admission-attempts.test.ts
+++ b/packages/pass-through/src/admission-attempts.test.ts
@@ -1,33 +1,33 @@
 /** A request between two of its attempts when the route table begins to ask for keys, or when its key is taken away. */
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Micros } from '@tansypost/inner-protocol';
-import { digestOfKey, type PathTable, type Tenant } from '@tansypost/paths';
+import { digestOfKey, type RouteTable, type Tenant } from '@tansypost/paths';
 import { createCourse } from './course.js';
 import type { Incoming } from './incoming.js';
 import type { Reply, RunResult, RunSink } from './ports.js';
 
 const second = 1_000_000;
 
-function tableOf(revision: number, tenants: readonly Tenant[] | undefined): PathTable {
+function tableOf(revision: number, tenants: readonly Tenant[] | undefined): RouteTable {
   const path = {
     name: 'p',
     host: 'h',
     prefix: '/',
-    budget: 8 * second,
-    aim: 0.8 * second,
-    pause: 300_000,
-    rank: 0,
+    timeout: 8 * second,
+    targetLatency: 0.8 * second,
+    maxEventGap: 300_000,
+    priority: 0,
     streaming: true,
-    repeatable: false,
+    idempotent: false,
     resumable: true,
-    sends: 3,
-    shares: [{ service: 's', weight: 1 }],
+    maxAttempts: 3,
+    weightedServices: [{ service: 's', weight: 1 }],
   };
-  const service = { name: 's', vitalsPath: '/', connections: 10, slots: 8, tokenBytes: 1000, linkMbps: 10_000 };
-  const limits = { headBytes: 1, bodyBytes: 1, headTime: 1, idleTime: 1 };
-  return { revision, paths: [path], services: [service], limits, tenants } as unknown as PathTable;
+  const service = { name: 's', healthPath: '/', maxConnections: 10, slots: 8, kvBytesPerToken: 1000, linkMbps: 10_000 };
+  const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
+  return { revision, routes: [path], services: [service], limits, tenants } as unknown as RouteTable;
 }
-const holder: Tenant = { name: 'acme', keyDigests: [digestOfKey('k')], rank: undefined };
+const holder: Tenant = { name: 'acme', keyDigests: [digestOfKey('k')], priority: undefined };
 const request: Incoming = {
   id: 'q',
   method: 'POST',
--- a/packages/pass-through/src/admission.test.ts
+++ b/packages/pass-through/src/admission.test.ts
@@ -1,11 +1,11 @@
 /** Who may have requests run, and what workers are told of the sender. */
 import { expect, it } from 'vitest';
-import { digestOfKey, type Path, type Tenant } from '@tansypost/paths';
+import { digestOfKey, type Route, type Tenant } from '@tansypost/paths';
 import { createAdmission } from './admission.js';
 import type { Incoming } from './incoming.js';
 
-const path = { name: 'chat', rank: 1 } as Path;
-const publicPath: Path = { ...path, public: true };
+const path = { name: 'chat', priority: 1 } as Route;
+const publicPath: Route = { ...path, public: true };
 
 function request(key?: string): Incoming {
   const keyDigest = key === undefined ? undefined : digestOfKey(key);
@@ -13,7 +13,7 @@
   return incoming as Incoming;
 }
 function tenant(name: string, keys: string[], rank?: number): Tenant {
-  return { name, keyDigests: keys.map(digestOfKey), rank };
+  return { name, keyDigests: keys.map(digestOfKey), priority: rank };
 }
 
 it('passes credentials on where the table has no tenants', () => {
@@ -27,7 +27,7 @@
   const first = admission.admit(request('k2'), path);
   expect(first?.request.tenant).toBe('a');
   expect(first?.request.credentials).toBeUndefined();
-  expect(first?.path.rank).toBe(0);
+  expect(first?.path.priority).toBe(0);
   expect(admission.admit(request('k3'), path)?.path).toBe(path);
 });
 
--- a/packages/pass-through/src/admission.ts
+++ b/packages/pass-through/src/admission.ts
@@ -3,13 +3,13 @@
  * is public; its key is withheld from workers, which are told the tenant instead. Where the table has none, credentials
  * are heads like any other.
  */
-import { createTenantDirectory, type Path, type Tenant, type TenantDirectory } from '@tansypost/paths';
+import { createTenantDirectory, type Route, type Tenant, type TenantDirectory } from '@tansypost/paths';
 import type { Incoming } from './incoming.js';
 
 /** A request as it is given to workers, and its route with the priority that counts. */
 export interface Admitted {
   readonly request: Incoming;
-  readonly path: Path;
+  readonly path: Route;
 }
 
 /** Admits requests by the newest tenants. */
@@ -17,7 +17,7 @@
   /** Takes the tenants of a new route table; undefined where it asks for no keys. */
   readonly replace: (tenants: readonly Tenant[] | undefined) => void;
   /** The request as workers get it; undefined where it may not be run. */
-  readonly admit: (request: Incoming, path: Path) => Admitted | undefined;
+  readonly admit: (request: Incoming, path: Route) => Admitted | undefined;
 }
 
 /** An admission that asks for no keys until it is told of tenants. */
@@ -32,17 +32,17 @@
     return request.keyDigest === undefined ? undefined : directory?.find(request.keyDigest);
   }
 
-  function admit(request: Incoming, path: Path): Admitted | undefined {
+  function admit(request: Incoming, path: Route): Admitted | undefined {
     if (directory === undefined) return { request, path };
     const tenant = tenantOf(request);
     if (tenant === undefined && path.public !== true) return undefined;
     const withheld = { ...request, credentials: undefined, tenant: tenant?.name };
-    return { request: withheld, path: withRank(path, tenant?.rank) };
+    return { request: withheld, path: withRank(path, tenant?.priority) };
   }
 
   return { replace, admit };
 }
 
-function withRank(path: Path, rank: number | undefined): Path {
-  return rank === undefined || rank === path.rank ? path : { ...path, rank };
+function withRank(path: Route, rank: number | undefined): Route {
+  return rank === undefined || rank === path.priority ? path : { ...path, priority: rank };
 }
--- a/packages/pass-through/src/attempt-timing.ts
+++ b/packages/pass-through/src/attempt-timing.ts
@@ -50,7 +50,7 @@
 }
 
 function promptLeast(inFlight: InFlightRequest, pair: Pair, expected: number): number {
-  const least = isShort(pair) ? promptPatience.leastShort : inFlight.path.aim;
+  const least = isShort(pair) ? promptPatience.leastShort : inFlight.path.targetLatency;
   return atLeast({ least, times: promptPatience.times }, expected);
 }
 
@@ -59,7 +59,7 @@
  * to read says how long it can wait, and what cannot be in time any more goes last, as it loses nothing by it.
  */
 function urgencyOf(context: CourseContext, inFlight: InFlightRequest, pair: Pair): number {
-  const { aim } = inFlight.path;
+  const { targetLatency: aim } = inFlight.path;
   const slack = inFlight.arrived + aim - context.world.now() - pair.serviceTime;
   if (isShort(pair)) return urgencies.short;
   if (slack < 0) return urgencies.late;
@@ -116,5 +116,5 @@
 
 /** The pause after which a stream counts as silent. */
 export function longestPause(inFlight: InFlightRequest): number {
-  return atLeast(pauseSilence, inFlight.path.pause);
+  return atLeast(pauseSilence, inFlight.path.maxEventGap);
 }
--- a/packages/pass-through/src/course.test.ts
+++ b/packages/pass-through/src/course.test.ts
@@ -5,7 +5,7 @@
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
 import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
-import type { Path, PathTable } from '@tansypost/paths';
+import type { Route, RouteTable } from '@tansypost/paths';
 import type { pairDefaults } from './assign-pair.js';
 import { createCourse, type Course } from './course.js';
 import type { Incoming } from './incoming.js';
@@ -62,29 +62,29 @@
     leaving: false,
   }));
 }
-function tableOf(over: Partial<Path>): PathTable {
+function tableOf(over: Partial<Route>): RouteTable {
   return {
     revision: 1,
-    paths: [
+    routes: [
       {
         name: 'p',
         host: 'h',
         prefix: '/',
-        budget: limit,
-        aim,
-        pause: 300_000,
-        rank: 0,
+        timeout: limit,
+        targetLatency: aim,
+        maxEventGap: 300_000,
+        priority: 0,
         streaming: true,
-        repeatable: false,
+        idempotent: false,
         resumable: true,
-        sends: 2,
-        shares: [{ service: 's', weight: 1 }],
+        maxAttempts: 2,
+        weightedServices: [{ service: 's', weight: 1 }],
         ...over,
       },
     ],
-    services: [{ name: 's', vitalsPath: '/', connections: 10, slots: 8, tokenBytes: 1000, linkMbps: 10_000 }],
-    limits: { headBytes: 1, bodyBytes: 1, headTime: 1, idleTime: 1 },
-  } as unknown as PathTable;
+    services: [{ name: 's', healthPath: '/', maxConnections: 10, slots: 8, kvBytesPerToken: 1000, linkMbps: 10_000 }],
+    limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
+  } as unknown as RouteTable;
 }
 const incoming: Incoming = {
   id: 'q',
@@ -111,7 +111,7 @@
   readonly load?: (id: string) => Partial<ToldLoad>;
   readonly request?: Partial<Incoming>;
   readonly pair?: Partial<typeof pairDefaults>;
-  readonly path?: Partial<Path>;
+  readonly path?: Partial<Route>;
   readonly always?: number;
   readonly readers?: number;
   readonly runners?: number;
@@ -227,7 +227,10 @@
 it('counts the wait for a starting router within the time that the route allows', async () => {
   const budget = second;
   const pathsAt = 0.1 * second;
-  const x = await play({ read: readAt, run: (_a, gone) => never(gone) }, { pathsAt, path: { budget, sends: 1 } });
+  const x = await play(
+    { read: readAt, run: (_a, gone) => never(gone) },
+    { pathsAt, path: { timeout: budget, maxAttempts: 1 } },
+  );
   expect(x.attempts.map((a) => a.from)).toEqual([pathsAt, pathsAt]);
   expect(x.attempts.map((a) => a.left)).toEqual([budget - pathsAt, budget - pathsAt]);
   expect(x.ended).toMatchObject({ at: budget, how: { kind: 'budget_spent', ran: 'maybe' } });
@@ -245,7 +248,7 @@
   const refused = { kind: 'not_ready', ran: 'no', retryAfter: 1.2 };
   const noWorkers = await play({ read: readAt, run: wholeRun }, { workersAt: second });
   expect(noWorkers.ended).toMatchObject({ at: aim / 5, how: refused });
-  const later = { path: { aim: 2 * aim }, pathsAt: aim / 8, workersAt: second };
+  const later = { path: { targetLatency: 2 * aim }, pathsAt: aim / 8, workersAt: second };
   const late = await play({ read: readAt, run: wholeRun }, later);
   expect(late.ended).toMatchObject({ at: (2 * aim) / 5, how: refused });
   const noPaths = await play({ read: readAt, run: wholeRun }, { pathsAt: second });
@@ -268,17 +271,17 @@
 
 it('asks another reader after a lost read only where that read and the run stay within the most sends', async () => {
   for (const sends of [2, 3]) {
-    const x = await play({ read: firstRead(lostRead), run: wholeRun }, { path: { sends } });
+    const x = await play({ read: firstRead(lostRead), run: wholeRun }, { path: { maxAttempts: sends } });
     expect([x.ended?.how, x.ended?.at, kinds(x)]).toEqual(['whole', 0, 'read unknown, read read, run whole']);
   }
   for (const first of [lostRead, refusedRead]) {
-    const x = await play({ read: firstRead(first), run: wholeRun }, { path: { sends: 1 } });
+    const x = await play({ read: firstRead(first), run: wholeRun }, { path: { maxAttempts: 1 } });
     expect([x.ended?.how, x.ended?.at, kinds(x)]).toEqual(['whole', 0, `read ${first.tag}, run whole`]);
   }
 });
 
 it('reads at most twice for a request, and sends no more after reads and a run than the most sends', async () => {
-  const lost = await play({ read: () => Promise.resolve(lostRead), run: wholeRun }, { path: { sends: 4 } });
+  const lost = await play({ read: () => Promise.resolve(lostRead), run: wholeRun }, { path: { maxAttempts: 4 } });
   expect([lost.ended?.how, kinds(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
   const none = await play({ read: firstRead(lostRead), run: () => Promise.resolve({ tag: 'unknown', why: '' }) });
   expect([kinds(none), none.ended?.how]).toEqual([
@@ -307,7 +310,7 @@
   const x = await play(script(), {
     request,
     load: busyRunners,
-    path: { sends: 1, repeatable: false, resumable: false },
+    path: { maxAttempts: 1, idempotent: false, resumable: false },
   });
   expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read unknown, run whole']);
   expect(x.ended!.at).toBeLessThanOrEqual(0.6 * aim);
@@ -374,7 +377,7 @@
 
 it('asks the worker again whose connection broke in a run, since it has the prompt, and then another', async () => {
   for (const broken of [brokenMidway, brokenUnanswered]) {
-    const x = await play({ read: readAt, run: inTurn(broken, broken, wholeRun) }, { path: { sends: 3 } });
+    const x = await play({ read: readAt, run: inTurn(broken, broken, wholeRun) }, { path: { maxAttempts: 3 } });
     expect([x.ended?.how, x.ended?.at]).toEqual(['whole', 0]);
     const [first, second, third] = runnersOf(x);
     expect([second, third === first]).toEqual([first, false]);
@@ -385,7 +388,7 @@
   const request = { tenant: 'acme' };
   const twice = await play(
     { read: readAt, run: inTurn(brokenMidway, brokenMidway, wholeRun) },
-    { request, path: { sends: 3 } },
+    { request, path: { maxAttempts: 3 } },
   );
   expect([twice.ended?.how, runnersOf(twice).length, twice.begunFor]).toEqual(['whole', 3, ['acme']]);
   const late = await play({ read: readAt, run: inTurn(brokenUnanswered, wholeRun) }, { request });
@@ -408,14 +411,14 @@
   const others = /^runner[12]$/;
   const full = { load: (id: string) => (others.test(id) ? { queued: 9 } : {}) };
   const silent = { load: (id: string) => (others.test(id) ? { silent: true } : {}) };
-  for (const setting of [{ runners: 1 }, { always: 0 }, { path: { sends: 1 } }, full, silent]) {
+  for (const setting of [{ runners: 1 }, { always: 0 }, { path: { maxAttempts: 1 } }, full, silent]) {
     const x = await play({ read: readAt, run: silentMidwayFirst() }, setting);
     expect([kinds(x), x.ended?.how, x.ended?.at]).toEqual(['read read, run unknown', 'cut', limit]);
   }
 });
 
 it('waits for an answer that has begun and may be repeated, but not be resumed', async () => {
-  const path = { repeatable: true, resumable: false };
+  const path = { idempotent: true, resumable: false };
   const begun = await play({ read: readAt, run: silentMidwayFirst() }, { path });
   expect([kinds(begun), begun.ended?.how, begun.ended?.at]).toEqual(['read read, run unknown', 'cut', limit]);
   const unbegun = await play({ read: readAt, run: firstSilent<RunResult>(wholeRun) }, { path });
@@ -423,7 +426,7 @@
 });
 
 it('answers at once when the time has run out in a read, promises that nothing ran, and begins no run', async () => {
-  const x = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { always: 0, path: { budget: second } });
+  const x = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { always: 0, path: { timeout: second } });
   expect(x.attempts.map((a) => a.kind)).toEqual(['read']);
   expect(x.ended).toMatchObject({ at: second, how: { kind: 'budget_spent', ran: 'no', retryAfter: 0.3 } });
 });
@@ -444,7 +447,7 @@
   await fc.assert(
     fc.asyncProperty(
       fc.array(outcomes, { minLength: 8, maxLength: 8 }),
-      fc.record({ resumable: fc.boolean(), sends: fc.integer({ min: 1, max: 4 }) }),
+      fc.record({ resumable: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }) }),
       fc.constantFrom(0, 50),
       async (drawn, path, always) => {
         let turn = 0;
@@ -483,9 +486,9 @@
         for (const a of x.attempts) expect(a.left).toBeGreaterThan(0);
         const runs = x.attempts.filter((a) => a.kind === 'run' && a.result !== 'unsent');
         const mayHaveRun = runs.filter((a) => a.result !== 'refused');
-        expect(runs.length).toBeLessThanOrEqual(path.sends);
+        expect(runs.length).toBeLessThanOrEqual(path.maxAttempts);
         const reads = x.attempts.filter((a) => a.kind === 'read' && a.result !== 'unsent');
-        if (reads.length > 1) expect(reads.length + runs.length).toBeLessThanOrEqual(path.sends + 1);
+        if (reads.length > 1) expect(reads.length + runs.length).toBeLessThanOrEqual(path.maxAttempts + 1);
         if (!path.resumable) expect(mayHaveRun.length).toBeLessThanOrEqual(1);
         if (typeof how === 'object') {
           if (mayHaveRun.length > 0) expect(how.ran).toBe('maybe');
@@ -502,9 +505,9 @@
 
 it('gives up on what has not begun when the router is about to end, with the promise only where nothing ran', async () => {
   const leavesAt = 0.3 * second;
-  const unread = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { leavesAt, path: { sends: 1 } });
+  const unread = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { leavesAt, path: { maxAttempts: 1 } });
   expect(unread.ended).toMatchObject({ at: leavesAt, how: { kind: 'budget_spent', ran: 'no', retryAfter: 0.3 } });
-  const running = await play({ read: readAt, run: (_a, gone) => never(gone) }, { leavesAt, path: { sends: 1 } });
+  const running = await play({ read: readAt, run: (_a, gone) => never(gone) }, { leavesAt, path: { maxAttempts: 1 } });
   expect(running.ended).toMatchObject({ at: leavesAt, how: { kind: 'budget_spent', ran: 'maybe' } });
   expect(running.attempts.map((a) => a.kind)).toEqual(['read', 'run']);
 });
@@ -549,7 +552,7 @@
       },
     },
   );
-  course.paths(tableOf({ repeatable: true, sends: 3 }));
+  course.paths(tableOf({ idempotent: true, maxAttempts: 3 }));
   course.workers(fleetOf(3, 3));
   const requester = new AbortController();
   const served = course.serve(incoming, unheard, requester.signal);
@@ -587,7 +590,7 @@
   const weights = { a: 70, b: 25, c: 5 };
   const shares = Object.entries(weights).map(([service, weight]) => ({ service, weight }));
   const services = shares.map(({ service }) => ({ ...table.services[0]!, name: service }));
-  course.paths({ ...table, paths: table.paths.map((path) => ({ ...path, shares })), services });
+  course.paths({ ...table, routes: table.routes.map((path) => ({ ...path, weightedServices: shares })), services });
   course.workers(workers);
   for (let i = 0; i < 2000; i += 1) await course.serve(incoming, unheard, new AbortController().signal);
   for (const [service, weight] of Object.entries(weights))
--- a/packages/pass-through/src/course.ts
+++ b/packages/pass-through/src/course.ts
@@ -4,7 +4,7 @@
  * are passed in.
  */
 import type { World } from '@tansypost/inner-protocol';
-import { createMatcher, type Matcher, type Path, type PathTable, type Service } from '@tansypost/paths';
+import { createRouteMatcher, type RouteMatcher, type Route, type RouteTable, type Service } from '@tansypost/paths';
 import type { Admitted } from './admission.js';
 import { runAttempts } from './attempt-loop.js';
 import {
@@ -55,7 +55,7 @@
 /** Serves requests, and takes in what the router is told of routes, workers and loads. */
 export interface Course {
   readonly serve: (request: Incoming, reply: Reply, gone: AbortSignal) => Promise<void>;
-  readonly paths: (table: PathTable) => void;
+  readonly paths: (table: RouteTable) => void;
   readonly workers: (list: readonly FleetWorker[]) => void;
   readonly told: (worker: string, load: ToldLoad) => void;
   readonly elsewhere: (worker: string, service: number, bad: boolean) => void;
@@ -68,19 +68,19 @@
 
 /** The routes and services of the newest table. */
 interface Routes {
-  readonly matcher: Matcher;
+  readonly matcher: RouteMatcher;
   readonly services: ReadonlyMap<string, Service>;
 }
 
 /** A service of the path, drawn by weight. */
-function pickService(path: Path, services: ReadonlyMap<string, Service>, random: () => number): Service | undefined {
-  const whole = path.shares.reduce((sum, share) => sum + share.weight, 0);
+function pickService(path: Route, services: ReadonlyMap<string, Service>, random: () => number): Service | undefined {
+  const whole = path.weightedServices.reduce((sum, share) => sum + share.weight, 0);
   let at = random() * whole;
-  for (const share of path.shares) {
+  for (const share of path.weightedServices) {
     at -= share.weight;
     if (at < 0) return services.get(share.service);
   }
-  return services.get(path.shares.find((share) => share.weight > 0)?.service ?? '');
+  return services.get(path.weightedServices.find((share) => share.weight > 0)?.service ?? '');
 }
 
 function answered(inFlight: InFlightRequest, now: number): Answered {
@@ -133,9 +133,9 @@
   }
   const readiness = createReadiness(world, ready);
 
-  function paths(table: PathTable): void {
+  function paths(table: RouteTable): void {
     const services = new Map(table.services.map((service) => [service.name, service]));
-    routes = { matcher: createMatcher(table), services };
+    routes = { matcher: createRouteMatcher(table), services };
     context.admission.replace(table.tenants);
     changed();
   }
@@ -151,13 +151,13 @@
     if (routes !== undefined && listed !== undefined) decodeWatch.look(routes.services.keys(), listed);
   }
 
-  function routeOf(request: Incoming): Path | undefined {
+  function routeOf(request: Incoming): Route | undefined {
     return routes?.matcher.find(request.host, request.target);
   }
 
   async function serveArrived(request: Incoming, reply: Reply, gone: AbortSignal): Promise<void> {
     const arrived = world.now();
-    await readiness.wait(arrived, request.patience, () => routeOf(request)?.aim);
+    await readiness.wait(arrived, request.patience, () => routeOf(request)?.targetLatency);
     if (gone.aborted) return void context.count('requester left');
     if (routes === undefined) return giveUp(context, reply, routesUnknown);
     const path = routeOf(request);
--- a/packages/pass-through/src/in-flight-request.ts
+++ b/packages/pass-through/src/in-flight-request.ts
@@ -1,5 +1,5 @@
 /** One request under way: what it asks for and what has been tried for it. */
-import type { Path, Service } from '@tansypost/paths';
+import type { Route, Service } from '@tansypost/paths';
 import type { EventCutter } from './events.js';
 import type { Incoming } from './incoming.js';
 import type { GiveUp, Lot, Reply, RunResult } from './ports.js';
@@ -13,7 +13,7 @@
 export interface RequestFacts {
   /** As it came. */
   readonly received: Incoming;
-  readonly path: Path;
+  readonly path: Route;
   readonly service: Service;
   readonly reply: Reply;
   /** Aborted when the requester has left. */
@@ -65,7 +65,7 @@
 export function createInFlightRequest(facts: RequestFacts & Pick<InFlightRequest, 'request'>): InFlightRequest {
   return {
     ...facts,
-    limit: facts.arrived + Math.min(facts.request.patience, facts.path.budget),
+    limit: facts.arrived + Math.min(facts.request.patience, facts.path.timeout),
     abortAttempt: undefined,
     sends: 0,
     ran: 'no',
@@ -91,15 +91,15 @@
 
 /** Whether one more worker may be asked to read: that and the run after it count among those a request may go to. */
 export function mayReadAgain(inFlight: InFlightRequest): boolean {
-  return inFlight.reads < mostReads && inFlight.sends + 2 <= inFlight.path.sends;
+  return inFlight.reads < mostReads && inFlight.sends + 2 <= inFlight.path.maxAttempts;
 }
 
 /** Whether another worker may run it or go on with it, though the present one has it. */
 export function mayMove(inFlight: InFlightRequest): boolean {
-  return inFlight.path.resumable || (inFlight.path.repeatable && !inFlight.begun);
+  return inFlight.path.resumable || (inFlight.path.idempotent && !inFlight.begun);
 }
 
 /** Whether it may still go to one more worker. */
 export function hasSendLeft(inFlight: InFlightRequest): boolean {
-  return inFlight.sends < inFlight.path.sends;
+  return inFlight.sends < inFlight.path.maxAttempts;
 }
--- a/packages/pass-through/src/loss-events.ts
+++ b/packages/pass-through/src/loss-events.ts
@@ -30,8 +30,8 @@
   if (refusal !== undefined) return refusal.ran === 'no' ? 'refused' : 'given up';
   if (!whole) return gone.aborted ? 'requester left' : inFlight.begun ? 'cut' : 'worker failed';
   const answeredAt = path.streaming ? firstAt : now;
-  if (answeredAt - arrived > path.aim) return 'late first piece';
-  return path.pause > 0 && timeline.longestPause > path.pause ? 'late later piece' : 'in time';
+  if (answeredAt - arrived > path.targetLatency) return 'late first piece';
+  return path.maxEventGap > 0 && timeline.longestPause > path.maxEventGap ? 'late later piece' : 'in time';
 }
 
 function milliseconds(micros: number): number {
@@ -62,7 +62,7 @@
     shared: sharedTokens(inFlight),
     firstMs: pieces === 0 ? -1 : milliseconds(firstAt - arrived),
     endMs: milliseconds(now - arrived),
-    aimMs: milliseconds(path.aim),
+    aimMs: milliseconds(path.targetLatency),
     parts: spent(timeline.parts),
     reads,
     sends,
--- a/packages/pass-through/src/pair-choice.ts
+++ b/packages/pass-through/src/pair-choice.ts
@@ -20,8 +20,8 @@
     zone: options.zone,
     regionOf: options.regionOf,
     ...(ports.workers.warm === undefined ? {} : { warm: ports.workers.warm }),
-    aim: inFlight.path.aim,
-    tokenBytes: inFlight.service.tokenBytes,
+    aim: inFlight.path.targetLatency,
+    tokenBytes: inFlight.service.kvBytesPerToken,
     linkMbps: inFlight.service.linkMbps,
     placement,
   };
--- a/packages/paths/src/index.ts
+++ b/packages/paths/src/index.ts
@@ -1,4 +1,4 @@
-export * from './path-table.js';
-export * from './match.js';
-export * from './faults.js';
+export * from './route-table.js';
+export * from './route-matcher.js';
+export * from './validate-route-table.js';
 export * from './tenants.js';
--- a/packages/paths/src/tenants.test.ts
+++ b/packages/paths/src/tenants.test.ts
@@ -1,9 +1,9 @@
 /** Tenants are told apart by their keys, and nothing that is said of them holds a key. */
 import { expect, it } from 'vitest';
-import { createTenantDirectory, digestOfKey, faultsOfTenants, type Tenant } from './tenants.js';
+import { createTenantDirectory, digestOfKey, validateTenants, type Tenant } from './tenants.js';
 
 function tenant(name: string, ...keys: string[]): Tenant {
-  return { name, keyDigests: keys.map(digestOfKey), rank: undefined };
+  return { name, keyDigests: keys.map(digestOfKey), priority: undefined };
 }
 
 it('finds the tenant of each of its keys, and nobody for others', () => {
@@ -17,8 +17,8 @@
 });
 
 it('finds shared keys and repeated names, and lets a tenant have no key, or one twice', () => {
-  expect(faultsOfTenants([tenant('a', 'k1', 'k1'), tenant('b'), tenant('c')])).toEqual([]);
-  const shared = faultsOfTenants([tenant('a', 'secret'), tenant('b', 'k', 'secret')]);
+  expect(validateTenants([tenant('a', 'k1', 'k1'), tenant('b'), tenant('c')])).toEqual([]);
+  const shared = validateTenants([tenant('a', 'secret'), tenant('b', 'k', 'secret')]);
   expect(shared).toEqual(['The tenants a and b share a key; give each its own.']);
-  expect(faultsOfTenants([tenant('a', 'k1'), tenant('a', 'k2')])).toHaveLength(1);
+  expect(validateTenants([tenant('a', 'k1'), tenant('a', 'k2')])).toHaveLength(1);
 });
--- a/packages/paths/src/tenants.ts
+++ b/packages/paths/src/tenants.ts
@@ -13,7 +13,7 @@
   readonly name: string;
   readonly keyDigests: readonly KeyDigest[];
   /** Goes before the priority of a route; undefined where the route's counts. */
-  readonly rank: number | undefined;
+  readonly priority: number | undefined;
 }
 
 /** Finds the tenant that holds a key. */
@@ -36,7 +36,7 @@
 }
 
 /** What is wrong with a list of tenants, as sentences for its author that name no key. */
-export function faultsOfTenants(tenants: readonly Tenant[]): string[] {
+export function validateTenants(tenants: readonly Tenant[]): string[] {
   const faults: string[] = [];
   const names = new Set<string>();
   const holders = new Map<KeyDigest, string>();
--- a/packages/scaling/src/scale-duty.test.ts
+++ b/packages/scaling/src/scale-duty.test.ts
@@ -16,7 +16,7 @@
 async function scene() {
   const clock = createVirtualClock();
   const duty = createScaleDuty(clock.world, {
-    services: () => [{ name: 's', scaling: { least: 2, most: 9, bootTime: 8_000_000 } }],
+    services: () => [{ name: 's', scaling: { minWorkers: 2, maxWorkers: 9, bootTime: 8_000_000 } }],
     view: () => ({ workers: [0, 1, 2, 3].map(worker), listAge: 0, loads: new Map() }),
   });
   await clock.runTo(5_000_000);
--- a/packages/scaling/src/scale-planner.test.ts
+++ b/packages/scaling/src/scale-planner.test.ts
@@ -2,7 +2,7 @@
 import { expect, it } from 'vitest';
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import { micros } from '@tansypost/inner-protocol';
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import { createScalePlanner, readScaleOrder, scaleSubject, type ScaledService } from './index.js';
 
 /** A zone as it is seen: its workers, and the load that their reports show; without a load none of them reports. */
@@ -15,7 +15,7 @@
 
 const second = 1_000_000;
 const slots = 10;
-const terms: ScalingTerms = { least: 4, most: 40, bootTime: 4 * second };
+const terms: ScalingBounds = { minWorkers: 4, maxWorkers: 40, bootTime: 4 * second };
 const calm: Seen = everywhere(20, 0.75);
 
 function everywhere(workers: number, load?: number): Seen {
@@ -129,7 +129,7 @@
   const idle = holder();
   idle.go(400, () => everywhere(Math.min(20, idle.ordered('west') ?? 20), 0.01));
   expect(idle.ordered('west')).toBe(4);
-  idle.settings.service = { name: 's', scaling: { ...terms, least: 9 } };
+  idle.settings.service = { name: 's', scaling: { ...terms, minWorkers: 9 } };
   idle.go(2, everywhere(4, 0.01));
   expect(idle.ordered('west')).toBe(9);
 });
@@ -169,7 +169,7 @@
 });
 
 it('gives no worker up of a zone whose load grows, low as it still is', () => {
-  const h = holder({ name: 's', scaling: { ...terms, most: 200 } });
+  const h = holder({ name: 's', scaling: { ...terms, maxWorkers: 200 } });
   h.go(5, everywhere(100, 0.02));
   const numbers = h.go(11.5, (t) => everywhere(100, 0.02 + 0.07 * t)).map((order) => Number(order.split(' ')[1]));
   expect(numbers.filter((number) => number < 100)).toEqual([]);
--- a/packages/scaling/src/scale-planner.ts
+++ b/packages/scaling/src/scale-planner.ts
@@ -4,7 +4,7 @@
  * what a planner remembers itself is only the recent load, and it gives up no worker before it has seen enough of that.
  */
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import { createLoadHistory, type LoadHistory } from './load-history.js';
 import { plannedOrder, scaleSubject, type PlannedOrder } from './scale-order.js';
 import {
@@ -22,7 +22,7 @@
 /** A service of the configuration in force. */
 export interface ScaledService {
   readonly name: string;
-  readonly scaling?: ScalingTerms | undefined;
+  readonly scaling?: ScalingBounds | undefined;
 }
 
 /** What a control node sees at one moment. */
@@ -64,7 +64,7 @@
 
 interface ServiceState {
   readonly name: string;
-  terms: ScalingTerms;
+  terms: ScalingBounds;
   windows: ScalingWindows;
   /** Demand over all zones; higher than real where workers do not report. */
   total: LoadHistory;
@@ -126,7 +126,7 @@
   }
 }
 
-function newService(name: string, terms: ScalingTerms): ServiceState {
+function newService(name: string, terms: ScalingBounds): ServiceState {
   const windows = scalingWindows(terms);
   return { name, terms, windows, total: newHistory(windows), zones: new Map(), shortAt: -Infinity };
 }
--- a/packages/scaling/src/wanted-workers.ts
+++ b/packages/scaling/src/wanted-workers.ts
@@ -3,7 +3,7 @@
  * worker takes to boot; down by small steps, after demand has been low for several boot times. The gap between the two
  * loads keeps a number that was just reached from being left again.
  */
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import type { DemandPeak } from './load-history.js';
 
 /** What follows from the boot time; microseconds. */
@@ -42,7 +42,7 @@
 const bootsPerCalm = 3;
 
 /** The windows of a service. */
-export function scalingWindows({ bootTime }: ScalingTerms): ScalingWindows {
+export function scalingWindows({ bootTime }: ScalingBounds): ScalingWindows {
   const boot = Math.max(bootTime, shortestBoot);
   const [shortest, longest] = sustainBounds;
   return {
@@ -54,7 +54,7 @@
 }
 
 /** The number within the bounds of the service. */
-export function withinBounds(workers: number, { least, most }: ScalingTerms): number {
+export function withinBounds(workers: number, { minWorkers: least, maxWorkers: most }: ScalingBounds): number {
   return Math.min(most, Math.max(least, workers));
 }
 
--- a/packages/simulator/src/pass-through/passed-checks.ts
+++ b/packages/simulator/src/pass-through/passed-checks.ts
@@ -3,7 +3,7 @@
  * operators and the list have seen. Rules bounded by a time hold for routers in touch: calm themselves, and with a
  * settled core, for three seconds. The first breach of a kind is told with the count of all.
  */
-import type { Path, PathTable } from '@tansypost/paths';
+import type { Route, RouteTable } from '@tansypost/paths';
 import { hostOf } from './paths-drawn.js';
 import type { PassedDeployment } from './passed-deployment.js';
 import type { PassedHistory, TrySeen } from './passed-history.js';
@@ -128,7 +128,7 @@
   }
 
   // Documents.
-  const tables = new Map<string, PathTable>();
+  const tables = new Map<string, RouteTable>();
   for (const c of h.changes) {
     const t = tableOf(c.text);
     if (t !== undefined) tables.set(c.text, t);
@@ -183,7 +183,7 @@
       breach('not ready', `${t.router} knew no paths at ${s(t.end!)}`);
 
   // Which documents may have governed a try.
-  function mayGovern(t: TrySeen, until: number): PathTable[] {
+  function mayGovern(t: TrySeen, until: number): RouteTable[] {
     const read = t.readAt ?? t.at;
     const touch = calm(t.router, read) && settled(read);
     const least = touch ? Math.max(0, ...taken.filter((c) => c.answeredAt! <= read - apply).map((c) => c.revision)) : 0;
@@ -191,14 +191,14 @@
       .filter((c) => c.valid && c.answer !== 'refused' && c.revision >= least && c.at <= until)
       .map((c) => tables.get(c.text)!);
   }
-  function pathsOf(t: TrySeen, until: number): (Path | undefined)[] {
-    return mayGovern(t, until).map((table) => table.paths.find((p) => p.host === hostOf(t.kind)));
+  function pathsOf(t: TrySeen, until: number): (Route | undefined)[] {
+    return mayGovern(t, until).map((table) => table.routes.find((p) => p.host === hostOf(t.kind)));
   }
   for (const r of h.runs) {
     const t = tries.get(r.request);
     if (
       t !== undefined &&
-      !pathsOf(t, r.at).some((p) => p?.shares.some((x) => x.service === r.service && x.weight > 0))
+      !pathsOf(t, r.at).some((p) => p?.weightedServices.some((x) => x.service === r.service && x.weight > 0))
     )
       breach('path', `${r.request} (${t.kind}) ran at service ${r.service} at ${s(r.at)}`);
   }
@@ -304,8 +304,8 @@
   }
   const kinds = new Map<string, Set<string>>();
   for (const c of h.changes.filter((x) => x.valid && x.answer !== 'refused'))
-    for (const p of tableOf(c.text)?.paths ?? [])
-      for (const x of p.shares) kinds.set(x.service, (kinds.get(x.service) ?? new Set()).add(p.host));
+    for (const p of tableOf(c.text)?.routes ?? [])
+      for (const x of p.weightedServices) kinds.set(x.service, (kinds.get(x.service) ?? new Set()).add(p.host));
   const out: string[] = [];
   for (const [service, xs] of extras) {
     const asked = h.tries.filter((t) => kinds.get(service)?.has(hostOf(t.kind)) === true).map((t) => t.at);
--- a/packages/simulator/src/pass-through/paths-drawn.ts
+++ b/packages/simulator/src/pass-through/paths-drawn.ts
@@ -2,7 +2,7 @@
  * Documents of a drawn day: each new one moves or splits a path, adds or drops one, or changes a budget. Invalid ones
  * have one of the faults that an operator may make.
  */
-import type { Path, PathTable, Service, Tenant } from '@tansypost/paths';
+import type { Route, RouteTable, Service, Tenant } from '@tansypost/paths';
 import { usualEngine, type EngineShape } from './engine-shape.js';
 import { asideService, mainService, type PassedDeployment } from './passed-deployment.js';
 
@@ -24,12 +24,12 @@
   revision: number,
   random: () => number,
   tenants?: readonly Tenant[],
-): PathTable {
+): RouteTable {
   const move = revision === 1 ? 0 : random();
   const dropped = revision > 1 && random() < 0.4;
   const paths = d.kinds
     .filter((k) => k.name !== droppedKind || !dropped)
-    .map((k): Path => {
+    .map((k): Route => {
       const shares =
         k.service !== undefined
           ? [{ service: k.service, weight: 1 }]
@@ -45,31 +45,31 @@
         name: k.name,
         host: hostOf(k.name),
         prefix: prefixOf(k.name),
-        budget: k.budget + (random() < 0.3 ? 500_000 : 0),
-        aim: k.aim,
-        pause: k.pause,
-        rank: k.rank,
+        timeout: k.budget + (random() < 0.3 ? 500_000 : 0),
+        targetLatency: k.aim,
+        maxEventGap: k.pause,
+        priority: k.rank,
         streaming: k.streaming,
-        repeatable: k.repeatable,
+        idempotent: k.repeatable,
         resumable: k.resumable,
-        sends: k.sends,
-        shares,
+        maxAttempts: k.sends,
+        weightedServices: shares,
         ...(k.public === true ? { public: true } : {}),
       };
     });
   function serviceOf(name: string, engine: EngineShape): Service {
     const { slots, kvTokens, tokenBytes, linkMbps } = engine;
-    const usual = { vitalsPath: '/health', connections: 360, handleTtl: 5_000_000, switchTime: 1_800_000 };
-    return { name, slots, kvTokens, tokenBytes, linkMbps, ...usual };
+    const usual = { healthPath: '/health', maxConnections: 360, handleTtl: 5_000_000, stageSwitchTime: 1_800_000 };
+    return { name, slots, kvCapacityTokens: kvTokens, kvBytesPerToken: tokenBytes, linkMbps, ...usual };
   }
   return {
     revision,
-    paths,
+    routes: paths,
     services: d.services?.map((each) => serviceOf(each.name, each.engine)) ?? [
       serviceOf(mainService, usualEngine(d.kvTokens)),
       serviceOf(asideService, usualEngine(d.kvTokens)),
     ],
-    limits: { headBytes: 16_384, bodyBytes: 4_194_304, headTime: 3_000_000, idleTime: 15_000_000 },
+    limits: { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeout: 3_000_000, idleTimeout: 15_000_000 },
     ...(tenants === undefined ? {} : { tenants }),
   };
 }
@@ -82,12 +82,12 @@
   tenants?: readonly Tenant[],
 ): string {
   const t = drawTable(d, base + 1, random, tenants);
-  const p = t.paths[0]!;
+  const p = t.routes[0]!;
   const wrong: readonly object[] = [
-    { ...t, paths: [{ ...p, shares: [{ service: 'nowhere', weight: 1 }] }, ...t.paths.slice(1)] },
-    { ...t, paths: [...t.paths, { ...p, name: 'twice' }] },
-    { ...t, paths: [{ ...p, shares: [{ service: mainService, weight: 0 }] }, ...t.paths.slice(1)] },
-    { ...t, paths: [{ ...p, budget: 0 }, ...t.paths.slice(1)] },
+    { ...t, routes: [{ ...p, weightedServices: [{ service: 'nowhere', weight: 1 }] }, ...t.routes.slice(1)] },
+    { ...t, routes: [...t.routes, { ...p, name: 'twice' }] },
+    { ...t, routes: [{ ...p, weightedServices: [{ service: mainService, weight: 0 }] }, ...t.routes.slice(1)] },
+    { ...t, routes: [{ ...p, timeout: 0 }, ...t.routes.slice(1)] },
     { ...t, revision: base },
     ...(tenants === undefined ? [] : [{ ...t, tenants: sharingKey(tenants) }]),
   ];
--- a/packages/simulator/src/pass-through/spoiled-tenants.ts
+++ b/packages/simulator/src/pass-through/spoiled-tenants.ts
@@ -1,10 +1,10 @@
 /** Ways in which a router may go wrong about tenants, for days that are to show that a check sees it. */
 import type { Incoming, WorkerPort } from '@tansypost/pass-through';
-import type { PathTable, Tenant } from '@tansypost/paths';
+import type { RouteTable, Tenant } from '@tansypost/paths';
 import type { Spoil } from './spoil.js';
 
 /** The document as a spoiled router takes it; `before` are those that it took earlier in its life. */
-export function spoiledTable(spoil: Spoil | undefined, table: PathTable, before: readonly PathTable[]): PathTable {
+export function spoiledTable(spoil: Spoil | undefined, table: RouteTable, before: readonly RouteTable[]): RouteTable {
   if (spoil === 'keys-unchecked') return { ...table, tenants: undefined };
   const first = before[0]?.tenants;
   if (first === undefined || table.tenants === undefined) return table;
--- a/packages/simulator/src/pass-through/submit.ts
+++ b/packages/simulator/src/pass-through/submit.ts
@@ -4,7 +4,7 @@
  */
 import { createHash } from 'node:crypto';
 import { configurationKey, type CoreAnswer, type CoreQuestion } from '@tansypost/control-feed';
-import { faultsOf, type PathTable } from '@tansypost/paths';
+import { validateRouteTable, type RouteTable } from '@tansypost/paths';
 
 export type SubmitAnswer = 'taken' | 'refused' | 'not now';
 export interface SubmitOptions {
@@ -15,9 +15,9 @@
 }
 const patience = 850_000;
 
-export function tableOf(text: string): PathTable | undefined {
+export function tableOf(text: string): RouteTable | undefined {
   try {
-    return JSON.parse(text) as PathTable;
+    return JSON.parse(text) as RouteTable;
   } catch {
     return undefined;
   }
@@ -26,7 +26,7 @@
 export async function submit(o: SubmitOptions, text: string, base: number): Promise<SubmitAnswer> {
   const limit = o.now() + patience;
   const t = tableOf(text);
-  if (t === undefined || (o.blind !== true && faultsOf(t).length > 0)) return 'refused';
+  if (t === undefined || (o.blind !== true && validateRouteTable(t).length > 0)) return 'refused';
   const change = createHash('sha256').update(text).digest('hex').slice(0, 24);
   const key = configurationKey;
   for (let n = 0; n < 4; n += 1) {
--- a/packages/simulator/src/pass-through/tenant-checks.ts
+++ b/packages/simulator/src/pass-through/tenant-checks.ts
@@ -3,29 +3,29 @@
  * with a key that was never given out or was taken away, one is refused though its key is sound, or a tenant is left
  * unserved. `mayGovern` gives the documents that may have governed a try until a moment.
  */
-import type { Path, PathTable, Tenant } from '@tansypost/paths';
+import type { Route, RouteTable, Tenant } from '@tansypost/paths';
 import { hostOf } from './paths-drawn.js';
 import type { PassedBreach } from './passed-checks.js';
 import type { ArrivalSeen, PassedHistory, RunSeen, TrySeen } from './passed-history.js';
 import { tableOf } from './submit.js';
 
-export type MayGovern = (t: TrySeen, until: number) => readonly PathTable[];
+export type MayGovern = (t: TrySeen, until: number) => readonly RouteTable[];
 
 /** A tenant with fewer requests than this is not looked at. */
 const leastRequests = 20;
 /** A tenant may be served so many times less often than all. */
 const mostBehind = 4;
 
-function pathIn(table: PathTable, t: TrySeen): Path | undefined {
-  return table.paths.find((path) => path.host === hostOf(t.kind));
+function pathIn(table: RouteTable, t: TrySeen): Route | undefined {
+  return table.routes.find((path) => path.host === hostOf(t.kind));
 }
-function holderIn(table: PathTable, t: TrySeen): Tenant | undefined {
+function holderIn(table: RouteTable, t: TrySeen): Tenant | undefined {
   const { keyDigest } = t;
   return keyDigest === undefined ? undefined : table.tenants?.find((x) => x.keyDigests.includes(keyDigest));
 }
 
 /** Whether the table has its path and, where that asks for one, its key. */
-function allows(table: PathTable, t: TrySeen): boolean {
+function allows(table: RouteTable, t: TrySeen): boolean {
   const path = pathIn(table, t);
   if (path === undefined) return false;
   return table.tenants === undefined || path.public === true || holderIn(table, t) !== undefined;
@@ -43,7 +43,12 @@
   return { rule: 'wrong tenant', what: `${where}: as ${a.tenant ?? 'nobody'}, not ${holders.join(' or ')}` };
 }
 
-function runBreach(r: RunSeen, t: TrySeen, mayGovern: MayGovern, sent: readonly PathTable[]): PassedBreach | undefined {
+function runBreach(
+  r: RunSeen,
+  t: TrySeen,
+  mayGovern: MayGovern,
+  sent: readonly RouteTable[],
+): PassedBreach | undefined {
   const tables = mayGovern(t, r.at);
   if (tables.some((table) => allows(table, t)) || tables.every((table) => pathIn(table, t) === undefined))
     return undefined;
@@ -78,7 +83,7 @@
   const sent = h.changes
     .filter((c) => c.valid && c.answer !== 'refused')
     .map((c) => ({ at: c.at, table: tableOf(c.text) }))
-    .filter((x): x is { at: number; table: PathTable } => x.table !== undefined);
+    .filter((x): x is { at: number; table: RouteTable } => x.table !== undefined);
   const out: (PassedBreach | undefined)[] = [];
   for (const a of h.arrivals) {
     const t = tries.get(a.request);
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -71,7 +71,7 @@
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
   const table = configuration === undefined ? undefined : tableOf(configuration.toString());
-  return (table?.services ?? []).map((service) => ({ name: service.name, switchTime }));
+  return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: switchTime }));
 }
 
 export function createVirtualCore(g: Ground, workers: VirtualWorkers, options: VirtualCoreOptions): VirtualCore {
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -22,7 +22,7 @@
   type WorkerPort,
 } from '@tansypost/pass-through';
 import { placementDefaults } from '@tansypost/placement';
-import { faultsOf, type PathTable } from '@tansypost/paths';
+import { validateRouteTable, type RouteTable } from '@tansypost/paths';
 import { createProc, die, into, procWorld, wake, type Proc } from '../process.js';
 import type { Ground } from './ground.js';
 import type { TrySeen } from './passed-history.js';
@@ -212,7 +212,7 @@
       end: left,
     });
     const known = new Map<string, FleetWorker>();
-    const taken: PathTable[] = [];
+    const taken: RouteTable[] = [];
     const seeds = core.seeds(machine);
     const feed = createControlFeed(w, {
       self,
@@ -226,7 +226,7 @@
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
           const t = tableOf(text);
-          if (t === undefined || (g.spoil !== 'invalid-let-through' && faultsOf(t).length > 0))
+          if (t === undefined || (g.spoil !== 'invalid-let-through' && validateRouteTable(t).length > 0))
             return void h.unforeseen.push('a document that cannot govern');
           if (g.spoil === 'news-withheld' && name === 'r1' && t.revision > 1) return;
           h.applied.push({ at: e.now(), router: name, life: mine, revision: t.revision, text });
--- a/packages/simulator/src/pass-through/virtual-tenants.ts
+++ b/packages/simulator/src/pass-through/virtual-tenants.ts
@@ -137,7 +137,7 @@
   }
 
   return {
-    wanted: () => states.map(({ name, rank, keys }) => ({ name, rank, keyDigests: keys.map(digestOfKey) })),
+    wanted: () => states.map(({ name, rank, keys }) => ({ name, priority: rank, keyDigests: keys.map(digestOfKey) })),
     change,
     press: (share) => {
       pressing = share;
--- a/packages/simulator/src/scaling/scaling-weighed.ts
+++ b/packages/simulator/src/scaling/scaling-weighed.ts
@@ -71,7 +71,7 @@
   const record = new Map<string, number>();
   const { least, most, bootTime } = shape;
   const planner = createScalePlanner({
-    services: () => [{ name: 's', scaling: { least, most, bootTime: bootTime * 1_000_000 } }],
+    services: () => [{ name: 's', scaling: { minWorkers: least, maxWorkers: most, bootTime: bootTime * 1_000_000 } }],
     ordered: (subject) => record.get(subject),
     loads: thresholds,
   });
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -142,7 +142,7 @@
       member: name,
       controlNode: () => (alive.has(node) ? controlNode : undefined),
       workers: listed,
-      services: () => scene.served.map((service) => ({ name: service, switchTime })),
+      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime: switchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
       workerOrders: {
         report: async ({ id }) => {
--- a/packages/worker-stages/src/decode-recovery.ts
+++ b/packages/worker-stages/src/decode-recovery.ts
@@ -20,7 +20,7 @@
 export interface ServedService {
   readonly name: string;
   /** How long a worker takes to change its stage, in microseconds. */
-  readonly switchTime: number;
+  readonly stageSwitchTime: number;
 }
 
 /** What the recovery is told when it is made. Times are microseconds. */
@@ -117,7 +117,7 @@
 }
 
 function longestSwitch(options: DecodeRecoveryOptions): number {
-  return Math.max(0, ...options.services().map((service) => service.switchTime));
+  return Math.max(0, ...options.services().map((service) => service.stageSwitchTime));
 }
 
 /** Looks at the needs again and again, and takes one step at a time where one is due. */
