--- a/packages/decision-report/src/read-losses.ts
+++ b/packages/decision-report/src/read-losses.ts
@@ -4,10 +4,10 @@
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { UnusableReport } from '@tansypost/inner-protocol';
-import type { LossEvent } from '@tansypost/pass-through';
+import type { RequestLogFields } from '@tansypost/pass-through';
 
 /** One request that did not end in time. */
-export interface Loss extends LossEvent {
+export interface Loss extends RequestLogFields {
   /** Seconds from the start of traffic, or by the router's clock where the log has no other. */
   readonly second: number;
   readonly router: string;
@@ -27,13 +27,13 @@
 const microsPerSecond = 1_000_000;
 const mostDamaged = 3;
 
-function isLossEvent(value: unknown): value is LossEvent {
+function isLossEvent(value: unknown): value is RequestLogFields {
   if (typeof value !== 'object' || value === null) return false;
-  const { path, outcome, cause, prompt } = value as Partial<LossEvent>;
+  const { path, outcome, cause, prompt } = value as Partial<RequestLogFields>;
   return [path, outcome, cause].every((text) => typeof text === 'string') && typeof prompt === 'number';
 }
 
-function fieldsOf(json: string): LossEvent | undefined {
+function fieldsOf(json: string): RequestLogFields | undefined {
   try {
     const fields: unknown = JSON.parse(json);
     return isLossEvent(fields) ? fields : undefined;
--- a/packages/learning/src/router-learning.ts
+++ b/packages/learning/src/router-learning.ts
@@ -5,7 +5,7 @@
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { micros, type Address, type ArmCount, type NewsItem, type World } from '@tansypost/inner-protocol';
-import type { Answered, Lot } from '@tansypost/pass-through';
+import type { CompletedRequest, CohortAssignment } from '@tansypost/pass-through';
 import { batchSize, decodeModel, scoreAll, width, type Model, type Sample } from '@tansypost/placement';
 import {
   armOf,
@@ -33,7 +33,7 @@
   readonly take: (n: NewsItem) => void;
   readonly version: () => number;
   readonly sample: (row: Float32Array, firstTime: number) => void;
-  readonly lot: (request: string) => Lot;
+  readonly lot: (request: string) => CohortAssignment;
   readonly figures: () => Record<string, unknown>;
 }
 const flushAfter = 5_000_000;
@@ -146,7 +146,7 @@
   }
 
   // A router that lacks the model takes no part, in either arm, so that what is missing favours neither.
-  function lot(request: string): Lot {
+  function lot(request: string): CohortAssignment {
     const run = record.running;
     const s = run?.subject.type === 'model' ? run.subject : undefined;
     const live = record.live === undefined ? undefined : models.get(record.live.hash);
@@ -154,26 +154,26 @@
     const rehearsed = s === undefined ? undefined : models.get(s.model.hash);
     const ready =
       rehearsed !== undefined && (run!.state !== 'watched' || record.before === undefined || before !== undefined);
-    if (run === undefined || !ready) return { model: live, ended: () => undefined };
+    if (run === undefined || !ready) return { model: live, completed: () => undefined };
     const rehearsal = armsOf(run);
     const arm = armOf(rehearsal, request, run.slice);
     // While a model that went live is watched, the control stays with the one before.
     const control = run.state === 'watched' ? before : live;
     return {
       model: arm === 'slice' ? rehearsed : arm === 'control' ? control : live,
-      ended: (x) => {
+      completed: (x) => {
         if (arm !== 'none' && x.end !== 'left') count(rehearsal, arm, x);
       },
     };
   }
 
-  function count(rehearsal: string, arm: string, x: Answered): void {
-    const k = `${rehearsal}/${arm}/${x.path}`;
+  function count(rehearsal: string, arm: string, x: CompletedRequest): void {
+    const k = `${rehearsal}/${arm}/${x.route}`;
     const whole = x.end === 'whole';
     // From arrival, with the waiting here; whoever failed has waited its whole patience.
-    const l = Math.log(Math.max(1, whole ? x.first : x.patience));
-    const t = whole && x.perPiece !== undefined ? Math.log(Math.max(1, x.perPiece)) : undefined;
-    const counts = { ...(arms.get(k) ?? { rehearsal, ...emptyCounts(arm, x.path) }) };
+    const l = Math.log(Math.max(1, whole ? x.timeToFirstChunk : x.timeout));
+    const t = whole && x.timePerChunk !== undefined ? Math.log(Math.max(1, x.timePerChunk)) : undefined;
+    const counts = { ...(arms.get(k) ?? { rehearsal, ...emptyCounts(arm, x.route) }) };
     countAnswer(counts, { failed: !whole, logTtft: l, logTokenTime: t });
     arms.set(k, counts);
     for (const old of arms.keys()) if (arms.size > armsKept && !old.startsWith(rehearsal)) arms.delete(old);
--- a/packages/pass-through/src/admission-attempts.test.ts
+++ b/packages/pass-through/src/admission-attempts.test.ts
@@ -2,9 +2,9 @@
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Micros } from '@tansypost/inner-protocol';
 import { digestOfKey, type RouteTable, type Tenant } from '@tansypost/paths';
-import { createCourse } from './course.js';
-import type { Incoming } from './incoming.js';
-import type { Reply, RunResult, RunSink } from './ports.js';
+import { createRequestHandler } from './course.js';
+import type { IncomingRequest } from './incoming.js';
+import type { ResponseWriter, RunResult, ResponseSink } from './ports.js';
 
 const second = 1_000_000;
 
@@ -28,48 +28,52 @@
   return { revision, routes: [path], services: [service], limits, tenants } as unknown as RouteTable;
 }
 const holder: Tenant = { name: 'acme', keyDigests: [digestOfKey('k')], priority: undefined };
-const request: Incoming = {
+const request: IncomingRequest = {
   id: 'q',
   method: 'POST',
   target: '/x',
   host: 'h',
-  head: [],
-  credentials: ['Authorization', 'Bearer k'],
+  headers: [],
+  credentialHeaders: ['Authorization', 'Bearer k'],
   keyDigest: digestOfKey('k'),
   body: Buffer.from('x'),
   promptTokens: 400,
-  answerTokens: 10,
-  parts: [],
-  patience: 8 * second,
-  lastEvent: undefined,
+  maxOutputTokens: 10,
+  promptSegments: [],
+  timeout: 8 * second,
+  lastEventId: undefined,
 };
 
 /** What workers are given when the table changes during the first run. */
 async function sent(
   before: readonly Tenant[] | undefined,
   after: readonly Tenant[] | undefined,
-  first: (sink: RunSink) => RunResult,
-): Promise<Incoming[]> {
+  first: (sink: ResponseSink) => RunResult,
+): Promise<IncomingRequest[]> {
   const { world, runUntil } = createVirtualClock();
-  const seen: Incoming[] = [];
-  const course = createCourse(
+  const seen: IncomingRequest[] = [];
+  const course = createRequestHandler(
     world,
-    { zone: 'z', regionOf: () => 'r', budget: { share: 0.2, always: 50, window: 10 * second, routers: () => 1 } },
+    {
+      zone: 'z',
+      regionOf: () => 'r',
+      retryBudget: { ratio: 0.2, slack: 50, window: 10 * second, routerCount: () => 1 },
+    },
     {
       workers: {
-        read: async () => ({ tag: 'unsent', why: '' }),
+        prefill: async () => ({ tag: 'unsent', reason: '' }),
         run: async (_worker, given, _terms, sink) => {
           seen.push(given);
           if (seen.length > 1) return { tag: 'whole' };
-          course.paths(tableOf(2, after));
+          course.updateRoutes(tableOf(2, after));
           return first(sink);
         },
-        free: () => undefined,
+        freeKv: () => undefined,
       },
     },
   );
-  course.paths(tableOf(1, before));
-  course.workers(
+  course.updateRoutes(tableOf(1, before));
+  course.updateWorkers(
     [0, 1, 2].map((n) => ({
       id: `w${n}`,
       service: 's',
@@ -81,15 +85,21 @@
     })),
   );
   for (const n of [0, 1, 2])
-    course.told(`w${n}`, { queued: 0, active: 1, kvUsed: 0.1, silent: false, at: world.now() as Micros });
+    course.updateLoad(`w${n}`, {
+      queued: 0,
+      active: 1,
+      kvUsed: 0.1,
+      unresponsive: false,
+      reportedAt: world.now() as Micros,
+    });
   let over = false;
-  const reply: Reply = {
+  const reply: ResponseWriter = {
     head: () => undefined,
     chunk: () => undefined,
     end: () => void (over = true),
-    cut: () => void (over = true),
-    whole: () => void (over = true),
-    giveUp: () => void (over = true),
+    abort: () => void (over = true),
+    respond: () => void (over = true),
+    reject: () => void (over = true),
   };
   const served = course.serve(request, reply, new AbortController().signal);
   await runUntil(() => over);
@@ -100,20 +110,20 @@
 it('withholds the key and names the tenant in an attempt after tenants were added', async () => {
   const given = await sent(undefined, [holder], () => ({
     tag: 'refused',
-    why: '503',
-    other: false,
-    answer: { status: 503, head: [], body: Buffer.alloc(0) },
+    reason: '503',
+    misdirected: false,
+    response: { status: 503, headers: [], body: Buffer.alloc(0) },
   }));
-  expect(given.slice(1).map(({ credentials, tenant }) => ({ credentials, tenant }))).toEqual([
+  expect(given.slice(1).map(({ credentialHeaders: credentials, tenant }) => ({ credentials, tenant }))).toEqual([
     { credentials: undefined, tenant: 'acme' },
   ]);
 });
 
 it('resumes no stream at another worker for a key that was taken away', async () => {
   const given = await sent([holder], [], (sink) => {
-    sink.head({ status: 200, head: ['Seal', 's', 'Content-Type', 'text/event-stream'] });
+    sink.head({ status: 200, headers: ['Seal', 's', 'Content-Type', 'text/event-stream'] });
     void sink.chunk(Buffer.from('id: 1\ndata: a\n\n'));
-    return { tag: 'unknown', why: 'broken' };
+    return { tag: 'unknown', reason: 'broken' };
   });
   expect(given.length).toBe(1);
 });
--- a/packages/pass-through/src/admission.test.ts
+++ b/packages/pass-through/src/admission.test.ts
@@ -2,15 +2,19 @@
 import { expect, it } from 'vitest';
 import { digestOfKey, type Route, type Tenant } from '@tansypost/paths';
 import { createAdmission } from './admission.js';
-import type { Incoming } from './incoming.js';
+import type { IncomingRequest } from './incoming.js';
 
 const path = { name: 'chat', priority: 1 } as Route;
 const publicPath: Route = { ...path, public: true };
 
-function request(key?: string): Incoming {
+function request(key?: string): IncomingRequest {
   const keyDigest = key === undefined ? undefined : digestOfKey(key);
-  const incoming: Partial<Incoming> = { id: 'q', credentials: ['Authorization', `Bearer ${key}`], keyDigest };
-  return incoming as Incoming;
+  const incoming: Partial<IncomingRequest> = {
+    id: 'q',
+    credentialHeaders: ['Authorization', `Bearer ${key}`],
+    keyDigest,
+  };
+  return incoming as IncomingRequest;
 }
 function tenant(name: string, keys: string[], rank?: number): Tenant {
   return { name, keyDigests: keys.map(digestOfKey), priority: rank };
@@ -26,7 +30,7 @@
   admission.replace([tenant('a', ['k1', 'k2'], 0), tenant('b', ['k3'])]);
   const first = admission.admit(request('k2'), path);
   expect(first?.request.tenant).toBe('a');
-  expect(first?.request.credentials).toBeUndefined();
+  expect(first?.request.credentialHeaders).toBeUndefined();
   expect(first?.path.priority).toBe(0);
   expect(admission.admit(request('k3'), path)?.path).toBe(path);
 });
@@ -38,7 +42,7 @@
   admission.replace([tenant('a', [])]);
   for (const each of [request('k1'), request('other'), request()]) {
     expect(admission.admit(each, path)).toBeUndefined();
-    expect(admission.admit(each, publicPath)?.request.credentials).toBeUndefined();
+    expect(admission.admit(each, publicPath)?.request.credentialHeaders).toBeUndefined();
   }
   admission.replace([]);
   expect(admission.admit(request('k1'), path)).toBeUndefined();
--- a/packages/pass-through/src/admission.ts
+++ b/packages/pass-through/src/admission.ts
@@ -4,11 +4,11 @@
  * are heads like any other.
  */
 import { createTenantDirectory, type Route, type Tenant, type TenantDirectory } from '@tansypost/paths';
-import type { Incoming } from './incoming.js';
+import type { IncomingRequest } from './incoming.js';
 
 /** A request as it is given to workers, and its route with the priority that counts. */
 export interface Admitted {
-  readonly request: Incoming;
+  readonly request: IncomingRequest;
   readonly path: Route;
 }
 
@@ -17,7 +17,7 @@
   /** Takes the tenants of a new route table; undefined where it asks for no keys. */
   readonly replace: (tenants: readonly Tenant[] | undefined) => void;
   /** The request as workers get it; undefined where it may not be run. */
-  readonly admit: (request: Incoming, path: Route) => Admitted | undefined;
+  readonly admit: (request: IncomingRequest, path: Route) => Admitted | undefined;
 }
 
 /** An admission that asks for no keys until it is told of tenants. */
@@ -28,15 +28,15 @@
     directory = tenants === undefined ? undefined : createTenantDirectory(tenants);
   }
 
-  function tenantOf(request: Incoming): Tenant | undefined {
+  function tenantOf(request: IncomingRequest): Tenant | undefined {
     return request.keyDigest === undefined ? undefined : directory?.find(request.keyDigest);
   }
 
-  function admit(request: Incoming, path: Route): Admitted | undefined {
+  function admit(request: IncomingRequest, path: Route): Admitted | undefined {
     if (directory === undefined) return { request, path };
     const tenant = tenantOf(request);
     if (tenant === undefined && path.public !== true) return undefined;
-    const withheld = { ...request, credentials: undefined, tenant: tenant?.name };
+    const withheld = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
     return { request: withheld, path: withRank(path, tenant?.priority) };
   }
 
--- a/packages/pass-through/src/attempt-timing.ts
+++ b/packages/pass-through/src/attempt-timing.ts
@@ -1,7 +1,7 @@
 /** How long an attempt at a worker is awaited, and how urgent it is there; times are microseconds. */
 import type { AttemptKind } from './answer-patience.js';
-import type { Pair } from './assign-pair.js';
-import type { CourseContext } from './course-context.js';
+import type { WorkerPair } from './assign-pair.js';
+import type { HandlerContext } from './course-context.js';
 import type { InFlightRequest } from './in-flight-request.js';
 import { firstTimeFromMemory } from './pair-choice.js';
 
@@ -41,7 +41,7 @@
   readonly urgency: number;
 }
 
-function isShort(pair: Pair): boolean {
+function isShort(pair: WorkerPair): boolean {
   return pair.serviceTime < shortRead;
 }
 
@@ -49,7 +49,7 @@
   return Math.max(bound.least, bound.times * expected);
 }
 
-function promptLeast(inFlight: InFlightRequest, pair: Pair, expected: number): number {
+function promptLeast(inFlight: InFlightRequest, pair: WorkerPair, expected: number): number {
   const least = isShort(pair) ? promptPatience.leastShort : inFlight.path.targetLatency;
   return atLeast({ least, times: promptPatience.times }, expected);
 }
@@ -58,7 +58,7 @@
  * Short prompts hold nobody up, so they go before the rest; of the others, what is left until the aim less what it takes
  * to read says how long it can wait, and what cannot be in time any more goes last, as it loses nothing by it.
  */
-function urgencyOf(context: CourseContext, inFlight: InFlightRequest, pair: Pair): number {
+function urgencyOf(context: HandlerContext, inFlight: InFlightRequest, pair: WorkerPair): number {
   const { targetLatency: aim } = inFlight.path;
   const slack = inFlight.arrived + aim - context.world.now() - pair.serviceTime;
   if (isShort(pair)) return urgencies.short;
@@ -68,34 +68,34 @@
 }
 
 /** The timing of a read by the reader of `pair`. */
-export function readTiming(context: CourseContext, inFlight: InFlightRequest, pair: Pair): AttemptTiming {
-  const expected = pair.readTime;
+export function readTiming(context: HandlerContext, inFlight: InFlightRequest, pair: WorkerPair): AttemptTiming {
+  const expected = pair.prefillTime;
   const kind: AttemptKind = isShort(pair) ? 'short read' : 'read';
   return {
     kind,
     expected,
     silentAfter: atLeast(readSilence, expected),
-    overdueAfter: context.patience.of(kind, expected, promptLeast(inFlight, pair, expected)),
+    overdueAfter: context.responseTimeouts.of(kind, expected, promptLeast(inFlight, pair, expected)),
     urgency: urgencyOf(context, inFlight, pair),
   };
 }
 
 /** The timing of a run on the runner of `pair`, from memory read elsewhere or alone. */
 export function runTiming(
-  context: CourseContext,
+  context: HandlerContext,
   inFlight: InFlightRequest,
-  pair: Pair,
+  pair: WorkerPair,
   fromMemory: boolean,
 ): AttemptTiming {
-  const expected = fromMemory ? firstTimeFromMemory : pair.firstTime;
+  const expected = fromMemory ? firstTimeFromMemory : pair.timeToFirstToken;
   const alone: AttemptKind = isShort(pair) ? 'short run alone' : 'run alone';
   const kind = fromMemory ? 'run from memory' : alone;
   const least = fromMemory ? atLeast(memoryPatience, expected) : promptLeast(inFlight, pair, expected);
   return {
     kind,
     expected,
-    silentAfter: atLeast(firstSilence, pair.firstTime),
-    overdueAfter: context.patience.of(kind, expected, least),
+    silentAfter: atLeast(firstSilence, pair.timeToFirstToken),
+    overdueAfter: context.responseTimeouts.of(kind, expected, least),
     urgency: fromMemory ? urgencies.begun : urgencyOf(context, inFlight, pair),
   };
 }
--- a/packages/pass-through/src/course.test.ts
+++ b/packages/pass-through/src/course.test.ts
@@ -6,11 +6,11 @@
 import { expect, it } from 'vitest';
 import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
 import type { Route, RouteTable } from '@tansypost/paths';
-import type { pairDefaults } from './assign-pair.js';
-import { createCourse, type Course } from './course.js';
-import type { Incoming } from './incoming.js';
-import type { GiveUp, ReadResult, Reply, RunResult, RunSink, WorkerPort } from './ports.js';
-import type { FleetWorker, ToldLoad } from './worker-fleet.js';
+import type { defaultPairCosts } from './assign-pair.js';
+import { createRequestHandler, type RequestHandler } from './course.js';
+import type { IncomingRequest } from './incoming.js';
+import type { Rejection, PrefillResult, ResponseWriter, RunResult, ResponseSink, WorkerPort } from './ports.js';
+import type { FleetWorker, ReportedLoad } from './worker-fleet.js';
 
 const second = 1_000_000;
 const aim = 0.8 * second;
@@ -23,16 +23,16 @@
   readonly left: number;
   readonly from: number;
   to: number | undefined;
-  result: (ReadResult | RunResult)['tag'] | undefined;
+  result: (PrefillResult | RunResult)['tag'] | undefined;
 }
-type Answering<R> = (attempt: Attempt, gone: AbortSignal, sink: RunSink | undefined) => Promise<R>;
+type Answering<R> = (attempt: Attempt, gone: AbortSignal, sink: ResponseSink | undefined) => Promise<R>;
 interface Script {
-  readonly read: Answering<ReadResult>;
+  readonly read: Answering<PrefillResult>;
   readonly run: Answering<RunResult>;
 }
 interface Ended {
   readonly at: number;
-  readonly how: 'whole' | 'failed' | 'cut' | GiveUp;
+  readonly how: 'whole' | 'failed' | 'cut' | Rejection;
   readonly status?: number;
   readonly seal?: string;
 }
@@ -45,9 +45,9 @@
   readonly begunFor: readonly string[];
 }
 
-function never(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly why: string }> {
+function never(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
   return new Promise((done) => {
-    gone.addEventListener('abort', () => done({ tag: 'unknown', why: 'left' }), { once: true });
+    gone.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
   });
 }
 
@@ -86,21 +86,21 @@
     limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
   } as unknown as RouteTable;
 }
-const incoming: Incoming = {
+const incoming: IncomingRequest = {
   id: 'q',
   method: 'POST',
   target: '/x',
   host: 'h',
-  head: [],
+  headers: [],
   body,
   promptTokens: 4000,
-  answerTokens: 10,
-  parts: [
+  maxOutputTokens: 10,
+  promptSegments: [
     { id: 'a', tokens: 3000 },
     { id: 'b', tokens: 1000 },
   ],
-  patience: limit,
-  lastEvent: undefined,
+  timeout: limit,
+  lastEventId: undefined,
 };
 
 interface Setting {
@@ -108,9 +108,9 @@
   readonly pathsAt?: number;
   readonly workersAt?: number;
   /** What each worker tells of its load, where it is not one run. */
-  readonly load?: (id: string) => Partial<ToldLoad>;
-  readonly request?: Partial<Incoming>;
-  readonly pair?: Partial<typeof pairDefaults>;
+  readonly load?: (id: string) => Partial<ReportedLoad>;
+  readonly request?: Partial<IncomingRequest>;
+  readonly pair?: Partial<typeof defaultPairCosts>;
   readonly path?: Partial<Route>;
   readonly always?: number;
   readonly readers?: number;
@@ -127,7 +127,7 @@
   let began = false;
   const begunFor: string[] = [];
 
-  async function attempt<R extends ReadResult | RunResult>(
+  async function attempt<R extends PrefillResult | RunResult>(
     kind: Attempt['kind'],
     worker: FleetWorker,
     left: number,
@@ -141,45 +141,45 @@
     return result;
   }
   const port: WorkerPort = {
-    read: (w, _q, left, _urgency, gone) => attempt('read', w, left, (a) => script.read(a, gone, undefined)),
-    run: (w, _q, t, sink, gone) => attempt('run', w, t.left, (a) => script.run(a, gone, sink)),
-    free: (_w, handle) => void freed.push(handle),
+    prefill: (w, _q, left, _urgency, gone) => attempt('read', w, left, (a) => script.read(a, gone, undefined)),
+    run: (w, _q, t, sink, gone) => attempt('run', w, t.remainingTime, (a) => script.run(a, gone, sink)),
+    freeKv: (_w, handle) => void freed.push(handle),
   };
   function end(how: Ended['how'], more: { status?: number; seal?: string } = {}): void {
     if (ended !== undefined) throw new Error('answered twice');
     ended = { at: world.now(), how, ...more };
   }
-  const reply: Reply = {
+  const reply: ResponseWriter = {
     head: () => {
       began = true;
     },
     chunk: () => undefined,
     end: () => end('whole'),
-    cut: () => end('cut'),
-    whole: (h) => end('failed', { status: h.status, seal: h.head[1]! }),
-    giveUp: (g) => end(g),
+    abort: () => end('cut'),
+    respond: (h) => end('failed', { status: h.status, seal: h.headers[1]! }),
+    reject: (g) => end(g),
   };
-  const course: Course = createCourse(
+  const course: RequestHandler = createRequestHandler(
     world,
     {
       zone: 'z',
       regionOf: () => 'r',
-      budget: { share: 0.2, always: setting.always ?? 50, window: 10 * second, routers: () => 1 },
-      ...(setting.pair === undefined ? {} : { pair: setting.pair }),
+      retryBudget: { ratio: 0.2, slack: setting.always ?? 50, window: 10 * second, routerCount: () => 1 },
+      ...(setting.pair === undefined ? {} : { pairCosts: setting.pair }),
     },
-    { workers: port, began: (tenant) => begunFor.push(tenant) },
+    { workers: port, requestStarted: (tenant) => begunFor.push(tenant) },
   );
-  at(setting.pathsAt, () => course.paths(tableOf(setting.path ?? {})));
-  at(setting.workersAt, () => course.workers(workers));
+  at(setting.pathsAt, () => course.updateRoutes(tableOf(setting.path ?? {})));
+  at(setting.workersAt, () => course.updateWorkers(workers));
   function at(when: number | undefined, run: () => void): void {
     if (when === undefined) run();
     else world.after(when as Micros, run);
   }
-  if (setting.leavesAt !== undefined) at(setting.leavesAt, course.giveUpUnbegun);
+  if (setting.leavesAt !== undefined) at(setting.leavesAt, course.rejectUnstarted);
   // All workers tell their load all the time: none of them is silent to everybody.
   function tellLoads(): void {
-    const usual = { queued: 0, active: 1, kvUsed: 0.1, silent: false, at: world.now() };
-    for (const w of workers) course.told(w.id, { ...usual, ...setting.load?.(w.id) });
+    const usual = { queued: 0, active: 1, kvUsed: 0.1, unresponsive: false, reportedAt: world.now() };
+    for (const w of workers) course.updateLoad(w.id, { ...usual, ...setting.load?.(w.id) });
     world.after(second as Micros, tellLoads);
   }
   tellLoads();
@@ -189,16 +189,16 @@
   return { attempts, freed, ended, began, begunFor };
 }
 
-function readAt(a: Attempt): Promise<ReadResult> {
-  return Promise.resolve({ tag: 'read', handle: `handle of ${a.worker}`, tokens: 1 });
+function readAt(a: Attempt): Promise<PrefillResult> {
+  return Promise.resolve({ tag: 'read', kvHandle: `handle of ${a.worker}`, tokens: 1 });
 }
-function wholeRun(_a: Attempt, _gone: AbortSignal, sink: RunSink | undefined): Promise<RunResult> {
-  sink!.head({ status: 200, head: ['Seal', 'seal'] });
+function wholeRun(_a: Attempt, _gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+  sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
   return Promise.resolve({ tag: 'whole' });
 }
 /** The first attempt of a kind is left unanswered, the later ones are answered. */
-function firstSilent<R>(later: Answering<R>): Answering<R | { readonly tag: 'unknown'; readonly why: string }> {
+function firstSilent<R>(later: Answering<R>): Answering<R | { readonly tag: 'unknown'; readonly reason: string }> {
   let first = true;
   return (a, gone, sink) => {
     if (!first) return later(a, gone, sink);
@@ -211,12 +211,12 @@
 }
 
 /** Runners that have enough to do for a short prompt to be read apart. */
-function busyRunners(id: string): Partial<ToldLoad> {
+function busyRunners(id: string): Partial<ReportedLoad> {
   return id.startsWith('runner') ? { active: 8 } : {};
 }
 
 /** The first read ends as given, any later one is answered. */
-function firstRead(first: ReadResult): Answering<ReadResult> {
+function firstRead(first: PrefillResult): Answering<PrefillResult> {
   let begun = false;
   return (a) => {
     if (begun) return readAt(a);
@@ -238,7 +238,7 @@
 
 it("hands each attempt no more time than is left of the client's, also one that comes late", async () => {
   const patience = 4 * second;
-  const x = await play({ read: readAt, run: firstSilent(wholeRun) }, { request: { patience } });
+  const x = await play({ read: readAt, run: firstSilent(wholeRun) }, { request: { timeout: patience } });
   expect(x.ended?.how).toBe('whole');
   expect(x.attempts.at(-1)!.from).toBeGreaterThan(0.35 * second);
   for (const attempt of x.attempts) expect(attempt.left).toBe(patience - attempt.from);
@@ -261,8 +261,8 @@
   expect([x.ended?.how, x.ended?.at]).toEqual(['whole', 0.1 * second]);
 });
 
-const refusedRead: ReadResult = { tag: 'refused', why: 'full', other: false };
-const lostRead: ReadResult = { tag: 'unknown', why: 'reset' };
+const refusedRead: PrefillResult = { tag: 'refused', reason: 'full', misdirected: false };
+const lostRead: PrefillResult = { tag: 'unknown', reason: 'reset' };
 
 it('asks another reader at once where a read was turned away, and runs what that one read', async () => {
   const x = await play({ read: firstRead(refusedRead), run: wholeRun });
@@ -283,7 +283,7 @@
 it('reads at most twice for a request, and sends no more after reads and a run than the most sends', async () => {
   const lost = await play({ read: () => Promise.resolve(lostRead), run: wholeRun }, { path: { maxAttempts: 4 } });
   expect([lost.ended?.how, kinds(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
-  const none = await play({ read: firstRead(lostRead), run: () => Promise.resolve({ tag: 'unknown', why: '' }) });
+  const none = await play({ read: firstRead(lostRead), run: () => Promise.resolve({ tag: 'unknown', reason: '' }) });
   expect([kinds(none), none.ended?.how]).toEqual([
     'read unknown, read read, run unknown',
     expect.objectContaining({ kind: 'outcome_unknown', ran: 'maybe' }),
@@ -291,21 +291,24 @@
 });
 
 it('has nothing read apart that has no prompt, since a reader would run it', async () => {
-  const request = { promptTokens: 0, parts: [] };
-  const x = await play({ read: readAt, run: wholeRun }, { request, load: busyRunners, pair: { holdCost: 1000 } });
+  const request = { promptTokens: 0, promptSegments: [] };
+  const x = await play(
+    { read: readAt, run: wholeRun },
+    { request, load: busyRunners, pair: { interferenceCost: 1000 } },
+  );
   expect(kinds(x)).toBe('run whole');
 });
 
 it('leaves a read that a worker which answers others does not answer, long before the request runs out', async () => {
-  const x = await play({ read: firstSilent<ReadResult>(readAt), run: wholeRun });
+  const x = await play({ read: firstSilent<PrefillResult>(readAt), run: wholeRun });
   expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read unknown, read read, run whole']);
   expect(x.ended!.at).toBeLessThanOrEqual(aim);
 });
 
 it('leaves a read of a short prompt, which waits behind no others, in time for another worker to be within the aim', async () => {
-  const request = { promptTokens: 600, parts: [{ id: 'a', tokens: 600 }] };
+  const request = { promptTokens: 600, promptSegments: [{ id: 'a', tokens: 600 }] };
   function script(): Script {
-    return { read: firstSilent<ReadResult>(readAt), run: wholeRun };
+    return { read: firstSilent<PrefillResult>(readAt), run: wholeRun };
   }
   const x = await play(script(), {
     request,
@@ -314,7 +317,7 @@
   });
   expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read unknown, run whole']);
   expect(x.ended!.at).toBeLessThanOrEqual(0.6 * aim);
-  const long = await play(script(), { request: { promptTokens: 40_000, parts: [] } });
+  const long = await play(script(), { request: { promptTokens: 40_000, promptSegments: [] } });
   expect(long.ended!.at).toBeGreaterThanOrEqual(aim);
 });
 
@@ -335,8 +338,8 @@
 });
 
 /** A run that sends its first event and then nothing more. */
-function silentMidway(_a: Attempt, gone: AbortSignal, sink: RunSink | undefined): Promise<RunResult> {
-  sink!.head({ status: 200, head: ['Seal', 'seal'] });
+function silentMidway(_a: Attempt, gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+  sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
   return never(gone);
 }
@@ -355,16 +358,16 @@
   expect(x.ended!.at).toBeLessThan(1.1 * second);
 });
 
-function brokenMidway(_a: Attempt, _gone: AbortSignal, sink: RunSink | undefined): Promise<RunResult> {
-  sink!.head({ status: 200, head: ['Seal', 'seal'] });
+function brokenMidway(_a: Attempt, _gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+  sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
-  return Promise.resolve({ tag: 'unknown', why: 'reset' });
+  return Promise.resolve({ tag: 'unknown', reason: 'reset' });
 }
 function brokenUnanswered(): Promise<RunResult> {
-  return Promise.resolve({ tag: 'unknown', why: 'reset' });
+  return Promise.resolve({ tag: 'unknown', reason: 'reset' });
 }
 function unreachable(): Promise<RunResult> {
-  return Promise.resolve({ tag: 'unsent', why: 'refused' });
+  return Promise.resolve({ tag: 'unsent', reason: 'refused' });
 }
 /** Runs end as given, one after the other. */
 function inTurn(...answers: readonly Answering<RunResult>[]): Answering<RunResult> {
@@ -410,7 +413,7 @@
 it('waits for a stream that falls silent to the end of its time where no other worker is available', async () => {
   const others = /^runner[12]$/;
   const full = { load: (id: string) => (others.test(id) ? { queued: 9 } : {}) };
-  const silent = { load: (id: string) => (others.test(id) ? { silent: true } : {}) };
+  const silent = { load: (id: string) => (others.test(id) ? { unresponsive: true } : {}) };
   for (const setting of [{ runners: 1 }, { always: 0 }, { path: { maxAttempts: 1 } }, full, silent]) {
     const x = await play({ read: readAt, run: silentMidwayFirst() }, setting);
     expect([kinds(x), x.ended?.how, x.ended?.at]).toEqual(['read read, run unknown', 'cut', limit]);
@@ -432,7 +435,7 @@
 });
 
 it('frees what was read for a request that no worker is left to run', async () => {
-  const x = await play({ read: readAt, run: () => Promise.resolve({ tag: 'unsent', why: '' }) });
+  const x = await play({ read: readAt, run: () => Promise.resolve({ tag: 'unsent', reason: '' }) });
   expect(x.freed.length).toBe(1);
   expect(x.ended?.how).toMatchObject({ ran: 'no', retryAfter: 0.3 });
 });
@@ -452,28 +455,28 @@
       async (drawn, path, always) => {
         let turn = 0;
         const statuses = new Map<string, number>();
-        function answering(good: Answering<ReadResult | RunResult>): Answering<ReadResult | RunResult> {
+        function answering(good: Answering<PrefillResult | RunResult>): Answering<PrefillResult | RunResult> {
           return async (a, gone, sink) => {
             const { tag, delay } = drawn[(turn += 1) % drawn.length]!;
             // Answers take no time here but where a worker is silent: what passes else would be a hole.
             if (tag === 'never' || delay > 1.9 * second) return never(gone);
-            const failure = { status: 500 + turn, head: ['Seal', `seal of ${a.worker} ${500 + turn}`], body };
-            statuses.set(failure.head[1]!, failure.status);
+            const failure = { status: 500 + turn, headers: ['Seal', `seal of ${a.worker} ${500 + turn}`], body };
+            statuses.set(failure.headers[1]!, failure.status);
             if (tag === 'good') return good(a, gone, sink);
-            if (tag === 'unsent') return { tag, why: '' };
+            if (tag === 'unsent') return { tag, reason: '' };
             if (tag === 'refused' || tag === 'misdirected')
-              return { tag: 'refused', why: '', other: tag === 'misdirected', answer: failure };
-            if (tag === 'failed' && a.kind === 'run') return { tag, answer: failure };
+              return { tag: 'refused', reason: '', misdirected: tag === 'misdirected', response: failure };
+            if (tag === 'failed' && a.kind === 'run') return { tag, response: failure };
             if (tag === 'broken' && a.kind === 'run') {
-              sink!.head({ status: 200, head: ['Seal', 'seal'] });
+              sink!.head({ status: 200, headers: ['Seal', 'seal'] });
               void sink!.chunk(Buffer.from('id: 1\n\n'));
             }
-            return { tag: 'unknown', why: '' };
+            return { tag: 'unknown', reason: '' };
           };
         }
         const x = await play(
           {
-            read: answering(readAt as Answering<ReadResult>) as Answering<ReadResult>,
+            read: answering(readAt as Answering<PrefillResult>) as Answering<PrefillResult>,
             run: answering(wholeRun as Answering<RunResult>) as Answering<RunResult>,
           },
           { path, always },
@@ -514,46 +517,53 @@
 
 it('leaves what has begun to its end when the router is about to end', async () => {
   let finish: (() => void) | undefined;
-  function begun(_a: Attempt, gone: AbortSignal, sink: RunSink | undefined): Promise<RunResult> {
-    sink!.head({ status: 200, head: [] });
+  function begun(_a: Attempt, gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+    sink!.head({ status: 200, headers: [] });
     return new Promise((done) => {
       finish = () => done({ tag: 'whole' });
-      gone.addEventListener('abort', () => done({ tag: 'unknown', why: 'left' }), { once: true });
+      gone.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
     });
   }
   const playing = play({ read: readAt, run: begun }, { leavesAt: 0.3 * second, load: () => (finish?.(), {}) });
   expect((await playing).ended).toMatchObject({ how: 'whole', at: second });
 });
 
-const budget = { share: 1, always: 50, window: 10 * second, routers: () => 1 };
+const budget = { ratio: 1, slack: 50, window: 10 * second, routerCount: () => 1 };
 function ignore(): undefined {
   return undefined;
 }
-const unheard: Reply = { head: ignore, chunk: ignore, end: ignore, cut: ignore, whole: ignore, giveUp: ignore };
+const unheard: ResponseWriter = {
+  head: ignore,
+  chunk: ignore,
+  end: ignore,
+  abort: ignore,
+  respond: ignore,
+  reject: ignore,
+};
 
 it('ends its attempt in the instant in which the requester leaves, and makes no other', async () => {
   const leftAt = 0.3 * second;
   const clock = createVirtualClock();
   const aborted: number[] = [];
   let attempts = 0;
-  function unanswered(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly why: string }> {
+  function unanswered(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
     attempts += 1;
     gone.addEventListener('abort', () => aborted.push(clock.world.now()));
     return never(gone);
   }
-  const course = createCourse(
+  const course = createRequestHandler(
     clock.world,
-    { zone: 'z', regionOf: () => 'r', budget },
+    { zone: 'z', regionOf: () => 'r', retryBudget: budget },
     {
       workers: {
-        read: (_w, _q, _left, _urgency, gone) => unanswered(gone),
+        prefill: (_w, _q, _left, _urgency, gone) => unanswered(gone),
         run: (_w, _q, _t, _sink, gone) => unanswered(gone),
-        free: ignore,
+        freeKv: ignore,
       },
     },
   );
-  course.paths(tableOf({ idempotent: true, maxAttempts: 3 }));
-  course.workers(fleetOf(3, 3));
+  course.updateRoutes(tableOf({ idempotent: true, maxAttempts: 3 }));
+  course.updateWorkers(fleetOf(3, 3));
   const requester = new AbortController();
   const served = course.serve(incoming, unheard, requester.signal);
   clock.world.after(leftAt as Micros, () => requester.abort());
@@ -571,18 +581,18 @@
     service,
     address: `w${i}:1`,
   }));
-  const course = createCourse(
+  const course = createRequestHandler(
     clock.world,
-    { zone: 'z', regionOf: () => 'r', budget },
+    { zone: 'z', regionOf: () => 'r', retryBudget: budget },
     {
       workers: {
-        read: () => Promise.resolve(lostRead),
+        prefill: () => Promise.resolve(lostRead),
         run: (w, _q, _t, sink) => {
           counts.set(w.service, (counts.get(w.service) ?? 0) + 1);
-          sink.head({ status: 200, head: [] });
+          sink.head({ status: 200, headers: [] });
           return Promise.resolve({ tag: 'whole' });
         },
-        free: ignore,
+        freeKv: ignore,
       },
     },
   );
@@ -590,8 +600,12 @@
   const weights = { a: 70, b: 25, c: 5 };
   const shares = Object.entries(weights).map(([service, weight]) => ({ service, weight }));
   const services = shares.map(({ service }) => ({ ...table.services[0]!, name: service }));
-  course.paths({ ...table, routes: table.routes.map((path) => ({ ...path, weightedServices: shares })), services });
-  course.workers(workers);
+  course.updateRoutes({
+    ...table,
+    routes: table.routes.map((path) => ({ ...path, weightedServices: shares })),
+    services,
+  });
+  course.updateWorkers(workers);
   for (let i = 0; i < 2000; i += 1) await course.serve(incoming, unheard, new AbortController().signal);
   for (const [service, weight] of Object.entries(weights))
     expect(Math.abs((counts.get(service) ?? 0) / 2000 - weight / 100)).toBeLessThan(0.03);
--- a/packages/pass-through/src/course.ts
+++ b/packages/pass-through/src/course.ts
@@ -8,19 +8,19 @@
 import type { Admitted } from './admission.js';
 import { runAttempts } from './attempt-loop.js';
 import {
-  createCourseContext,
-  giveUp,
-  type CourseContext,
-  type CourseOptions,
-  type CoursePorts,
+  createHandlerContext,
+  reject,
+  type HandlerContext,
+  type RequestHandlerOptions,
+  type RequestHandlerPorts,
 } from './course-context.js';
 import { createInFlightRequest, type InFlightRequest } from './in-flight-request.js';
-import type { Incoming } from './incoming.js';
+import type { IncomingRequest } from './incoming.js';
 import { logEnd } from './loss-events.js';
-import type { Answered, GiveUp, Reply } from './ports.js';
+import type { CompletedRequest, Rejection, ResponseWriter } from './ports.js';
 import { createReadiness } from './readiness.js';
 import { createDecodeWatch } from './decode-watch.js';
-import type { FleetWorker, ToldLoad } from './worker-fleet.js';
+import type { FleetWorker, ReportedLoad } from './worker-fleet.js';
 
 /**
  * Seconds after which a router that was starting is asked again. By then it is ready even if all were killed; a requester
@@ -31,39 +31,39 @@
 /** Workers shown in the figures: a line that is too long for the log's pipe is lost. */
 const mostShown = 16;
 
-const routesUnknown: GiveUp = {
+const routesUnknown: Rejection = {
   kind: 'not_ready',
   ran: 'no',
-  why: 'No paths are known here yet.',
+  reason: 'No paths are known here yet.',
   retryAfter: retryAfterStart,
 };
-const workersUnknown: GiveUp = { ...routesUnknown, why: 'No workers are known here yet.' };
-const noRoute: GiveUp = { kind: 'unknown_path', ran: 'no', why: 'No path has this host and prefix.' };
-const unknownKey: GiveUp = { kind: 'unknown_key', ran: 'no', why: 'No tenant has this key.' };
-const noService: GiveUp = {
+const workersUnknown: Rejection = { ...routesUnknown, reason: 'No workers are known here yet.' };
+const noRoute: Rejection = { kind: 'unknown_path', ran: 'no', reason: 'No path has this host and prefix.' };
+const unknownKey: Rejection = { kind: 'unknown_key', ran: 'no', reason: 'No tenant has this key.' };
+const noService: Rejection = {
   kind: 'no_workers',
   ran: 'no',
-  why: 'The path has no service.',
+  reason: 'The path has no service.',
   retryAfter: retryWithoutService,
 };
-const unforeseen: GiveUp = {
+const unforeseen: Rejection = {
   kind: 'outcome_unknown',
   ran: 'maybe',
-  why: 'Something unforeseen went wrong inside this router.',
+  reason: 'Something unforeseen went wrong inside this router.',
 };
 
 /** Serves requests, and takes in what the router is told of routes, workers and loads. */
-export interface Course {
-  readonly serve: (request: Incoming, reply: Reply, gone: AbortSignal) => Promise<void>;
-  readonly paths: (table: RouteTable) => void;
-  readonly workers: (list: readonly FleetWorker[]) => void;
-  readonly told: (worker: string, load: ToldLoad) => void;
-  readonly elsewhere: (worker: string, service: number, bad: boolean) => void;
-  readonly ready: () => boolean;
-  readonly active: () => number;
+export interface RequestHandler {
+  readonly serve: (request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<void>;
+  readonly updateRoutes: (table: RouteTable) => void;
+  readonly updateWorkers: (list: readonly FleetWorker[]) => void;
+  readonly updateLoad: (worker: string, load: ReportedLoad) => void;
+  readonly recordPeerActivity: (worker: string, service: number, bad: boolean) => void;
+  readonly isReady: () => boolean;
+  readonly activeRequests: () => number;
   /** Gives up on all requests whose answers have not begun, as this router ends before they could. */
-  readonly giveUpUnbegun: () => void;
-  readonly figures: () => Record<string, unknown>;
+  readonly rejectUnstarted: () => void;
+  readonly metrics: () => Record<string, unknown>;
 }
 
 /** The routes and services of the newest table. */
@@ -83,44 +83,48 @@
   return services.get(path.weightedServices.find((share) => share.weight > 0)?.service ?? '');
 }
 
-function answered(inFlight: InFlightRequest, now: number): Answered {
+function answered(inFlight: InFlightRequest, now: number): CompletedRequest {
   const { path, pieces, firstAt, arrived, limit, whole, gone } = inFlight;
   return {
-    path: path.name,
+    route: path.name,
     end: whole ? 'whole' : gone.aborted ? 'left' : 'failed',
-    patience: limit - arrived,
-    first: firstAt - arrived,
-    perPiece: pieces > 1 ? (now - firstAt) / (pieces - 1) : undefined,
+    timeout: limit - arrived,
+    timeToFirstChunk: firstAt - arrived,
+    timePerChunk: pieces > 1 ? (now - firstAt) / (pieces - 1) : undefined,
   };
 }
 
 /** Tries the request at workers of one service of its route. */
 async function serveRouted(
-  context: CourseContext,
+  context: HandlerContext,
   inFlights: Set<InFlightRequest>,
   routes: Routes,
   { request, path }: Admitted,
   facts: Pick<InFlightRequest, 'received' | 'reply' | 'gone' | 'arrived'>,
 ): Promise<void> {
   const service = pickService(path, routes.services, context.world.random);
-  if (service === undefined) return giveUp(context, facts.reply, noService);
-  const lot = context.ports.lot?.(request.id);
+  if (service === undefined) return reject(context, facts.reply, noService);
+  const lot = context.ports.assignCohort?.(request.id);
   const inFlight = createInFlightRequest({ ...facts, request, path, service, lot });
   inFlight.timeline.parts.ready = context.world.now() - facts.arrived;
-  context.budget.first(service.name);
+  context.retryBudget.recordRequest(service.name);
   inFlights.add(inFlight);
   try {
     await runAttempts(context, inFlight);
   } finally {
     inFlights.delete(inFlight);
   }
-  if (context.options.logsRequests === true) logEnd(context, inFlight);
-  lot?.ended(answered(inFlight, context.world.now()));
+  if (context.options.logRequests === true) logEnd(context, inFlight);
+  lot?.completed(answered(inFlight, context.world.now()));
 }
 
 /** A course that knows no routes and no workers yet. */
-export function createCourse(world: World, options: CourseOptions, ports: CoursePorts): Course {
-  const context = createCourseContext(world, options, ports);
+export function createRequestHandler(
+  world: World,
+  options: RequestHandlerOptions,
+  ports: RequestHandlerPorts,
+): RequestHandler {
+  const context = createHandlerContext(world, options, ports);
   const { fleet, tree } = context;
   let routes: Routes | undefined;
   const decodeWatch = createDecodeWatch(world);
@@ -142,7 +146,7 @@
 
   function workers(list: readonly FleetWorker[]): void {
     listed = list;
-    for (const id of fleet.list(list)) tree.forget(id);
+    for (const id of fleet.updateWorkers(list)) tree.forget(id);
     changed();
   }
 
@@ -151,31 +155,31 @@
     if (routes !== undefined && listed !== undefined) decodeWatch.look(routes.services.keys(), listed);
   }
 
-  function routeOf(request: Incoming): Route | undefined {
+  function routeOf(request: IncomingRequest): Route | undefined {
     return routes?.matcher.find(request.host, request.target);
   }
 
-  async function serveArrived(request: Incoming, reply: Reply, gone: AbortSignal): Promise<void> {
+  async function serveArrived(request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
     const arrived = world.now();
-    await readiness.wait(arrived, request.patience, () => routeOf(request)?.targetLatency);
+    await readiness.wait(arrived, request.timeout, () => routeOf(request)?.targetLatency);
     if (gone.aborted) return void context.count('requester left');
-    if (routes === undefined) return giveUp(context, reply, routesUnknown);
+    if (routes === undefined) return reject(context, reply, routesUnknown);
     const path = routeOf(request);
-    if (path === undefined) return giveUp(context, reply, noRoute);
+    if (path === undefined) return reject(context, reply, noRoute);
     const admitted = context.admission.admit(request, path);
-    if (admitted === undefined) return giveUp(context, reply, unknownKey);
-    if (listed === undefined) return giveUp(context, reply, workersUnknown);
+    if (admitted === undefined) return reject(context, reply, unknownKey);
+    if (listed === undefined) return reject(context, reply, workersUnknown);
     await serveRouted(context, inFlights, routes, admitted, { received: request, reply, gone, arrived });
   }
 
-  async function serve(request: Incoming, reply: Reply, gone: AbortSignal): Promise<void> {
+  async function serve(request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
     active += 1;
     try {
       await serveArrived(request, reply, gone);
     } catch (error) {
       const why = error instanceof Error ? (error.stack ?? error.message) : String(error);
       world.log(5105, { request: request.id, why });
-      giveUp(context, reply, unforeseen);
+      reject(context, reply, unforeseen);
     } finally {
       active -= 1;
     }
@@ -190,19 +194,25 @@
   }
 
   function figures(): Record<string, unknown> {
-    const budget = context.budget.totals();
-    return { active, counts: context.counts(), budget, listed: listed?.length ?? 0, workers: fleet.view(mostShown) };
+    const budget = context.retryBudget.totals();
+    return {
+      active,
+      counts: context.counts(),
+      budget,
+      listed: listed?.length ?? 0,
+      workers: fleet.summaries(mostShown),
+    };
   }
 
   return {
     serve,
-    paths,
-    workers,
-    told: fleet.told,
-    elsewhere: fleet.elsewhere,
-    ready,
-    active: () => active,
-    giveUpUnbegun,
-    figures,
+    updateRoutes: paths,
+    updateWorkers: workers,
+    updateLoad: fleet.updateLoad,
+    recordPeerActivity: fleet.recordPeerActivity,
+    isReady: ready,
+    activeRequests: () => active,
+    rejectUnstarted: giveUpUnbegun,
+    metrics: figures,
   };
 }
--- a/packages/pass-through/src/decision.ts
+++ b/packages/pass-through/src/decision.ts
@@ -6,29 +6,29 @@
  */
 
 /** What has happened to the request so far. */
-export interface Ledger {
+export interface AttemptHistory {
   /** How many workers it went to for its run, or for reads beyond the first. */
-  readonly sends: number;
+  readonly attempts: number;
   /** Whether something may have run. */
   readonly ran: 'no' | 'maybe';
   /** Whether an answer has begun. */
-  readonly begun: boolean;
+  readonly responseStarted: boolean;
   readonly lastRefused: boolean;
 }
 
 /** What holds at this moment. */
-export interface Facts {
+export interface RequestConditions {
   /** Whether its key, where it needs one, is still that of a tenant. */
   readonly admitted: boolean;
-  readonly gone: boolean;
-  readonly left: number;
-  readonly repeatable: boolean;
+  readonly clientGone: boolean;
+  readonly remainingTime: number;
+  readonly idempotent: boolean;
   readonly resumable: boolean;
-  readonly sendsAllowed: number;
+  readonly maxAttempts: number;
   /** Whether the budget for extra sends has room. */
-  readonly extraRoom: boolean;
+  readonly retryAllowed: boolean;
   /** Whether some worker can be assigned. */
-  readonly workers: boolean;
+  readonly workerAvailable: boolean;
 }
 
 /** The next step; of runs, `first` is the request's first send, and any later one is extra. */
@@ -43,29 +43,33 @@
       readonly ran: 'no' | 'maybe';
     };
 
-function afterPossibleRun(again: boolean, { repeatable, resumable }: Facts): Step {
+function afterPossibleRun(again: boolean, { idempotent: repeatable, resumable }: RequestConditions): Step {
   if ((repeatable || resumable) && again) return { step: 'run', first: false };
   return { step: 'giveUp', kind: 'outcome_unknown', ran: 'maybe' };
 }
 
 /** A key that was taken away is good for no further attempt. */
-function withoutKey({ ran }: Ledger): Step {
+function withoutKey({ ran }: AttemptHistory): Step {
   return { step: 'giveUp', kind: ran === 'no' ? 'unknown_key' : 'outcome_unknown', ran };
 }
 
-function whileNothingRan(again: boolean, { sends }: Ledger, { workers }: Facts): Step {
+function whileNothingRan(
+  again: boolean,
+  { attempts: sends }: AttemptHistory,
+  { workerAvailable: workers }: RequestConditions,
+): Step {
   if (!workers) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
   if (sends === 0) return { step: 'run', first: true };
   return again ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
 }
 
 /** The only step that is allowed and useful now. */
-export function decide(ledger: Ledger, facts: Facts): Step {
-  if (facts.gone) return { step: 'stop' };
-  const again = facts.sendsAllowed > ledger.sends && facts.extraRoom && facts.workers;
-  const mayResume = facts.left > 0 && facts.resumable && facts.admitted && again;
-  if (ledger.begun) return { step: mayResume ? 'resume' : 'cut' };
-  if (facts.left <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: ledger.ran };
+export function decideNextStep(ledger: AttemptHistory, facts: RequestConditions): Step {
+  if (facts.clientGone) return { step: 'stop' };
+  const again = facts.maxAttempts > ledger.attempts && facts.retryAllowed && facts.workerAvailable;
+  const mayResume = facts.remainingTime > 0 && facts.resumable && facts.admitted && again;
+  if (ledger.responseStarted) return { step: mayResume ? 'resume' : 'cut' };
+  if (facts.remainingTime <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: ledger.ran };
   if (!facts.admitted) return withoutKey(ledger);
   return ledger.ran === 'maybe' ? afterPossibleRun(again, facts) : whileNothingRan(again, ledger, facts);
 }
--- a/packages/pass-through/src/decode-watch.test.ts
+++ b/packages/pass-through/src/decode-watch.test.ts
@@ -2,9 +2,9 @@
 import { expect, it } from 'vitest';
 import { createVirtualClock } from '@tansypost/inner-protocol';
 import { createDecodeWatch } from './decode-watch.js';
-import type { FleetWorker, Part } from './worker-fleet.js';
+import type { FleetWorker, WorkerStage } from './worker-fleet.js';
 
-function worker(id: string, part: Part, leaving = false, service = 's'): FleetWorker {
+function worker(id: string, part: WorkerStage, leaving = false, service = 's'): FleetWorker {
   return { id, service, address: `${id}:1`, zone: 'z', slots: 8, part, leaving };
 }
 
--- a/packages/pass-through/src/events.ts
+++ b/packages/pass-through/src/events.ts
@@ -5,17 +5,17 @@
  */
 
 /** Cuts one answer, which may consist of several streams one after the other. */
-export interface EventCutter {
+export interface SseFramer {
   /** The whole events that can be passed on. */
   readonly push: (bytes: Buffer) => Buffer;
   /** What is left when the stream has ended properly. */
-  readonly rest: () => Buffer;
+  readonly remainder: () => Buffer;
   /** The id of the last whole event. */
-  readonly last: () => number | undefined;
+  readonly lastEventId: () => number | undefined;
   /** A new stream goes on after the last event; a part of an event that was held is forgotten. */
-  readonly again: () => void;
+  readonly resume: () => void;
   /** An event came whose id does not follow the last one. */
-  readonly gap: () => boolean;
+  readonly hasGap: () => boolean;
 }
 
 /** More than this is not held: what has no end of an event by then is no stream of events. */
@@ -37,7 +37,7 @@
 }
 
 /** A cutter for a requester that has the events up to `after`. */
-export function createEventCutter(after?: number): EventCutter {
+export function createSseFramer(after?: number): SseFramer {
   let held: Buffer = Buffer.alloc(0);
   let last = after;
   let resumed = false;
@@ -75,12 +75,12 @@
 
   return {
     push,
-    rest: () => held,
-    last: () => last,
-    again: () => {
+    remainder: () => held,
+    lastEventId: () => last,
+    resume: () => {
       held = Buffer.alloc(0);
       resumed = true;
     },
-    gap: () => gap,
+    hasGap: () => gap,
   };
 }
--- a/packages/pass-through/src/graceful-shutdown.test.ts
+++ b/packages/pass-through/src/graceful-shutdown.test.ts
@@ -17,10 +17,10 @@
   }
   const shutdown = createGracefulShutdown(clock.world, {
     gracePeriod,
-    active: () => active(clock.world.now()),
-    closeIdle: () => note('close idle'),
-    giveUpUnbegun: () => note('give up'),
-    end: (report) => reports.push(report),
+    activeRequests: () => active(clock.world.now()),
+    closeIdleConnections: () => note('close idle'),
+    rejectUnstarted: () => note('give up'),
+    exit: (report) => reports.push(report),
   });
   return { clock, shutdown, reports, asked };
 }
@@ -37,13 +37,13 @@
 
 it('refuses at once, with a time to come back, what comes after the platform has seen it', async () => {
   const { clock, shutdown, asked } = stopping(() => 1);
-  expect(shutdown.arrived(true)).toBeUndefined();
+  expect(shutdown.checkArrival(true)).toBeUndefined();
   shutdown.begin();
   await clock.runTo(2 * second);
-  expect(shutdown.arrived(true)).toBeUndefined();
+  expect(shutdown.checkArrival(true)).toBeUndefined();
   for (const time of [takenAtMost, 5 * second, 7 * second]) {
     await clock.runTo(time);
-    expect(shutdown.arrived(false)).toMatchObject({ kind: 'leaving', ran: 'no', retryAfter: 0.1 });
+    expect(shutdown.checkArrival(false)).toMatchObject({ kind: 'leaving', ran: 'no', retryAfter: 0.1 });
   }
   const closed = asked.filter(({ what }) => what === 'close idle');
   expect(closed).toHaveLength(1);
@@ -74,13 +74,13 @@
 
 it('tells of the requests that came after the signal, of those only', async () => {
   const { clock, shutdown, reports } = stopping((now) => (now < 4 * second ? 1 : 0));
-  shutdown.arrived(true);
+  shutdown.checkArrival(true);
   shutdown.begin();
   await clock.runTo(second);
-  shutdown.arrived(true);
-  shutdown.arrived(false);
+  shutdown.checkArrival(true);
+  shutdown.checkArrival(false);
   await clock.runTo(3 * second);
-  shutdown.arrived(true);
+  shutdown.checkArrival(true);
   await clock.runTo(gracePeriod);
   expect(reports).toMatchObject([{ taken: 2, refused: 1, onKeptConnections: 2, lastTakenAfter: second }]);
   expect(clock.logged.map((entry) => entry.event)).toEqual([1002, 1003]);
--- a/packages/pass-through/src/graceful-shutdown.ts
+++ b/packages/pass-through/src/graceful-shutdown.ts
@@ -5,20 +5,20 @@
  * before its time is over it gives up on what has not begun to be answered, which the requester can ask elsewhere.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
-import type { GiveUp } from './ports.js';
+import type { Rejection } from './ports.js';
 
 /** What a router is told to do when it stops, and whom it asks. Times are microseconds. */
 export interface GracefulShutdownOptions {
   /** The time between the signal to stop and the end by force. */
   readonly gracePeriod: number;
   /** Requests that are under way. */
-  readonly active: () => number;
+  readonly activeRequests: () => number;
   /** Closes the connections on which nothing is under way. */
-  readonly closeIdle: () => void;
+  readonly closeIdleConnections: () => void;
   /** Gives up on the requests whose answers have not begun. */
-  readonly giveUpUnbegun: () => void;
+  readonly rejectUnstarted: () => void;
   /** Ends the process. */
-  readonly end: (report: ShutdownReport) => void;
+  readonly exit: (report: ShutdownReport) => void;
 }
 
 /** What came and went after the signal. */
@@ -44,7 +44,7 @@
   readonly begin: () => void;
   readonly hasBegun: () => boolean;
   /** A request has come. Gives the answer to it where it may not be taken any more. */
-  readonly arrived: (onKeptConnection: boolean) => GiveUp | undefined;
+  readonly checkArrival: (onKeptConnection: boolean) => Rejection | undefined;
 }
 
 /** Until then the platform may not have seen that the router is not ready, and goes on sending it new connections. */
@@ -58,10 +58,10 @@
 /** Seconds; other routers serve now. */
 const retryAfter = 0.1;
 
-const leaving: GiveUp = {
+const leaving: Rejection = {
   kind: 'leaving',
   ran: 'no',
-  why: 'This router is about to end; ask again on a new connection.',
+  reason: 'This router is about to end; ask again on a new connection.',
   retryAfter,
 };
 
@@ -76,20 +76,20 @@
   function begin(): void {
     if (begunAt !== undefined) return;
     begunAt = world.now();
-    counts.activeAtSignal = options.active();
+    counts.activeAtSignal = options.activeRequests();
     world.log(1002, { active: counts.activeAtSignal, graceMs: gracePeriod / 1000 });
     world.after(micros(unseen), stopTaking);
-    world.after(micros(gracePeriod - giveUpMargin), options.giveUpUnbegun);
+    world.after(micros(gracePeriod - giveUpMargin), options.rejectUnstarted);
   }
 
   function stopTaking(): void {
     refuses = true;
-    options.closeIdle();
+    options.closeIdleConnections();
     look();
   }
 
   function look(): void {
-    const active = options.active();
+    const active = options.activeRequests();
     if (active === 0 || sinceSignal() >= gracePeriod - endMargin) return end(active);
     world.after(lookEvery, look);
   }
@@ -97,10 +97,10 @@
   function end(cut: number): void {
     const report = { took: sinceSignal(), ...counts, cut };
     world.log(1003, { ...report });
-    options.end(report);
+    options.exit(report);
   }
 
-  function arrived(onKeptConnection: boolean): GiveUp | undefined {
+  function arrived(onKeptConnection: boolean): Rejection | undefined {
     if (begunAt === undefined) return undefined;
     if (onKeptConnection) counts.onKeptConnections += 1;
     if (refuses) {
@@ -116,5 +116,5 @@
     return begunAt === undefined ? 0 : world.now() - begunAt;
   }
 
-  return { begin, hasBegun: () => begunAt !== undefined, arrived };
+  return { begin, hasBegun: () => begunAt !== undefined, checkArrival: arrived };
 }
--- a/packages/pass-through/src/in-flight-request.ts
+++ b/packages/pass-through/src/in-flight-request.ts
@@ -1,8 +1,8 @@
 /** One request under way: what it asks for and what has been tried for it. */
 import type { Route, Service } from '@tansypost/paths';
-import type { EventCutter } from './events.js';
-import type { Incoming } from './incoming.js';
-import type { GiveUp, Lot, Reply, RunResult } from './ports.js';
+import type { SseFramer } from './events.js';
+import type { IncomingRequest } from './incoming.js';
+import type { Rejection, CohortAssignment, ResponseWriter, RunResult } from './ports.js';
 import { createRequestTimeline, type RequestTimeline } from './request-timeline.js';
 import type { FleetWorker } from './worker-fleet.js';
 
@@ -12,20 +12,20 @@
 /** The facts of a request that do not change. */
 export interface RequestFacts {
   /** As it came. */
-  readonly received: Incoming;
+  readonly received: IncomingRequest;
   readonly path: Route;
   readonly service: Service;
-  readonly reply: Reply;
+  readonly reply: ResponseWriter;
   /** Aborted when the requester has left. */
   readonly gone: AbortSignal;
   readonly arrived: number;
-  readonly lot: Lot | undefined;
+  readonly lot: CohortAssignment | undefined;
 }
 
 /** A request with the state of its attempts; times are microseconds. */
 export interface InFlightRequest extends RequestFacts {
   /** As workers get it: admitted by the tenants known when its last attempt began. */
-  request: Incoming;
+  request: IncomingRequest;
   /** The moment at which it is given up on. */
   limit: number;
   /** Ends the attempt under way, if there is one. */
@@ -36,7 +36,7 @@
   ran: 'no' | 'maybe';
   /** Whether an answer has begun to reach the requester. */
   begun: boolean;
-  cutter: EventCutter | undefined;
+  cutter: SseFramer | undefined;
   lastRefused: boolean;
   readonly tried: Set<string>;
   /** The workers of its reads and runs, in turn. */
@@ -56,7 +56,7 @@
   whole: boolean;
   readonly timeline: RequestTimeline;
   /** How it was given up on, if it was. */
-  refusal: GiveUp | undefined;
+  refusal: Rejection | undefined;
   /** The last answer of a worker that failed, to be passed on where nothing better comes. */
   failed: Extract<RunResult, { tag: 'failed' }> | undefined;
 }
@@ -65,7 +65,7 @@
 export function createInFlightRequest(facts: RequestFacts & Pick<InFlightRequest, 'request'>): InFlightRequest {
   return {
     ...facts,
-    limit: facts.arrived + Math.min(facts.request.patience, facts.path.timeout),
+    limit: facts.arrived + Math.min(facts.request.timeout, facts.path.timeout),
     abortAttempt: undefined,
     sends: 0,
     ran: 'no',
--- a/packages/pass-through/src/incoming.ts
+++ b/packages/pass-through/src/incoming.ts
@@ -2,19 +2,19 @@
 
 import type { KeyDigest } from '@tansypost/paths';
 
-export interface PromptPart {
+export interface PromptSegment {
   readonly id: string;
   readonly tokens: number;
 }
-export interface Incoming {
+export interface IncomingRequest {
   readonly id: string;
   readonly method: string;
   readonly target: string;
   readonly host: string;
   // Names and values in turn, as they came, without those of one connection and without its credentials.
-  readonly head: readonly string[];
+  readonly headers: readonly string[];
   // The heads that bear credentials, to be passed on where the route table has no tenants; undefined once they are withheld.
-  readonly credentials?: readonly string[] | undefined;
+  readonly credentialHeaders?: readonly string[] | undefined;
   // Of the API key that the credentials hold, where they hold one.
   readonly keyDigest?: KeyDigest | undefined;
   // The tenant on whose behalf it is run; never what its sender claims.
@@ -22,11 +22,11 @@
   readonly body: Buffer;
   // The whole prompt, and the most tokens of the answer.
   readonly promptTokens: number;
-  readonly answerTokens: number;
+  readonly maxOutputTokens: number;
   // What the prompt opens with, in order; the last part belongs to this request alone or to its session.
-  readonly parts: readonly PromptPart[];
+  readonly promptSegments: readonly PromptSegment[];
   // How long its requester waits, from its arrival.
-  readonly patience: number;
+  readonly timeout: number;
   // The last event that its requester has, where it takes up a stream.
-  readonly lastEvent: number | undefined;
+  readonly lastEventId: number | undefined;
 }
--- a/packages/pass-through/src/index.ts
+++ b/packages/pass-through/src/index.ts
@@ -1,10 +1,10 @@
 export * from './course.js';
-export type { CourseOptions, CoursePorts } from './course-context.js';
+export type { RequestHandlerOptions, RequestHandlerPorts } from './course-context.js';
 export * from './decision.js';
 export * from './events.js';
 export * from './graceful-shutdown.js';
 export * from './incoming.js';
-export type { LossEvent } from './loss-events.js';
+export type { RequestLogFields } from './loss-events.js';
 export * from './ports.js';
 export * from './send-budget.js';
 export * from './assign-pair.js';
--- a/packages/pass-through/src/loss-events.ts
+++ b/packages/pass-through/src/loss-events.ts
@@ -1,10 +1,10 @@
 /** Tells the operator's log of requests: how each ended, what its time went to, and where. */
-import type { CourseContext } from './course-context.js';
+import type { HandlerContext } from './course-context.js';
 import type { InFlightRequest } from './in-flight-request.js';
 import { causeOf, type RequestOutcome, type TimeParts } from './request-timeline.js';
 
 /** The fields of events 5101 and 5109, times in milliseconds. */
-export interface LossEvent {
+export interface RequestLogFields {
   readonly request: string;
   readonly path: string;
   readonly service: string;
@@ -44,15 +44,15 @@
 }
 
 function sharedTokens(inFlight: InFlightRequest): number {
-  return inFlight.request.parts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
+  return inFlight.request.promptSegments.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
 }
 
 /** Logs the request, which has just ended: as lost if it did not end in time, else as answered. */
-export function logEnd(context: CourseContext, inFlight: InFlightRequest): void {
+export function logEnd(context: HandlerContext, inFlight: InFlightRequest): void {
   const now = context.world.now();
   const outcome = outcomeOf(inFlight, now);
   const { request, path, service, arrived, firstAt, pieces, timeline, reads, sends, workers } = inFlight;
-  const event: LossEvent = {
+  const event: RequestLogFields = {
     request: request.id,
     path: path.name,
     service: service.name,
--- a/packages/pass-through/src/run-outcome.ts
+++ b/packages/pass-through/src/run-outcome.ts
@@ -1,6 +1,6 @@
 /** What follows from the end of a run: for the worker's record, for the request, and for the requester. */
 import { promptBlocks } from './assign-pair.js';
-import type { CourseContext } from './course-context.js';
+import type { HandlerContext } from './course-context.js';
 import type { RunResult } from './ports.js';
 import type { RunAttempt } from './run-under-way.js';
 
@@ -8,21 +8,21 @@
 type Refused = Extract<RunResult, { tag: 'refused' }>;
 
 /** Notes what the end says about the worker, whatever it means for the request. */
-function learn(context: CourseContext, attempt: RunAttempt, got: RunResult): void {
+function learn(context: HandlerContext, attempt: RunAttempt, got: RunResult): void {
   const { inFlight, runner, timing, overdue } = attempt;
   const now = context.world.now();
-  if (overdue) context.patience.observe(timing.kind, timing.expected, now - attempt.begunAt);
-  const turnedAway = got.tag === 'refused' && !got.other && attempt.memory === undefined;
-  if (overdue || got.tag === 'failed' || turnedAway) context.ports.reading?.(runner.id, 0, true);
+  if (overdue) context.responseTimeouts.observe(timing.kind, timing.expected, now - attempt.begunAt);
+  const turnedAway = got.tag === 'refused' && !got.misdirected && attempt.memory === undefined;
+  if (overdue || got.tag === 'failed' || turnedAway) context.ports.announceActivity?.(runner.id, 0, true);
   if (got.tag === 'whole' || got.tag === 'failed' || attempt.seen)
     context.tree.insert(promptBlocks(inFlight.request), runner.id, now);
 }
 
 /** True when the answer was passed on to its end; false where a stream left an event out. */
-async function finishWhole(context: CourseContext, { inFlight, under }: RunAttempt): Promise<boolean> {
-  under.end('done');
-  if (inFlight.cutter?.gap() === true) return false;
-  const rest = inFlight.cutter?.rest();
+async function finishWhole(context: HandlerContext, { inFlight, under }: RunAttempt): Promise<boolean> {
+  under.finish('done');
+  if (inFlight.cutter?.hasGap() === true) return false;
+  const rest = inFlight.cutter?.remainder();
   if (rest !== undefined && rest.length > 0) await inFlight.reply.chunk(rest);
   context.count('whole');
   inFlight.whole = true;
@@ -30,13 +30,13 @@
   return true;
 }
 
-function freeMemory(context: CourseContext, { memory }: RunAttempt): void {
-  if (memory !== undefined) context.ports.workers.free(memory.worker, memory.handle);
+function freeMemory(context: HandlerContext, { memory }: RunAttempt): void {
+  if (memory !== undefined) context.ports.workers.freeKv(memory.worker, memory.kvHandle);
 }
 
-function afterUnsent(context: CourseContext, attempt: RunAttempt): void {
+function afterUnsent(context: HandlerContext, attempt: RunAttempt): void {
   const { inFlight } = attempt;
-  attempt.under.end('failed');
+  attempt.under.finish('failed');
   inFlight.sends -= 1;
   inFlight.unsent += 1;
   inFlight.tried.add(attempt.runner.id);
@@ -44,19 +44,19 @@
 }
 
 /** A worker that only could not have the memory may be asked again, to read for itself. */
-function afterRefused(context: CourseContext, attempt: RunAttempt, got: Refused): void {
+function afterRefused(context: HandlerContext, attempt: RunAttempt, got: Refused): void {
   const { inFlight } = attempt;
   const ofWorker = attempt.memory === undefined;
-  attempt.under.end(got.other ? 'gone' : ofWorker ? 'refused' : 'left');
-  context.count(got.other ? 'run misdirected' : ofWorker ? 'run refused' : 'memory refused');
+  attempt.under.finish(got.misdirected ? 'gone' : ofWorker ? 'refused' : 'left');
+  context.count(got.misdirected ? 'run misdirected' : ofWorker ? 'run refused' : 'memory refused');
   inFlight.lastRefused = true;
-  if (ofWorker || got.other) inFlight.tried.add(attempt.runner.id);
+  if (ofWorker || got.misdirected) inFlight.tried.add(attempt.runner.id);
   freeMemory(context, attempt);
 }
 
-function afterFailed(context: CourseContext, attempt: RunAttempt, got: Failed): void {
+function afterFailed(context: HandlerContext, attempt: RunAttempt, got: Failed): void {
   const { inFlight } = attempt;
-  attempt.under.end('ill');
+  attempt.under.finish('ill');
   context.count('run failed');
   inFlight.ran = 'maybe';
   inFlight.tried.add(attempt.runner.id);
@@ -67,10 +67,10 @@
  * A worker whose connection broke has the prompt in memory and may be well, so it is asked once more; whether it can be
  * reached shows at once. One that was left is not asked again.
  */
-function afterUnknown(context: CourseContext, attempt: RunAttempt): void {
+function afterUnknown(context: HandlerContext, attempt: RunAttempt): void {
   const { inFlight } = attempt;
   const left = inFlight.gone.aborted;
-  attempt.under.end(left ? 'left' : attempt.overdue ? 'overdue' : 'failed');
+  attempt.under.finish(left ? 'left' : attempt.overdue ? 'overdue' : 'failed');
   if (!left) context.count(attempt.seen ? 'stream broke' : 'run unknown');
   inFlight.ran = 'maybe';
   if (attempt.abort.signal.aborted || inFlight.askedHolder) inFlight.tried.add(attempt.runner.id);
@@ -81,7 +81,7 @@
 }
 
 /** Takes in the end of a run. True when the request has been answered. */
-export async function finishRun(context: CourseContext, attempt: RunAttempt, got: RunResult): Promise<boolean> {
+export async function finishRun(context: HandlerContext, attempt: RunAttempt, got: RunResult): Promise<boolean> {
   learn(context, attempt, got);
   switch (got.tag) {
     case 'whole':
--- a/packages/pass-through/src/send-budget.test.ts
+++ b/packages/pass-through/src/send-budget.test.ts
@@ -1,10 +1,10 @@
 import { expect, it } from 'vitest';
-import { createSendBudget, type SendBudget } from './send-budget.js';
+import { createRetryBudget, type RetryBudget } from './send-budget.js';
 
 it('stays within the fleet’s budget over every window, for seven routers that spend all they can', () => {
   let t = 0;
-  const terms = { share: 0.2, always: 54, window: 10_000_000, routers: () => 7 };
-  const routers = Array.from({ length: 7 }, () => createSendBudget(() => t, terms));
+  const terms = { ratio: 0.2, slack: 54, window: 10_000_000, routerCount: () => 7 };
+  const routers = Array.from({ length: 7 }, () => createRetryBudget(() => t, terms));
   const past: { t: number; f: number; e: number }[] = [];
   for (let i = 0; i < 6000; i += 1) {
     t += 10_000;
@@ -12,11 +12,11 @@
     let [f, e] = [0, 0];
     for (const r of routers) {
       if (!quiet && i % 23 === 0) {
-        r.first('s');
+        r.recordRequest('s');
         f += 1;
       }
-      while (r.room('s')) {
-        r.extra('s');
+      while (r.hasRoom('s')) {
+        r.recordRetry('s');
         e += 1;
       }
     }
@@ -27,21 +27,21 @@
       w.reduce((a, p) => a + p.f, 0),
       before.reduce((a, p) => a + p.f, 0),
     );
-    expect(w.reduce((a, p) => a + p.e, 0)).toBeLessThanOrEqual(terms.share * firsts + terms.always);
+    expect(w.reduce((a, p) => a + p.e, 0)).toBeLessThanOrEqual(terms.ratio * firsts + terms.slack);
   }
 });
 
 /** Extra sends within one window of seven routers that spend all they can, and begin anew so often, `apart` microseconds apart. */
 function spentOverLives(starts: number, apart: number, always: number): number {
-  const terms = { share: 0.2, always, window: 10_000_000, routers: () => 7 };
+  const terms = { ratio: 0.2, slack: always, window: 10_000_000, routerCount: () => 7 };
   let [now, extras] = [0, 0];
-  function startAll(): SendBudget[] {
-    return Array.from({ length: terms.routers() }, () => createSendBudget(() => now, terms));
+  function startAll(): RetryBudget[] {
+    return Array.from({ length: terms.routerCount() }, () => createRetryBudget(() => now, terms));
   }
-  function spendAll(budgets: readonly SendBudget[]): void {
+  function spendAll(budgets: readonly RetryBudget[]): void {
     for (const budget of budgets)
-      while (budget.room('s')) {
-        budget.extra('s');
+      while (budget.hasRoom('s')) {
+        budget.recordRetry('s');
         extras += 1;
       }
   }
--- a/packages/pass-through/src/send-budget.ts
+++ b/packages/pass-through/src/send-budget.ts
@@ -5,21 +5,21 @@
  */
 
 /** Counts sends by service, and says whether one more is allowed. */
-export interface SendBudget {
-  readonly first: (service: string) => void;
-  readonly room: (service: string) => boolean;
-  readonly extra: (service: string) => void;
+export interface RetryBudget {
+  readonly recordRequest: (service: string) => void;
+  readonly hasRoom: (service: string) => boolean;
+  readonly recordRetry: (service: string) => void;
   readonly totals: () => { first: number; extra: number };
 }
 
 /** What the whole fleet may spend: in each window, `share` of its requests and `always` on top. */
-export interface SendBudgetTerms {
-  readonly share: number;
-  readonly always: number;
+export interface RetryBudgetOptions {
+  readonly ratio: number;
+  readonly slack: number;
   readonly window: number;
-  readonly routers: () => number;
+  readonly routerCount: () => number;
   /** The whole system has just begun, so no former life of this router has spent anything. */
-  readonly isFirstLife?: boolean;
+  readonly isFirstStart?: boolean;
 }
 
 /** Sends in one slot of the window. */
@@ -38,7 +38,7 @@
 const cautionAtFirst = (1 - caution) / livesInWindow;
 
 /** A budget of which nothing has been spent. */
-export function createSendBudget(now: () => number, terms: SendBudgetTerms): SendBudget {
+export function createRetryBudget(now: () => number, terms: RetryBudgetOptions): RetryBudget {
   const startedAt = now();
   const services = new Map<string, Slot[]>();
   const totals = { first: 0, extra: 0 };
@@ -62,10 +62,10 @@
     const slots = recent(service);
     const first = slots.reduce((sum, slot) => sum + slot.first, 0);
     const extra = slots.reduce((sum, slot) => sum + slot.extra, 0);
-    const always = Math.max(1, Math.floor(terms.always / Math.max(1, terms.routers())));
-    const mayFollowOther = terms.isFirstLife !== true && now() - startedAt < terms.window;
+    const always = Math.max(1, Math.floor(terms.slack / Math.max(1, terms.routerCount())));
+    const mayFollowOther = terms.isFirstStart !== true && now() - startedAt < terms.window;
     const part = mayFollowOther ? cautionAtFirst : caution;
-    return extra + 1 <= part * (terms.share * first + always);
+    return extra + 1 <= part * (terms.ratio * first + always);
   }
 
   function count(service: string, kind: 'first' | 'extra'): void {
@@ -74,9 +74,9 @@
   }
 
   return {
-    first: (service) => count(service, 'first'),
-    room,
-    extra: (service) => count(service, 'extra'),
+    recordRequest: (service) => count(service, 'first'),
+    hasRoom: room,
+    recordRetry: (service) => count(service, 'extra'),
     totals: () => ({ ...totals }),
   };
 }
--- a/packages/pass-through/src/worker-fleet.ts
+++ b/packages/pass-through/src/worker-fleet.ts
@@ -7,64 +7,64 @@
 import type { Candidate } from '@tansypost/placement';
 import type { WorkerId } from '@tansypost/inner-protocol';
 
-export type Part = 'prefill' | 'decode';
+export type WorkerStage = 'prefill' | 'decode';
 export interface FleetWorker {
   readonly id: string;
   readonly service: string;
   readonly address: string;
   readonly zone: string;
   readonly slots: number;
-  readonly part: Part;
+  readonly part: WorkerStage;
   readonly leaving: boolean;
 }
-export interface ToldLoad {
+export interface ReportedLoad {
   readonly queued: number;
   readonly active: number;
   // A share from 0 to 1.
   readonly kvUsed: number;
   // It was asked and did not answer.
-  readonly silent: boolean;
-  readonly at: number;
+  readonly unresponsive: boolean;
+  readonly reportedAt: number;
 }
-export type Doing = 'read' | 'run';
-export interface Under {
+export type AttemptWork = 'read' | 'run';
+export interface AttemptTracker {
   // Bytes came: the worker is alive. The first ones of a run also say that its prompt is read.
   readonly progress: () => void;
   // `ill`: it ran and said that it failed; `gone`: another worker has its address now; `overdue`: it may still answer
   // others, but did not answer this in time.
-  readonly end: (how: 'done' | 'refused' | 'ill' | 'failed' | 'left' | 'gone' | 'overdue') => void;
+  readonly finish: (how: 'done' | 'refused' | 'ill' | 'failed' | 'left' | 'gone' | 'overdue') => void;
 }
-export interface View {
+export interface WorkerView {
   readonly worker: FleetWorker;
   readonly candidate: Candidate;
   // How long a prompt of no tokens would wait there before it is read, and how long a token takes to read.
-  readonly wait: number;
-  readonly perToken: number;
+  readonly queueDelay: number;
+  readonly timePerToken: number;
   // How much what it is doing slows each token it makes: runs under way.
-  readonly runs: number;
+  readonly activeRuns: number;
   // The pause between two pieces of its streams as seen lately; 0 where none was seen.
-  readonly pause: number;
+  readonly eventGap: number;
   // The share of sends that failed there lately, as this router and those that tell it saw.
-  readonly bad: number;
+  readonly failureRate: number;
 }
 export interface WorkerFleet {
-  readonly list: (ws: readonly FleetWorker[]) => string[];
-  readonly told: (id: string, l: ToldLoad) => void;
+  readonly updateWorkers: (ws: readonly FleetWorker[]) => string[];
+  readonly updateLoad: (id: string, l: ReportedLoad) => void;
   readonly find: (id: string) => FleetWorker | undefined;
-  readonly views: (service: string, part: Part, without: ReadonlySet<string>) => View[];
+  readonly candidates: (service: string, part: WorkerStage, without: ReadonlySet<string>) => WorkerView[];
   // `tokens` are those expected to be read there, `expected` the time until the first answer.
-  readonly began: (id: string, doing: Doing, tokens: number, expected: number) => Under;
+  readonly startAttempt: (id: string, doing: AttemptWork, tokens: number, expected: number) => AttemptTracker;
   // Another router has sent it a prompt that takes so long to read, or saw a send fail there.
-  readonly elsewhere: (id: string, service: number, bad?: boolean) => void;
-  readonly silent: (id: string) => boolean;
+  readonly recordPeerActivity: (id: string, service: number, bad?: boolean) => void;
+  readonly isUnresponsive: (id: string) => boolean;
   /** Whether it could take up a request now: `views` gives others too where nobody better is left. */
-  readonly available: (id: string) => boolean;
+  readonly isAvailable: (id: string) => boolean;
   /** What is known of the workers: at most so many, those that do the most or fare the worst first. */
-  readonly view: (most: number) => object[];
+  readonly summaries: (most: number) => object[];
 }
 
 interface Send {
-  readonly doing: Doing;
+  readonly doing: AttemptWork;
   readonly at: number;
   readonly tokens: number;
   readonly expected: number;
@@ -73,7 +73,7 @@
 }
 interface Row {
   w: FleetWorker;
-  told: ToldLoad | undefined;
+  told: ReportedLoad | undefined;
   readonly sends: Set<Send>;
   // Tokens a microsecond.
   pace: number;
@@ -174,7 +174,9 @@
     const t = now();
     while (r.work.length > 0 && t - r.work[0]!.at > workKept) r.work.shift();
     const idleAt =
-      r.told !== undefined && !r.told.silent && r.told.queued + r.told.active === 0 ? r.told.at : -Infinity;
+      r.told !== undefined && !r.told.unresponsive && r.told.queued + r.told.active === 0
+        ? r.told.reportedAt
+        : -Infinity;
     let [left, at] = [0, 0];
     for (const x of r.work) {
       if (x.at < idleAt) continue;
@@ -194,20 +196,21 @@
   }
   function quiet(r: Row): boolean {
     const t = now();
-    if (r.told?.silent === true && t - r.told.at < toldKept && r.heardAt < r.told.at) return true;
+    if (r.told?.unresponsive === true && t - r.told.reportedAt < toldKept && r.heardAt < r.told.reportedAt) return true;
     // One that told its load a moment ago is alive, however long its queue.
-    const alive = r.told !== undefined && !r.told.silent && t - r.told.at < toldKept;
+    const alive = r.told !== undefined && !r.told.unresponsive && t - r.told.reportedAt < toldKept;
     const [least, times] = alive ? [3 * silentAfter, 5] : [silentAfter, 2.5];
     for (const s of r.sends)
       if (!s.read && t - s.at > Math.max(least, times * s.expected) && t - r.heardAt > least) return true;
     return false;
   }
   function slots(r: Row): boolean {
-    return r.told !== undefined && now() - r.told.at < 2_000_000 && r.told.queued > r.w.slots;
+    return r.told !== undefined && now() - r.told.reportedAt < 2_000_000 && r.told.queued > r.w.slots;
   }
 
-  function view(r: Row): View {
-    const told = r.told !== undefined && !r.told.silent && now() - r.told.at < toldKept ? r.told : undefined;
+  function view(r: Row): WorkerView {
+    const told =
+      r.told !== undefined && !r.told.unresponsive && now() - r.told.reportedAt < toldKept ? r.told : undefined;
     const mine = r.sends.size;
     const all = Math.max(mine, told === undefined ? mine : told.queued + told.active);
     const queued = Math.min(all, told?.queued ?? 0);
@@ -228,11 +231,11 @@
         kvUsed: told?.kvUsed ?? 0,
         speedClass: speedClass(r.w.id),
       },
-      wait: fixed + Math.max((pending + others) / r.pace, backlog(r)) + Math.max(0, off(r)),
-      perToken: 1 / r.pace,
-      runs: Math.max(runs(r), r.w.part === 'decode' ? (told?.active ?? 0) : 0),
-      pause: now() - r.pauseAt < pauseKept ? r.pause : 0,
-      bad: badNow(r),
+      queueDelay: fixed + Math.max((pending + others) / r.pace, backlog(r)) + Math.max(0, off(r)),
+      timePerToken: 1 / r.pace,
+      activeRuns: Math.max(runs(r), r.w.part === 'decode' ? (told?.active ?? 0) : 0),
+      eventGap: now() - r.pauseAt < pauseKept ? r.pause : 0,
+      failureRate: badNow(r),
     };
   }
 
@@ -249,7 +252,7 @@
     return r.restUntil <= now() && !quiet(r) && !slots(r);
   }
 
-  function views(service: string, part: Part, without: ReadonlySet<string>): View[] {
+  function views(service: string, part: WorkerStage, without: ReadonlySet<string>): WorkerView[] {
     beginCall();
     const fit = [...rows.values()].filter(
       (r) => r.w.service === service && r.w.part === part && !r.w.leaving && !without.has(r.w.id),
@@ -258,10 +261,10 @@
     return (best.length > 0 ? best : fit).map(view);
   }
 
-  function began(id: string, doing: Doing, tokens: number, expected: number): Under {
+  function began(id: string, doing: AttemptWork, tokens: number, expected: number): AttemptTracker {
     beginCall();
     const r = rows.get(id);
-    if (r === undefined) return { progress: () => undefined, end: () => undefined };
+    if (r === undefined) return { progress: () => undefined, finish: () => undefined };
     const s: Send = { doing, at: now(), tokens, expected, alone: reading(r) === 0, read: false };
     r.sends.add(s);
     if (doing === 'read') usualRead += 0.05 * (tokens - usualRead);
@@ -295,7 +298,7 @@
         last = t;
         firstSeen();
       },
-      end: (how) => {
+      finish: (how) => {
         if (!r.sends.delete(s)) return;
         beginCall();
         // One that is silent or gone rests; one that answers, and badly, costs more.
@@ -318,15 +321,15 @@
   }
 
   return {
-    list,
-    told: (id, l) => {
+    updateWorkers: list,
+    updateLoad: (id, l) => {
       const r = rows.get(id);
-      if (r !== undefined && (r.told === undefined || l.at > r.told.at)) r.told = l;
+      if (r !== undefined && (r.told === undefined || l.reportedAt > r.told.reportedAt)) r.told = l;
     },
     find: (id) => rows.get(id)?.w,
-    views,
-    began,
-    elsewhere: (id, service, bad = false) => {
+    candidates: views,
+    startAttempt: began,
+    recordPeerActivity: (id, service, bad = false) => {
       const r = rows.get(id);
       if (r === undefined) return;
       beginCall();
@@ -334,17 +337,17 @@
       r.noted = now();
       add(r, service);
     },
-    silent: (id) => {
+    isUnresponsive: (id) => {
       beginCall();
       const r = rows.get(id);
       return r === undefined || quiet(r);
     },
-    available: (id) => {
+    isAvailable: (id) => {
       beginCall();
       const r = rows.get(id);
       return r !== undefined && !r.w.leaving && well(r);
     },
-    view: (most) =>
+    summaries: (most) =>
       notableFirst()
         .slice(0, most)
         .map((r) => ({
--- a/packages/simulator/src/pass-through/spoiled-tenants.ts
+++ b/packages/simulator/src/pass-through/spoiled-tenants.ts
@@ -1,5 +1,5 @@
 /** Ways in which a router may go wrong about tenants, for days that are to show that a check sees it. */
-import type { Incoming, WorkerPort } from '@tansypost/pass-through';
+import type { IncomingRequest, WorkerPort } from '@tansypost/pass-through';
 import type { RouteTable, Tenant } from '@tansypost/paths';
 import type { Spoil } from './spoil.js';
 
@@ -25,15 +25,15 @@
 export function spoiledTellings(spoil: Spoil | undefined, port: WorkerPort): WorkerPort {
   if (spoil !== 'credentials-passed-on' && spoil !== 'tenants-mixed') return port;
   let lastTenant: string | undefined;
-  function told(request: Incoming): Incoming {
-    if (spoil === 'credentials-passed-on') return { ...request, credentials: ['Authorization', 'Bearer key'] };
+  function told(request: IncomingRequest): IncomingRequest {
+    if (spoil === 'credentials-passed-on') return { ...request, credentialHeaders: ['Authorization', 'Bearer key'] };
     const tenant = lastTenant ?? request.tenant;
     lastTenant = request.tenant;
     return { ...request, tenant };
   }
   return {
     ...port,
-    read: (worker, request, ...rest) => port.read(worker, told(request), ...rest),
+    prefill: (worker, request, ...rest) => port.prefill(worker, told(request), ...rest),
     run: (worker, request, ...rest) => port.run(worker, told(request), ...rest),
   };
 }
--- a/packages/simulator/src/pass-through/virtual-port.ts
+++ b/packages/simulator/src/pass-through/virtual-port.ts
@@ -5,11 +5,11 @@
  */
 import type {
   FleetWorker,
-  Incoming,
-  ReadResult,
+  IncomingRequest,
+  PrefillResult,
   RunResult,
-  RunSink,
-  RunTerms,
+  ResponseSink,
+  RunParameters,
   WorkerPort,
 } from '@tansypost/pass-through';
 import type { Engine } from '../engine.js';
@@ -28,7 +28,7 @@
   readonly machineAt: (address: string) => string;
   readonly silentMachine: (machine: string) => boolean;
   readonly arrived: (a: ArrivalSeen) => void;
-  readonly streaming: (q: Incoming) => boolean;
+  readonly streaming: (q: IncomingRequest) => boolean;
   // How often a new connection is reset.
   readonly resets: () => number;
 }
@@ -50,7 +50,7 @@
 
   function call(
     w: FleetWorker,
-    q: Incoming,
+    q: IncomingRequest,
     c: Omit<WorkerCall, 'closed' | 'taken' | 'head' | 'data' | 'end' | 'reset' | 'target' | 'request'>,
     head: (id: string, status: number, unrun: boolean) => boolean,
     data: (b: Buffer) => void | Promise<void>,
@@ -166,7 +166,7 @@
           service: life.o.service,
           router: me,
           tenant: q.tenant,
-          credentials: q.credentials !== undefined,
+          credentials: q.credentialHeaders !== undefined,
           misdirected: false,
           taken: false,
         };
@@ -193,11 +193,11 @@
 
   async function read(
     w: FleetWorker,
-    q: Incoming,
+    q: IncomingRequest,
     left: number,
     urgency: number | undefined,
     gone: AbortSignal,
-  ): Promise<ReadResult> {
+  ): Promise<PrefillResult> {
     let [status, unrun, handle] = [0, false, ''];
     const x = await call(
       w,
@@ -205,8 +205,8 @@
       {
         doing: 'read',
         promptTokens: q.promptTokens,
-        answerTokens: q.answerTokens,
-        parts: q.parts,
+        answerTokens: q.maxOutputTokens,
+        parts: q.promptSegments,
         left,
         urgency: urgency ?? 5,
         streaming: true,
@@ -222,14 +222,20 @@
       },
       gone,
     );
-    if (x.tag === 'unsent') return { tag: 'unsent', why: x.why };
-    if (x.tag === 'broken') return { tag: 'unknown', why: x.why };
-    if (unrun) return { tag: 'refused', why: `${status}`, other: status === 421 };
-    if (status !== 200) return { tag: 'unknown', why: `${status}` };
-    return { tag: 'read', handle, tokens: q.promptTokens };
+    if (x.tag === 'unsent') return { tag: 'unsent', reason: x.why };
+    if (x.tag === 'broken') return { tag: 'unknown', reason: x.why };
+    if (unrun) return { tag: 'refused', reason: `${status}`, misdirected: status === 421 };
+    if (status !== 200) return { tag: 'unknown', reason: `${status}` };
+    return { tag: 'read', kvHandle: handle, tokens: q.promptTokens };
   }
 
-  async function run(w: FleetWorker, q: Incoming, t: RunTerms, sink: RunSink, gone: AbortSignal): Promise<RunResult> {
+  async function run(
+    w: FleetWorker,
+    q: IncomingRequest,
+    t: RunParameters,
+    sink: ResponseSink,
+    gone: AbortSignal,
+  ): Promise<RunResult> {
     let [status, unrun, known] = [0, false, false];
     const parts: Buffer[] = [];
     const x = await call(
@@ -238,18 +244,19 @@
       {
         doing: 'run',
         promptTokens: q.promptTokens,
-        answerTokens: q.answerTokens,
-        parts: q.parts,
-        left: t.left,
+        answerTokens: q.maxOutputTokens,
+        parts: q.promptSegments,
+        left: t.remainingTime,
         urgency: t.urgency ?? 5,
         streaming: o.streaming(q),
-        lastEvent: t.lastEvent ?? 0,
-        from: t.from === undefined ? undefined : { address: t.from.worker.address, handle: t.from.handle },
+        lastEvent: t.lastEventId ?? 0,
+        from:
+          t.kvSource === undefined ? undefined : { address: t.kvSource.worker.address, handle: t.kvSource.kvHandle },
       },
       (id, s, u) => {
         if (id !== q.id) return false;
         [status, unrun, known] = [s, u, true];
-        if (s < 300) sink.head({ status: s, head: ['X-Worker', w.id] });
+        if (s < 300) sink.head({ status: s, headers: ['X-Worker', w.id] });
         return true;
       },
       (b) => {
@@ -259,17 +266,17 @@
       },
       gone,
     );
-    if (x.tag === 'unsent') return { tag: 'unsent', why: x.why };
-    if (!known || x.tag === 'broken') return { tag: 'unknown', why: x.why };
+    if (x.tag === 'unsent') return { tag: 'unsent', reason: x.why };
+    if (!known || x.tag === 'broken') return { tag: 'unknown', reason: x.why };
     if (status < 300) return { tag: 'whole' };
-    const answer = { status, head: [], body: Buffer.concat(parts) };
-    if (unrun) return { tag: 'refused', why: `${status}`, other: status === 421, answer };
-    return { tag: 'failed', answer };
+    const answer = { status, headers: [], body: Buffer.concat(parts) };
+    if (unrun) return { tag: 'refused', reason: `${status}`, misdirected: status === 421, response: answer };
+    return { tag: 'failed', response: answer };
   }
 
   function free(w: FleetWorker, handle: string): void {
     const life = o.lifeAt(w.address);
     if (life !== undefined) createPipe(e, net, me, life.o.machine)(() => life.free(handle));
   }
-  return { read, run, free };
+  return { prefill: read, run, freeKv: free };
 }
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -3,7 +3,7 @@
  * zone that answer its probe; they try again only where that can do no harm, and some more often than told.
  */
 import { seeded } from '@tansypost/inner-protocol';
-import type { Incoming } from '@tansypost/pass-through';
+import type { IncomingRequest } from '@tansypost/pass-through';
 import { digestOfKey } from '@tansypost/paths';
 import type { Ground } from './ground.js';
 import { hostOf, targetOf } from './paths-drawn.js';
@@ -160,19 +160,19 @@
         body: [],
       };
       h.tries.push(t);
-      const q: Incoming = {
+      const q: IncomingRequest = {
         id,
         method: 'POST',
         target: t.target,
         host: hostOf(k.name),
-        head: [],
-        ...(key === undefined ? {} : { credentials: ['Authorization', `Bearer ${key}`], keyDigest }),
+        headers: [],
+        ...(key === undefined ? {} : { credentialHeaders: ['Authorization', `Bearer ${key}`], keyDigest }),
         body: k.bodyBytes === undefined ? Buffer.from(`${task}`) : Buffer.alloc(k.bodyBytes),
         promptTokens: prompt.promptTokens,
-        answerTokens: prompt.answerTokens,
-        parts: prompt.parts,
-        patience: left,
-        lastEvent,
+        maxOutputTokens: prompt.answerTokens,
+        promptSegments: prompt.parts,
+        timeout: left,
+        lastEventId: lastEvent,
       };
       let heardAt = e.now();
       let over = false;
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -12,13 +12,13 @@
 import { askThrough, createRouterLearning, recordKey, type RouterLearning } from '@tansypost/learning';
 import { hash32, micros, seeded, type Address } from '@tansypost/inner-protocol';
 import {
-  createCourse,
+  createRequestHandler,
   createGracefulShutdown,
-  type Course,
+  type RequestHandler,
   type FleetWorker,
-  type GiveUp,
+  type Rejection,
   type GracefulShutdown,
-  type Incoming,
+  type IncomingRequest,
   type WorkerPort,
 } from '@tansypost/pass-through';
 import { placementDefaults } from '@tansypost/placement';
@@ -56,7 +56,7 @@
   /** A new connection of a requester. */
   readonly connect: () => RequesterConnection;
   // Gives how to leave. `told` is called where the requester is, with what it sees.
-  readonly take: (t: TrySeen, q: Incoming, told: Told, connection: RequesterConnection) => () => void;
+  readonly take: (t: TrySeen, q: IncomingRequest, told: Told, connection: RequesterConnection) => () => void;
 }
 /** One connection of a requester; it ends with the process, or where an answer on it says so. */
 export interface RequesterConnection {
@@ -71,7 +71,7 @@
   readonly bytes: (b: Buffer) => void;
   readonly ended: (how: TrySeen['ended'], why: string, retryAfter?: number) => void;
 }
-function endOf({ kind, ran }: GiveUp): TrySeen['ended'] {
+function endOf({ kind, ran }: Rejection): TrySeen['ended'] {
   if (kind === 'unknown_path' || kind === 'unknown_key') return kind;
   return ran === 'no' ? 'refused' : 'gave_up';
 }
@@ -84,13 +84,13 @@
   if (s === undefined) return p;
   let other: string | undefined;
   return {
-    free: p.free,
-    read: async (...a) => {
-      const x = await p.read(...a);
+    freeKv: p.freeKv,
+    prefill: async (...a) => {
+      const x = await p.prefill(...a);
       if (s !== 'handles-mixed' || x.tag !== 'read') return x;
-      const given = other ?? x.handle;
-      other = x.handle;
-      return { ...x, handle: given };
+      const given = other ?? x.kvHandle;
+      other = x.kvHandle;
+      return { ...x, kvHandle: given };
     },
     run: async (w, q, t, sink, gone) => {
       let n = 0;
@@ -113,7 +113,12 @@
       if (x.tag !== 'unknown' || gone.aborted) return x;
       if (s === 'cut-called-whole' && n > 0) return { tag: 'whole' };
       if (s === 'unknown-called-refused' && n === 0)
-        return { tag: 'refused', why: '503', other: false, answer: { status: 503, head: [], body: Buffer.alloc(0) } };
+        return {
+          tag: 'refused',
+          reason: '503',
+          misdirected: false,
+          response: { status: 503, headers: [], body: Buffer.alloc(0) },
+        };
       return x;
     },
   };
@@ -132,7 +137,7 @@
   const proc = createProc(name, machine);
   const self = `${machine}:${holdsControlState ? 2 : 1}` as Address;
   net.add(self, proc);
-  let course: Course | undefined;
+  let course: RequestHandler | undefined;
   let learning: RouterLearning | undefined;
   let controlFeed: ControlFeed | undefined;
   let life = 0;
@@ -171,7 +176,7 @@
     const asker = createCoreAsker(w, self, () => feed.keepers());
     const l = createRouterLearning(w, { member: name, keepers: () => feed.keepers(), asker: askThrough(w, asker) });
     learning = l;
-    const c = createCourse(
+    const c = createRequestHandler(
       w,
       {
         zone,
@@ -185,31 +190,31 @@
                 trust: g.learning.trust ?? placementDefaults.trust,
               },
             }),
-        budget:
+        retryBudget:
           g.spoil === 'budget-ignored'
-            ? { share: 50, always: 5000, window: 10_000_000, routers: () => 1 }
+            ? { ratio: 50, slack: 5000, window: 10_000_000, routerCount: () => 1 }
             : {
-                share: 0.2,
-                always: g.d.sendSlack,
+                ratio: 0.2,
+                slack: g.d.sendSlack,
                 window: 10_000_000,
-                routers: () => Math.max(4, feed.routers()),
-                isFirstLife: proc.incarnation === 0,
+                routerCount: () => Math.max(4, feed.routers()),
+                isFirstStart: proc.incarnation === 0,
               },
       },
       {
         workers: spoiledTellings(g.spoil, spoiled(g, port)),
-        reading: (id, us) => feed.reading(id, us),
-        sample: l.sample,
-        lot: l.lot,
+        announceActivity: (id, us) => feed.reading(id, us),
+        recordSample: l.sample,
+        assignCohort: l.lot,
       },
     );
     course = c;
     shutdown = createGracefulShutdown(w, {
       gracePeriod,
-      active: c.active,
-      closeIdle,
-      giveUpUnbegun: c.giveUpUnbegun,
-      end: left,
+      activeRequests: c.activeRequests,
+      closeIdleConnections: closeIdle,
+      rejectUnstarted: c.rejectUnstarted,
+      exit: left,
     });
     const known = new Map<string, FleetWorker>();
     const taken: RouteTable[] = [];
@@ -220,7 +225,7 @@
       zone,
       seeds,
       fetchList: core.fetchList(name, proc),
-      elsewhere: c.elsewhere,
+      elsewhere: c.recordPeerActivity,
       more: { key: recordKey, version: l.version, take: l.take },
       changed: (what) => {
         if (what === 'configuration') {
@@ -230,29 +235,29 @@
             return void h.unforeseen.push('a document that cannot govern');
           if (g.spoil === 'news-withheld' && name === 'r1' && t.revision > 1) return;
           h.applied.push({ at: e.now(), router: name, life: mine, revision: t.revision, text });
-          c.paths(spoiledTable(g.spoil, t, taken));
+          c.updateRoutes(spoiledTable(g.spoil, t, taken));
           taken.push(t);
           if (g.spoil === 'document-set-back' && t.revision > 1)
             w.after(micros(1_000_000), () => {
               const was = h.applied.find((a) => a.router === name && a.revision < t.revision);
               if (was === undefined) return;
               h.applied.push({ ...was, at: e.now(), life: mine });
-              c.paths(tableOf(was.text)!);
+              c.updateRoutes(tableOf(was.text)!);
             });
         } else if (what === 'workers') {
-          if (g.spoil !== 'leaving-hidden') return c.workers(feed.workers());
+          if (g.spoil !== 'leaving-hidden') return c.updateWorkers(feed.workers());
           for (const x of feed.workers()) known.set(x.id, { ...x, leaving: false });
-          c.workers([...known.values()]);
+          c.updateWorkers([...known.values()]);
         }
       },
       loadsTold: (loads) => {
         for (const l of loads)
-          c.told(l.id, {
+          c.updateLoad(l.id, {
             queued: l.queued,
             active: l.active,
             kvUsed: l.kvTotal > 0 ? l.kvUsed / l.kvTotal : 0,
-            silent: l.silent,
-            at: l.at,
+            unresponsive: l.silent,
+            reportedAt: l.at,
           });
       },
     });
@@ -316,7 +321,7 @@
     return connection;
   }
 
-  function take(t: TrySeen, q: Incoming, told: Told, connection: RequesterConnection): () => void {
+  function take(t: TrySeen, q: IncomingRequest, told: Told, connection: RequesterConnection): () => void {
     const there = createPipe(e, net, 'clients', machine);
     const back = createPipe(e, net, machine, 'clients');
     const gone = new AbortController();
@@ -345,7 +350,7 @@
       into(proc, incarnation, () => {
         if (!connections.has(connection)) return finish('unread', 'the connection was closed');
         t.readAt = e.now();
-        const refusal = shutdown?.arrived(connection.used);
+        const refusal = shutdown?.checkArrival(connection.used);
         if (refusal !== undefined) return finish('refused', refusal.kind, refusal.retryAfter);
         if (isLeftOut(g.spoil, t.tenant)) return finish('refused', 'overloaded');
         void course!.serve(
@@ -362,9 +367,9 @@
               return new Promise((ok) => e.at(e.now() + random() * 20_000, () => into(proc, incarnation, () => ok())));
             },
             end: () => finish('whole', ''),
-            cut: () => finish('cut', 'cut by the router'),
-            whole: (a) => finish([408, 421, 429, 503].includes(a.status) ? 'refused' : 'failed', `${a.status}`),
-            giveUp: (x) => finish(endOf(x), x.kind, x.retryAfter),
+            abort: () => finish('cut', 'cut by the router'),
+            respond: (a) => finish([408, 421, 429, 503].includes(a.status) ? 'refused' : 'failed', `${a.status}`),
+            reject: (x) => finish(endOf(x), x.kind, x.retryAfter),
           },
           gone.signal,
         );
@@ -384,9 +389,9 @@
     kill,
     roll,
     wake: () => wake(e, proc),
-    ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.ready() === true,
+    ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.isReady() === true,
     controlNode: () => (proc.alive ? controlFeed?.source() : undefined),
-    figures: () => ({ ...course?.figures(), learning: learning?.figures() }),
+    figures: () => ({ ...course?.metrics(), learning: learning?.figures() }),
     connect,
     take,
   };
