--- a/packages/membership/src/views.test.ts
+++ b/packages/membership/src/gossip-membership.test.ts
@@ -1,12 +1,12 @@
 /** Members forgotten and heard of again. */
 import { expect, it } from 'vitest';
-import { micros, type Address, type Entry } from '@tansypost/inner-protocol';
-import { createViews } from './views.js';
+import { micros, type Address, type MemberEntry } from '@tansypost/inner-protocol';
+import { createGossipMembership } from './gossip-membership.js';
 
 it('takes a member that it forgot back only on a beat that has risen since, whatever others still tell of it', () => {
   let t = 0;
   const ticks: (() => void)[] = [];
-  const views = createViews(
+  const views = createGossipMembership(
     {
       now: () => micros(t),
       random: () => 0.5,
@@ -21,23 +21,23 @@
       member: 'a',
       self: 'a:1' as Address,
       zone: 'z',
-      http: 'a',
-      born: 1,
+      routerHttpAddress: 'a',
+      incarnation: 1,
       seeds: [],
       persisted: [],
-      size: 8,
-      period: 300_000,
-      forgetAfter: 2_500_000,
-      tenured: () => true,
-      core: () => ({ membershipEpoch: 1, replicas: [] }),
-      duties: () => [],
-      heardCore: () => undefined,
-      heardDuty: () => undefined,
+      viewSize: 8,
+      exchangeInterval: 300_000,
+      failureTimeout: 2_500_000,
+      holdsFeedLease: () => true,
+      controlMembership: () => ({ membershipEpoch: 1, replicas: [] }),
+      heldSingletonRoles: () => [],
+      onControlMembership: () => undefined,
+      onSingletonRole: () => undefined,
       save: () => undefined,
     },
   );
   function tell(beats: Record<string, number>): void {
-    const entries = Object.entries(beats).map(([member, beat]): Entry => ({
+    const entries = Object.entries(beats).map(([member, beat]): MemberEntry => ({
       member,
       address: `${member}:1`,
       zone: 'z',
@@ -57,16 +57,16 @@
     });
   }
   tell({ b: 1, c: 5, d: 5, e: 5 });
-  expect(views.contact()).toBe(true);
+  expect(views.isInContact()).toBe(true);
   for (let n = 2; n < 12; n += 1) {
     t += 300_000;
     tell({ b: n, c: 5, d: 5, e: 5 });
     for (const f of ticks.splice(0)) f();
   }
-  expect(views.live().map((e) => e.member)).toEqual(['b']);
-  expect(views.contact()).toBe(false);
-  expect(views.total()).toBe(5);
+  expect(views.liveMembers().map((e) => e.member)).toEqual(['b']);
+  expect(views.isInContact()).toBe(false);
+  expect(views.recentCount()).toBe(5);
   tell({ c: 6 });
-  expect(views.live().map((e) => e.member)).toEqual(['b', 'c']);
-  expect(views.contact()).toBe(true);
+  expect(views.liveMembers().map((e) => e.member)).toEqual(['b', 'c']);
+  expect(views.isInContact()).toBe(true);
 });
--- a/packages/membership/src/views.ts
+++ b/packages/membership/src/gossip-membership.ts
@@ -8,8 +8,8 @@
   every,
   micros,
   type Address,
-  type DutyMark,
-  type Entry,
+  type SingletonRoleEntry,
+  type MemberEntry,
   type MessageOf,
   type ReplicaEntry,
   type World,
@@ -18,45 +18,45 @@
 import { sample } from './sample.js';
 
 /** What a member is told when its views are made. Times are microseconds. */
-export interface ViewsOptions {
+export interface GossipOptions {
   readonly member: string;
   readonly self: Address;
   readonly zone: string;
   /** Address at which its router takes requests. */
-  readonly http: string;
+  readonly routerHttpAddress: string;
   /** Grows with each start of this member, so that a restarted one outranks what is told of it. */
-  readonly born: number;
+  readonly incarnation: number;
   readonly seeds: readonly Address[];
   /** The view that was saved before the last stop. */
-  readonly persisted: readonly Entry[];
+  readonly persisted: readonly MemberEntry[];
   /** How many entries a message carries, and how many neighbours there are. */
-  readonly size: number;
+  readonly viewSize: number;
   /** Mean time between two exchanges. */
-  readonly period: number;
+  readonly exchangeInterval: number;
   /** How long a heartbeat counter may stand still. */
-  readonly forgetAfter: number;
+  readonly failureTimeout: number;
   /** Whether this member's router holds a feed lease. */
-  readonly tenured: () => boolean;
-  readonly core: () => { membershipEpoch: number; replicas: readonly ReplicaEntry[] };
-  readonly duties: () => DutyMark[];
-  readonly heardCore: (membershipEpoch: number, replicas: ReplicaEntry[]) => void;
-  readonly heardDuty: (duty: DutyMark) => void;
-  readonly save: (entries: readonly Entry[]) => void;
+  readonly holdsFeedLease: () => boolean;
+  readonly controlMembership: () => { membershipEpoch: number; replicas: readonly ReplicaEntry[] };
+  readonly heldSingletonRoles: () => SingletonRoleEntry[];
+  readonly onControlMembership: (membershipEpoch: number, replicas: ReplicaEntry[]) => void;
+  readonly onSingletonRole: (duty: SingletonRoleEntry) => void;
+  readonly save: (entries: readonly MemberEntry[]) => void;
 }
 
 /** What a member knows of the others. */
-export interface Views {
+export interface GossipMembership {
   readonly receive: (message: MessageOf<'Shuffle'>) => void;
   /** A fresh random sample of live members. */
   readonly neighbours: () => Address[];
   /** All members that are alive as far as is known, without itself. */
-  readonly live: () => Entry[];
+  readonly liveMembers: () => MemberEntry[];
   /** Itself and the live members of its zone. */
-  readonly zone: () => Entry[];
+  readonly zoneMembers: () => MemberEntry[];
   /** Whether at least half of the members heard of in the last minute are still heard of. */
-  readonly contact: () => boolean;
+  readonly isInContact: () => boolean;
   /** How many members there are, itself among them, with those no longer heard of for a minute. */
-  readonly total: () => number;
+  readonly recentCount: () => number;
   readonly stop: () => void;
 }
 
@@ -75,7 +75,7 @@
 /** The period is spread evenly over this range of itself, so that members don't fall into step. */
 const jitter = { least: 0.8, spread: 0.4 } as const;
 
-interface ViewsState {
+interface GossipState {
   readonly members: MemberTable;
   /** Addresses at which a member was once; asked when few are known. */
   readonly earlierAddresses: Set<string>;
@@ -83,8 +83,8 @@
 }
 
 /** Makes the views of a member and begins to exchange them. */
-export function createViews(world: World, options: ViewsOptions): Views {
-  const state: ViewsState = {
+export function createGossipMembership(world: World, options: GossipOptions): GossipMembership {
+  const state: GossipState = {
     members: createMemberTable(world, options),
     earlierAddresses: new Set(
       options.persisted.map((entry) => entry.address).filter((address) => address !== options.self),
@@ -96,27 +96,31 @@
     exchange(state, world, options);
   }
   world.after(micros(firstExchangeAfter), tick);
-  const stop = every(world, () => micros(options.period * (jitter.least + jitter.spread * world.random())), tick);
+  const stop = every(
+    world,
+    () => micros(options.exchangeInterval * (jitter.least + jitter.spread * world.random())),
+    tick,
+  );
   return {
     receive: (message) => receive(state, world, options, message),
-    neighbours: () => sample(members.live(), options.size, world.random).map((entry) => entry.address as Address),
-    live: members.live,
-    zone: () => [ownEntry(state, options), ...members.live().filter((entry) => entry.zone === options.zone)],
-    contact: members.contact,
-    total: () => 1 + members.total(),
+    neighbours: () => sample(members.live(), options.viewSize, world.random).map((entry) => entry.address as Address),
+    liveMembers: members.live,
+    zoneMembers: () => [ownEntry(state, options), ...members.live().filter((entry) => entry.zone === options.zone)],
+    isInContact: members.isInContact,
+    recentCount: () => 1 + members.recentCount(),
     stop,
   };
 }
 
-function ownEntry(state: ViewsState, options: ViewsOptions): Entry {
-  const { member, self: address, zone, born, http } = options;
-  return { member, address, zone, born, beat: state.heartbeat, http, tenured: options.tenured() };
+function ownEntry(state: GossipState, options: GossipOptions): MemberEntry {
+  const { member, self: address, zone, incarnation: born, routerHttpAddress: http } = options;
+  return { member, address, zone, born, beat: state.heartbeat, http, tenured: options.holdsFeedLease() };
 }
 
-function exchange(state: ViewsState, world: World, options: ViewsOptions): void {
+function exchange(state: GossipState, world: World, options: GossipOptions): void {
   const { members, earlierAddresses } = state;
   state.heartbeat += 1;
-  for (const forgotten of members.forget()) earlierAddresses.add(forgotten.address);
+  for (const forgotten of members.expire()) earlierAddresses.add(forgotten.address);
   const targets = new Set(sample(members.live(), fanout, world.random).map((entry) => entry.address as Address));
   if (members.liveCount() < fewMembers || world.random() < seedChance) {
     const others = [...options.seeds, ...earlierAddresses].filter((address) => address !== options.self);
@@ -127,23 +131,28 @@
   if (state.heartbeat % exchangesPerSave === 1) options.save(members.live());
 }
 
-function receive(state: ViewsState, world: World, options: ViewsOptions, message: MessageOf<'Shuffle'>): void {
-  state.members.take(message.entries);
-  if (message.membershipEpoch > 0) options.heardCore(message.membershipEpoch, message.replicas);
-  for (const duty of message.duties) options.heardDuty(duty);
+function receive(state: GossipState, world: World, options: GossipOptions, message: MessageOf<'Shuffle'>): void {
+  state.members.merge(message.entries);
+  if (message.membershipEpoch > 0) options.onControlMembership(message.membershipEpoch, message.replicas);
+  for (const duty of message.duties) options.onSingletonRole(duty);
   if (message.answer) world.send(message.from as Address, shuffleMessage(state, world, options, false));
 }
 
 /** What one member tells another; `answer` asks the receiver for its own entries. */
-function shuffleMessage(state: ViewsState, world: World, options: ViewsOptions, answer: boolean): MessageOf<'Shuffle'> {
-  const { membershipEpoch, replicas } = options.core();
+function shuffleMessage(
+  state: GossipState,
+  world: World,
+  options: GossipOptions,
+  answer: boolean,
+): MessageOf<'Shuffle'> {
+  const { membershipEpoch, replicas } = options.controlMembership();
   return {
     kind: 'Shuffle',
     answer,
     from: options.self,
-    entries: [ownEntry(state, options), ...sample(state.members.live(), options.size, world.random)],
+    entries: [ownEntry(state, options), ...sample(state.members.live(), options.viewSize, world.random)],
     membershipEpoch,
     replicas: [...replicas],
-    duties: options.duties(),
+    duties: options.heldSingletonRoles(),
   };
 }
--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,2 +1,2 @@
-export * from './marks.js';
-export * from './views.js';
+export * from './worker-state-table.js';
+export * from './gossip-membership.js';
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,26 +1,26 @@
 /** Which members are alive: each by the last time its own heartbeat counter rose. */
-import type { Entry, Micros, World } from '@tansypost/inner-protocol';
+import type { MemberEntry, Micros, World } from '@tansypost/inner-protocol';
 
 /** What the table is told when it is made. */
 export interface MemberTableOptions {
   /** The member that keeps the table; it is not in it. */
   readonly member: string;
   /** How long a heartbeat counter may stand still, in microseconds. */
-  readonly forgetAfter: number;
+  readonly failureTimeout: number;
 }
 
 /** The other members of the fleet as far as one of them knows. */
 export interface MemberTable {
   /** Merges what was heard in. */
-  readonly take: (entries: readonly Entry[]) => void;
+  readonly merge: (entries: readonly MemberEntry[]) => void;
   /** Takes out whose heartbeat stands still, and returns them. */
-  readonly forget: () => Entry[];
-  readonly live: () => Entry[];
+  readonly expire: () => MemberEntry[];
+  readonly live: () => MemberEntry[];
   readonly liveCount: () => number;
   /** Whether at least half of the members heard of in the last minute are still heard of. */
-  readonly contact: () => boolean;
+  readonly isInContact: () => boolean;
   /** How many live members there are, with those forgotten in the last minute. */
-  readonly total: () => number;
+  readonly recentCount: () => number;
 }
 
 /** A forgotten member counts for contact for so long, in microseconds. */
@@ -29,12 +29,12 @@
 const heardWithin = 1_500_000;
 
 interface LiveMember {
-  readonly entry: Entry;
+  readonly entry: MemberEntry;
   readonly rosenAt: Micros;
 }
 
 interface GoneMember {
-  readonly entry: Entry;
+  readonly entry: MemberEntry;
   readonly forgottenAt: Micros;
 }
 
@@ -43,7 +43,7 @@
   const live = new Map<string, LiveMember>();
   const gone = new Map<string, GoneMember>();
 
-  function take(entries: readonly Entry[]): void {
+  function take(entries: readonly MemberEntry[]): void {
     for (const entry of entries) {
       if (entry.member === options.member || entry.member === '') continue;
       const known = live.get(entry.member);
@@ -58,8 +58,8 @@
     }
   }
 
-  function forget(): Entry[] {
-    const forgotten = [...live.values()].filter((known) => world.now() - known.rosenAt > options.forgetAfter);
+  function forget(): MemberEntry[] {
+    const forgotten = [...live.values()].filter((known) => world.now() - known.rosenAt > options.failureTimeout);
     for (const { entry } of forgotten) {
       live.delete(entry.member);
       gone.set(entry.member, { entry, forgottenAt: world.now() });
@@ -78,16 +78,16 @@
   }
 
   return {
-    take,
-    forget,
+    merge: take,
+    expire: forget,
     live: () => [...live.values()].map((known) => known.entry),
     liveCount: () => live.size,
-    contact,
-    total: () => live.size + gone.size,
+    isInContact: contact,
+    recentCount: () => live.size + gone.size,
   };
 }
 
 /** Whether an entry is newer than another of the same member. */
-function isLater(entry: Entry, other: Entry): boolean {
+function isLater(entry: MemberEntry, other: MemberEntry): boolean {
   return entry.born > other.born || (entry.born === other.born && entry.beat > other.beat);
 }
--- a/packages/membership/src/marks.test.ts
+++ b/packages/membership/src/worker-state-table.test.ts
@@ -1,7 +1,7 @@
 /** Marks merge alike in any order. */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
-import { createMarks } from './marks.js';
+import { createWorkerStateTable } from './worker-state-table.js';
 
 const mark = fc.record({
   worker: fc.constantFrom('a', 'b'),
@@ -13,11 +13,11 @@
 it('gives the same table whatever the order and however often marks come', () => {
   fc.assert(
     fc.property(fc.array(mark), fc.array(fc.nat()), (marks, order) => {
-      const one = createMarks();
-      one.take(marks);
-      const two = createMarks();
-      for (const i of order) if (marks.length > 0) two.take([marks[i % marks.length]!]);
-      two.take([...marks].reverse());
+      const one = createWorkerStateTable();
+      one.merge(marks);
+      const two = createWorkerStateTable();
+      for (const i of order) if (marks.length > 0) two.merge([marks[i % marks.length]!]);
+      two.merge([...marks].reverse());
       expect(two.all()).toEqual(one.all());
       expect(two.digest()).toBe(one.digest());
     }),
--- a/packages/membership/src/marks.ts
+++ b/packages/membership/src/worker-state-table.ts
@@ -3,20 +3,20 @@
  * come: the higher incarnation wins, and within one the later state. So a leaving worker is spread without a
  * majority, and nothing brings that incarnation back.
  */
-import { digest, type Mark } from '@tansypost/inner-protocol';
+import { digest, type WorkerStateEntry } from '@tansypost/inner-protocol';
 
 /** States of a worker in the order in which they follow each other; a mark carries the index. */
-export const markStates = ['added', 'ready', 'leaving', 'gone'] as const;
+export const workerStates = ['added', 'ready', 'leaving', 'gone'] as const;
 
 /** One state of a worker. */
-export type MarkState = (typeof markStates)[number];
+export type WorkerState = (typeof workerStates)[number];
 
 /** The merged states of all workers. */
-export interface Marks {
+export interface WorkerStateTable {
   /** Merges marks in, and returns those that changed the table. */
-  readonly take: (marks: readonly Mark[]) => Mark[];
+  readonly merge: (marks: readonly WorkerStateEntry[]) => WorkerStateEntry[];
   /** Ordered by worker. */
-  readonly all: () => Mark[];
+  readonly all: () => WorkerStateEntry[];
   /** The same for two tables exactly if they hold the same. */
   readonly digest: () => string;
 }
@@ -24,19 +24,19 @@
 const digestLength = 16;
 
 /** Whether a mark replaces the one that is known of its worker. */
-export function outranks(mark: Mark, known: Mark | undefined): boolean {
+export function supersedes(mark: WorkerStateEntry, known: WorkerStateEntry | undefined): boolean {
   if (known === undefined || mark.incarnation > known.incarnation) return true;
   return mark.incarnation === known.incarnation && mark.state > known.state;
 }
 
 /** Makes an empty table. */
-export function createMarks(): Marks {
-  const marksByWorker = new Map<string, Mark>();
+export function createWorkerStateTable(): WorkerStateTable {
+  const marksByWorker = new Map<string, WorkerStateEntry>();
   let currentDigest: string | undefined;
 
-  function take(marks: readonly Mark[]): Mark[] {
+  function take(marks: readonly WorkerStateEntry[]): WorkerStateEntry[] {
     const fresh = marks.filter((mark) => {
-      if (!isValid(mark) || !outranks(mark, marksByWorker.get(mark.worker))) return false;
+      if (!isValid(mark) || !supersedes(mark, marksByWorker.get(mark.worker))) return false;
       marksByWorker.set(mark.worker, mark);
       return true;
     });
@@ -44,7 +44,7 @@
     return fresh;
   }
 
-  function all(): Mark[] {
+  function all(): WorkerStateEntry[] {
     return [...marksByWorker.values()].sort((a, b) => (a.worker < b.worker ? -1 : 1));
   }
 
@@ -53,14 +53,14 @@
     return currentDigest;
   }
 
-  return { take, all, digest: tableDigest };
+  return { merge: take, all, digest: tableDigest };
 }
 
-function isValid(mark: Mark): boolean {
-  return mark.worker !== '' && mark.state >= 0 && mark.state < markStates.length;
+function isValid(mark: WorkerStateEntry): boolean {
+  return mark.worker !== '' && mark.state >= 0 && mark.state < workerStates.length;
 }
 
-function digestOf(marks: readonly Mark[]): string {
+function digestOf(marks: readonly WorkerStateEntry[]): string {
   const rows = marks.map((mark) => [mark.worker, mark.incarnation, mark.state, mark.address]);
   return digest(JSON.stringify(rows)).slice(0, digestLength);
 }
