--- a/packages/boot/src/settings.ts
+++ b/packages/boot/src/settings.ts
@@ -6,7 +6,7 @@
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
 import { Value, type ValueError } from '@sinclair/typebox/value';
 import * as E from 'fp-ts/lib/Either.js';
-import { BadBoot } from '@tansypost/inner-protocol';
+import { BadSettingsError } from '@tansypost/inner-protocol';
 
 /** IPv4 address and port. */
 const SocketAddress = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
@@ -89,7 +89,7 @@
 
 /**
  * Reads and checks the settings of a program.
- * @returns the settings, or a `BadBoot` whose one line names the first field at fault
+ * @returns the settings, or a `BadSettingsError` whose one line names the first field at fault
  */
 export function readSettings<S extends TSchema>(schema: S, source: SettingsSource): E.Either<Error, Static<S>> {
   const fromFile = source.file === undefined ? E.right({}) : readJson(source.file);
@@ -107,7 +107,7 @@
     () => JSON.parse(readFileSync(file, 'utf8')) as Record<string, unknown>,
     (error) => {
       const why = error instanceof Error ? error.message : String(error);
-      return new BadBoot(`boot file ${file}: ${why}; give a readable JSON file.`);
+      return new BadSettingsError(`boot file ${file}: ${why}; give a readable JSON file.`);
     },
   );
 }
@@ -123,7 +123,7 @@
   const field = fault.path === '' ? '(file)' : fault.path.slice(1).replace(/\//g, '.');
   const got = JSON.stringify(fault.value) ?? 'nothing';
   const remedy = `Set it in the file or with --set ${field.split('.')[0]}=...`;
-  return new BadBoot(`boot field ${field}: ${fault.message}; got ${got}. ${remedy}`);
+  return new BadSettingsError(`boot field ${field}: ${fault.message}; got ${got}. ${remedy}`);
 }
 
 if (import.meta.vitest) {
--- a/packages/control-feed/src/asker.ts
+++ b/packages/control-feed/src/asker.ts
@@ -6,30 +6,30 @@
 import type { ControlNode } from '@tansypost/control-state';
 import { micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
-export interface CoreAnswer {
+export interface ControlResponse {
   readonly status: string;
   readonly epoch: number;
   readonly version: number;
   readonly value: Buffer;
 }
 
-export interface CoreQuestion {
+export interface ControlRequest {
   readonly op: 'read' | 'write' | 'lookup';
   readonly key: string;
   readonly change?: string;
   readonly base?: number;
   readonly value?: Buffer;
   /** The time by which it must be answered; what is still open then is `unknown`. */
-  readonly limit: number;
+  readonly deadline: number;
 }
 
-export interface CoreAsker {
-  readonly ask: (question: CoreQuestion, done: (answer: CoreAnswer) => void) => void;
-  readonly answer: (message: MessageOf<'Answer'>) => void;
+export interface ControlClient {
+  readonly request: (question: ControlRequest, done: (answer: ControlResponse) => void) => void;
+  readonly handleAnswer: (message: MessageOf<'Answer'>) => void;
 }
 
 const noBytes = Buffer.alloc(0);
-const unanswered: CoreAnswer = { status: 'unknown', epoch: 0, version: 0, value: noBytes };
+const unanswered: ControlResponse = { status: 'unknown', epoch: 0, version: 0, value: noBytes };
 const defaultPerTry = 350_000;
 /** How long to wait where no control node is known. */
 const noNodePause = 50_000;
@@ -41,20 +41,20 @@
 const hopsUsedUp = 2;
 
 /** `replicas` gives where to ask, the best first. */
-export function createCoreAsker(
+export function createControlClient(
   world: World,
   self: Address,
   replicas: () => readonly Address[],
   perTry = defaultPerTry,
-): CoreAsker {
+): ControlClient {
   const open = new Map<string, (message: MessageOf<'Answer'>) => void>();
   let lastId = Math.floor(world.random() * idRange);
 
-  function ask(question: CoreQuestion, done: (answer: CoreAnswer) => void): void {
+  function ask(question: ControlRequest, done: (answer: ControlResponse) => void): void {
     let tries = 0;
 
     function timeLeft(): number {
-      return Math.max(0, question.limit - world.now());
+      return Math.max(0, question.deadline - world.now());
     }
 
     function tryOnce(): void {
@@ -111,11 +111,11 @@
     tryOnce();
   }
 
-  return { ask, answer: (message) => open.get(message.id)?.(message) };
+  return { request: ask, handleAnswer: (message) => open.get(message.id)?.(message) };
 }
 
 /** Where to ask: this machine's replica first if it votes, then the live ones, else those last known, else the seeds. */
-export function createReplicaList(
+export function createReplicaAddressList(
   controlNode: () => ControlNode | undefined,
   self: Address,
   seeds: () => readonly Address[],
--- a/packages/control-feed/src/configuration-feed.test.ts
+++ b/packages/control-feed/src/configuration-feed.test.ts
@@ -4,7 +4,14 @@
  */
 import { expect, it } from 'vitest';
 import type { ControlNode } from '@tansypost/control-state';
-import { micros, seeded, type Address, type Kind, type Message, type World } from '@tansypost/inner-protocol';
+import {
+  micros,
+  createSeededRandom,
+  type Address,
+  type MessageKind,
+  type Message,
+  type World,
+} from '@tansypost/inner-protocol';
 import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
 import { configurationKey } from './configuration.js';
 import { createControlFeed, type ControlFeed } from './control-feed.js';
@@ -41,10 +48,11 @@
 }
 
 function createFleet(seed: number) {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const engine = createEngine();
   const net = createNetwork(engine, random);
-  const sent: { readonly kind: Kind; readonly from: string; readonly to: string; readonly message: Message }[] = [];
+  const sent: { readonly kind: MessageKind; readonly from: string; readonly to: string; readonly message: Message }[] =
+    [];
   net.tamper((message, from, to) => {
     if (from !== to) sent.push({ kind: message.kind, from, to, message });
     return undefined;
@@ -102,8 +110,8 @@
     const server = createFeedServer(world, {
       self: address,
       zone,
-      keeper: () => node,
-      fetchList: async () => undefined,
+      controlNode: () => node,
+      fetchWorkerList: async () => undefined,
     });
     proc.receive = (message, from) => void server.receive(message, from);
     return replica;
@@ -132,10 +140,10 @@
       member: name,
       zone,
       seeds: addresses,
-      contactTime,
-      more: { key: secondKey, version: () => second.at(-1) ?? 0, take: ({ version }) => second.push(version) },
-      fetchList: async () => undefined,
-      changed: (what) => {
+      unconfirmedTimeout: contactTime,
+      additionalKey: { key: secondKey, version: () => second.at(-1) ?? 0, take: ({ version }) => second.push(version) },
+      fetchWorkerList: async () => undefined,
+      onChange: (what) => {
         if (what !== 'configuration') return;
         const configuration = feed.configuration()!;
         expect(configuration.value).toEqual(valueOf(configuration.version));
--- a/packages/control-feed/src/configuration-follower.ts
+++ b/packages/control-feed/src/configuration-follower.ts
@@ -10,11 +10,11 @@
 import type { ControlNodeTable } from './control-node-table.js';
 
 /** How a control node is asked. */
-export interface Asking {
+export interface FollowOptions {
   /** The node is to send the configuration itself where it has a newer one, not only to confirm its version. */
-  readonly wanted: boolean;
+  readonly wantsConfiguration: boolean;
   /** Whether differences are taken; false after one that did not fit. */
-  readonly takesPatches: boolean;
+  readonly acceptsPatches: boolean;
 }
 
 /** How the version in force came to be it, for the log. */
@@ -28,9 +28,9 @@
 
 export interface ConfigurationFollowerOptions {
   readonly nodes: ControlNodeTable;
-  readonly contactTime: number;
-  readonly ask: (address: Address, asking: Asking) => void;
-  readonly adopted: () => void;
+  readonly unconfirmedTimeout: number;
+  readonly follow: (address: Address, asking: FollowOptions) => void;
+  readonly onAdopted: () => void;
 }
 
 export interface ConfigurationFollower {
@@ -39,10 +39,10 @@
   readonly adoption: () => Adoption | undefined;
   /** The newest version known, in force or held aside; 0 if there is none. */
   readonly newestVersion: () => number;
-  readonly take: (configuration: Configuration) => void;
-  readonly takePatch: (patch: MessageOf<'ConfigurationPatch'>, from: Address) => void;
+  readonly handleConfiguration: (configuration: Configuration) => void;
+  readonly handlePatch: (patch: MessageOf<'ConfigurationPatch'>, from: Address) => void;
   /** A beat has come, and the table of nodes has taken it in. */
-  readonly heard: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
+  readonly handleBeat: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
   readonly stop: () => void;
 }
 
@@ -53,8 +53,8 @@
   world: World,
   options: ConfigurationFollowerOptions,
 ): ConfigurationFollower {
-  const { nodes, ask } = options;
-  const gate = createConfigurationGate(world, { contactTime: options.contactTime, adopted });
+  const { nodes, follow: ask } = options;
+  const gate = createConfigurationGate(world, { unconfirmedTimeout: options.unconfirmedTimeout, onAdopted: adopted });
   let awaiting = false;
   let adoption: Adoption | undefined;
   let form: Adoption['form'] = 'whole';
@@ -64,7 +64,7 @@
   function adopted(reason: AdoptionReason): void {
     adoption = { reason, form, toldBefore: toldAt === undefined ? 0 : world.now() - toldAt };
     toldAt = undefined;
-    options.adopted();
+    options.onAdopted();
   }
 
   function offer(configuration: Configuration, sentAs: Adoption['form']): void {
@@ -84,7 +84,7 @@
     if (patch.version <= newestVersion()) return;
     const base = gate.newest();
     const value = base?.version === patch.base ? applyPatch(base.value, patch.steps, patch.digest) : undefined;
-    if (value === undefined) return ask(from, { wanted: true, takesPatches: false });
+    if (value === undefined) return ask(from, { wantsConfiguration: true, acceptsPatches: false });
     offer({ version: patch.version, value }, 'difference');
   }
 
@@ -100,7 +100,7 @@
     if (!nodes.anyLeased()) return;
     nodes.chooseSource();
     const source = nodes.source();
-    if (source !== undefined) ask(source, { wanted: true, takesPatches: true });
+    if (source !== undefined) ask(source, { wantsConfiguration: true, acceptsPatches: true });
   }
 
   /** In a storm there is always something newer; the source is late when it has not sent what was told back then. */
@@ -120,16 +120,16 @@
       .sort((a, b) => b.version - a.version);
     if (newest === undefined || newest.version <= newestVersion()) return;
     if (newest.address !== nodes.source()) nodes.markSourceLate();
-    ask(newest.address, { wanted: true, takesPatches: true });
+    ask(newest.address, { wantsConfiguration: true, acceptsPatches: true });
   }
 
   return {
     current: gate.current,
     adoption: () => adoption,
     newestVersion,
-    take,
-    takePatch,
-    heard,
+    handleConfiguration: take,
+    handlePatch: takePatch,
+    handleBeat: heard,
     stop: gate.stop,
   };
 }
--- a/packages/control-feed/src/configuration-gate.test.ts
+++ b/packages/control-feed/src/configuration-gate.test.ts
@@ -26,8 +26,8 @@
   const gate = createConfigurationGate(
     { after },
     {
-      contactTime,
-      adopted: (reason) => {
+      unconfirmedTimeout: contactTime,
+      onAdopted: (reason) => {
         adopted.push(gate.current()!.version);
         reasons.push(reason);
       },
--- a/packages/control-feed/src/configuration-gate.ts
+++ b/packages/control-feed/src/configuration-gate.ts
@@ -19,9 +19,9 @@
 
 export interface ConfigurationGateOptions {
   /** How long only answers without a lease are to be had before one of them is taken, in microseconds. */
-  readonly contactTime: number;
+  readonly unconfirmedTimeout: number;
   /** A configuration has come into force at this router. */
-  readonly adopted: (reason: AdoptionReason) => void;
+  readonly onAdopted: (reason: AdoptionReason) => void;
 }
 
 export interface ConfigurationGate {
@@ -50,7 +50,7 @@
     stopWaiting = undefined;
     candidate = undefined;
     current = configuration;
-    options.adopted(reason);
+    options.onAdopted(reason);
   }
 
   function adoptIfConfirmed(): void {
@@ -60,7 +60,7 @@
 
   function holdAside(configuration: Configuration): void {
     candidate = configuration;
-    stopWaiting ??= world.after(micros(options.contactTime), () => {
+    stopWaiting ??= world.after(micros(options.unconfirmedTimeout), () => {
       if (candidate !== undefined) adopt(candidate, 'unconfirmed');
     });
     adoptIfConfirmed();
--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -4,7 +4,7 @@
  * itself; the others are sent a beat with the version, so that one whose source is behind can fetch it here. What goes
  * to one follower is paced, and the last thing sent is always the newest.
  */
-import { every, micros, type Address, type MessageOf, type NewsItem, type World } from '@tansypost/inner-protocol';
+import { every, micros, type Address, type MessageOf, type KeyUpdate, type World } from '@tansypost/inner-protocol';
 import type { ControlNode, Following } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationHistory } from './configuration-history.js';
@@ -20,11 +20,11 @@
 
 export interface ConfigurationPublisher {
   /** Sends a follower that asks what it lacks, and gives what is to be said in the beat. */
-  readonly asked: (question: MessageOf<'Follow'>, from: Address) => Following | undefined;
+  readonly handleFollow: (question: MessageOf<'Follow'>, from: Address) => Following | undefined;
   /** What this node's own replica tells it as a follower. */
-  readonly take: (told: MessageOf<'News'>) => void;
+  readonly handleNews: (told: MessageOf<'News'>) => void;
   /** Another control node has told that a version is on a majority. */
-  readonly committed: (version: number) => void;
+  readonly handleCommitted: (version: number) => void;
   readonly stop: () => void;
 }
 
@@ -54,7 +54,7 @@
   options: ConfigurationPublisherOptions,
 ): ConfigurationPublisher {
   const history = createConfigurationHistory();
-  const others = new Map<string, NewsItem>();
+  const others = new Map<string, KeyUpdate>();
   /** Followers that wait for this node's replica to tell a key. */
   const askers = new Map<string, Set<Address>>();
   const paces = new Map<Address, Pace>();
@@ -114,7 +114,7 @@
     if (membership !== undefined && membership.membershipEpoch > question.membershipEpoch) sendNews(from, []);
   }
 
-  function sendNews(to: Address, news: NewsItem[]): void {
+  function sendNews(to: Address, news: KeyUpdate[]): void {
     const membership = options.controlNode()?.replica.membership();
     const { membershipEpoch, replicas } = membership ?? { membershipEpoch: 0, replicas: [] };
     world.send(to, { kind: 'News', news, membershipEpoch, replicas: [...replicas] });
@@ -164,7 +164,7 @@
   }
 
   /** What this node's leader has just written goes to all; what it was asked for goes to those who asked. */
-  function takeOther(item: NewsItem): void {
+  function takeOther(item: KeyUpdate): void {
     const isNewer = item.version > (others.get(item.key)?.version ?? 0);
     const receivers = askers.get(item.key) ?? options.followers();
     askers.delete(item.key);
@@ -193,5 +193,5 @@
     () => refreshEvery,
     () => void refresh(),
   );
-  return { asked, take, committed, stop };
+  return { handleFollow: asked, handleNews: take, handleCommitted: committed, stop };
 }
--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from 'vitest';
 import type { Message } from '@tansypost/inner-protocol';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import {
   createControlCluster,
   foundControlCluster,
@@ -8,14 +8,14 @@
   type ControlCluster,
   type Network,
 } from '@tansypost/simulator';
-import type { CoreAnswer } from './asker.js';
+import type { ControlResponse } from './asker.js';
 import { configurationKey } from './configuration.js';
 import type { ControlFeed } from './control-feed.js';
 
 type Tamper = Parameters<Network['tamper']>[0];
 interface Core extends ControlCluster {
-  readonly write: (via: string, base: number, text: string) => Promise<CoreAnswer>;
-  readonly read: (via: string) => Promise<CoreAnswer>;
+  readonly write: (via: string, base: number, text: string) => Promise<ControlResponse>;
+  readonly read: (via: string) => Promise<ControlResponse>;
   readonly put: (via: string, base: number, text: string) => Promise<string>;
   readonly get: (via: string) => Promise<string>;
   readonly router: (name: string) => ControlFeed;
@@ -23,16 +23,24 @@
 
 // Adds calls that pass virtual time until they are answered.
 function withCalls(c: ControlCluster): Core {
-  async function answered(p: Promise<CoreAnswer>): Promise<CoreAnswer> {
-    const got: { a?: CoreAnswer } = {};
+  async function answered(p: Promise<ControlResponse>): Promise<ControlResponse> {
+    const got: { a?: ControlResponse } = {};
     void p.then((a) => (got.a = a));
     for (let n = 0; n < 100 && got.a === undefined; n += 1) await c.run(10);
     return got.a ?? { status: 'silent', epoch: 0, version: 0, value: Buffer.alloc(0) };
   }
-  function write(via: string, base: number, text: string): Promise<CoreAnswer> {
-    return answered(c.ask(via, { op: 'write', key: configurationKey, change: text, base, value: Buffer.from(text) }));
+  function write(via: string, base: number, text: string): Promise<ControlResponse> {
+    return answered(
+      c.ask(via, {
+        op: 'write',
+        key: configurationKey,
+        change: text,
+        base,
+        value: Buffer.from(text),
+      }),
+    );
   }
-  function read(via: string): Promise<CoreAnswer> {
+  function read(via: string): Promise<ControlResponse> {
     return answered(c.ask(via, { op: 'read', key: configurationKey }));
   }
   return {
@@ -58,7 +66,7 @@
   expect(await c.put('c0', 0, 'one')).toBe('done');
   await c.run(1000);
   expect(r.configuration()).toEqual({ version: 1, value: Buffer.from('one') });
-  expect([r.heardCore(), r.routers()]).toEqual([true, 1]);
+  expect([r.isInContact(), r.routerCount()]).toEqual([true, 1]);
 });
 
 it('never founds with a blank disk where it was not told to', async () => {
@@ -262,7 +270,7 @@
 // Troubles one after the other with calm between them, at most one disk lost in any, while changes are made and
 // routers follow. Gives what broke.
 async function troubles(seed: number, rounds: number, tamper?: Tamper): Promise<string[]> {
-  const r = seeded(seed * 7919);
+  const r = createSeededRandom(seed * 7919);
   const names = seed % 3 === 0 ? ['c0', 'c1', 'c2', 'c3', 'c4'] : [...seedNames];
   const c = await founded(seed, names);
   await c.run(2000);
@@ -357,7 +365,7 @@
           .join() !== 'a false,b true'
       )
         faults.push(`${k}: no workers`);
-      if (f.loads().size !== 2 || !f.heardCore()) faults.push(`${k}: no loads, or the core is not heard`);
+      if (f.loads().size !== 2 || !f.isInContact()) faults.push(`${k}: no loads, or the core is not heard`);
     }
     if (faults.length > 0) break;
   }
--- a/packages/control-feed/src/control-feed.test.ts
+++ b/packages/control-feed/src/control-feed.test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from 'vitest';
-import { micros, seeded, type Address, type Message } from '@tansypost/inner-protocol';
+import { micros, createSeededRandom, type Address, type Message } from '@tansypost/inner-protocol';
 import { createEngine, createNetwork, createProc, die, procWorld } from '@tansypost/simulator';
 import { configurationKey } from './configuration.js';
 import { createControlFeed } from './control-feed.js';
@@ -14,7 +14,7 @@
 
 // Two keepers without a core behind them, and one router.
 function world(seed: number) {
-  const r = seeded(seed);
+  const r = createSeededRandom(seed);
   const e = createEngine();
   const net = createNetwork(e, r);
   const list: { now: readonly ListedWorker[] | undefined } = { now: [worker('a'), worker('b')] };
@@ -35,8 +35,8 @@
       ),
       {
         self: `${name}:1` as Address,
-        keeper: () => undefined,
-        fetchList: async () => {
+        controlNode: () => undefined,
+        fetchWorkerList: async () => {
           looks.keepers += 1;
           return list.now;
         },
@@ -63,12 +63,12 @@
       member: 'r',
       zone: 'z',
       seeds: ['k0:1', 'k1:1'] as Address[],
-      fetchList: async () => {
+      fetchWorkerList: async () => {
         looks.router += 1;
         return list.now;
       },
-      changed: (what) => changed.push(what),
-      clockTold: (source, wall, askedAt, heardAt) => times.push({ source, wall, askedAt, heardAt }),
+      onChange: (what) => changed.push(what),
+      onClockReading: (source, wall, askedAt, heardAt) => times.push({ source, wall, askedAt, heardAt }),
     },
   );
   proc.receive = feed.receive;
@@ -82,7 +82,7 @@
   const x = world(1);
   await x.run(2000);
   expect(x.shown()).toEqual(['a', 'b']);
-  expect(x.feed.routers()).toBe(1);
+  expect(x.feed.routerCount()).toBe(1);
   x.list.now = [worker('a', true), worker('b'), worker('c')];
   await x.run(1500);
   expect(x.shown()).toEqual(['a leaving', 'b', 'c']);
@@ -167,8 +167,8 @@
       member: 'r',
       zone: 'z',
       seeds: ['k0:1' as Address],
-      fetchList: async () => undefined,
-      changed: (what) => got.push(what),
+      fetchWorkerList: async () => undefined,
+      onChange: (what) => got.push(what),
     },
   );
   function news(version: number, membershipEpoch: number): Message {
--- a/packages/control-feed/src/control-feed.ts
+++ b/packages/control-feed/src/control-feed.ts
@@ -11,25 +11,25 @@
   type Address,
   type Message,
   type MessageOf,
-  type NewsItem,
+  type KeyUpdate,
   type ReplicaEntry,
   type World,
 } from '@tansypost/inner-protocol';
 import { configurationKey, type Configuration } from './configuration.js';
 import { unpackConfiguration } from './configuration-packing.js';
-import { createConfigurationFollower, type Adoption, type Asking } from './configuration-follower.js';
+import { createConfigurationFollower, type Adoption, type FollowOptions } from './configuration-follower.js';
 import { createControlNodeTable } from './control-node-table.js';
 import type { ListedWorker } from './listed-worker.js';
-import { createReadExchange } from './read-exchange.js';
+import { createPrefillExchange } from './read-exchange.js';
 import { createWorkerListFollower } from './worker-list-follower.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
 /** A second key to be told of. */
-export interface SecondKey {
+export interface AdditionalKey {
   readonly key: string;
   /** The version that is had here. */
   readonly version: () => number;
-  readonly take: (item: NewsItem) => void;
+  readonly take: (item: KeyUpdate) => void;
 }
 
 export interface ControlFeedOptions {
@@ -39,23 +39,23 @@
   /** The region of a zone; without it each zone is a region of its own. */
   readonly regionOf?: (zone: string) => string;
   readonly seeds: readonly Address[];
-  readonly fetchList: () => Promise<readonly ListedWorker[] | undefined>;
-  readonly changed: (what: 'configuration' | 'workers') => void;
+  readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
+  readonly onChange: (what: 'configuration' | 'workers') => void;
   /** Loads of workers that are newer than what was known. */
-  readonly loadsTold?: (loads: readonly WorkerLoad[]) => void;
+  readonly onWorkerLoads?: (loads: readonly WorkerLoad[]) => void;
   /** Another router has sent a worker a prompt that takes so long to read, in microseconds. */
-  readonly elsewhere?: (worker: string, service: number, bad: boolean) => void;
-  readonly more?: SecondKey;
+  readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
+  readonly additionalKey?: AdditionalKey;
   /**
    * A control node has told its time of day, `wall`, in milliseconds since 1970. It was read between `askedAt` and
    * `heardAt`, which are times of this router's monotonic clock in microseconds.
    */
-  readonly clockTold?: (source: Address, wall: number, askedAt: number, heardAt: number) => void;
+  readonly onClockReading?: (source: Address, wall: number, askedAt: number, heardAt: number) => void;
   /** How long a starting router holds out for an answer under a serving lease, in microseconds. */
-  readonly contactTime?: number;
-  readonly followEvery?: number;
+  readonly unconfirmedTimeout?: number;
+  readonly followInterval?: number;
   /** How old the newest look at the list of workers may get before the router looks itself. */
-  readonly listPatience?: number;
+  readonly maxWorkerListAge?: number;
 }
 
 export interface ControlFeed {
@@ -67,18 +67,18 @@
   readonly workers: () => readonly ListedWorker[];
   readonly loads: () => ReadonlyMap<string, WorkerLoad>;
   /** How many routers follow the control nodes, as these count them; 0 when none has told. */
-  readonly routers: () => number;
-  readonly heardCore: () => boolean;
+  readonly routerCount: () => number;
+  readonly isInContact: () => boolean;
   /** The control nodes heard that vote, in an order that is the same for all routers. */
-  readonly keepers: () => readonly Address[];
+  readonly votingNodes: () => readonly Address[];
   /** The replicas of the control cluster as last told; the epoch is 0 as long as nobody has told any. */
   readonly membership: () => { readonly membershipEpoch: number; readonly replicas: readonly ReplicaEntry[] };
   /** The control node that sends the configuration to this router. */
   readonly source: () => Address | undefined;
   /** Tells the other routers of a read; those within a moment go out together. */
-  readonly reading: (worker: string, service: number, bad?: boolean) => void;
+  readonly announcePrefill: (worker: string, service: number, bad?: boolean) => void;
   /** The seeds of a settings file that has changed. */
-  readonly reseed: (seeds: readonly Address[]) => void;
+  readonly setSeeds: (seeds: readonly Address[]) => void;
   readonly stop: () => void;
 }
 
@@ -98,24 +98,24 @@
 const noPeersWanted = -1;
 
 export function createControlFeed(world: World, options: ControlFeedOptions): ControlFeed {
-  const followEvery = options.followEvery ?? defaultFollowEvery;
+  const followEvery = options.followInterval ?? defaultFollowEvery;
   // Echoed by control nodes; a random origin keeps answers to an earlier process of this address from counting.
   const clockOrigin = 1 + Math.floor(world.random() * clockOriginRange);
-  const nodes = createControlNodeTable(world, { ...options, sourceSilence: 1.5 * followEvery });
+  const nodes = createControlNodeTable(world, { ...options, sourceTimeout: 1.5 * followEvery });
   const loads = createWorkerLoadTable(world);
-  const reads = createReadExchange(world, { ...options, relay: () => nodes.voting()[0] });
+  const reads = createPrefillExchange(world, { ...options, relay: () => nodes.voting()[0] });
   const workerList = createWorkerListFollower(world, {
     nodes,
-    fetchList: options.fetchList,
-    changed: () => options.changed('workers'),
-    askAgain: (address) => follow(address, usualAsking(address)),
-    patience: options.listPatience ?? defaultListPatience,
+    fetchWorkerList: options.fetchWorkerList,
+    onChange: () => options.onChange('workers'),
+    requestWholeList: (address) => follow(address, usualAsking(address)),
+    maxListAge: options.maxWorkerListAge ?? defaultListPatience,
   });
   const configuration = createConfigurationFollower(world, {
     nodes,
-    contactTime: options.contactTime ?? defaultContactTime,
-    ask: follow,
-    adopted: () => options.changed('configuration'),
+    unconfirmedTimeout: options.unconfirmedTimeout ?? defaultContactTime,
+    follow: follow,
+    onAdopted: () => options.onChange('configuration'),
   });
   let seeds = options.seeds;
   let replicas: readonly ReplicaEntry[] = [];
@@ -123,11 +123,11 @@
   let secondKeyAt = 0;
   let round = 0;
 
-  function usualAsking(address: Address): Asking {
-    return { wanted: address === nodes.source(), takesPatches: true };
+  function usualAsking(address: Address): FollowOptions {
+    return { wantsConfiguration: address === nodes.source(), acceptsPatches: true };
   }
 
-  function follow(address: Address, asking: Asking): void {
+  function follow(address: Address, asking: FollowOptions): void {
     world.send(address, {
       kind: 'Follow',
       key: configurationKey,
@@ -135,22 +135,22 @@
       membershipEpoch,
       list: nodes.state(address).list,
       peers: address === nodes.voting()[0] ? reads.peersDigest() : noPeersWanted,
-      confirmOnly: !asking.wanted,
-      takesPatches: asking.takesPatches,
+      confirmOnly: !asking.wantsConfiguration,
+      takesPatches: asking.acceptsPatches,
       asked: clockOrigin + world.now(),
     });
   }
 
   function tick(): void {
     const members = replicas.map((replica) => replica.address as Address);
-    const targets = new Set(members.length > 0 && nodes.isInTouch() ? members : [...members, ...seeds]);
+    const targets = new Set(members.length > 0 && nodes.isInContact() ? members : [...members, ...seeds]);
     nodes.chooseSource();
     const first = firstVoting();
     for (const address of targets) if (address === first || isDue(address)) follow(address, usualAsking(address));
     round += 1;
-    nodes.keepOnly(targets);
+    nodes.retainOnly(targets);
     followSecondKey();
-    workerList.lookIfStale();
+    workerList.fetchIfStale();
   }
 
   /** The first replica that votes looks at the list of workers most often, so its beats confirm the list. */
@@ -172,7 +172,7 @@
   /** What is pushed to all may have been missed: so one control node is asked now and then. */
   function followSecondKey(): void {
     const address = nodes.voting()[0];
-    const second = options.more;
+    const second = options.additionalKey;
     if (second === undefined || address === undefined || world.now() < secondKeyAt) return;
     secondKeyAt = world.now() + secondKeyEvery;
     world.send(address, {
@@ -191,10 +191,10 @@
   function onBeat(beat: MessageOf<'Beat'>, from: Address): void {
     const age = clockOrigin + world.now() - beat.asked;
     const fresh = age >= 0 && age <= beatFreshFor;
-    nodes.heard(beat, from, fresh);
-    if (fresh && beat.wall > 0) options.clockTold?.(from, beat.wall, beat.asked - clockOrigin, world.now());
-    workerList.confirm(beat.list, beat.age, from);
-    configuration.heard(beat, from, fresh);
+    nodes.recordBeat(beat, from, fresh);
+    if (fresh && beat.wall > 0) options.onClockReading?.(from, beat.wall, beat.asked - clockOrigin, world.now());
+    workerList.confirmList(beat.list, beat.age, from);
+    configuration.handleBeat(beat, from, fresh);
   }
 
   function onNews(told: MessageOf<'News'>): void {
@@ -203,14 +203,18 @@
       replicas = told.replicas;
     }
     for (const item of told.news) {
-      if (item.key !== configurationKey) options.more?.take(item);
-      else configuration.take({ version: item.version, value: unpackConfiguration(Buffer.from(item.value)) });
+      if (item.key !== configurationKey) options.additionalKey?.take(item);
+      else
+        configuration.handleConfiguration({
+          version: item.version,
+          value: unpackConfiguration(Buffer.from(item.value)),
+        });
     }
   }
 
   function onLoads(told: MessageOf<'WorkerLoads'>): void {
-    const newer = loads.take(told);
-    options.loadsTold?.(newer);
+    const newer = loads.merge(told);
+    options.onWorkerLoads?.(newer);
   }
 
   function receive(message: Message, from: Address): void {
@@ -220,13 +224,13 @@
       case 'News':
         return onNews(message);
       case 'ConfigurationPatch':
-        return configuration.takePatch(message, from);
+        return configuration.handlePatch(message, from);
       case 'Peers':
-        return reads.takePeers(message);
+        return reads.handlePeers(message);
       case 'Reading':
-        return reads.take(message);
+        return reads.handlePrefills(message);
       case 'WorkerList':
-        return workerList.take(message, from);
+        return workerList.handleList(message, from);
       case 'WorkerLoads':
         return onLoads(message);
       default:
@@ -247,13 +251,13 @@
     adoption: configuration.adoption,
     workers: workerList.workers,
     loads: loads.loads,
-    routers: nodes.followers,
-    heardCore: nodes.isInTouch,
-    keepers: nodes.voting,
+    routerCount: nodes.followerCount,
+    isInContact: nodes.isInContact,
+    votingNodes: nodes.voting,
     membership: () => ({ membershipEpoch, replicas }),
     source: nodes.source,
-    reading: (worker, service, bad = false) => reads.tell(worker, service, bad),
-    reseed: (addresses) => {
+    announcePrefill: (worker, service, bad = false) => reads.announce(worker, service, bad),
+    setSeeds: (addresses) => {
       seeds = addresses;
     },
     stop: () => {
--- a/packages/control-feed/src/control-guide.test.ts
+++ b/packages/control-feed/src/control-guide.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import type { Address, Message, MessageOf } from '@tansypost/inner-protocol';
-import { createControlGuide } from './control-guide.js';
+import { createControlGateway } from './control-guide.js';
 
 const self = 'gateway:1' as Address;
 const stranger = 'stranger:1' as Address;
@@ -15,7 +15,7 @@
 function guide(membershipEpoch: number) {
   const sent: [Address, Message][] = [];
   const known = { membershipEpoch, replicas: membershipEpoch === 0 ? [] : replicas };
-  const take = createControlGuide(
+  const take = createControlGateway(
     { send: (to, message) => sent.push([to, message]) },
     { self, membership: () => known, firstStart: true },
   );
--- a/packages/control-feed/src/control-guide.ts
+++ b/packages/control-feed/src/control-guide.ts
@@ -4,9 +4,9 @@
  * wait for it; machines with disks that ask to join while no replica is known are told of each other. It confirms nothing
  * and refuses nothing by itself.
  */
-import type { Address, FoundingCandidate, Message, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
+import type { Address, BootstrapCandidate, Message, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
 
-export interface ControlGuideOptions {
+export interface ControlGatewayOptions {
   readonly self: Address;
   /** The replicas of the control cluster as this machine last heard of them. */
   readonly membership: () => { readonly membershipEpoch: number; readonly replicas: readonly ReplicaEntry[] };
@@ -18,11 +18,11 @@
 const mostCandidates = 256;
 
 /** Takes in a message and says whether it was meant for a control node. */
-export type ControlGuide = (message: Message, from: Address) => boolean;
+export type ControlGateway = (message: Message, from: Address) => boolean;
 
 /** A guide that answers with what `membership` gives at that moment. */
-export function createControlGuide(world: Pick<World, 'send'>, options: ControlGuideOptions): ControlGuide {
-  const candidates = new Map<string, FoundingCandidate>();
+export function createControlGateway(world: Pick<World, 'send'>, options: ControlGatewayOptions): ControlGateway {
+  const candidates = new Map<string, BootstrapCandidate>();
 
   function showMembers(question: MessageOf<'Follow'>, from: Address): void {
     const { membershipEpoch, replicas } = options.membership();
--- a/packages/control-feed/src/control-node-table.test.ts
+++ b/packages/control-feed/src/control-node-table.test.ts
@@ -9,12 +9,17 @@
   const clock = { now: 0 };
   const nodes = createControlNodeTable(
     { now: () => micros(clock.now) },
-    { self: self as Address, zone: 'home', regionOf: (zone) => (zone === 'overseas' ? zone : 'land'), sourceSilence },
+    {
+      self: self as Address,
+      zone: 'home',
+      regionOf: (zone) => (zone === 'overseas' ? zone : 'land'),
+      sourceTimeout: sourceSilence,
+    },
   );
   function beat(from: Address, fields: Partial<MessageOf<'Beat'>> = {}, fresh = true): void {
     const usual = { version: 1, membershipEpoch: 1, list: 0, age: 0, followers: 1, asked: 1, wall: 0 };
     const zone = from === near ? 'home' : 'abroad';
-    nodes.heard({ kind: 'Beat', ...usual, voting: true, leased: true, zone, ...fields }, from, fresh);
+    nodes.recordBeat({ kind: 'Beat', ...usual, voting: true, leased: true, zone, ...fields }, from, fresh);
   }
   function source(): Address | undefined {
     nodes.chooseSource();
@@ -75,7 +80,7 @@
     expect(source()).toBe(far);
     beat(other!);
     expect(source()).toBe(far);
-    nodes.keepOnly(new Set([other!]));
+    nodes.retainOnly(new Set([other!]));
     expect(source()).toBe(other);
     beat(far!);
     expect(source()).toBe(other);
--- a/packages/control-feed/src/control-node-table.ts
+++ b/packages/control-feed/src/control-node-table.ts
@@ -9,7 +9,7 @@
 /** What a router knows of one control node. */
 export interface ControlNodeState {
   readonly address: Address;
-  heardAt: number;
+  lastBeatAt: number;
   voting: boolean;
   /** Until when its last fresh beat with a serving lease counts. */
   leasedUntil: number;
@@ -17,7 +17,7 @@
   lateUntil: number;
   zone: string;
   version: number;
-  followers: number;
+  followerCount: number;
   /** The digest of the worker list as this node last told it. */
   list: number;
 }
@@ -28,19 +28,19 @@
   /** The region of a zone; without it each zone is a region of its own. */
   readonly regionOf?: (zone: string) => string;
   /** How long a source may be silent, in microseconds. */
-  readonly sourceSilence: number;
+  readonly sourceTimeout: number;
 }
 
 export interface ControlNodeTable {
   readonly state: (address: Address) => ControlNodeState;
   /** Takes in a beat. `fresh` says that it answers a question asked a short time ago. */
-  readonly heard: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
+  readonly recordBeat: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
   /** Drops all but these. */
-  readonly keepOnly: (addresses: ReadonlySet<Address>) => void;
-  readonly isInTouch: () => boolean;
+  readonly retainOnly: (addresses: ReadonlySet<Address>) => void;
+  readonly isInContact: () => boolean;
   /** The voting nodes heard lately, in an order that is the same for all routers. */
   readonly voting: () => Address[];
-  readonly followers: () => number;
+  readonly followerCount: () => number;
   readonly source: () => Address | undefined;
   /** Chooses the source anew and says whether it is another one than before. */
   readonly chooseSource: () => boolean;
@@ -64,13 +64,13 @@
     if (known === undefined) {
       known = {
         address,
-        heardAt: -Infinity,
+        lastBeatAt: -Infinity,
         voting: false,
         leasedUntil: -Infinity,
         lateUntil: -Infinity,
         zone: '',
         version: 0,
-        followers: 0,
+        followerCount: 0,
         list: 0,
       };
       nodes.set(address, known);
@@ -81,11 +81,11 @@
   function heard(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
     const node = state(from);
     const now = world.now();
-    node.heardAt = now;
+    node.lastBeatAt = now;
     node.voting = beat.voting;
     node.zone = beat.zone;
     node.version = beat.version;
-    node.followers = beat.followers;
+    node.followerCount = beat.followers;
     if (fresh) node.leasedUntil = beat.leased ? now + leasedFor : -Infinity;
   }
 
@@ -96,21 +96,23 @@
   function voting(): Address[] {
     const now = world.now();
     return [...nodes.values()]
-      .filter((node) => node.voting && now - node.heardAt < silence)
+      .filter((node) => node.voting && now - node.lastBeatAt < silence)
       .map((node) => node.address)
       .sort();
   }
 
   function followers(): number {
     const now = world.now();
-    const counts = [...nodes.values()].filter((n) => now - n.heardAt < followersCountFor).map((n) => n.followers);
+    const counts = [...nodes.values()]
+      .filter((n) => now - n.lastBeatAt < followersCountFor)
+      .map((n) => n.followerCount);
     return Math.max(0, ...counts);
   }
 
   /** Higher is better; undefined where the node cannot be the source. */
   function grade(node: ControlNodeState): number | undefined {
     const now = world.now();
-    if (!node.voting || now - node.heardAt > options.sourceSilence) return undefined;
+    if (!node.voting || now - node.lastBeatAt > options.sourceTimeout) return undefined;
     const leased = node.leasedUntil > now ? 8 : 0;
     const punctual = node.lateUntil <= now ? 4 : 0;
     return leased + punctual + nearness(node);
@@ -149,11 +151,11 @@
 
   return {
     state,
-    heard,
-    keepOnly,
-    isInTouch: () => voting().length > 0,
+    recordBeat: heard,
+    retainOnly: keepOnly,
+    isInContact: () => voting().length > 0,
     voting,
-    followers,
+    followerCount: followers,
     source: () => source,
     chooseSource,
     markSourceLate,
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -7,13 +7,13 @@
 import { encodeMembership, leaseLength, membershipKey, readJournal } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { foundControlCluster, seedNames, type ClusterMachine, type ControlCluster } from '@tansypost/simulator';
-import type { CoreAnswer } from './asker.js';
+import type { ControlResponse } from './asker.js';
 import { configurationKey } from './configuration.js';
 
 const router = 'r:1' as Address;
 
-async function answered(cluster: ControlCluster, asked: Promise<CoreAnswer>): Promise<CoreAnswer> {
-  const got: { answer?: CoreAnswer } = {};
+async function answered(cluster: ControlCluster, asked: Promise<ControlResponse>): Promise<ControlResponse> {
+  const got: { answer?: ControlResponse } = {};
   void asked.then((answer) => (got.answer = answer));
   for (let n = 0; n < 100 && got.answer === undefined; n += 1) await cluster.run(10);
   return got.answer ?? { status: 'silent', epoch: 0, version: 0, value: Buffer.alloc(0) };
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -9,7 +9,7 @@
 import { createFollowerRegistry } from './follower-registry.js';
 import { startMembershipAnnouncer } from './membership-announcer.js';
 import type { ListedWorker } from './listed-worker.js';
-import { createWorkerListWatch } from './worker-list-watch.js';
+import { createWorkerListPoller } from './worker-list-watch.js';
 import { startWorkerLoadPoll, type ReportedLoad } from './worker-load-poll.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
@@ -17,17 +17,17 @@
   readonly self: Address;
   /** The zone of this machine; routers of the same zone prefer it. */
   readonly zone?: string;
-  readonly keeper: () => ControlNode | undefined;
+  readonly controlNode: () => ControlNode | undefined;
   /** Where routers that know nobody begin; these are told of the replicas without asking. */
   readonly seeds?: () => readonly Address[];
-  readonly fetchList: () => Promise<readonly ListedWorker[] | undefined>;
+  readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
   /** Asks one worker for its load; without it, or with a period of 0, no worker is asked. */
-  readonly fetchLoad?: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
-  readonly loadEvery?: number;
+  readonly fetchWorkerLoad?: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
+  readonly loadPollInterval?: number;
   /** Control nodes tell each other the loads too, so that each knows those of all workers. */
-  readonly sharesLoads?: boolean;
-  readonly lookEvery?: number;
-  readonly lookSeldom?: number;
+  readonly sharesLoadsBetweenNodes?: boolean;
+  readonly listPollInterval?: number;
+  readonly standbyListPollInterval?: number;
   /** This machine's time of day in milliseconds since 1970, told in each beat; without it none is told. */
   readonly wallClock?: () => number;
 }
@@ -35,12 +35,12 @@
 export interface FeedServer {
   /** Takes in a message and says whether it was meant for the feed alone. */
   readonly receive: (message: Message, from: Address) => boolean;
-  readonly followers: () => number;
+  readonly followerCount: () => number;
   /** The routers that have asked lately, and whoever else follows this node. */
   readonly followerAddresses: () => readonly Address[];
   readonly workers: () => readonly ListedWorker[];
   /** How old the list of workers is, in microseconds. */
-  readonly listAge: () => number;
+  readonly workerListAge: () => number;
   /** The loads known here; of all workers only where control nodes share them. */
   readonly loads: () => ReadonlyMap<string, WorkerLoad>;
   readonly stop: () => void;
@@ -57,14 +57,14 @@
 
 export function createFeedServer(world: World, options: FeedServerOptions): FeedServer {
   const followers = createFollowerRegistry(world);
-  const workerList = createWorkerListWatch(world, {
+  const workerList = createWorkerListPoller(world, {
     ...options,
-    rank: () => options.keeper()?.rank() ?? 0,
+    rank: () => options.controlNode()?.rank() ?? 0,
     followers: followers.addresses,
   });
   const configuration = createConfigurationPublisher(world, {
     self: options.self,
-    controlNode: options.keeper,
+    controlNode: options.controlNode,
     followers: followers.addresses,
     sendBeat: (to, version) => sendUnaskedBeat(to, version),
   });
@@ -94,8 +94,8 @@
   }
 
   function onFollow(question: MessageOf<'Follow'>, from: Address): void {
-    followers.heard(from);
-    const following = configuration.asked(question, from);
+    followers.recordFollow(from);
+    const following = configuration.handleFollow(question, from);
     if (question.key !== configurationKey) return;
     last = following ?? noReplica;
     if (workerList.digest() !== 0 && question.list !== workerList.digest()) world.send(from, workerList.whole());
@@ -126,15 +126,15 @@
         relay(message);
         return true;
       case 'WorkerLoads':
-        loads.take(message);
+        loads.merge(message);
         return true;
       case 'News':
         // Only this node's own replica is told to be on a majority here.
-        if (from === options.self) configuration.take(message);
+        if (from === options.self) configuration.handleNews(message);
         return from === options.self;
       case 'Committed':
         // Also for the replica, which is to take it in first.
-        if (message.key === configurationKey) configuration.committed(message.version);
+        if (message.key === configurationKey) configuration.handleCommitted(message.version);
         return false;
       default:
         return false;
@@ -142,27 +142,27 @@
   }
 
   function shareOfWorkers(): { rank: number; nodes: number } | undefined {
-    const node = options.keeper();
+    const node = options.controlNode();
     return node === undefined ? undefined : { rank: node.rank(), nodes: node.liveReplicas().length };
   }
 
   function toldOfLoads(): readonly Address[] {
-    if (options.sharesLoads !== true) return followers.addresses();
-    const nodes = options.keeper()?.liveReplicas() ?? [];
+    if (options.sharesLoadsBetweenNodes !== true) return followers.addresses();
+    const nodes = options.controlNode()?.liveReplicas() ?? [];
     return [...new Set([...followers.addresses(), ...nodes, options.self])];
   }
 
   const stopAnnouncing = startMembershipAnnouncer(world, {
-    controlNode: options.keeper,
+    controlNode: options.controlNode,
     followers,
     seeds: options.seeds ?? noSeeds,
   });
   const stops = [workerList.stop, configuration.stop, stopAnnouncing];
-  const { fetchLoad, loadEvery } = options;
+  const { fetchWorkerLoad: fetchLoad, loadPollInterval: loadEvery } = options;
   if (fetchLoad !== undefined && loadEvery !== undefined && loadEvery > 0)
     stops.push(
       startWorkerLoadPoll(world, {
-        fetchLoad,
+        fetchWorkerLoad: fetchLoad,
         period: loadEvery,
         workers: workerList.workers,
         share: shareOfWorkers,
@@ -171,10 +171,10 @@
     );
   return {
     receive,
-    followers: () => followers.addresses().length,
+    followerCount: () => followers.addresses().length,
     followerAddresses: followers.addresses,
     workers: workerList.workers,
-    listAge: () => workerList.ageMs() * microsPerMillisecond,
+    workerListAge: () => workerList.ageMs() * microsPerMillisecond,
     loads: loads.loads,
     stop: () => stops.forEach((stop) => stop()),
   };
--- a/packages/control-feed/src/follower-registry.ts
+++ b/packages/control-feed/src/follower-registry.ts
@@ -4,11 +4,11 @@
 type Peers = MessageOf<'Peers'>;
 
 export interface FollowerRegistry {
-  readonly heard: (address: Address) => void;
+  readonly recordFollow: (address: Address) => void;
   /** Those that have asked lately. */
   readonly addresses: () => Address[];
   /** Those that asked often and have missed their time; a process without a memory may have begun there. */
-  readonly silent: () => Address[];
+  readonly unresponsive: () => Address[];
   /** The other followers, for one that knows them by that digest; undefined if it is right. */
   readonly peersFor: (address: Address, knownDigest: number) => MessageOf<'Peers'> | undefined;
 }
@@ -70,5 +70,5 @@
     return peers.digest === knownDigest ? undefined : peers;
   }
 
-  return { heard, addresses, silent, peersFor };
+  return { recordFollow: heard, addresses, unresponsive: silent, peersFor };
 }
--- a/packages/control-feed/src/membership-announcer.test.ts
+++ b/packages/control-feed/src/membership-announcer.test.ts
@@ -22,7 +22,7 @@
   async function toldUntil(time: number, follows: readonly Address[] = []): Promise<Set<Address>> {
     told.length = 0;
     while (clock.world.now() < time) {
-      for (const address of follows) followers.heard(address);
+      for (const address of follows) followers.recordFollow(address);
       await clock.runTo(clock.world.now() + seconds / 2);
     }
     return new Set(told);
--- a/packages/control-feed/src/membership-announcer.ts
+++ b/packages/control-feed/src/membership-announcer.ts
@@ -10,7 +10,7 @@
 /** Whom a control node may have to tell. */
 export interface MembershipAnnouncerOptions {
   readonly controlNode: () => ControlNode | undefined;
-  readonly followers: Pick<FollowerRegistry, 'addresses' | 'silent'>;
+  readonly followers: Pick<FollowerRegistry, 'addresses' | 'unresponsive'>;
   /** The seeds that the settings of this machine name now. */
   readonly seeds: () => readonly Address[];
 }
@@ -25,7 +25,7 @@
     const replica = options.controlNode()?.replica;
     if (replica?.state() !== 'voting') return;
     const { membershipEpoch, replicas } = replica.membership();
-    const silent = followers.silent();
+    const silent = followers.unresponsive();
     const informed = new Set<string>(replicas.map((entry) => entry.address));
     for (const address of followers.addresses()) if (!silent.includes(address)) informed.add(address);
     for (const address of new Set([...options.seeds(), ...silent]))
--- a/packages/control-feed/src/read-exchange.ts
+++ b/packages/control-feed/src/read-exchange.ts
@@ -4,19 +4,19 @@
  */
 import { hash32, micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
-export interface ReadExchangeOptions {
+export interface PrefillExchangeOptions {
   readonly self: Address;
   /** The control node that relays. */
   readonly relay: () => Address | undefined;
   /** Another router has sent a worker a prompt that takes so long to read, in microseconds. */
-  readonly elsewhere?: (worker: string, service: number, bad: boolean) => void;
+  readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
 }
 
-export interface ReadExchange {
+export interface PrefillExchange {
   /** Tells the others of a read; those within a moment go out together. */
-  readonly tell: (worker: string, service: number, bad: boolean) => void;
-  readonly take: (told: MessageOf<'Reading'>) => void;
-  readonly takePeers: (told: MessageOf<'Peers'>) => void;
+  readonly announce: (worker: string, service: number, bad: boolean) => void;
+  readonly handlePrefills: (told: MessageOf<'Reading'>) => void;
+  readonly handlePeers: (told: MessageOf<'Peers'>) => void;
   /** The digest of the other routers as they were last told. */
   readonly peersDigest: () => number;
 }
@@ -25,7 +25,7 @@
 const leastRelayed = 40_000;
 const tellWithin = micros(5_000);
 
-export function createReadExchange(world: World, options: ReadExchangeOptions): ReadExchange {
+export function createPrefillExchange(world: World, options: PrefillExchangeOptions): PrefillExchange {
   const self = hash32(options.self);
   let peers: readonly Address[] = [];
   let peersDigest = 0;
@@ -48,7 +48,7 @@
   }
 
   function take(told: MessageOf<'Reading'>): void {
-    for (const read of told.reads) if (read.by !== self) options.elsewhere?.(read.worker, read.service, read.bad);
+    for (const read of told.reads) if (read.by !== self) options.onPeerPrefill?.(read.worker, read.service, read.bad);
   }
 
   function takePeers(told: MessageOf<'Peers'>): void {
@@ -57,5 +57,5 @@
     knowsAllPeers = told.all;
   }
 
-  return { tell, take, takePeers, peersDigest: () => peersDigest };
+  return { announce: tell, handlePrefills: take, handlePeers: takePeers, peersDigest: () => peersDigest };
 }
--- a/packages/control-feed/src/stored-value.ts
+++ b/packages/control-feed/src/stored-value.ts
@@ -1,6 +1,6 @@
 /** One key of the control state as a value that is read, and written on top of what was read. */
 import type { World } from '@tansypost/inner-protocol';
-import type { CoreAnswer, CoreQuestion } from './asker.js';
+import type { ControlResponse, ControlRequest } from './asker.js';
 
 /** What a majority holds. */
 export interface StoredVersion {
@@ -24,16 +24,23 @@
 export function createStoredValue(
   world: Pick<World, 'now' | 'random'>,
   key: string,
-  ask: (question: CoreQuestion) => Promise<CoreAnswer>,
+  ask: (question: ControlRequest) => Promise<ControlResponse>,
 ): StoredValue {
   async function read(): Promise<StoredVersion | undefined> {
-    const answer = await ask({ op: 'read', key, limit: world.now() + patience });
+    const answer = await ask({ op: 'read', key, deadline: world.now() + patience });
     return answer.status === 'value' ? { version: answer.version, value: answer.value } : undefined;
   }
 
   async function write(base: number, value: Buffer): Promise<number | undefined> {
     const change = `${key}/${Math.floor(world.random() * changeIdRange).toString(base36)}`;
-    const answer = await ask({ op: 'write', key, change, base, value, limit: world.now() + patience });
+    const answer = await ask({
+      op: 'write',
+      key,
+      change,
+      base,
+      value,
+      deadline: world.now() + patience,
+    });
     return answer.status === 'done' ? answer.version : undefined;
   }
 
--- a/packages/control-feed/src/worker-book.ts
+++ b/packages/control-feed/src/worker-book.ts
@@ -5,26 +5,26 @@
  */
 import type { ListedWorker } from './listed-worker.js';
 
-export interface Look {
+export interface WorkerListSnapshot {
   // When the list was fetched, on the reader's own clock.
   readonly at: number;
   readonly workers: readonly ListedWorker[];
 }
-export interface WorkerBook {
+export interface WorkerListView {
   // Gives whether anything changed.
-  readonly look: (source: string, l: Look) => boolean;
+  readonly addSnapshot: (source: string, l: WorkerListSnapshot) => boolean;
   // The same list was seen again at that time.
-  readonly again: (source: string, at: number) => boolean;
-  readonly lookOf: (source: string) => Look | undefined;
-  readonly newest: () => number;
+  readonly confirmSnapshot: (source: string, at: number) => boolean;
+  readonly snapshotOf: (source: string) => WorkerListSnapshot | undefined;
+  readonly newestSnapshotAt: () => number;
   readonly workers: (now: number) => readonly ListedWorker[];
 }
 const heldOut = 1_500_000;
 const rememberedFor = 120_000_000;
 const coldEvery = 500_000;
 
-export function createWorkerBook(): WorkerBook {
-  const looks = new Map<string, Look>();
+export function createWorkerListView(): WorkerListView {
+  const looks = new Map<string, WorkerListSnapshot>();
   const leaving = new Map<string, number>();
   const vanished = new Map<string, number>();
   let shown: readonly ListedWorker[] = [];
@@ -34,7 +34,7 @@
   let cold = false;
 
   function settle(): boolean {
-    let top: Look | undefined;
+    let top: WorkerListSnapshot | undefined;
     for (const l of looks.values()) {
       if (top === undefined || l.at > top.at) top = l;
       for (const x of l.workers) if (x.leaving) leaving.set(x.id, l.at);
@@ -70,20 +70,20 @@
   }
 
   return {
-    look: (source, l) => {
+    addSnapshot: (source, l) => {
       const had = looks.get(source);
       if (had !== undefined && had.at > l.at) return false;
       looks.set(source, l);
       return settle();
     },
-    again: (source, at) => {
+    confirmSnapshot: (source, at) => {
       const had = looks.get(source);
       if (had === undefined || had.at >= at) return false;
       looks.set(source, { at, workers: had.workers });
       return settle();
     },
-    lookOf: (source) => looks.get(source),
-    newest: () => shownAt,
+    snapshotOf: (source) => looks.get(source),
+    newestSnapshotAt: () => shownAt,
     workers: (now) => {
       if (toldAt === -Infinity || (cold && now - toldAt > coldEvery)) {
         toldAt = now;
--- a/packages/control-feed/src/worker-list-watch.ts
+++ b/packages/control-feed/src/worker-list-watch.ts
@@ -3,20 +3,20 @@
  * priced; a node that the first one's rank falls to looks often from then on. What has changed is told at once.
  */
 import { every, micros, type Address, type Cancel, type MessageOf, type World } from '@tansypost/inner-protocol';
-import { listDigest, sameListed, type ListedWorker } from './listed-worker.js';
+import { workerListDigest, isSameListing, type ListedWorker } from './listed-worker.js';
 
 type WorkerList = MessageOf<'WorkerList'>;
 
-export interface WorkerListWatchOptions {
-  readonly fetchList: () => Promise<readonly ListedWorker[] | undefined>;
+export interface WorkerListPollerOptions {
+  readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
   /** This node's place among the live ones; the first looks often. */
   readonly rank: () => number;
-  readonly lookEvery?: number;
-  readonly lookSeldom?: number;
+  readonly listPollInterval?: number;
+  readonly standbyListPollInterval?: number;
   readonly followers: () => readonly Address[];
 }
 
-export interface WorkerListWatch {
+export interface WorkerListPoller {
   readonly workers: () => readonly ListedWorker[];
   readonly digest: () => number;
   readonly ageMs: () => number;
@@ -30,7 +30,7 @@
 /** A look that is due so soon is made at once, so that ticks do not put it off by a whole period. */
 const lookAhead = 50_000;
 
-export function createWorkerListWatch(world: World, options: WorkerListWatchOptions): WorkerListWatch {
+export function createWorkerListPoller(world: World, options: WorkerListPollerOptions): WorkerListPoller {
   let list: readonly ListedWorker[] = [];
   let digest = 0;
   let lookedAt = 0;
@@ -42,8 +42,8 @@
   }
 
   function period(): number {
-    const often = options.lookEvery ?? defaultLookEvery;
-    return options.rank() === 0 ? often : (options.lookSeldom ?? seldomFactor * often);
+    const often = options.listPollInterval ?? defaultLookEvery;
+    return options.rank() === 0 ? often : (options.standbyListPollInterval ?? seldomFactor * often);
   }
 
   function tick(): void {
@@ -51,7 +51,7 @@
     if (looking || now < askedAt + period() - lookAhead) return;
     looking = true;
     askedAt = now;
-    options.fetchList().then(looked, () => looked(undefined));
+    options.fetchWorkerList().then(looked, () => looked(undefined));
     function looked(workers: readonly ListedWorker[] | undefined): void {
       looking = false;
       if (workers !== undefined) take(workers, now);
@@ -62,7 +62,7 @@
     const before = list;
     const base = digest;
     list = workers;
-    digest = listDigest(workers);
+    digest = workerListDigest(workers);
     lookedAt = at;
     if (digest === base) return;
     const told = base === 0 ? whole() : difference(before, base);
@@ -81,7 +81,7 @@
       base,
       digest,
       age: ageMs(),
-      workers: list.filter((worker) => !sameListed(known.get(worker.id), worker)),
+      workers: list.filter((worker) => !isSameListing(known.get(worker.id), worker)),
       gone: [...known.keys()].filter((id) => !present.has(id)),
     };
   }
--- a/packages/control-feed/src/worker-load-poll.ts
+++ b/packages/control-feed/src/worker-load-poll.ts
@@ -7,7 +7,7 @@
 export type ReportedLoad = Omit<WorkerLoad, 'at' | 'silent'>;
 
 export interface WorkerLoadPollOptions {
-  readonly fetchLoad: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
+  readonly fetchWorkerLoad: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
   readonly period: number;
   readonly workers: () => readonly ListedWorker[];
   /** This node's place among the live ones, and how many these are; undefined while it is none of them. */
@@ -31,7 +31,7 @@
 
   function ask(worker: ListedWorker): void {
     const at = world.now();
-    options.fetchLoad(worker).then(
+    options.fetchWorkerLoad(worker).then(
       (load) => answered(load === undefined ? noAnswer(worker.id, at) : { ...load, silent: false, at }),
       () => answered(noAnswer(worker.id, at)),
     );
--- a/packages/control-feed/src/worker-loads.ts
+++ b/packages/control-feed/src/worker-loads.ts
@@ -16,7 +16,7 @@
 
 export interface WorkerLoadTable {
   /** Gives the loads that are newer than what was known. */
-  readonly take: (told: MessageOf<'WorkerLoads'>) => readonly WorkerLoad[];
+  readonly merge: (told: MessageOf<'WorkerLoads'>) => readonly WorkerLoad[];
   readonly loads: () => ReadonlyMap<string, WorkerLoad>;
 }
 
@@ -46,5 +46,5 @@
     for (const [id, load] of loads) if (now - load.at > keptFor) loads.delete(id);
   }
 
-  return { take, loads: () => loads };
+  return { merge: take, loads: () => loads };
 }
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -2,7 +2,7 @@
  * The followers of this node: product agents that subscribe to keys and routers that follow one. They are told what is
  * on a majority, and nothing else, so two of them that are told one version of a key are told the same bytes.
  */
-import { micros, type Address, type MessageOf, type NewsItem } from '@tansypost/inner-protocol';
+import { micros, type Address, type MessageOf, type KeyUpdate } from '@tansypost/inner-protocol';
 import { isLeasedToRouters, isPrivate, type Cluster } from './cluster.js';
 import type { CommittedRows } from './committed-rows.js';
 import type { RouterLeases } from './router-leases.js';
@@ -51,7 +51,7 @@
   const { world, replica } = cluster;
   const followers = new Map<Address, number>();
 
-  function tell(to: Address, news: NewsItem[]): void {
+  function tell(to: Address, news: KeyUpdate[]): void {
     const { membershipEpoch, replicas } = replica.membership();
     world.send(to, { kind: 'News', news, membershipEpoch, replicas: [...replicas] });
   }
@@ -86,7 +86,7 @@
     const from = request.from as Address;
     if (replica.state() !== 'voting') return;
     followers.set(from, world.now() + followedFor);
-    const news: NewsItem[] = [];
+    const news: KeyUpdate[] = [];
     for (const had of request.have) {
       const leader = cluster.leader(had.key);
       if (!leader.leads() && options.shouldLead(had.key)) leader.take();
@@ -98,8 +98,8 @@
     tell(from, news);
   }
 
-  function newsNotNamed(named: ReadonlySet<string>): NewsItem[] {
-    const news: NewsItem[] = [];
+  function newsNotNamed(named: ReadonlySet<string>): KeyUpdate[] {
+    const news: KeyUpdate[] = [];
     for (const [key, leader] of cluster.leaders()) {
       const told = !named.has(key) && leader.leads() && leader.row().version > 0 && !isPrivate(key);
       if (told) news.push(newsOf(key, leader.row()));
@@ -114,6 +114,6 @@
   return { subscribe, follow, push, announceMembership };
 }
 
-function newsOf(key: string, row: Row): NewsItem {
+function newsOf(key: string, row: Row): KeyUpdate {
   return { key, epoch: row.epoch, version: row.version, value: row.value };
 }
--- a/packages/control-state/src/journal.ts
+++ b/packages/control-state/src/journal.ts
@@ -8,7 +8,7 @@
 import { crc32 } from 'node:zlib';
 import avsc from 'avsc';
 import * as E from 'fp-ts/lib/Either.js';
-import { DamagedFile, toSchema, type Of } from '@tansypost/inner-protocol';
+import { DamagedFileError, toSchema, type TypeOfShape } from '@tansypost/inner-protocol';
 
 const magic = Buffer.from('TPJ1');
 const magicOfMany = Buffer.from('TPJM');
@@ -24,7 +24,7 @@
   changes: ['string'],
 } as const;
 /** One record of the file. `kind` is `disk`, `state` or `row`; of the others' fields those that the kind does not use are empty. */
-export type JournalRecord = Of<typeof shape>;
+export type JournalRecord = TypeOfShape<typeof shape>;
 
 const made: { codec?: avsc.Type } = {};
 
@@ -107,7 +107,7 @@
   readonly cut: number;
 }
 
-/** Reads a file. `DamagedFile` where something that was promised is missing. */
+/** Reads a file. `DamagedFileError` where something that was promised is missing. */
 export function readJournal(all: Buffer): E.Either<Error, JournalRead> {
   const records: JournalRecord[] = [];
   let at = 0;
@@ -116,7 +116,7 @@
     if (r === undefined) {
       if (wholeBehind(all, at)) {
         return E.left(
-          new DamagedFile(
+          new DamagedFileError(
             `The data file is damaged at byte ${at} with whole records behind it. It is not served; the replica copies from the others.`,
           ),
         );
@@ -133,7 +133,7 @@
 }
 
 function cutShort(expected: number, found: number): Error {
-  return new DamagedFile(
+  return new DamagedFileError(
     `The snapshot in the data file is cut short: ${found} of its ${expected} records are there. It is not served; the replica copies from the others.`,
   );
 }
--- a/packages/control-state/src/lease-register.ts
+++ b/packages/control-state/src/lease-register.ts
@@ -1,16 +1,16 @@
 /** The register of the routers that may hold a lease, as it stands in the control state. */
-import { DamagedFile } from '@tansypost/inner-protocol';
+import { DamagedFileError } from '@tansypost/inner-protocol';
 
 /** Encodes the names of the routers. */
 export function encodeRegister(routers: readonly string[]): Buffer {
   return Buffer.from(JSON.stringify(routers));
 }
 
-/** Reads a register; an empty value is an empty one. Throws `DamagedFile` for anything that is no list of names. */
+/** Reads a register; an empty value is an empty one. Throws `DamagedFileError` for anything that is no list of names. */
 export function decodeRegister(value: Buffer): string[] {
   if (value.length === 0) return [];
   const parsed: unknown = JSON.parse(value.toString());
   if (!Array.isArray(parsed) || !parsed.every((name) => typeof name === 'string'))
-    throw new DamagedFile('A register of router leases in the control state is no list of names.');
+    throw new DamagedFileError('A register of router leases in the control state is no list of names.');
   return parsed;
 }
--- a/packages/control-state/src/membership-record.ts
+++ b/packages/control-state/src/membership-record.ts
@@ -4,7 +4,7 @@
  * that was replaced is refused by those that remain.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { UnreadableMembership, type ReplicaEntry } from '@tansypost/inner-protocol';
+import { UnreadableMembershipError, type ReplicaEntry } from '@tansypost/inner-protocol';
 
 /** The key under which the membership record is kept. */
 export const membershipKey = 'core';
@@ -30,7 +30,7 @@
   return Buffer.from(JSON.stringify({ format: recordFormat, cluster, replicas: entries }));
 }
 
-/** Reads a record in this form or the earlier one. `UnreadableMembership` if it is neither. */
+/** Reads a record in this form or the earlier one. `UnreadableMembershipError` if it is neither. */
 export function decodeMembership(membershipEpoch: number, bytes: Buffer): E.Either<Error, MembershipRecord> {
   if (membershipEpoch === 0 || bytes.length === 0) return E.right(noMembership);
   const parsed = parseJson(bytes);
@@ -64,13 +64,13 @@
 }
 
 function damaged(): Error {
-  return new UnreadableMembership(
+  return new UnreadableMembershipError(
     'The membership record on this disk cannot be read. The replica does not vote; empty its data folder, so that it copies from the others.',
   );
 }
 
 function fromNewerRelease(): Error {
-  return new UnreadableMembership(
+  return new UnreadableMembershipError(
     'The membership record on this disk was written by a newer release. The replica does not vote; start that release again.',
   );
 }
--- a/packages/control-state/src/roster-founding.test.ts
+++ b/packages/control-state/src/roster-founding.test.ts
@@ -1,11 +1,11 @@
 import { expect, it } from 'vitest';
-import type { Address, FoundingCandidate, MessageOf } from '@tansypost/inner-protocol';
+import type { Address, BootstrapCandidate, MessageOf } from '@tansypost/inner-protocol';
 import { createRosterFounding } from './roster-founding.js';
 
 const seeds = ['s:1', 't:1', 'u:1'] as Address[];
 const [a, b, c, d] = ['a', 'b', 'c', 'd'].map((name) => ({ address: `${name}:1`, disk: `disk ${name}` }));
 
-function founding(self: FoundingCandidate, over: { mayBegin?: boolean; fewest?: number; most?: number } = {}) {
+function founding(self: BootstrapCandidate, over: { mayBegin?: boolean; fewest?: number; most?: number } = {}) {
   const { address, disk } = self;
   const settings = { mayBegin: true, fewest: 3, most: 3, ...over };
   return createRosterFounding({ self: address as Address, diskId: () => disk, seeds, ...settings });
@@ -13,13 +13,13 @@
 
 function roster(
   from: Address,
-  candidates: readonly FoundingCandidate[],
+  candidates: readonly BootstrapCandidate[],
   firstStart = true,
 ): MessageOf<'FoundingRoster'> {
   return { kind: 'FoundingRoster', from, firstStart, candidates: [...candidates] };
 }
 
-function view(teller: FoundingCandidate, candidates: readonly FoundingCandidate[]): MessageOf<'FoundingView'> {
+function view(teller: BootstrapCandidate, candidates: readonly BootstrapCandidate[]): MessageOf<'FoundingView'> {
   return { kind: 'FoundingView', from: teller.address, disk: teller.disk, candidates: [...candidates] };
 }
 
--- a/packages/control-state/src/roster-founding.ts
+++ b/packages/control-state/src/roster-founding.ts
@@ -9,7 +9,7 @@
  * they were blank; a view only grows, and no machine founds after a restart. `docs/design-notes.md` has the full
  * argument. What cannot be known is waited for, never guessed.
  */
-import type { Address, FoundingCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
+import type { Address, BootstrapCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
 import { majorityOf } from './membership-record.js';
 
 type FoundingRoster = MessageOf<'FoundingRoster'>;
@@ -56,25 +56,25 @@
 /** Makes the founding side; it knows nobody yet. */
 export function createRosterFounding(options: RosterFoundingOptions): RosterFounding {
   const seeds = [...options.seeds];
-  const known = new Map<string, FoundingCandidate>();
+  const known = new Map<string, BootstrapCandidate>();
   const statelessSeeds = new Set<string>();
   const listedAt = new Set<string>();
   const views = new Map<string, string>();
 
-  function self(): FoundingCandidate {
+  function self(): BootstrapCandidate {
     return { address: options.self, disk: options.diskId() };
   }
 
-  function learn(candidates: readonly FoundingCandidate[]): void {
+  function learn(candidates: readonly BootstrapCandidate[]): void {
     for (const candidate of candidates) known.set(nameOf(candidate), candidate);
   }
 
-  function candidates(): FoundingCandidate[] {
+  function candidates(): BootstrapCandidate[] {
     const all = new Map(known).set(nameOf(self()), self());
     return [...all.values()].sort(byName);
   }
 
-  function others(): FoundingCandidate[] {
+  function others(): BootstrapCandidate[] {
     const own = nameOf(self());
     return candidates().filter((candidate) => nameOf(candidate) !== own);
   }
@@ -136,14 +136,14 @@
   return { roster, view, members, greeting, waitsFor };
 }
 
-function nameOf({ address, disk }: FoundingCandidate): string {
+function nameOf({ address, disk }: BootstrapCandidate): string {
   return `${address} ${disk}`;
 }
 
-function byName(left: FoundingCandidate, right: FoundingCandidate): number {
+function byName(left: BootstrapCandidate, right: BootstrapCandidate): number {
   return nameOf(left) < nameOf(right) ? -1 : 1;
 }
 
-function keyOf(candidates: readonly FoundingCandidate[]): string {
+function keyOf(candidates: readonly BootstrapCandidate[]): string {
   return candidates.map(nameOf).sort().join('\n');
 }
--- a/packages/decision-report/src/read-losses.ts
+++ b/packages/decision-report/src/read-losses.ts
@@ -3,7 +3,7 @@
  * that kind that cannot be read counts as damaged, and more than a few of these mean that the log is cut short.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { UnusableReport } from '@tansypost/inner-protocol';
+import { UnusableReportError } from '@tansypost/inner-protocol';
 import type { LossEvent } from '@tansypost/pass-through';
 
 /** One request that did not end in time. */
@@ -64,8 +64,10 @@
     if (fields === undefined) damaged += 1;
     else losses.push({ ...fields, second: secondOf(line, found[1]!), router: found[4]! });
   }
-  if (events === 0) return E.left(new UnusableReport(`${name} holds no events. Give the output of routers.`));
+  if (events === 0) return E.left(new UnusableReportError(`${name} holds no events. Give the output of routers.`));
   if (damaged > mostDamaged)
-    return E.left(new UnusableReport(`${name} has ${damaged} damaged lines of lost requests. Give the whole log.`));
+    return E.left(
+      new UnusableReportError(`${name} has ${damaged} damaged lines of lost requests. Give the whole log.`),
+    );
   return E.right({ losses, damaged });
 }
--- a/packages/decision-report/src/read-run.ts
+++ b/packages/decision-report/src/read-run.ts
@@ -1,6 +1,6 @@
 /** Reads the report of a run: what was asked for and earned by kind of request, and what was charged. */
 import * as E from 'fp-ts/lib/Either.js';
-import { UnusableReport } from '@tansypost/inner-protocol';
+import { UnusableReportError } from '@tansypost/inner-protocol';
 
 /** The requests of one kind, as their clients saw them. */
 export interface KindResult {
@@ -43,18 +43,19 @@
 
 function listOf(report: Json, field: string): readonly unknown[] {
   const list = report[field];
-  if (!Array.isArray(list)) throw new UnusableReport(`The report has no list "${field}". Give the report of a run.`);
+  if (!Array.isArray(list))
+    throw new UnusableReportError(`The report has no list "${field}". Give the report of a run.`);
   return list;
 }
 
 function numberOf(value: unknown, what: string): number {
   if (typeof value !== 'number')
-    throw new UnusableReport(`The report's ${what} is no number. Give it as it was written.`);
+    throw new UnusableReportError(`The report's ${what} is no number. Give it as it was written.`);
   return value;
 }
 
 function kindOf(value: unknown): KindResult {
-  if (!isObject(value)) throw new UnusableReport('The report has a kind of request that is no object.');
+  if (!isObject(value)) throw new UnusableReportError('The report has a kind of request that is no object.');
   function field(name: string): number {
     return numberOf((value as Json)[name], `"${name}" of a kind of request`);
   }
@@ -81,7 +82,7 @@
 
 function toReport(text: string): RunReport {
   const report: unknown = JSON.parse(text);
-  if (!isObject(report)) throw new UnusableReport('The report is no object. Give the report of a run.');
+  if (!isObject(report)) throw new UnusableReportError('The report is no object. Give the report of a run.');
   return {
     kinds: listOf(report, 'classes').map(kindOf),
     prices: listOf(report, 'prices').map(priceOf),
@@ -94,8 +95,10 @@
   return E.tryCatch(
     () => toReport(text),
     (error) =>
-      error instanceof UnusableReport
+      error instanceof UnusableReportError
         ? error
-        : new UnusableReport(`${name} cannot be read as a report: it is no JSON or cut short. Give the whole file.`),
+        : new UnusableReportError(
+            `${name} cannot be read as a report: it is no JSON or cut short. Give the whole file.`,
+          ),
   );
 }
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -5,7 +5,14 @@
  */
 import type { StoredValue } from '@tansypost/control-feed';
 import { createCandidate, type Candidate, type VoterGroup } from '@tansypost/duty';
-import { every, micros, type Address, type DutyMark, type MessageOf, type World } from '@tansypost/inner-protocol';
+import {
+  every,
+  micros,
+  type Address,
+  type SingletonRoleEntry,
+  type MessageOf,
+  type World,
+} from '@tansypost/inner-protocol';
 import { createCallPacer, type CallPacer } from './call-pacer.js';
 import { dutyRecordKey } from './duty-record.js';
 import type { DutyStatus } from './duty-status.js';
@@ -39,7 +46,7 @@
 /** What operators see of the duties at this node. */
 export interface DutiesStatus {
   /** Who holds the role, as far as this node knows. */
-  readonly holder: DutyMark | undefined;
+  readonly holder: SingletonRoleEntry | undefined;
   readonly duties: readonly DutyStatus[];
 }
 
--- a/packages/duty/src/candidate.test.ts
+++ b/packages/duty/src/candidate.test.ts
@@ -3,7 +3,7 @@
 import {
   createVirtualClock,
   micros,
-  seeded,
+  createSeededRandom,
   type Address,
   type Message,
   type MessageOf,
@@ -126,7 +126,7 @@
 
 /** Four candidates with the shipped voters beside them; `delays` are those of messages, by sender and receiver. */
 async function electAmongFour(until: number, delayOf: (from: number, to: number) => number): Promise<string[]> {
-  const clock = createVirtualClock({ random: seeded(1) });
+  const clock = createVirtualClock({ random: createSeededRandom(1) });
   const replicas = [0, 1, 2, 3].map((slot) => ({ slot, address: `c${slot}:1`, disk: `disk${slot}` }));
   function after(from: number, to: number, run: () => void): void {
     clock.world.after(micros(delayOf(from, to)), run);
--- a/packages/duty/src/candidate.ts
+++ b/packages/duty/src/candidate.ts
@@ -8,7 +8,7 @@
   every,
   micros,
   type Address,
-  type DutyMark,
+  type SingletonRoleEntry,
   type MessageOf,
   type Micros,
   type ReplicaEntry,
@@ -46,11 +46,11 @@
   /** The same, if it goes on holding the role for so long, in microseconds, whatever becomes of its next renewal. */
   readonly holdsFor: (least: number) => number | undefined;
   /** Who holds the role as far as is known. */
-  readonly holder: () => DutyMark | undefined;
+  readonly holder: () => SingletonRoleEntry | undefined;
   /** Takes in a voter's answer. */
   readonly vote: (answer: MessageOf<'BallotVote'>) => void;
   /** Takes in what others tell of a holder. */
-  readonly heard: (told: DutyMark) => void;
+  readonly heard: (told: SingletonRoleEntry) => void;
   readonly stop: () => void;
 }
 
@@ -85,7 +85,7 @@
   leaseUntil: number;
   holding: boolean;
   /** Another member that holds the role, and when that was last known to be so. */
-  knownHolder: DutyMark | undefined;
+  knownHolder: SingletonRoleEntry | undefined;
   knownAt: number;
   election: Election | undefined;
   electionsCalled: number;
@@ -128,7 +128,7 @@
   return state.holding ? state.epoch : undefined;
 }
 
-function currentHolder(state: CandidateState, world: World, options: CandidateOptions): DutyMark | undefined {
+function currentHolder(state: CandidateState, world: World, options: CandidateOptions): SingletonRoleEntry | undefined {
   if (epochHeld(state, world, options) !== undefined) {
     return { duty: options.duty, holder: options.member, address: options.self, epoch: state.epoch };
   }
@@ -239,7 +239,7 @@
   options.won(state.epoch);
 }
 
-function takeHolder(state: CandidateState, world: World, options: CandidateOptions, told: DutyMark): void {
+function takeHolder(state: CandidateState, world: World, options: CandidateOptions, told: SingletonRoleEntry): void {
   if (told.duty !== options.duty || told.holder === options.member) return;
   if (told.epoch < (state.knownHolder?.epoch ?? 0)) return;
   state.highestEpochSeen = Math.max(state.highestEpochSeen, told.epoch);
--- a/packages/inner-protocol/src/brands.ts
+++ b/packages/inner-protocol/src/brands.ts
@@ -28,7 +28,7 @@
 export type Version = Brand<number, 'Version'>;
 
 /** Said by a router that stops: it has applied every version there will be. */
-export const appliedAll = 2 ** 50;
+export const appliedAllVersions = 2 ** 50;
 
 const microsPerMillisecond = 1000;
 const microsPerSecond = 1_000_000;
--- a/packages/inner-protocol/src/codec.test.ts
+++ b/packages/inner-protocol/src/codec.test.ts
@@ -1,7 +1,15 @@
 import avsc from 'avsc';
 import * as E from 'fp-ts/lib/Either.js';
 import { expect, it } from 'vitest';
-import { decoderForSelf, encode, fingerprint, hello, readHello, shortHello, type Decode } from './codec.js';
+import {
+  decoderForOwnSchemas,
+  encodeMessage,
+  schemaFingerprint,
+  encodeHello,
+  readHello,
+  encodeShortHello,
+  type MessageDecoder,
+} from './codec.js';
 
 interface Told {
   tansypost: number;
@@ -9,7 +17,7 @@
   schemas: { name: string; type: string; fields: { name: string; type: unknown; default?: unknown }[] }[];
 }
 
-function decoder(b: Buffer): Decode | undefined {
+function decoder(b: Buffer): MessageDecoder | undefined {
   const r = readHello(b);
   if (E.isLeft(r)) throw r.left;
   return r.right.decode;
@@ -18,7 +26,7 @@
 const digest = { kind: 'MarksDigest', from: 'abc', digest: 'def', answer: true, warm: false } as const;
 
 it('reads from a writer that lacks a field, has one more, and knows one kind more', () => {
-  const h = JSON.parse(hello('old').toString()) as Told;
+  const h = JSON.parse(encodeHello('old').toString()) as Told;
   const marks = h.schemas.find((s) => s.name === 'MarksDigest')!;
   marks.fields = marks.fields.filter((f) => f.name !== 'digest');
   marks.fields.push({ name: 'newer', type: 'long' });
@@ -34,22 +42,22 @@
 });
 
 it('calls cut or altered bytes bad instead of throwing', () => {
-  const d = decoderForSelf();
-  const b = encode(digest);
+  const d = decoderForOwnSchemas();
+  const b = encodeMessage(digest);
   for (let n = 0; n < b.length; n += 1) expect(E.isLeft(d(b.subarray(0, n)))).toBe(true);
   expect(E.isRight(d(b))).toBe(true);
 });
 
 it('reads after a short hello of the same schemas, and asks for the whole one of others', () => {
-  expect(decoder(shortHello('a'))!(encode(digest))).toEqual(E.right({ known: true, message: digest }));
-  expect(decoder(hello('a'))!(encode(digest))).toEqual(E.right({ known: true, message: digest }));
-  expect(shortHello('a').length).toBeLessThan(100);
-  const other = shortHello('a').toString().replace(fingerprint(), '0123456789abcdef');
+  expect(decoder(encodeShortHello('a'))!(encodeMessage(digest))).toEqual(E.right({ known: true, message: digest }));
+  expect(decoder(encodeHello('a'))!(encodeMessage(digest))).toEqual(E.right({ known: true, message: digest }));
+  expect(encodeShortHello('a').length).toBeLessThan(100);
+  const other = encodeShortHello('a').toString().replace(schemaFingerprint(), '0123456789abcdef');
   expect(decoder(Buffer.from(other))).toBe(undefined);
 });
 
 it('refuses a hello of another protocol or with a part missing, and a schema that is none at its first message', () => {
-  const h = JSON.parse(hello('a').toString()) as Told;
+  const h = JSON.parse(encodeHello('a').toString()) as Told;
   for (const bad of [
     { ...h, tansypost: 99 },
     { ...h, from: 1 },
--- a/packages/inner-protocol/src/codec.ts
+++ b/packages/inner-protocol/src/codec.ts
@@ -7,54 +7,54 @@
  */
 import avsc from 'avsc';
 import * as E from 'fp-ts/lib/Either.js';
-import { BadFrame } from './errors.js';
+import { BadFrameError } from './errors.js';
 import { digest } from './hash.js';
-import { shapes, type Kind, type Message } from './messages.js';
+import { messageShapes, type MessageKind, type Message } from './messages.js';
 import { toSchema } from './shape.js';
 
 export const protocolVersion = 1;
-export const kinds = Object.keys(shapes) as Kind[];
-const ordinals = new Map(kinds.map((k, i) => [k, i]));
-const types = new Map<Kind, avsc.Type>();
-const own: { schemas?: string; fingerprint?: string } = {};
+export const messageKinds = Object.keys(messageShapes) as MessageKind[];
+const ordinals = new Map(messageKinds.map((k, i) => [k, i]));
+const types = new Map<MessageKind, avsc.Type>();
+const own: { schemas?: string; schemaFingerprint?: string } = {};
 
-export type Decoded = { readonly known: true; readonly message: Message } | { readonly known: false };
-export type Decode = (b: Buffer) => E.Either<Error, Decoded>;
+export type DecodedMessage = { readonly known: true; readonly message: Message } | { readonly known: false };
+export type MessageDecoder = (b: Buffer) => E.Either<Error, DecodedMessage>;
 
 // Without `decode` the hello was short and of other schemas than the reader's.
-export interface HelloRead {
+export interface DecodedHello {
   readonly from: string;
-  readonly decode: Decode | undefined;
+  readonly decode: MessageDecoder | undefined;
 }
 
-function typeOf(k: Kind): avsc.Type {
+function typeOf(k: MessageKind): avsc.Type {
   let t = types.get(k);
   if (t === undefined) {
-    t = avsc.Type.forSchema(toSchema(k, shapes[k]));
+    t = avsc.Type.forSchema(toSchema(k, messageShapes[k]));
     types.set(k, t);
   }
   return t;
 }
 
 function schemas(): string {
-  own.schemas ??= JSON.stringify(kinds.map((k) => toSchema(k, shapes[k])));
+  own.schemas ??= JSON.stringify(messageKinds.map((k) => toSchema(k, messageShapes[k])));
   return own.schemas;
 }
 
-export function fingerprint(): string {
-  own.fingerprint ??= digest(schemas()).slice(0, 16);
-  return own.fingerprint;
+export function schemaFingerprint(): string {
+  own.schemaFingerprint ??= digest(schemas()).slice(0, 16);
+  return own.schemaFingerprint;
 }
 
-export function hello(from: string): Buffer {
+export function encodeHello(from: string): Buffer {
   return Buffer.from(`{"tansypost":${protocolVersion},"from":${JSON.stringify(from)},"schemas":${schemas()}}`);
 }
 
-export function shortHello(from: string): Buffer {
-  return Buffer.from(JSON.stringify({ tansypost: protocolVersion, from, fingerprint: fingerprint() }));
+export function encodeShortHello(from: string): Buffer {
+  return Buffer.from(JSON.stringify({ tansypost: protocolVersion, from, fingerprint: schemaFingerprint() }));
 }
 
-export function encode(m: Message): Buffer {
+export function encodeMessage(m: Message): Buffer {
   const body = typeOf(m.kind).toBuffer(m);
   const out = Buffer.allocUnsafe(body.length + 2);
   out.writeUInt16BE(ordinals.get(m.kind)!, 0);
@@ -62,19 +62,19 @@
   return out;
 }
 
-export function readHello(b: Buffer): E.Either<Error, HelloRead> {
+export function readHello(b: Buffer): E.Either<Error, DecodedHello> {
   return E.tryCatch(
     () => {
       const h = JSON.parse(b.toString()) as Record<string, unknown>;
       if (h['tansypost'] !== protocolVersion) {
-        throw new BadFrame(
+        throw new BadFrameError(
           `The other side speaks protocol ${String(h['tansypost'])}, this one ${protocolVersion}; bring both to releases that share one.`,
         );
       }
       const from = h['from'];
       if (typeof from !== 'string') throw lacking();
       if (typeof h['fingerprint'] === 'string') {
-        return { from, decode: h['fingerprint'] === fingerprint() ? decodeOwn : undefined };
+        return { from, decode: h['fingerprint'] === schemaFingerprint() ? decodeOwn : undefined };
       }
       const told = h['schemas'];
       if (!Array.isArray(told) || !told.every(isNamed)) throw lacking();
@@ -82,12 +82,12 @@
       const readers = told.map(readerFor);
       return { from, decode: (x: Buffer) => decodeWith(readers, x) };
     },
-    (e) => (e instanceof Error ? e : new BadFrame(String(e))),
+    (e) => (e instanceof Error ? e : new BadFrameError(String(e))),
   );
 }
 
 function lacking(): Error {
-  return new BadFrame('The hello lacks from or schemas; point the link at a tansypost process.');
+  return new BadFrameError('The hello lacks from or schemas; point the link at a tansypost process.');
 }
 
 function isNamed(s: unknown): s is avsc.Schema & { name: string } {
@@ -95,12 +95,12 @@
 }
 
 interface Reader {
-  readonly kind: Kind;
+  readonly kind: MessageKind;
   readonly read: (b: Buffer) => unknown;
 }
 
 function readerFor(s: avsc.Schema & { name: string }): Reader | undefined {
-  const kind = s.name as Kind;
+  const kind = s.name as MessageKind;
   if (!ordinals.has(kind)) return undefined;
   let resolver: unknown;
   function read(b: Buffer): unknown {
@@ -110,28 +110,29 @@
   return { kind, read };
 }
 
-const ownReaders: readonly Reader[] = kinds.map((kind) => ({ kind, read: (b) => typeOf(kind).fromBuffer(b) }));
+const ownReaders: readonly Reader[] = messageKinds.map((kind) => ({ kind, read: (b) => typeOf(kind).fromBuffer(b) }));
 
-function decodeOwn(b: Buffer): E.Either<Error, Decoded> {
+function decodeOwn(b: Buffer): E.Either<Error, DecodedMessage> {
   return decodeWith(ownReaders, b);
 }
 
-function decodeWith(rs: readonly (Reader | undefined)[], b: Buffer): E.Either<Error, Decoded> {
+function decodeWith(rs: readonly (Reader | undefined)[], b: Buffer): E.Either<Error, DecodedMessage> {
   return E.tryCatch(
     () => {
-      if (b.length < 2) throw new BadFrame('A frame is shorter than its kind; the link is closed and opened anew.');
+      if (b.length < 2)
+        throw new BadFrameError('A frame is shorter than its kind; the link is closed and opened anew.');
       const i = b.readUInt16BE(0);
       if (i >= rs.length)
-        throw new BadFrame(`Kind ${i} is not in the sender's hello; the link is closed and opened anew.`);
+        throw new BadFrameError(`Kind ${i} is not in the sender's hello; the link is closed and opened anew.`);
       const r = rs[i];
       if (r === undefined) return { known: false } as const;
       const body = r.read(b.subarray(2)) as object;
       return { known: true, message: { ...body, kind: r.kind } as unknown as Message } as const;
     },
-    (e) => (e instanceof Error ? e : new BadFrame(String(e))),
+    (e) => (e instanceof Error ? e : new BadFrameError(String(e))),
   );
 }
 
-export function decoderForSelf(): Decode {
+export function decoderForOwnSchemas(): MessageDecoder {
   return decodeOwn;
 }
--- a/packages/inner-protocol/src/frame.ts
+++ b/packages/inner-protocol/src/frame.ts
@@ -3,28 +3,28 @@
  * of the body is held.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { BadFrame } from './errors.js';
+import { BadFrameError } from './errors.js';
 
 /** The longest body, in bytes. */
-export const frameLimit = 48 * 1024 * 1024;
+export const maxFrameBytes = 48 * 1024 * 1024;
 
 const headerSize = 4;
 
 /** A body with its length before it. */
-export function frame(body: Buffer): Buffer {
+export function encodeFrame(body: Buffer): Buffer {
   const header = Buffer.allocUnsafe(headerSize);
   header.writeUInt32BE(body.length, 0);
   return Buffer.concat([header, body]);
 }
 
 /** Cuts one stream into frames. */
-export interface Unframer {
-  /** The bodies that the chunk completes, or a `BadFrame`. */
+export interface FrameDecoder {
+  /** The bodies that the chunk completes, or a `BadFrameError`. */
   readonly push: (chunk: Buffer) => E.Either<Error, Buffer[]>;
 }
 
 /** Makes the unframer of one stream. */
-export function createUnframer(limit = frameLimit): Unframer {
+export function createFrameDecoder(limit = maxFrameBytes): FrameDecoder {
   let held: Buffer[] = [];
   let size = 0;
   function push(chunk: Buffer): E.Either<Error, Buffer[]> {
@@ -48,7 +48,7 @@
 }
 
 function tooLong(length: number, limit: number): Error {
-  return new BadFrame(
+  return new BadFrameError(
     `A frame of ${length} bytes is over the limit of ${limit}; the link is closed. Check that the other side is a tansypost process.`,
   );
 }
@@ -56,9 +56,13 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   it('gives whole frames whatever the chunks are, and refuses an oversized one from its length alone', () => {
-    const stream = Buffer.concat([frame(Buffer.from('one')), frame(Buffer.alloc(0)), frame(Buffer.from('three'))]);
+    const stream = Buffer.concat([
+      encodeFrame(Buffer.from('one')),
+      encodeFrame(Buffer.alloc(0)),
+      encodeFrame(Buffer.from('three')),
+    ]);
     for (let size = 1; size <= stream.length; size += 1) {
-      const unframer = createUnframer();
+      const unframer = createFrameDecoder();
       const got: string[] = [];
       for (let i = 0; i < stream.length; i += size) {
         const bodies = unframer.push(stream.subarray(i, i + size));
@@ -66,6 +70,6 @@
       }
       expect(got).toEqual(['one', '', 'three']);
     }
-    expect(E.isLeft(createUnframer(10).push(Buffer.from([0, 0, 0, 11])))).toBe(true);
+    expect(E.isLeft(createFrameDecoder(10).push(Buffer.from([0, 0, 0, 11])))).toBe(true);
   });
 }
--- a/packages/inner-protocol/src/hash.ts
+++ b/packages/inner-protocol/src/hash.ts
@@ -32,7 +32,7 @@
 }
 
 /** A seeded generator of numbers from 0 to 1 for the simulator and the tools (mulberry32). */
-export function seeded(seed: number): () => number {
+export function createSeededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return function next() {
     state = (state + 0x6d2b79f5) >>> 0;
--- a/packages/inner-protocol/src/incoming-link.ts
+++ b/packages/inner-protocol/src/incoming-link.ts
@@ -5,8 +5,8 @@
 import type net from 'node:net';
 import * as E from 'fp-ts/lib/Either.js';
 import type { Address } from './brands.js';
-import { readHello, type Decode } from './codec.js';
-import { createUnframer } from './frame.js';
+import { readHello, type MessageDecoder } from './codec.js';
+import { createFrameDecoder } from './frame.js';
 import { encodeReply, replyKind } from './link-reply.js';
 import type { Message } from './messages.js';
 
@@ -28,7 +28,7 @@
   readonly socket: net.Socket;
   readonly handlers: IncomingHandlers;
   from: Address | undefined;
-  decode: Decode | undefined;
+  decode: MessageDecoder | undefined;
   /** What came before the schemas that were asked for. */
   early: Buffer[];
   received: number;
@@ -46,7 +46,7 @@
     received: 0,
     replyTimer: undefined,
   };
-  const unframer = createUnframer();
+  const unframer = createFrameDecoder();
   socket.on('close', () => clearTimeout(link.replyTimer));
   socket.on('data', (chunk: Buffer) => {
     link.received += chunk.length;
@@ -84,7 +84,7 @@
   return true;
 }
 
-function takeMessage(link: IncomingLink, from: Address, decode: Decode, body: Buffer): boolean {
+function takeMessage(link: IncomingLink, from: Address, decode: MessageDecoder, body: Buffer): boolean {
   const decoded = decode(body);
   if (E.isLeft(decoded)) return fail(link, decoded.left);
   if (decoded.right.known) link.handlers.receive(decoded.right.message, from);
--- a/packages/inner-protocol/src/link.test.ts
+++ b/packages/inner-protocol/src/link.test.ts
@@ -2,9 +2,9 @@
 import net from 'node:net';
 import { expect, it } from 'vitest';
 import type { Address } from './brands.js';
-import { hello, shortHello } from './codec.js';
-import { frame } from './frame.js';
-import { createCarrier } from './link.js';
+import { encodeHello, encodeShortHello } from './codec.js';
+import { encodeFrame } from './frame.js';
+import { createTransport } from './link.js';
 import type { Message } from './messages.js';
 import { splitAddress } from './socket-address.js';
 
@@ -16,7 +16,7 @@
   const got: Message[] = [];
   let more: (() => void) | undefined;
   const at = `${host}:${port}` as Address;
-  const c = await createCarrier({
+  const c = await createTransport({
     listen: at,
     log: (n, f) => {
       logged.push(`${n} ${String(f['why'])}`);
@@ -26,7 +26,7 @@
       more?.();
     },
   });
-  const other = await createCarrier({
+  const other = await createTransport({
     listen: `${host}:${port + 1}` as Address,
     log: () => undefined,
     receive: () => undefined,
@@ -39,13 +39,13 @@
       for (const b of bs) s.write(b);
     });
   }
-  const hi = frame(hello('127.0.0.1:9'));
-  const old = Buffer.from(hello('x').toString().replace('"tansypost":1', '"tansypost":99'));
+  const hi = encodeFrame(encodeHello('127.0.0.1:9'));
+  const old = Buffer.from(encodeHello('x').toString().replace('"tansypost":1', '"tansypost":99'));
   await closed(Buffer.from('GET / HTTP/1.1\r\n\r\n'));
   await closed(Buffer.from([0x7f, 0, 0, 0]));
-  await closed(frame(old));
-  await closed(hi, frame(Buffer.from([0, 0, 1])));
-  await closed(hi, frame(Buffer.from([255, 255, 1])));
+  await closed(encodeFrame(old));
+  await closed(hi, encodeFrame(Buffer.from([0, 0, 1])));
+  await closed(hi, encodeFrame(Buffer.from([255, 255, 1])));
   expect(logged.length).toBe(5);
   expect(logged.every((l) => l.startsWith('1101 '))).toBe(true);
   const told = new Promise<void>((ok) => {
@@ -62,7 +62,7 @@
   const at = `${host}:${port + 2}` as Address;
   const got: Message[] = [];
   let more: (() => void) | undefined;
-  const c = await createCarrier({
+  const c = await createTransport({
     listen: at,
     log: () => undefined,
     receive: (m) => {
@@ -70,23 +70,23 @@
       more?.();
     },
   });
-  const all = JSON.parse(hello('127.0.0.1:9').toString()) as { schemas: { name: string }[] };
+  const all = JSON.parse(encodeHello('127.0.0.1:9').toString()) as { schemas: { name: string }[] };
   const i = all.schemas.findIndex((x) => x.name === 'Check');
   const told = new Promise<void>((ok) => {
     more = ok;
   });
   const s = net.connect(splitAddress(at));
   s.write(
-    frame(
+    encodeFrame(
       Buffer.from(
-        shortHello('127.0.0.1:9')
+        encodeShortHello('127.0.0.1:9')
           .toString()
           .replace(/"fingerprint":"..../, '"fingerprint":"0000'),
       ),
     ),
   );
-  s.write(frame(Buffer.concat([Buffer.from([0, 0]), Buffer.from([2, 97, 2, 98, 2, 99, 4, 6])])));
-  s.once('data', () => s.write(frame(Buffer.from(JSON.stringify({ ...all, schemas: [all.schemas[i]] })))));
+  s.write(encodeFrame(Buffer.concat([Buffer.from([0, 0]), Buffer.from([2, 97, 2, 98, 2, 99, 4, 6])])));
+  s.once('data', () => s.write(encodeFrame(Buffer.from(JSON.stringify({ ...all, schemas: [all.schemas[i]] })))));
   await told;
   expect(got).toEqual([{ kind: 'Check', id: 'a', from: 'b', key: 'c', epoch: 2, membershipEpoch: 3 }]);
   s.destroy();
@@ -101,7 +101,7 @@
   });
   const at = `${host}:${port + 3}` as Address;
   await new Promise<void>((ok) => swallow.listen(splitAddress(at), ok));
-  const c = await createCarrier({
+  const c = await createTransport({
     listen: `${host}:${port + 4}` as Address,
     stuckMs: 60,
     log: () => undefined,
@@ -134,7 +134,7 @@
     more = ok;
   });
   let tries = 0;
-  const early = await createCarrier({
+  const early = await createTransport({
     listen: a!,
     log: () => undefined,
     receive: () => undefined,
@@ -146,7 +146,7 @@
     },
   });
   early.send(b!, { kind: 'MarksDigest', from: 'a', digest: 'waited', answer: false, warm: false });
-  const late = await createCarrier({
+  const late = await createTransport({
     listen: b!,
     log: () => undefined,
     receive: (m) => {
--- a/packages/inner-protocol/src/link.ts
+++ b/packages/inner-protocol/src/link.ts
@@ -5,30 +5,30 @@
  */
 import net from 'node:net';
 import type { Address } from './brands.js';
-import { encode } from './codec.js';
-import { frame } from './frame.js';
+import { encodeMessage } from './codec.js';
+import { encodeFrame } from './frame.js';
 import { readIncoming } from './incoming-link.js';
 import type { Message } from './messages.js';
-import { openLink, writeHeld, type OutgoingLink, type OutgoingOptions } from './outgoing-link.js';
+import { openLink, writeRetained, type OutgoingLink, type OutgoingOptions } from './outgoing-link.js';
 import { splitAddress } from './socket-address.js';
 
 /** Sends messages, and passes those that come to its receiver. */
-export interface Carrier {
+export interface Transport {
   readonly send: (to: Address, message: Message) => void;
   readonly close: () => Promise<void>;
   /** How many messages were dropped because their link held too much. */
-  readonly dropped: () => number;
+  readonly droppedCount: () => number;
 }
 
 /** What a carrier is told when it is made. */
-export interface CarrierOptions {
+export interface TransportOptions {
   readonly listen: Address;
   /** Address under which others reach it, where that differs. */
   readonly advertise?: Address;
   readonly receive: (message: Message, from: Address) => void;
   readonly log: (event: number, fields: Record<string, unknown>) => void;
   /** Bytes that a link may hold before messages are dropped. */
-  readonly heldLimit?: number;
+  readonly maxBufferedBytes?: number;
   /** How long a connection may take to come about. */
   readonly connectMs?: number;
   /** How long a link may hold bytes without any of them getting through. */
@@ -41,8 +41,8 @@
 
 const defaults = { heldLimit: 16 * 1024 * 1024, connectMs: 300, stuckMs: 2000, idleMs: 30_000 } as const;
 
-interface CarrierState {
-  readonly options: CarrierOptions;
+interface TransportState {
+  readonly options: TransportOptions;
   readonly outgoing: OutgoingOptions;
   readonly links: Map<Address, OutgoingLink>;
   readonly incoming: Set<net.Socket>;
@@ -53,8 +53,8 @@
 }
 
 /** Listens on the address given; rejects when that is not possible. */
-export async function createCarrier(options: CarrierOptions): Promise<Carrier> {
-  const state: CarrierState = {
+export async function createTransport(options: TransportOptions): Promise<Transport> {
+  const state: TransportState = {
     options,
     outgoing: {
       self: options.advertise ?? options.listen,
@@ -76,38 +76,38 @@
   return {
     send: (to, message) => send(state, to, message),
     close: () => close(state, server),
-    dropped: () => state.dropped,
+    droppedCount: () => state.dropped,
   };
 }
 
-function open(state: CarrierState, to: Address, held: readonly Buffer[] = []): OutgoingLink {
+function open(state: TransportState, to: Address, held: readonly Buffer[] = []): OutgoingLink {
   const link = openLink(to, state.outgoing, (ended) => {
     if (state.links.get(to) === ended) state.links.delete(to);
   });
   state.links.set(to, link);
-  for (const bytes of held) writeHeld(link, bytes, state.outgoing.stuckMs);
+  for (const bytes of held) writeRetained(link, bytes, state.outgoing.stuckMs);
   return link;
 }
 
-function send(state: CarrierState, to: Address, message: Message): void {
+function send(state: TransportState, to: Address, message: Message): void {
   if (state.closed) return;
   const existing = state.links.get(to);
   const link = existing === undefined || existing.socket.destroyed ? open(state, to) : existing;
-  if (link.socket.writableLength > (state.options.heldLimit ?? defaults.heldLimit)) {
+  if (link.socket.writableLength > (state.options.maxBufferedBytes ?? defaults.heldLimit)) {
     state.dropped += 1;
     return;
   }
-  writeHeld(link, bytesOf(state, message), state.outgoing.stuckMs);
+  writeRetained(link, bytesOf(state, message), state.outgoing.stuckMs);
 }
 
 /** A message is never changed after it was sent, so the same object has the same bytes. */
-function bytesOf(state: CarrierState, message: Message): Buffer {
-  if (state.lastSent?.message !== message) state.lastSent = { message, bytes: frame(encode(message)) };
+function bytesOf(state: TransportState, message: Message): Buffer {
+  if (state.lastSent?.message !== message) state.lastSent = { message, bytes: encodeFrame(encodeMessage(message)) };
   return state.lastSent.bytes;
 }
 
 /** The other side is there, so an opening packet that went out before it was is not waited for. */
-function reopen(state: CarrierState, to: Address): void {
+function reopen(state: TransportState, to: Address): void {
   const link = state.links.get(to);
   if (link?.held === undefined || link.socket.destroyed) return;
   const { held } = link;
@@ -116,7 +116,7 @@
   open(state, to, held);
 }
 
-function accept(state: CarrierState, socket: net.Socket): void {
+function accept(state: TransportState, socket: net.Socket): void {
   const { options, incoming } = state;
   incoming.add(socket);
   socket.setNoDelay(true);
@@ -132,7 +132,7 @@
   });
 }
 
-async function close(state: CarrierState, server: net.Server): Promise<void> {
+async function close(state: TransportState, server: net.Server): Promise<void> {
   state.closed = true;
   for (const link of state.links.values()) link.socket.destroy();
   for (const socket of state.incoming) socket.destroy();
--- a/packages/inner-protocol/src/messages.ts
+++ b/packages/inner-protocol/src/messages.ts
@@ -2,7 +2,7 @@
  * Every message that the fleet's own processes exchange. Links lose and delay messages as they
  * like: each conversation carries ids, epochs or versions, and is repeated by the one who needs it.
  */
-import type { Of, Shape } from './shape.js';
+import type { TypeOfShape, Shape } from './shape.js';
 
 const entry = {
   member: 'string',
@@ -74,7 +74,7 @@
   tokenSquares: 'double',
 } as const;
 
-export const shapes = {
+export const messageShapes = {
   Shuffle: {
     answer: 'boolean',
     from: 'string',
@@ -275,20 +275,20 @@
   },
 } as const satisfies { [k: string]: Shape };
 
-export type Kind = keyof typeof shapes;
-export type Message = { [K in Kind]: { kind: K } & Of<(typeof shapes)[K]> }[Kind];
-export type MessageOf<K extends Kind> = Extract<Message, { kind: K }>;
+export type MessageKind = keyof typeof messageShapes;
+export type Message = { [K in MessageKind]: { kind: K } & TypeOfShape<(typeof messageShapes)[K]> }[MessageKind];
+export type MessageOf<K extends MessageKind> = Extract<Message, { kind: K }>;
 
-export type Entry = Of<typeof entry>;
-export type ReplicaEntry = Of<typeof replica>;
-export type FoundingCandidate = Of<typeof candidate>;
-export type Mark = Of<typeof mark>;
-export type DutyMark = Of<typeof duty>;
-export type Report = Of<typeof report>;
-export type Copied = Of<typeof copied>;
-export type NewsItem = Of<typeof news>;
-export type Listed = Of<typeof listed>;
-export type Load = Of<typeof load>;
-export type ArmCount = Of<typeof arm>;
-export type UsageCount = Of<typeof usageCount>;
-export type UsageTable = Of<typeof usageTable>;
+export type MemberEntry = TypeOfShape<typeof entry>;
+export type ReplicaEntry = TypeOfShape<typeof replica>;
+export type BootstrapCandidate = TypeOfShape<typeof candidate>;
+export type WorkerStateEntry = TypeOfShape<typeof mark>;
+export type SingletonRoleEntry = TypeOfShape<typeof duty>;
+export type WorkerReport = TypeOfShape<typeof report>;
+export type CopiedRecord = TypeOfShape<typeof copied>;
+export type KeyUpdate = TypeOfShape<typeof news>;
+export type WorkerListEntry = TypeOfShape<typeof listed>;
+export type WorkerLoadEntry = TypeOfShape<typeof load>;
+export type CohortStatistics = TypeOfShape<typeof arm>;
+export type UsageCount = TypeOfShape<typeof usageCount>;
+export type UsageTable = TypeOfShape<typeof usageTable>;
--- a/packages/inner-protocol/src/outgoing-link.ts
+++ b/packages/inner-protocol/src/outgoing-link.ts
@@ -4,8 +4,8 @@
  */
 import net from 'node:net';
 import type { Address } from './brands.js';
-import { hello, shortHello } from './codec.js';
-import { frame } from './frame.js';
+import { encodeHello, encodeShortHello } from './codec.js';
+import { encodeFrame } from './frame.js';
 import { createReplyReader, replyKind } from './link-reply.js';
 import { splitAddress } from './socket-address.js';
 
@@ -54,16 +54,17 @@
   });
   socket.on('data', (chunk: Buffer) => {
     for (const reply of readReplies(chunk)) {
-      if (reply.kind === replyKind.wantSchemas) writeHeld(link, frame(hello(options.self)), options.stuckMs);
+      if (reply.kind === replyKind.wantSchemas)
+        writeRetained(link, encodeFrame(encodeHello(options.self)), options.stuckMs);
       else takeReceived(link, reply.received, options.stuckMs);
     }
   });
-  write(link, frame(shortHello(options.self)), options.stuckMs);
+  write(link, encodeFrame(encodeShortHello(options.self)), options.stuckMs);
   return link;
 }
 
 /** Writes bytes that are written again by whoever replaces the link before its connection came about. */
-export function writeHeld(link: OutgoingLink, bytes: Buffer, stuckMs: number): void {
+export function writeRetained(link: OutgoingLink, bytes: Buffer, stuckMs: number): void {
   link.held?.push(bytes);
   write(link, bytes, stuckMs);
 }
--- a/packages/inner-protocol/src/real-world.ts
+++ b/packages/inner-protocol/src/real-world.ts
@@ -4,8 +4,8 @@
  */
 import { randomInt } from 'node:crypto';
 import { micros, type Address, type Micros } from './brands.js';
-import { createCarrier, type Carrier } from './link.js';
-import { seeded } from './hash.js';
+import { createTransport, type Transport } from './link.js';
+import { createSeededRandom } from './hash.js';
 import type { Message } from './messages.js';
 import type { Cancel, World } from './world.js';
 
@@ -14,19 +14,19 @@
 const randomSteps = 2 ** 32;
 
 /** The clock of this machine since some moment before its processes began. */
-export function monotonic(): Micros {
+export function monotonicNow(): Micros {
   return micros(Number(process.hrtime.bigint() / nanosPerMicro));
 }
 
 /** A timer that doesn't keep the process alive. */
-export function afterReal(delay: Micros, run: () => void): Cancel {
+export function startTimer(delay: Micros, run: () => void): Cancel {
   const timer = setTimeout(run, Math.max(0, delay / microsPerMillisecond));
   timer.unref();
   return () => clearTimeout(timer);
 }
 
 /** At least 0 and below 1; its seed is from the system's generator. For spreading only: secrets are drawn elsewhere. */
-export const randomReal = seeded(randomInt(0, randomSteps));
+export const systemRandom = createSeededRandom(randomInt(0, randomSteps));
 
 /** Takes a message and the address of its sender. */
 export type MessageHandler = (message: Message, from: Address) => void;
@@ -34,7 +34,7 @@
 /** A world with the links behind it. */
 export interface RealWorld {
   readonly world: World;
-  readonly carrier: Carrier;
+  readonly transport: Transport;
   /** Sets who takes messages; until then they are dropped. */
   readonly onMessage: (handler: MessageHandler) => void;
 }
@@ -51,16 +51,16 @@
   advertise: Address = listen,
 ): Promise<RealWorld> {
   let handle: MessageHandler | undefined;
-  const carrier = await createCarrier({
+  const carrier = await createTransport({
     listen,
     advertise,
     log,
     receive: (message, from) => handle?.(message, from),
   });
-  const world: World = { now: monotonic, random: randomReal, after: afterReal, send: carrier.send, log };
+  const world: World = { now: monotonicNow, random: systemRandom, after: startTimer, send: carrier.send, log };
   return {
     world,
-    carrier,
+    transport: carrier,
     onMessage: (handler) => {
       handle = handler;
     },
--- a/packages/inner-protocol/src/shape.ts
+++ b/packages/inner-protocol/src/shape.ts
@@ -6,13 +6,13 @@
 import avsc from 'avsc';
 
 /** The types of single values. */
-export type Prim = 'long' | 'double' | 'string' | 'boolean' | 'bytes';
+export type PrimitiveShape = 'long' | 'double' | 'string' | 'boolean' | 'bytes';
 
 /** A value, a list of one shape, or a record. */
-export type Shape = Prim | readonly [Shape] | { readonly [field: string]: Shape };
+export type Shape = PrimitiveShape | readonly [Shape] | { readonly [field: string]: Shape };
 
 /** The TypeScript type of a shape. */
-export type Of<S> = S extends 'long' | 'double'
+export type TypeOfShape<S> = S extends 'long' | 'double'
   ? number
   : S extends 'string'
     ? string
@@ -21,9 +21,9 @@
       : S extends 'bytes'
         ? Buffer
         : S extends readonly [infer Item]
-          ? Of<Item>[]
+          ? TypeOfShape<Item>[]
           : S extends object
-            ? { -readonly [K in keyof S]: Of<S[K]> }
+            ? { -readonly [K in keyof S]: TypeOfShape<S[K]> }
             : never;
 
 function defaultOf(shape: Shape): unknown {
--- a/packages/learning/src/core-asking.ts
+++ b/packages/learning/src/core-asking.ts
@@ -1,15 +1,15 @@
 /** Asks the core through what the control feed asks with, in the words of those who learn. */
-import type { CoreAsker } from '@tansypost/control-feed';
+import type { ControlClient } from '@tansypost/control-feed';
 import type { World } from '@tansypost/inner-protocol';
 import type { Asker, AskStatus } from './asking.js';
 
-export function askThrough(w: Pick<World, 'now'>, asker: CoreAsker): Pick<Asker, 'ask'> {
+export function askThrough(w: Pick<World, 'now'>, asker: ControlClient): Pick<Asker, 'ask'> {
   return {
     ask: ({ op, patience, ...q }) =>
       new Promise((done) => {
         const [status, none] = ['unknown' as const, Buffer.alloc(0)];
         if (op === 'claim') return done({ status, epoch: 0, version: 0, value: none });
-        asker.ask({ ...q, op, limit: w.now() + patience }, (a) => done({ ...a, status: a.status as AskStatus }));
+        asker.request({ ...q, op, deadline: w.now() + patience }, (a) => done({ ...a, status: a.status as AskStatus }));
       }),
   };
 }
--- a/packages/learning/src/rehearsal-duty.test.ts
+++ b/packages/learning/src/rehearsal-duty.test.ts
@@ -1,9 +1,9 @@
 import { expect, it } from 'vitest';
-import { micros, type ArmCount } from '@tansypost/inner-protocol';
+import { micros, type CohortStatistics } from '@tansypost/inner-protocol';
 import { begin, emptyRecord, writeRecord, type RehearsalRecord } from '@tansypost/rehearsal';
 import { createRehearsalDuty } from './rehearsal-duty.js';
 
-function arm(rehearsal: string, which: string, count: number, slower: number): ArmCount {
+function arm(rehearsal: string, which: string, count: number, slower: number): CohortStatistics {
   const l = Math.log(100_000 * slower);
   return {
     rehearsal,
--- a/packages/learning/src/rehearsal-duty.ts
+++ b/packages/learning/src/rehearsal-duty.ts
@@ -4,7 +4,7 @@
  * write, which also records the look. Since the totals live at the routers, a new holder has them again within a
  * second; a router's two arms come and are lost together, so that what is missing favours neither.
  */
-import { micros, type ArmCount, type MessageOf, type World } from '@tansypost/inner-protocol';
+import { micros, type CohortStatistics, type MessageOf, type World } from '@tansypost/inner-protocol';
 import {
   armsOf,
   end,
@@ -36,7 +36,7 @@
 }
 
 export function createRehearsalDuty(w: World, o: RehearsalDutyOptions): RehearsalDuty {
-  const byRouter = new Map<string, { at: number; arms: ArmCount[] }>();
+  const byRouter = new Map<string, { at: number; arms: CohortStatistics[] }>();
   let busy = false;
   let watched: { id: string; stage: number; since: number } | undefined;
 
--- a/packages/learning/src/router-learning.ts
+++ b/packages/learning/src/router-learning.ts
@@ -4,7 +4,7 @@
  * those went as running totals. Without samples, a record or a keeper it does nothing.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { micros, type Address, type ArmCount, type NewsItem, type World } from '@tansypost/inner-protocol';
+import { micros, type Address, type CohortStatistics, type KeyUpdate, type World } from '@tansypost/inner-protocol';
 import type { Answered, Lot } from '@tansypost/pass-through';
 import { batchSize, decodeModel, scoreAll, width, type Model, type Sample } from '@tansypost/placement';
 import {
@@ -30,7 +30,7 @@
   readonly asker: Pick<Asker, 'ask'>;
 }
 export interface RouterLearning {
-  readonly take: (n: NewsItem) => void;
+  readonly take: (n: KeyUpdate) => void;
   readonly version: () => number;
   readonly sample: (row: Float32Array, firstTime: number) => void;
   readonly lot: (request: string) => Lot;
@@ -45,8 +45,8 @@
 export function createRouterLearning(w: World, o: RouterLearningOptions): RouterLearning {
   const models = new Map<string, Model>();
   // Model bytes that were told of, the newest of each key.
-  const bytes = new Map<string, NewsItem>();
-  const arms = new Map<string, ArmCount>();
+  const bytes = new Map<string, KeyUpdate>();
+  const arms = new Map<string, CohortStatistics>();
   let record: RehearsalRecord = emptyRecord;
   let at: { version: number; epoch: number } = { version: 0, epoch: 0 };
   let samples: Sample[] = [];
@@ -58,7 +58,7 @@
     return [record.live, s?.type === 'model' ? s.model : undefined, record.before].flatMap((x) => x ?? []);
   }
 
-  function take(n: NewsItem): void {
+  function take(n: KeyUpdate): void {
     if (n.key.startsWith(`blob/${learnedService}/`)) {
       const had = bytes.get(n.key);
       if (had !== undefined && had.version >= n.version) return;
--- a/packages/learning/src/sample-batch.test.ts
+++ b/packages/learning/src/sample-batch.test.ts
@@ -1,10 +1,10 @@
 import { expect, it } from 'vitest';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { width, type Sample } from '@tansypost/placement';
 import { packSamples, unpackSamples } from './sample-batch.js';
 
 it('packs samples to a fifth of their size or less, and gives them back to within 0.4 %; what is spoilt gives none', () => {
-  const r = seeded(4);
+  const r = createSeededRandom(4);
   const ss = Array.from({ length: 100 }, (): Sample => {
     const x = new Float32Array(width);
     x[0] = Math.round(400 + 9000 * r());
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -3,7 +3,7 @@
  * followers, with the checks attached.
  */
 import type { JournalRecord } from '@tansypost/control-state';
-import { seeded, type Address } from '@tansypost/inner-protocol';
+import { createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import type { ClockSettings } from './clock.js';
 import { ControlMachine } from './control-machine.js';
 import { membershipOf } from './durable-state.js';
@@ -63,7 +63,7 @@
     seed: number,
     readonly calls: RegisterCalls = directCalls,
   ) {
-    this.random = seeded(seed);
+    this.random = createSeededRandom(seed);
     this.kernel = new Kernel({ seed, jitter: scope.jitterUs, orderedLinks: scope.orderedLinks });
     const seeds = namesOf(scope.statelessSeeds ? 'r' : 'c', foundingSeats).map((name) => `${name}:1` as Address);
     this.machines = this.addMachines('c', scope.places, seeds);
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -4,11 +4,11 @@
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
-  createCoreAsker,
+  createControlClient,
   createFeedServer,
-  createReplicaList,
-  type CoreAnswer,
-  type CoreQuestion,
+  createReplicaAddressList,
+  type ControlResponse,
+  type ControlRequest,
 } from '@tansypost/control-feed';
 import { createControlNodeHost, type ControlNodeHost, type OpenDisk } from '@tansypost/control-node';
 import type { Address, World } from '@tansypost/inner-protocol';
@@ -18,7 +18,7 @@
 
 /** How an operator's call reaches the core through one machine. */
 export interface CoreAccess {
-  readonly ask: (question: CoreQuestion) => Promise<CoreAnswer>;
+  readonly ask: (question: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
@@ -69,21 +69,21 @@
     kernel.start(process);
     const world = kernel.world(process);
     const node = this.createNode(world, founds);
-    const replicas = createReplicaList(node.core, self, () => seeds);
-    const asker = createCoreAsker(world, self, replicas);
+    const replicas = createReplicaAddressList(node.core, self, () => seeds);
+    const asker = createControlClient(world, self, replicas);
     const feed = createFeedServer(world, {
       self,
       zone: 'z',
-      keeper: node.core,
+      controlNode: node.core,
       seeds: () => seeds,
-      fetchList: async () => undefined,
+      fetchWorkerList: async () => undefined,
     });
     process.receive = (message, from) => {
-      if (message.kind === 'Answer') asker.answer(message);
+      if (message.kind === 'Answer') asker.handleAnswer(message);
       else if (!feed.receive(message, from)) node.receive(message, from);
     };
     this.node = node;
-    this.coreAccess = { ask: (question) => new Promise((done) => asker.ask(question, done)), now: world.now };
+    this.coreAccess = { ask: (question) => new Promise((done) => asker.request(question, done)), now: world.now };
     void node.begin();
   }
 
--- a/packages/model-checker/src/duties/draw.ts
+++ b/packages/model-checker/src/duties/draw.ts
@@ -1,5 +1,5 @@
 /** Draws from a seed. */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 
 /** A source of drawn numbers. */
 export interface Draw {
@@ -14,7 +14,7 @@
 
 /** Draws that a seed repeats; `isCalm` tells whether the troubles are over. */
 export function createDraw(seed: number, isCalm: () => boolean): Draw {
-  const number = seeded(seed);
+  const number = createSeededRandom(seed);
   return {
     number,
     chance: (probability) => number() < probability,
--- a/packages/model-checker/src/follower.ts
+++ b/packages/model-checker/src/follower.ts
@@ -2,7 +2,12 @@
  * A router as far as control goes: the shipped feed of one, which follows the core and can be restarted. As a machine that
  * serves control without holding its state it may be a seed.
  */
-import { createControlFeed, createControlGuide, startMembershipRelay, type ControlFeed } from '@tansypost/control-feed';
+import {
+  createControlFeed,
+  createControlGateway,
+  startMembershipRelay,
+  type ControlFeed,
+} from '@tansypost/control-feed';
 import type { Address, World } from '@tansypost/inner-protocol';
 import type { Kernel } from './kernel.js';
 import type { Process } from './process.js';
@@ -36,8 +41,8 @@
       member: process.name,
       zone: 'z',
       seeds,
-      fetchList: async () => undefined,
-      changed: (what) => {
+      fetchWorkerList: async () => undefined,
+      onChange: (what) => {
         if (what === 'configuration') this.changed(feed);
       },
     });
@@ -48,7 +53,7 @@
 
   private serveAsSeed(world: World, feed: ControlFeed, firstStart: boolean): void {
     const self = this.process.address;
-    const guide = createControlGuide(world, { self, membership: feed.membership, firstStart });
+    const guide = createControlGateway(world, { self, membership: feed.membership, firstStart });
     startMembershipRelay(world, { self, seeds: () => this.seeds, membership: feed.membership });
     this.process.receive = (message, from) => {
       if (!guide(message, from)) feed.receive(message, from);
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/founding-schedules.ts
@@ -3,9 +3,9 @@
  * shipped answers of each seed, with messages lost, doubled and late, links that are cut, seeds and candidates that are
  * restarted, and a disk that is lost, each between any two messages. No time passes, so a schedule takes microseconds.
  */
-import { createControlGuide, type ControlGuide } from '@tansypost/control-feed';
+import { createControlGateway, type ControlGateway } from '@tansypost/control-feed';
 import { createRosterFounding, type RosterFounding } from '@tansypost/control-state';
-import { seeded, type Address, type Message, type ReplicaEntry } from '@tansypost/inner-protocol';
+import { createSeededRandom, type Address, type Message, type ReplicaEntry } from '@tansypost/inner-protocol';
 import type { Violation } from './quorum-checks.js';
 
 interface InFlight {
@@ -31,7 +31,7 @@
 
 class FoundingSchedule {
   private readonly random: () => number;
-  private readonly guides = new Map<Address, ControlGuide>();
+  private readonly guides = new Map<Address, ControlGateway>();
   private readonly candidates: Candidate[];
   private readonly cuts = new Set<string>();
   private readonly fewest: number;
@@ -43,7 +43,7 @@
   private records = 0;
 
   constructor(seed: number) {
-    this.random = seeded(seed * 7907 + 3);
+    this.random = createSeededRandom(seed * 7907 + 3);
     this.fewest = this.pick([1, 1, 2, 3]);
     this.seedRestarts = this.pick(restartShares);
     this.candidateRestarts = this.pick(restartShares);
@@ -77,7 +77,7 @@
   }
 
   private startSeed(self: Address, firstStart: boolean): void {
-    const guide = createControlGuide(
+    const guide = createControlGateway(
       { send: (to, message) => this.send(self, to, message) },
       { self, firstStart, membership: () => ({ membershipEpoch: 0, replicas: [] }) },
     );
--- a/packages/model-checker/src/kernel.ts
+++ b/packages/model-checker/src/kernel.ts
@@ -4,11 +4,11 @@
  * is that of planned times; any other order is a choice of the caller.
  */
 import {
-  decoderForSelf,
-  encode,
+  decoderForOwnSchemas,
+  encodeMessage,
   hash32,
   micros,
-  seeded,
+  createSeededRandom,
   type Address,
   type Cancel,
   type Message,
@@ -58,7 +58,7 @@
   private readonly events = new Map<string, PendingEvent>();
   private readonly counters = new Map<string, number>();
   private readonly lastOnLink = new Map<string, number>();
-  private readonly decode = decoderForSelf();
+  private readonly decode = decoderForOwnSchemas();
   private time = 0;
   private stepCount = 0;
   private sequence = 0;
@@ -110,7 +110,7 @@
     const { incarnation } = process;
     return {
       now: () => micros(localTime(process.clock, this.time)),
-      random: seeded(hash32(`${this.options.seed}|${process.name}|${incarnation}`)),
+      random: createSeededRandom(hash32(`${this.options.seed}|${process.name}|${incarnation}`)),
       after: (delay, run) => this.startTimer(process, delay, run),
       send: (to, message) => {
         if (process.alive && process.incarnation === incarnation) this.send(process, to, message);
@@ -254,7 +254,7 @@
     const last = this.options.orderedLinks ? (this.lastOnLink.get(link) ?? 0) : 0;
     const planned = Math.max(this.time + (from === target ? 0 : this.delayOf(id)), last);
     this.lastOnLink.set(link, planned);
-    const content = encode(message);
+    const content = encodeMessage(message);
     const event = { id, kind: 'message', owner: target.name, sender: from.name, planned, content } as const;
     this.put({ ...event, run: () => this.deliver(from, target, content) });
   }
--- a/packages/model-checker/src/register-calls.ts
+++ b/packages/model-checker/src/register-calls.ts
@@ -1,5 +1,5 @@
 /** How orders and reads of the configuration become calls of the shipped code. */
-import { configurationKey, type CoreQuestion } from '@tansypost/control-feed';
+import { configurationKey, type ControlRequest } from '@tansypost/control-feed';
 import type { CoreAccess } from './control-machine.js';
 import type { Order, RegisterValue, WriteOutcome } from './operation-history.js';
 
@@ -12,16 +12,21 @@
 
 const callLimitUs = 850_000;
 
-function question(access: CoreAccess, operation: CoreQuestion['op']): CoreQuestion {
-  // eslint-disable-next-line id-length -- the name of the field in CoreQuestion
-  return { op: operation, key: configurationKey, limit: access.now() + callLimitUs };
+function question(access: CoreAccess, operation: ControlRequest['op']): ControlRequest {
+  // eslint-disable-next-line id-length -- the name of the field in ControlRequest
+  return { op: operation, key: configurationKey, deadline: access.now() + callLimitUs };
 }
 
 /** Calls that ask the core directly, one question a call. */
 export const directCalls: RegisterCalls = {
   write: async (access, order) => {
     const { change, base } = order;
-    const answer = await access.ask({ ...question(access, 'write'), change, base, value: Buffer.from(change) });
+    const answer = await access.ask({
+      ...question(access, 'write'),
+      change,
+      base,
+      value: Buffer.from(change),
+    });
     if (answer.status === 'done') return 'done';
     return answer.status === 'lost' || answer.status === 'reused' ? 'refused' : 'unknown';
   },
--- a/packages/model-checker/src/walk.ts
+++ b/packages/model-checker/src/walk.ts
@@ -3,7 +3,7 @@
  * often the kind was made in a situation like the present one, so that rare pairs of situation and move are sought
  * out. The weights are those of one walk, so its seed alone replays it.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Cluster, Scope } from './cluster.js';
 import { drawMove, moveKinds, usualWeights } from './draws.js';
 import type { Move, MoveKind } from './moves.js';
@@ -33,7 +33,7 @@
   private every = calmEvery;
 
   constructor(private readonly options: WalkOptions) {
-    this.random = seeded(options.seed * 7919 + 17);
+    this.random = createSeededRandom(options.seed * 7919 + 17);
   }
 
   choose(cluster: Cluster): Move | undefined {
--- a/packages/pass-through/src/assign-pair.test.ts
+++ b/packages/pass-through/src/assign-pair.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import { placementDefaults } from '@tansypost/placement';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { assignPair, pairDefaults, type Pair, type PairTerms } from './assign-pair.js';
 import type { Incoming } from './incoming.js';
 import type { View } from './worker-fleet.js';
@@ -55,7 +55,7 @@
   };
 }
 function assign(q: Incoming, readers: View[], runners: View[], hits = new Map<string, number>()): Pair | undefined {
-  return assignPair(q, readers, runners, hits, undefined, terms, () => 0, seeded(3));
+  return assignPair(q, readers, runners, hits, undefined, terms, () => 0, createSeededRandom(3));
 }
 const readers = ['p1', 'p2', 'p3'].map((n) => view(n, 'prefill'));
 const runners = ['d1', 'd2'].map((n) => view(n, 'decode'));
--- a/packages/pass-through/src/course.test.ts
+++ b/packages/pass-through/src/course.test.ts
@@ -4,7 +4,7 @@
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
-import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
+import { createVirtualClock, createSeededRandom, type Micros } from '@tansypost/inner-protocol';
 import type { Path, PathTable } from '@tansypost/paths';
 import type { pairDefaults } from './assign-pair.js';
 import { createCourse, type Course } from './course.js';
@@ -560,7 +560,7 @@
 });
 
 it('gives each service of a route its weight of the requests', async () => {
-  const clock = createVirtualClock({ random: seeded(4) });
+  const clock = createVirtualClock({ random: createSeededRandom(4) });
   const counts = new Map<string, number>();
   const workers = ['a', 'b', 'c'].map((service, i) => ({
     ...fleetOf(0, 1)[0]!,
--- a/packages/placement/src/assign.ts
+++ b/packages/placement/src/assign.ts
@@ -119,7 +119,7 @@
   const { it, expect } = import.meta.vitest;
   const { createPredictor } = await import('./predictor.js');
   const { width } = await import('./features.js');
-  const { seeded } = await import('@tansypost/inner-protocol');
+  const { createSeededRandom } = await import('@tansypost/inner-protocol');
   function cand(worker: string, x: Partial<Candidate> = {}): Candidate {
     return {
       worker: worker as never,
@@ -152,7 +152,7 @@
     return { version: { epoch: 1, n: 1 }, samples, predictor: p, scaling: s };
   }
   const prompt = { tokens: 1600, blocks: [...Array(100).keys()], group: 'g' };
-  const base = { prompt, hits: new Map([['a', 80]]), now: () => 0, random: seeded(1) };
+  const base = { prompt, hits: new Map([['a', 80]]), now: () => 0, random: createSeededRandom(1) };
   const o = { ...placementDefaults, explore: 0 };
   it('says why it fell back, for each reason', () => {
     const cs = [cand('a'), cand('b', { running: 3 })];
--- a/packages/placement/src/predictor.ts
+++ b/packages/placement/src/predictor.ts
@@ -3,7 +3,7 @@
  * one scalar out. Plain typed arrays, one batch a call. The forward pass can be given a check that
  * it asks between layers, which bounds the scoring call; dropout is off when it scores.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 
 export interface Predictor {
   readonly sizes: readonly number[];
@@ -12,7 +12,7 @@
 }
 
 export function createPredictor(inputs: number, seed: number, inner: readonly number[] = [128, 128, 128]): Predictor {
-  const r = seeded(seed);
+  const r = createSeededRandom(seed);
   const sizes = [inputs, ...inner, 1];
   const weights: Float32Array[] = [];
   const biases: Float32Array[] = [];
@@ -126,16 +126,16 @@
   const { it, expect } = import.meta.vitest;
   it('has gradients that agree with numerical ones, with and without dropout', () => {
     const n = 5;
-    const r = seeded(3);
+    const r = createSeededRandom(3);
     const x = Float32Array.from({ length: n * 4 }, () => r() * 2 - 1);
     const y = Float32Array.from({ length: n }, () => r());
     for (const rate of [0, 0.3]) {
       const p = createPredictor(4, 9, [8, 8, 8]);
       function loss(): number {
-        const o = forward(p, x, n, { rate, random: seeded(5) })!.outs.at(-1)!;
+        const o = forward(p, x, n, { rate, random: createSeededRandom(5) })!.outs.at(-1)!;
         return o.reduce((s, v, i) => s + 0.5 * (v - y[i]!) ** 2, 0);
       }
-      const pass = forward(p, x, n, { rate, random: seeded(5) })!;
+      const pass = forward(p, x, n, { rate, random: createSeededRandom(5) })!;
       const g = backward(
         p,
         pass,
--- a/packages/placement/src/training.ts
+++ b/packages/placement/src/training.ts
@@ -4,7 +4,7 @@
  * prediction was, must differ from what is kept already). A round trains on both pools, starting from
  * the last model. It runs away from every request: in a worker thread, or in steps of a few milliseconds each.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { width } from './features.js';
 import type { Model, ModelVersion, Scaling } from './model.js';
 import { backward, createPredictor, forward, noGradients, type Predictor } from './predictor.js';
@@ -51,7 +51,7 @@
   let fresh = 0;
   let total = 0;
   let last: Model | undefined;
-  const r = seeded(11);
+  const r = createSeededRandom(11);
   const project = Float32Array.from({ length: 128 * sketch }, () => r() - 0.5);
 
   function gradientOf(s: Sample): Float32Array {
@@ -113,7 +113,7 @@
     const all = [...fifo, ...replay.map((k) => k.s)];
     const scaling = measure(all);
     const p = last === undefined ? createPredictor(width, seed) : rescale(last, scaling);
-    yield* fit(p, scaling, all, o, seeded(seed), rows);
+    yield* fit(p, scaling, all, o, createSeededRandom(seed), rows);
     const m = { version: v, samples: total, predictor: p, scaling };
     last = m;
     return m;
@@ -246,7 +246,7 @@
     return { x, y: -((x[2] / (fast ? 8000 : 3000)) * (1 + 0.3 * x[4])) };
   }
   it('learns a TTFT that no straight line fits, and the model survives its encoding', () => {
-    const r = seeded(21);
+    const r = createSeededRandom(21);
     const t = createTrainer({ ...trainingDefaults, fifo: 1000, replay: 500, passes: 6 });
     t.add(Array.from({ length: 1500 }, () => sample(r)));
     expect(t.due()).toBe(true);
--- a/packages/rehearsal/src/verdict.test.ts
+++ b/packages/rehearsal/src/verdict.test.ts
@@ -1,6 +1,6 @@
 /** The verdict holds its level over all looks, on drawn answers with heavy tails. */
 import { expect, it } from 'vitest';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { countAnswer, emptyCounts } from './arm-counts.js';
 import { lookAt, spendOf } from './error-spending.js';
 import { quantile } from './statistics.js';
@@ -64,7 +64,7 @@
   return { verdict: 'open', seconds: 300 };
 }
 it('holds its level over all looks: harm at the margin seldom passes, the harmless is seldom called harmful, and most of it passes', () => {
-  const r = seeded(77);
+  const r = createSeededRandom(77);
   const runs = 200;
   const n = { none: 0, called: 0, slow: 0, thick: 0, failing: 0 };
   for (let i = 0; i < runs; i += 1) {
@@ -96,7 +96,7 @@
     expect(quantile(a)).toBeCloseTo(z, 2);
 });
 it('counts a failure with its patience, so that failing fast does not look quick', () => {
-  const r = seeded(5);
+  const r = createSeededRandom(5);
   const d = draw(r, 0.1, { fail: 0.3 });
   d.step(20_000);
   const v = verdict(d.counts(), { ...verdictDefaults, failureMargin: 1 }, 0.05);
--- a/packages/rehearsal/src/verdict.ts
+++ b/packages/rehearsal/src/verdict.ts
@@ -5,7 +5,7 @@
  * failed counts with its whole patience as TTFT, lest failing fast look good. To pass, all three must be shown to be
  * within their margins; harm shown on any one of them ends it.
  */
-import type { ArmCount } from '@tansypost/inner-protocol';
+import type { CohortStatistics } from '@tansypost/inner-protocol';
 import type { ArmFigures, Measured } from './record.js';
 import {
   moments,
@@ -42,7 +42,7 @@
 
 /** Counts of one cohort in one stratum. */
 export type VerdictCounts = Pick<
-  ArmCount,
+  CohortStatistics,
   'arm' | 'stratum' | 'count' | 'failures' | 'sum' | 'squares' | 'tokenCount' | 'tokenSum' | 'tokenSquares'
 >;
 
--- a/packages/simulator/src/control-runs/config-service.ts
+++ b/packages/simulator/src/control-runs/config-service.ts
@@ -2,12 +2,12 @@
  * The operators' calls on the configuration as the machines of the core serve them. The programs of a platform have
  * their own form of them and of the configuration's text; a run takes either.
  */
-import { configurationKey, type CoreAnswer, type CoreQuestion } from '@tansypost/control-feed';
+import { configurationKey, type ControlResponse, type ControlRequest } from '@tansypost/control-feed';
 import { submit, tableOf, type SubmitAnswer } from '../pass-through/submit.js';
 
 /** How a served call reaches the core, and the clock it goes by. */
 export interface ServiceWorld {
-  readonly ask: (q: CoreQuestion) => Promise<CoreAnswer>;
+  readonly ask: (q: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
@@ -29,7 +29,7 @@
 const codes: Record<SubmitAnswer, number> = { taken: 200, refused: 412, 'not now': 503 };
 
 async function read(w: ServiceWorld): Promise<ReadAnswer> {
-  const a = await w.ask({ op: 'read', key: configurationKey, limit: w.now() + readPatience });
+  const a = await w.ask({ op: 'read', key: configurationKey, deadline: w.now() + readPatience });
   return a.status === 'value' && a.version > 0 ? { code: 200, text: a.value.toString() } : { code: 503, text: '' };
 }
 
--- a/packages/simulator/src/control-runs/control-cluster.ts
+++ b/packages/simulator/src/control-runs/control-cluster.ts
@@ -6,11 +6,11 @@
   createControlFeed,
   configurationKey,
   type ControlFeed,
-  type CoreAnswer,
-  type CoreQuestion,
+  type ControlResponse,
+  type ControlRequest,
   type ListedWorker,
 } from '@tansypost/control-feed';
-import { seeded, type Address } from '@tansypost/inner-protocol';
+import { createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import {
   addMachine,
   startControlNode,
@@ -24,7 +24,7 @@
 import { createProc, die, procWorld, wake, type Proc } from '../process.js';
 
 /** A question without the time by which it must be answered. */
-export type Question = Omit<CoreQuestion, 'limit'>;
+export type Question = Omit<ControlRequest, 'deadline'>;
 
 /** A machine of the cluster and the control node that was last started on it. */
 export interface ClusterMachine extends SimulatedMachine {
@@ -50,7 +50,7 @@
   readonly wipe: (name: string) => void;
   readonly wake: (name: string) => void;
   readonly startRouter: (name: string, changed?: (feed: ControlFeed) => void) => ClusterRouter;
-  readonly ask: (via: string, q: Question, patience?: number) => Promise<CoreAnswer>;
+  readonly ask: (via: string, q: Question, patience?: number) => Promise<ControlResponse>;
   /** Passes virtual time. */
   readonly run: (ms: number) => Promise<void>;
   /** Which machines run and vote. */
@@ -75,9 +75,16 @@
   part: 'decode',
 }));
 const feedSources = {
-  fetchList: async () => workers,
-  fetchLoad: async (x: ListedWorker) => ({ id: x.id, queued: 1, active: 2, kvUsed: 3, kvTotal: 4, part: 'decode' }),
-  loadEvery: 500_000,
+  fetchWorkerList: async () => workers,
+  fetchWorkerLoad: async (x: ListedWorker) => ({
+    id: x.id,
+    queued: 1,
+    active: 2,
+    kvUsed: 3,
+    kvTotal: 4,
+    part: 'decode',
+  }),
+  loadPollInterval: 500_000,
 };
 
 function addressOf(name: string): Address {
@@ -92,7 +99,7 @@
 }
 
 export function createControlCluster(seed: number, o: ControlClusterOptions = {}): ControlCluster {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const e = createEngine();
   const net: Network = createNetwork(e, random);
   const site: VirtualSite = { e, net, random };
@@ -142,8 +149,8 @@
       member: name,
       zone: 'z',
       seeds: seedNames.map(addressOf),
-      fetchList: async () => undefined,
-      changed: (what) => {
+      fetchWorkerList: async () => undefined,
+      onChange: (what) => {
         if (what === 'configuration') changed?.(feed);
       },
     });
@@ -152,9 +159,9 @@
     routers.set(name, router);
     return router;
   }
-  function ask(via: string, q: Question, patience = questionPatience): Promise<CoreAnswer> {
+  function ask(via: string, q: Question, patience = questionPatience): Promise<ControlResponse> {
     const { asker, world } = machine(via).node!;
-    return new Promise((done) => asker.ask({ ...q, limit: world.now() + patience }, done));
+    return new Promise((done) => asker.request({ ...q, deadline: world.now() + patience }, done));
   }
   function votes(m: ClusterMachine): boolean {
     return m.proc.alive && m.host?.core()?.replica.state() === 'voting';
--- a/packages/simulator/src/control-runs/control-command.ts
+++ b/packages/simulator/src/control-runs/control-command.ts
@@ -2,7 +2,7 @@
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Worker } from 'node:worker_threads';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { Command, Option } from 'clipanion';
 import {
   drawnLossJobs,
@@ -83,7 +83,7 @@
         return this.playLosses([...lossJobs({ ...one, step: Number(this.step), to: Number(this.to) })]);
       }
       case 'drawn':
-        return this.playLosses([...drawnLossJobs({ members, seeds }, seeded(seeds.from * members))]);
+        return this.playLosses([...drawnLossJobs({ members, seeds }, createSeededRandom(seeds.from * members))]);
       case 'repairs':
         return joinReports(await this.playRepairs(o));
       case 'leavers':
--- a/packages/simulator/src/control-runs/control-run.ts
+++ b/packages/simulator/src/control-runs/control-run.ts
@@ -110,7 +110,7 @@
 
   function serviceWorld(node: string): Parameters<ConfigService['get']>[0] {
     const { asker, world } = cluster.machine(node).node!;
-    return { ask: (q) => new Promise((done) => asker.ask(q, done)), now: world.now };
+    return { ask: (q) => new Promise((done) => asker.request(q, done)), now: world.now };
   }
 
   async function put(node: string, order: ConfigOrder): Promise<number | undefined> {
--- a/packages/simulator/src/control-runs/control-runs.test.ts
+++ b/packages/simulator/src/control-runs/control-runs.test.ts
@@ -1,6 +1,6 @@
 /** The runs of the control side in short form, with fixed seeds; `npm run simulate -- control` plays them at length. */
 import { describe, expect, it } from 'vitest';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import {
   drawnLossJobs,
   lossJobs,
@@ -38,7 +38,9 @@
   it('has a majority with all that was acknowledged after every second loss within the budget', async () => {
     const o = { members, seeds: { from: 1, count: 1 } };
     const outcomes = await playAll(lossJobs({ ...o, step: 1500, to: 6000 }));
-    const drawn = await playAll(drawnLossJobs({ members, seeds: { from: 100, count: 40 } }, seeded(members)));
+    const drawn = await playAll(
+      drawnLossJobs({ members, seeds: { from: 100, count: 40 } }, createSeededRandom(members)),
+    );
     const report = reportLosses([...outcomes, ...drawn]);
     expect(report.breaches).toEqual([]);
     expect(outcomes.filter((x) => x.withinBudget).length).toBeGreaterThan(30);
--- a/packages/simulator/src/control-runs/journal-run.ts
+++ b/packages/simulator/src/control-runs/journal-run.ts
@@ -3,7 +3,7 @@
  * how long it takes to read.
  */
 import { performance } from 'node:perf_hooks';
-import { configurationKey, type CoreAnswer } from '@tansypost/control-feed';
+import { configurationKey, type ControlResponse } from '@tansypost/control-feed';
 import { readJournal } from '@tansypost/control-state';
 import { foundControlCluster, type ControlCluster } from './control-cluster.js';
 import type { ControlBreach } from './control-history.js';
@@ -41,7 +41,7 @@
 }
 
 async function write(c: ControlCluster, via: string, version: number): Promise<boolean> {
-  const state: { answer?: CoreAnswer } = {};
+  const state: { answer?: ControlResponse } = {};
   const value = Buffer.alloc(valueBytes, version % 251);
   void c
     .ask(via, { op: 'write', key: configurationKey, change: `change-${version}`, base: version, value })
--- a/packages/simulator/src/core-machine.ts
+++ b/packages/simulator/src/core-machine.ts
@@ -4,10 +4,10 @@
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
-  createCoreAsker,
+  createControlClient,
   createFeedServer,
-  createReplicaList,
-  type CoreAsker,
+  createReplicaAddressList,
+  type ControlClient,
   type FeedServer,
   type FeedServerOptions,
 } from '@tansypost/control-feed';
@@ -55,12 +55,12 @@
   readonly founderCount?: FounderCount;
   /** The size of the journal in bytes above which it is rewritten, where it isn't the usual one. */
   readonly rewriteOver?: number;
-  readonly feed: (proc: Proc) => Omit<FeedServerOptions, 'keeper' | 'self'>;
+  readonly feed: (proc: Proc) => Omit<FeedServerOptions, 'controlNode' | 'self'>;
   /** Builds what else runs on the machine; it gets the messages before the control node and says which it took. */
   readonly beside?: (
     w: World,
     host: ControlNodeHost,
-    asker: CoreAsker,
+    asker: ControlClient,
     workers: FeedServer['workers'],
   ) => (m: Message, from: Address) => boolean;
   readonly observer?: MessageObserver;
@@ -70,7 +70,7 @@
 export interface StartedControlNode {
   readonly world: World;
   readonly host: ControlNodeHost;
-  readonly asker: CoreAsker;
+  readonly asker: ControlClient;
 }
 
 const beginAgainAfter = micros(300_000);
@@ -148,12 +148,12 @@
     newDiskId: () => Math.floor(site.random() * 2 ** 48).toString(36),
     open: (afresh, blank) => openDisk(machine, afresh, blank),
   });
-  const asker = createCoreAsker(world, self, createReplicaList(host.core, self, o.seeds));
-  const feed = createFeedServer(world, { self, keeper: host.core, seeds: o.seeds, ...o.feed(proc) });
+  const asker = createControlClient(world, self, createReplicaAddressList(host.core, self, o.seeds));
+  const feed = createFeedServer(world, { self, controlNode: host.core, seeds: o.seeds, ...o.feed(proc) });
   const beside = o.beside?.(world, host, asker, feed.workers);
   proc.receive = (m, from) => {
     o.observer?.received(m, self, from);
-    if (m.kind === 'Answer') asker.answer(m);
+    if (m.kind === 'Answer') asker.handleAnswer(m);
     else if (!feed.receive(m, from) && beside?.(m, from) !== true) host.receive(m, from);
   };
   machine.host = host;
--- a/packages/simulator/src/decisions/decision-sites.ts
+++ b/packages/simulator/src/decisions/decision-sites.ts
@@ -2,7 +2,7 @@
  * Deployments on which decisions are compared: three shapes like those that are known, and drawn ones. A site says what
  * is asked for, which workers there are, and how worth is weighed; days bring its load and its troubles.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { EngineShape, LogNormal } from '../pass-through/engine-shape.js';
 import { mainService, type PassedDeployment, type PassedKind } from '../pass-through/passed-deployment.js';
 
@@ -286,7 +286,7 @@
  * The same seed gives the same site.
  */
 export function drawSite(seed: number): DecisionSite {
-  const random = seeded(seed * 2671 + 5);
+  const random = createSeededRandom(seed * 2671 + 5);
   function between(low: number, high: number): number {
     return low + (high - low) * random();
   }
--- a/packages/simulator/src/network.ts
+++ b/packages/simulator/src/network.ts
@@ -3,7 +3,7 @@
  * cross the real codec. A cut, in one direction or both, loses some of what is sent into it and holds the rest
  * until it heals, as TCP does. Slow links add a delay.
  */
-import { decoderForSelf, encode, type Address, type Message } from '@tansypost/inner-protocol';
+import { decoderForOwnSchemas, encodeMessage, type Address, type Message } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
 import { into, type Proc } from './process.js';
 
@@ -34,7 +34,7 @@
   let held: { from: string; to: string; go: () => void }[] = [];
   let waiting: (() => void)[] = [];
   let change: ((m: Message, from: string, to: string) => Tampered[] | undefined) | undefined;
-  const decode = decoderForSelf();
+  const decode = decoderForOwnSchemas();
 
   function blocked(from: string, to: string): boolean {
     for (const f of cuts.values()) if (from !== to && f(from, to)) return true;
@@ -51,7 +51,7 @@
     const p: Proc = found;
     const ms = change === undefined ? [{ m }] : (change(m, from.machine, p.machine) ?? [{ m }]);
     for (const x of ms) {
-      const b = encode(x.m);
+      const b = encodeMessage(x.m);
       const wait = (x as Tampered).after ?? 0;
       const link = `${fromAddress}>${to}`;
       function go(): void {
--- a/packages/simulator/src/one.ts
+++ b/packages/simulator/src/one.ts
@@ -1,5 +1,5 @@
 /** One seed of one deployment: draws its faults, runs it, checks it. */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Deployment } from '@tansypost/requester-stand-in';
 import { checkAll, type Breach } from './checks.js';
 import { drawFaults, type SimFault } from './faults.js';
@@ -23,7 +23,7 @@
   over: Partial<SimOptions> = {},
   only?: readonly string[],
 ): Promise<OneResult & { history: History }> {
-  const fs = faults ?? drawFaults(d, seeded(seed * 40503 + 1), spanDefault, only);
+  const fs = faults ?? drawFaults(d, createSeededRandom(seed * 40503 + 1), spanDefault, only);
   const sim = createSim({
     deployment: d,
     seed,
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -3,7 +3,7 @@
  * goes live on all of them; one that does harm is found out by its rehearsal; the keeper that holds the duties dies.
  */
 import { expect, it } from 'vitest';
-import { encode, type Message } from '@tansypost/inner-protocol';
+import { encodeMessage, type Message } from '@tansypost/inner-protocol';
 import { recordKey } from '@tansypost/learning';
 import { modelHash, type Model } from '@tansypost/placement';
 import { readRecord, verdictDefaults, type RehearsalRecord } from '@tansypost/rehearsal';
@@ -111,7 +111,7 @@
 it('sends nothing but samples on a short day, and no duty is stood for', async () => {
   const kinds = new Map<string, number>();
   const x = await play({ trainEvery: 1000, slice: 0.2 }, 20, [], 1.4, (m) => {
-    kinds.set(m.kind, (kinds.get(m.kind) ?? 0) + encode(m).length);
+    kinds.set(m.kind, (kinds.get(m.kind) ?? 0) + encodeMessage(m).length);
   });
   expect(x.day.breaches).toEqual([]);
   expect(kinds.get('Samples')).toBeGreaterThan(0);
--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -3,7 +3,7 @@
  * and the day ends in calm or with a closing fault, after which the document is read back.
  */
 import { foundersFor, replicasFor } from '@tansypost/control-state';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { createEngine } from '../engine.js';
 import { createNetwork, type Network } from '../network.js';
 import { oneOf, sleep, type Ground, type LearningTerms } from './ground.js';
@@ -66,7 +66,7 @@
 
 export async function playPassedDay(o: PassedDayOptions): Promise<PassedDay> {
   const { d } = o;
-  const random = seeded(o.seed * 7919 + 11);
+  const random = createSeededRandom(o.seed * 7919 + 11);
   const e = createEngine();
   const net = createNetwork(e, random);
   const h = emptyHistory();
--- a/packages/simulator/src/pass-through/passed-one.ts
+++ b/packages/simulator/src/pass-through/passed-one.ts
@@ -1,5 +1,5 @@
 /** One drawn day of one deployment: draws its troubles, plays it, checks it, and counts what its requesters got. */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { checkPassed, type PassedBreach } from './passed-checks.js';
 import { playPassedDay, type Closing, type PassedDayOptions } from './passed-day.js';
 import type { PassedDeployment } from './passed-deployment.js';
@@ -68,7 +68,7 @@
   over: Partial<PassedDayOptions> = {},
   only?: readonly PassedTroubleKind[],
 ): Promise<PassedOne> {
-  const random = seeded(seed * 40503 + 7);
+  const random = createSeededRandom(seed * 40503 + 7);
   const closing = closings[seed % closings.length]!;
   const span = over.span ?? passedSpan;
   const kinds = d.tenants === undefined ? passedTroubleKinds : [...passedTroubleKinds, ...tenantTroubleKinds];
--- a/packages/simulator/src/pass-through/submit.ts
+++ b/packages/simulator/src/pass-through/submit.ts
@@ -3,12 +3,12 @@
  * the revision it names, and gives the same answer when it is sent again.
  */
 import { createHash } from 'node:crypto';
-import { configurationKey, type CoreAnswer, type CoreQuestion } from '@tansypost/control-feed';
+import { configurationKey, type ControlResponse, type ControlRequest } from '@tansypost/control-feed';
 import { faultsOf, type PathTable } from '@tansypost/paths';
 
 export type SubmitAnswer = 'taken' | 'refused' | 'not now';
 export interface SubmitOptions {
-  readonly ask: (q: CoreQuestion) => Promise<CoreAnswer>;
+  readonly ask: (q: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
   // Lets what is invalid through, to see a check fail.
   readonly blind?: boolean;
@@ -30,17 +30,24 @@
   const change = createHash('sha256').update(text).digest('hex').slice(0, 24);
   const key = configurationKey;
   for (let n = 0; n < 4; n += 1) {
-    const was = await o.ask({ op: 'read', key, limit });
+    const was = await o.ask({ op: 'read', key, deadline: limit });
     if (was.status !== 'value') return 'not now';
     if (was.value.toString() === text) return 'taken';
     const revision = tableOf(was.value.toString())?.revision ?? 0;
     if (revision >= t.revision) {
-      const had = await o.ask({ op: 'lookup', key, change, limit });
+      const had = await o.ask({ op: 'lookup', key, change, deadline: limit });
       if (had.status === 'done') return 'taken';
       if (had.status !== 'none') return 'not now';
     }
     if (base !== revision || t.revision <= revision) return 'refused';
-    const a = await o.ask({ op: 'write', key, change, base: was.version, value: Buffer.from(text), limit });
+    const a = await o.ask({
+      op: 'write',
+      key,
+      change,
+      base: was.version,
+      value: Buffer.from(text),
+      deadline: limit,
+    });
     if (a.status === 'done') return 'taken';
     if (a.status !== 'lost') return 'not now';
   }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -5,9 +5,9 @@
 import {
   configurationKey,
   createStoredValue,
-  type CoreAnswer,
-  type CoreAsker,
-  type CoreQuestion,
+  type ControlResponse,
+  type ControlClient,
+  type ControlRequest,
   type FeedServerOptions,
 } from '@tansypost/control-feed';
 import {
@@ -31,7 +31,7 @@
 export interface CoreMachine extends SimulatedMachine {
   learning: ControlNodeLearning | undefined;
   submit: (text: string, base: number) => Promise<SubmitAnswer>;
-  read: () => Promise<CoreAnswer>;
+  read: () => Promise<ControlResponse>;
 }
 export interface VirtualCore {
   readonly machines: Map<string, CoreMachine>;
@@ -66,8 +66,8 @@
 // A process that is asked to leave ends at the latest then.
 const longestHandOver = 6_000_000;
 
-function answerTo(asker: CoreAsker, question: CoreQuestion): Promise<CoreAnswer> {
-  return new Promise((done) => asker.ask(question, done));
+function answerTo(asker: ControlClient, question: ControlRequest): Promise<ControlResponse> {
+  return new Promise((done) => asker.request(question, done));
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
   const table = configuration === undefined ? undefined : tableOf(configuration.toString());
@@ -110,7 +110,7 @@
   }
 
   // What asks one worker for its load; a worker that is gone or out of reach gives none, after a while.
-  function fetchLoad(machine: string, proc: Proc): NonNullable<FeedServerOptions['fetchLoad']> {
+  function fetchLoad(machine: string, proc: Proc): NonNullable<FeedServerOptions['fetchWorkerLoad']> {
     const incarnation = proc.incarnation;
     return function fetch(x) {
       const life = workers.lifeAt(x.address);
@@ -141,7 +141,11 @@
       sweepEvery: 2_000_000,
       wantedReplicas: options.wantedReplicas,
       founderCount: options.founderCount,
-      feed: (proc) => ({ fetchList: fetchList(name, proc), fetchLoad: fetchLoad(name, proc), loadEvery: 1_000_000 }),
+      feed: (proc) => ({
+        fetchWorkerList: fetchList(name, proc),
+        fetchWorkerLoad: fetchLoad(name, proc),
+        loadPollInterval: 1_000_000,
+      }),
       beside: (w, host, coreAsker, listed) => {
         const learning = createControlNodeLearning(w, {
           self: m.address,
@@ -170,12 +174,12 @@
         };
       },
     });
-    function ask(question: CoreQuestion): Promise<CoreAnswer> {
+    function ask(question: ControlRequest): Promise<ControlResponse> {
       return answerTo(asker, question);
     }
     m.submit = (text, base) =>
       submit({ ask, now: world.now, ...(g.spoil === 'invalid-let-through' ? { blind: true } : {}) }, text, base);
-    m.read = () => ask({ op: 'read', key: configurationKey, limit: world.now() + patience });
+    m.read = () => ask({ op: 'read', key: configurationKey, deadline: world.now() + patience });
   }
 
   function reached(name: string): void {
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -3,7 +3,7 @@
 import { drawInvalid, drawTable } from './paths-drawn.js';
 import type { ChangeSent } from './passed-history.js';
 import { createPipe } from './pipe.js';
-import type { CoreAnswer } from '@tansypost/control-feed';
+import type { ControlResponse } from '@tansypost/control-feed';
 import type { Address } from '@tansypost/inner-protocol';
 import { into, type Proc } from '../process.js';
 import type { VirtualRouter } from './virtual-router.js';
@@ -126,7 +126,7 @@
 
   async function readBack(): Promise<string | undefined> {
     for (let i = 0; i < 8; i += 1) {
-      const { answer: a } = await callAny<CoreAnswer | undefined>((m) => m.read(), undefined);
+      const { answer: a } = await callAny<ControlResponse | undefined>((m) => m.read(), undefined);
       if (a?.status === 'value' && a.version > 0) return a.value.toString();
       if (a?.status === 'value') return undefined;
       await sleep(g, 300_000);
--- a/packages/simulator/src/pass-through/virtual-orders.ts
+++ b/packages/simulator/src/pass-through/virtual-orders.ts
@@ -1,6 +1,6 @@
 /** The way from one life of a control node to the virtual workers: reports, and orders to change their stage. */
 import type { ListedWorker } from '@tansypost/control-feed';
-import { hash32, seeded } from '@tansypost/inner-protocol';
+import { hash32, createSeededRandom } from '@tansypost/inner-protocol';
 import type { OrderOutcome, StageOrder, WorkerOrders } from '@tansypost/worker-stages';
 import { into, type Proc } from '../process.js';
 import type { Ground } from './ground.js';
@@ -23,7 +23,7 @@
   const { e: engine, net, h: history } = ground;
   const { machine, incarnation } = proc;
   // How often workers are asked for reports shifts no other draw of the day.
-  const drawReport = seeded(hash32(machine) + incarnation);
+  const drawReport = createSeededRandom(hash32(machine) + incarnation);
 
   /** Calls the worker that has the address; undefined where no answer comes in time. */
   function call<T>(worker: ListedWorker, ask: (life: WorkerLife) => T, draw?: () => number): Promise<T | undefined> {
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -2,7 +2,7 @@
  * The requesters of a virtual day. Each connects through the platform, which spreads them over the routers of their
  * zone that answer its probe; they try again only where that can do no harm, and some more often than told.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Incoming } from '@tansypost/pass-through';
 import { digestOfKey } from '@tansypost/paths';
 import type { Ground } from './ground.js';
@@ -49,7 +49,7 @@
   const { e, net, random, h, d } = g;
   const misses = new Map<string, number>();
   // Drawn apart, so that other draws of a day are the same whoever keeps connections.
-  const drawClient = seeded(clientSeed);
+  const drawClient = createSeededRandom(clientSeed);
   const kept = new Map<string, RequesterConnection>();
   const thingTokens = new Map<string, number>();
   let tasks = 0;
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -4,13 +4,13 @@
  */
 import {
   createControlFeed,
-  createControlGuide,
-  createCoreAsker,
+  createControlGateway,
+  createControlClient,
   startMembershipRelay,
   type ControlFeed,
 } from '@tansypost/control-feed';
 import { askThrough, createRouterLearning, recordKey, type RouterLearning } from '@tansypost/learning';
-import { hash32, micros, seeded, type Address } from '@tansypost/inner-protocol';
+import { hash32, micros, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import {
   createCourse,
   createGracefulShutdown,
@@ -168,8 +168,8 @@
       streaming: (q) => streaming.get(q.host) ?? true,
       resets,
     });
-    const asker = createCoreAsker(w, self, () => feed.keepers());
-    const l = createRouterLearning(w, { member: name, keepers: () => feed.keepers(), asker: askThrough(w, asker) });
+    const asker = createControlClient(w, self, () => feed.votingNodes());
+    const l = createRouterLearning(w, { member: name, keepers: () => feed.votingNodes(), asker: askThrough(w, asker) });
     learning = l;
     const c = createCourse(
       w,
@@ -192,13 +192,13 @@
                 share: 0.2,
                 always: g.d.sendSlack,
                 window: 10_000_000,
-                routers: () => Math.max(4, feed.routers()),
+                routers: () => Math.max(4, feed.routerCount()),
                 isFirstLife: proc.incarnation === 0,
               },
       },
       {
         workers: spoiledTellings(g.spoil, spoiled(g, port)),
-        reading: (id, us) => feed.reading(id, us),
+        reading: (id, us) => feed.announcePrefill(id, us),
         sample: l.sample,
         lot: l.lot,
       },
@@ -219,10 +219,10 @@
       member: name,
       zone,
       seeds,
-      fetchList: core.fetchList(name, proc),
-      elsewhere: c.elsewhere,
-      more: { key: recordKey, version: l.version, take: l.take },
-      changed: (what) => {
+      fetchWorkerList: core.fetchList(name, proc),
+      onPeerPrefill: c.elsewhere,
+      additionalKey: { key: recordKey, version: l.version, take: l.take },
+      onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
           const t = tableOf(text);
@@ -245,7 +245,7 @@
           c.workers([...known.values()]);
         }
       },
-      loadsTold: (loads) => {
+      onWorkerLoads: (loads) => {
         for (const l of loads)
           c.told(l.id, {
             queued: l.queued,
@@ -257,12 +257,12 @@
       },
     });
     controlFeed = feed;
-    const guide = createControlGuide(w, { self, membership: feed.membership, firstStart: mine === 1 });
+    const guide = createControlGateway(w, { self, membership: feed.membership, firstStart: mine === 1 });
     // It draws from numbers of its own, so that days drawn before there was a relay stay what they were.
-    const relayWorld = { ...w, random: seeded(hash32(self) + life) };
+    const relayWorld = { ...w, random: createSeededRandom(hash32(self) + life) };
     if (!holdsControlState) startMembershipRelay(relayWorld, { self, seeds: () => seeds, membership: feed.membership });
     proc.receive = (m, from) => {
-      if (m.kind === 'Answer') asker.answer(m);
+      if (m.kind === 'Answer') asker.handleAnswer(m);
       else if (holdsControlState || !guide(m, from)) feed.receive(m, from);
     };
   }
--- a/packages/simulator/src/pass-through/virtual-tenants.ts
+++ b/packages/simulator/src/pass-through/virtual-tenants.ts
@@ -3,7 +3,7 @@
  * bear. A client keeps its key until it is refused, also when the key has been taken away; a few requests bear a key
  * that was dropped, one that was never given out, or none.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { digestOfKey, type Tenant } from '@tansypost/paths';
 import type { TenantShape } from './passed-deployment.js';
 
@@ -55,7 +55,7 @@
 
 /** Draws from numbers of its own, so that the other draws of a day do not depend on whether there are tenants. */
 export function createVirtualTenants(shape: TenantShape, seed: number): VirtualTenants {
-  const random = seeded(seed * 104_729 + 3);
+  const random = createSeededRandom(seed * 104_729 + 3);
   const states = Array.from({ length: shape.tenants }, (_, n) => createState(n));
   const dropped: string[] = [];
   const tenantOfClient = new Map<string, TenantState>();
--- a/packages/simulator/src/scaling/fleet-model.ts
+++ b/packages/simulator/src/scaling/fleet-model.ts
@@ -4,7 +4,7 @@
  * boot time and is paid for by the second from the order on. Times are seconds.
  */
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
-import { micros, seeded } from '@tansypost/inner-protocol';
+import { micros, createSeededRandom } from '@tansypost/inner-protocol';
 
 /** What the model is built from. */
 export interface FleetShape {
@@ -88,7 +88,7 @@
 
 /** Plays a day under a policy. */
 export function playDay(shape: FleetShape, day: DemandDay, policy: ScalePolicy, seed: number): DayFigures {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const figures = { requests: 0, late: 0, failed: 0, workerSeconds: 0, orders: 0 };
   const run: Run = { shape, day, random, workers: [], names: 0, figures };
   for (let zone = 0; zone < shape.zones; zone += 1) start(run, zone, shape.workers, -shape.bootTime);
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -3,7 +3,7 @@
  * virtual time. `runSim` runs one seed to its end-of-day read-back and gives the history.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { address, digest, seeded, type Address } from '@tansypost/inner-protocol';
+import { address, digest, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import { readJournal } from '@tansypost/control-state';
 import {
   createTrainer,
@@ -183,15 +183,15 @@
 
 export function createSim(o: SimOptions): Sim {
   const d = o.deployment;
-  const r = seeded(o.seed * 2654435761 + 17);
+  const r = createSeededRandom(o.seed * 2654435761 + 17);
   const e = createEngine();
-  const net = createNetwork(e, seeded(o.seed ^ 0x9e3779b9));
+  const net = createNetwork(e, createSeededRandom(o.seed ^ 0x9e3779b9));
   const h = newHistory();
   const workers = createSimWorkers(
     e,
     net,
     h,
-    seeded(o.seed ^ 0x51ed270b),
+    createSeededRandom(o.seed ^ 0x51ed270b),
     d.workers,
     o.paces ?? [14_000, 9000, 6000, 12_000],
   );
--- a/packages/simulator/src/sim-workers.ts
+++ b/packages/simulator/src/sim-workers.ts
@@ -3,7 +3,7 @@
  * cut or to a frozen worker may still arrive much later and run; what the router was told meanwhile is for
  * the checks to judge.
  */
-import type { Mark } from '@tansypost/inner-protocol';
+import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 import type { DecodeResult, HandleParams, PrefillResult, WorkerJob, WorkerPort } from '@tansypost/request-router';
 import type { FetchedReport } from '@tansypost/router-agent';
 import { createWorkerCore, workerDefaults, type Handle, type Part, type WorkerCore } from '@tansypost/worker-stand-in';
@@ -23,11 +23,11 @@
 export interface SimWorkers {
   readonly all: SimWorker[];
   readonly portFor: (p: Proc, incarnation: number) => WorkerPort;
-  readonly fetchFor: (p: Proc, incarnation: number) => (m: Mark) => Promise<FetchedReport | undefined>;
+  readonly fetchFor: (p: Proc, incarnation: number) => (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   readonly orderFor: (
     p: Proc,
     incarnation: number,
-  ) => (m: Mark, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  ) => (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly start: (w: SimWorker) => void;
   readonly kill: (w: SimWorker) => void;
 }
@@ -85,7 +85,7 @@
 
   // Brings f to the worker as a connection would: refused when nobody listens, held or lost in a cut, waiting
   // in a frozen one. `lost` says that no connection came about.
-  function reach(p: Proc, m: Mark, f: (w: SimWorker) => void, lost: (why: string) => void): void {
+  function reach(p: Proc, m: WorkerStateEntry, f: (w: SimWorker) => void, lost: (why: string) => void): void {
     const w = all.find((x) => x.name === m.worker);
     if (w === undefined) return lost('ECONNREFUSED');
     function arrive(): void {
@@ -112,7 +112,7 @@
   }
 
   function portFor(p: Proc, incarnation: number): WorkerPort {
-    function prefill(m: Mark, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
+    function prefill(m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
       return new Promise((ok) => {
         let off: (() => void) | undefined;
         let dead: (() => void) | undefined;
@@ -164,7 +164,7 @@
     }
 
     function decode(
-      m: Mark,
+      m: WorkerStateEntry,
       j: WorkerJob,
       hp: HandleParams,
       chunk: (t: string) => void,
@@ -260,7 +260,7 @@
     });
   }
 
-  function fetchFor(p: Proc, incarnation: number): (m: Mark) => Promise<FetchedReport | undefined> {
+  function fetchFor(p: Proc, incarnation: number): (m: WorkerStateEntry) => Promise<FetchedReport | undefined> {
     return function fetch(m) {
       h.probes.push(e.now());
       return new Promise((ok) => {
@@ -281,7 +281,7 @@
   function orderFor(
     p: Proc,
     incarnation: number,
-  ): (m: Mark, epoch: number, part: Part | '') => Promise<boolean | undefined> {
+  ): (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined> {
     return function order(m, epoch, part) {
       return new Promise((ok) => {
         e.at(e.now() + 1_500_000, () => into(p, incarnation, () => ok(undefined)));
--- a/packages/simulator/src/verdicts.ts
+++ b/packages/simulator/src/verdicts.ts
@@ -2,7 +2,7 @@
  * How often the verdict errs, measured on rehearsals drawn from what the fleet itself shows: the TTFTs and paces of a simulated
  * run, in their order and so with their spells and tails, dealt to the arms at random, with a known harm done to the slice.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Deployment } from '@tansypost/requester-stand-in';
 import {
   countAnswer,
@@ -114,7 +114,7 @@
   perSecond: number,
   harm: Harm,
 ): VerdictFigure {
-  const r = seeded(seed);
+  const r = createSeededRandom(seed);
   const out: { verdict: string; seconds: number; live: boolean }[] = [];
   for (let i = 0; i < count; i += 1) {
     const first = stage(seen, r, 0.1, 0.3, perSecond, harm);
--- a/packages/usage/src/fleet-clock.test.ts
+++ b/packages/usage/src/fleet-clock.test.ts
@@ -1,6 +1,6 @@
 /** True time from the median of what control nodes tell, with clocks that step, drift and fall silent. */
 import { expect, it } from 'vitest';
-import { micros, seeded } from '@tansypost/inner-protocol';
+import { micros, createSeededRandom } from '@tansypost/inner-protocol';
 import { createFleetClock } from './fleet-clock.js';
 
 const start = 1_790_000_001_234;
@@ -9,7 +9,7 @@
 
 /** A machine, its control nodes and how far their clocks are off, in milliseconds. */
 function createScene(seed = 1) {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const off = new Map<string, number>();
   const heard = new Set(nodes);
   let steady = 0;
--- a/packages/usage/src/usage-counter.test.ts
+++ b/packages/usage/src/usage-counter.test.ts
@@ -1,6 +1,6 @@
 /** A router's counts: cumulative, told again until they are known, and kept until their window is closed. */
 import { expect, it } from 'vitest';
-import { encode, seeded, type MessageOf } from '@tansypost/inner-protocol';
+import { encodeMessage, createSeededRandom, type MessageOf } from '@tansypost/inner-protocol';
 import { createUsageCounter } from './usage-counter.js';
 
 const windowLength = 5000;
@@ -89,7 +89,7 @@
 });
 
 it('costs less than 250 bytes a second where 420 routers share 2,700 requests a second of 200 tenants', () => {
-  const random = seeded(7);
+  const random = createSeededRandom(7);
   const { counter, time, ask } = createScene();
   const seconds = 60;
   let bytes = 0;
@@ -102,7 +102,8 @@
     time.now = start + (i + 1) * 1000;
     const question = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
     const told = ask(question);
-    bytes += encode({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...question }).length + encode(told).length;
+    bytes +=
+      encodeMessage({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...question }).length + encodeMessage(told).length;
     after = told.sequence;
   }
   expect(bytes / seconds).toBeLessThan(250);
--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -4,7 +4,14 @@
  * Routers, control nodes and the record of the duty are stand-ins; messages cross the real codec.
  */
 import { describe, expect, it } from 'vitest';
-import { micros, seeded, type Address, type Message, type MessageOf, type World } from '@tansypost/inner-protocol';
+import {
+  micros,
+  createSeededRandom,
+  type Address,
+  type Message,
+  type MessageOf,
+  type World,
+} from '@tansypost/inner-protocol';
 import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
 import { createFleetClock } from './fleet-clock.js';
 import { createUsageCollector, type UsageCollector } from './usage-collector.js';
@@ -57,7 +64,7 @@
 }
 
 function createFleet({ seed, routers: count, rate, standby = false }: Setting) {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const engine = createEngine();
   const net = createNetwork(engine, random);
   const off = new Map<string, number>();
@@ -320,7 +327,7 @@
 
 /** Loses and repeats some of what is told about usage. */
 function disturb(fleet: Fleet, seed: number): void {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   fleet.net.tamper((m: Message) => {
     if (m.kind !== 'UsageAsk' && m.kind !== 'UsageTold') return undefined;
     const draw = random();
@@ -540,7 +547,7 @@
 
 /** Draws one trouble after the other, which each end within some seconds. */
 async function drawTroubles(fleet: Fleet, seed: number): Promise<void> {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   let holder = 0;
   function someRouter(): Router {
     return fleet.routers[Math.floor(random() * fleet.routers.length)]!;
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -6,7 +6,13 @@
 import type { ControlNode } from '@tansypost/control-state';
 import type { ListedWorker, StoredVersion } from '@tansypost/control-feed';
 import { createVoter, type Voter } from '@tansypost/duty';
-import { createVirtualClock, seeded, type Address, type Message, type World } from '@tansypost/inner-protocol';
+import {
+  createVirtualClock,
+  createSeededRandom,
+  type Address,
+  type Message,
+  type World,
+} from '@tansypost/inner-protocol';
 import type { OrderOutcome, Stage } from './ports.js';
 import { orderRecordKey } from './order-record.js';
 import { createDecodeRecovery, type DecodeRecovery } from './decode-recovery.js';
@@ -303,7 +309,7 @@
 it('never lets two holders order one worker within the time between them, nor a fence fall, whoever dies', async () => {
   let takeovers = 0;
   for (let seed = 1; seed <= 150; seed += 1) {
-    const random = seeded(seed);
+    const random = createSeededRandom(seed);
     const { clock, scene, orders, kill, startNode, alive } = createScene(prefill, random);
     // The same workers are ordered again and again, by one holder and by the next.
     scene.fate = () => (random() < 0.9 ? 'heard' : 'refused');
--- a/programs/control-node/src/file-disk.ts
+++ b/programs/control-node/src/file-disk.ts
@@ -14,7 +14,7 @@
   type Disk,
   type JournalRecord,
 } from '@tansypost/control-state';
-import { FailedDisk } from '@tansypost/inner-protocol';
+import { FailedDiskError } from '@tansypost/inner-protocol';
 import type { OpenDisk } from './control-node-host.js';
 import { nodeFiles, type FileSystem, type OpenFile } from './file-system.js';
 
@@ -77,7 +77,7 @@
     return E.right(await openNow(files, folder, afresh, blank));
   } catch (e) {
     return E.left(
-      new FailedDisk(
+      new FailedDiskError(
         `The data folder ${folder} cannot be used: ${e instanceof Error ? e.message : String(e)}. Give the keeper a folder on a sound disk that it may write to.`,
       ),
     );
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -64,7 +64,7 @@
     await app.listen(splitAddress(b.http));
     async function stop(): Promise<void> {
       await new Promise((done) => host.leave(longestHandOver, done));
-      await Promise.all([app.close(), real.carrier.close()]);
+      await Promise.all([app.close(), real.transport.close()]);
       await host.stop();
     }
     return { stop };
--- a/programs/fleet-runner/src/schedule.ts
+++ b/programs/fleet-runner/src/schedule.ts
@@ -3,7 +3,7 @@
  * line that names an unknown kind or member is refused with its number before anything starts.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { BadSchedule } from '@tansypost/inner-protocol';
+import { BadScheduleError } from '@tansypost/inner-protocol';
 
 export const faultKinds = [
   'kill',
@@ -44,16 +44,16 @@
     try {
       f = JSON.parse(l) as Partial<Fault>;
     } catch {
-      return E.left(new BadSchedule(`line ${i + 1}: not JSON; write {"at":5,"do":"kill","who":"router1"}`));
+      return E.left(new BadScheduleError(`line ${i + 1}: not JSON; write {"at":5,"do":"kill","who":"router1"}`));
     }
     if (typeof f.at !== 'number' || f.at < 0)
-      return E.left(new BadSchedule(`line ${i + 1}: at must be a second from 0`));
+      return E.left(new BadScheduleError(`line ${i + 1}: at must be a second from 0`));
     if (!faultKinds.includes(f.do as FaultKind))
       return E.left(
-        new BadSchedule(`line ${i + 1}: unknown kind ${String(f.do)}; use one of ${faultKinds.join(', ')}`),
+        new BadScheduleError(`line ${i + 1}: unknown kind ${String(f.do)}; use one of ${faultKinds.join(', ')}`),
       );
     if (!lone.has(f.do as FaultKind) && !members.includes(f.who ?? ''))
-      return E.left(new BadSchedule(`line ${i + 1}: unknown member ${String(f.who)}`));
+      return E.left(new BadScheduleError(`line ${i + 1}: unknown member ${String(f.who)}`));
     out.push(f as Fault);
   }
   return E.right(out.sort((a, b) => a.at - b.at));
--- a/programs/fleet-runner/src/soak/soak-run.ts
+++ b/programs/fleet-runner/src/soak/soak-run.ts
@@ -3,7 +3,7 @@
  * clients go on using their open connections; then calm, in which all must be served again.
  */
 import { mkdirSync } from 'node:fs';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { exchange, runSoakClient, type SoakOutcome } from './soak-client.js';
 import type { SoakDialect, SoakMachine } from './soak-dialect.js';
 import { createSoakMachines, type SoakMachines } from './soak-machines.js';
@@ -106,7 +106,7 @@
 /** Plays one soak and judges it. */
 export async function runSoak(o: SoakOptions): Promise<SoakReport> {
   const { dialect } = o;
-  const random = seeded(o.seed);
+  const random = createSeededRandom(o.seed);
   function ip(n: number): string {
     return addressOf(o, n);
   }
--- a/programs/fleet-runner/src/soak/soak-schedule.ts
+++ b/programs/fleet-runner/src/soak/soak-schedule.ts
@@ -1,5 +1,5 @@
 /** Draws what happens in a soak: series of signals, restarts and changes that overlap. The same seed draws the same. */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 
 /** One thing that happens. What ends is started again soon after. `who` tells which machine, as a share from 0 to 1 of those it may be. */
 export type SoakStep =
@@ -28,7 +28,7 @@
 
 /** The steps in the order of their times, in milliseconds from the start of the traffic. */
 export function drawSoakSchedule(options: SoakScheduleOptions): SoakStep[] {
-  const random = seeded(options.seed * 7919 + 3);
+  const random = createSeededRandom(options.seed * 7919 + 3);
   const steps: SoakStep[] = [];
 
   function series(length: number, step: (at: number) => SoakStep): void {
--- a/programs/request-router/src/extra-budget.ts
+++ b/programs/request-router/src/extra-budget.ts
@@ -70,9 +70,9 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  const { seeded, micros } = await import('@tansypost/inner-protocol');
+  const { createSeededRandom, micros } = await import('@tansypost/inner-protocol');
   it('holds a fifth over every ten seconds, whatever the order of calls', () => {
-    const r = seeded(8);
+    const r = createSeededRandom(8);
     let t = 0;
     const b = createExtraBudget(() => micros(t));
     const past: { t: number; first: number; spent: number }[] = [];
--- a/programs/request-router/src/feed.ts
+++ b/programs/request-router/src/feed.ts
@@ -4,7 +4,7 @@
  * decide at all. A tenure counts from when this router asked, by this router's clock.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import type { Micros, MessageOf, NewsItem } from '@tansypost/inner-protocol';
+import type { Micros, MessageOf, KeyUpdate } from '@tansypost/inner-protocol';
 import { checkDesiredState, type DesiredState } from '@tansypost/desired-state';
 import { decodeModel, scoreAll, type Model } from '@tansypost/placement';
 import { emptyRecord, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
@@ -27,7 +27,7 @@
 }
 
 export function createFeed(o: FeedOptions): Feed {
-  const held = new Map<string, NewsItem>();
+  const held = new Map<string, KeyUpdate>();
   const models = new Map<string, Model>();
   let until = -Infinity;
   let askedLast = -Infinity;
@@ -75,7 +75,7 @@
     }
   }
 
-  function apply(n: NewsItem): void {
+  function apply(n: KeyUpdate): void {
     if (n.key === desiredKey) {
       const d = checkDesiredState(JSON.parse(n.value.toString()));
       if (E.isLeft(d)) return;
--- a/programs/request-router/src/http-workers.ts
+++ b/programs/request-router/src/http-workers.ts
@@ -3,7 +3,7 @@
  * `started: false`, counts as not started; every other failure is unknown.
  */
 import { Agent, request } from 'undici';
-import type { Mark } from '@tansypost/inner-protocol';
+import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 import type { DecodeResult, HandleParams, PrefillResult, WorkerJob, WorkerPort } from './worker-port.js';
 
 const neverConnected = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
@@ -17,7 +17,7 @@
     bodyTimeout: 15_000,
   });
 
-  function post(m: Mark, j: WorkerJob, body: object, signal: AbortSignal): ReturnType<typeof request> {
+  function post(m: WorkerStateEntry, j: WorkerJob, body: object, signal: AbortSignal): ReturnType<typeof request> {
     return request(`http://${m.address}/v1/completions`, {
       method: 'POST',
       dispatcher: agent,
@@ -48,7 +48,7 @@
     }
   }
 
-  async function prefill(m: Mark, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
+  async function prefill(m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
     try {
       const r = await post(
         m,
@@ -71,7 +71,7 @@
   }
 
   async function decode(
-    m: Mark,
+    m: WorkerStateEntry,
     j: WorkerJob,
     h: HandleParams,
     chunk: (t: string) => void | Promise<void>,
--- a/programs/request-router/src/main.ts
+++ b/programs/request-router/src/main.ts
@@ -45,7 +45,7 @@
       await app.close();
       core.stop();
       await new Promise((ok) => setTimeout(ok, 100));
-      await Promise.all([workers.close(), others.destroy(), real.carrier.close()]);
+      await Promise.all([workers.close(), others.destroy(), real.transport.close()]);
     }
     return { stop };
   },
--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -3,7 +3,7 @@
  * do, and obeys it until the answer is whole or given up on. The program passes HTTP and the clock, the
  * simulator passes virtual ones; the code is the same.
  */
-import { appliedAll, every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
+import { appliedAllVersions, every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import { kindOf, type KindTemplate } from '@tansypost/desired-state';
 import {
   assignDecode,
@@ -23,7 +23,7 @@
   type Sample,
 } from '@tansypost/placement';
 import { armOf, armsOf, countAnswer, emptyCounts, type Arm, type Part } from '@tansypost/rehearsal';
-import type { ArmCount, Mark, WorkerId } from '@tansypost/inner-protocol';
+import type { CohortStatistics, WorkerStateEntry, WorkerId } from '@tansypost/inner-protocol';
 import { createAdmission, type Claimant } from './admission.js';
 import { createClaims } from './claims.js';
 import { decide, type Step } from './decision.js';
@@ -106,7 +106,7 @@
   readonly abort: AbortController;
   // The version of the desired state that its template is of.
   version: number;
-  handle: { h: HandleParams; from: Mark } | undefined;
+  handle: { h: HandleParams; from: WorkerStateEntry } | undefined;
   assigned: Assignment | undefined;
   sentAt: number;
   firstAt: number;
@@ -124,7 +124,7 @@
   const claims = createClaims(w, o.agent, o.router);
   const reasons = new Map<string, number>();
   const ends = new Map<string, number>();
-  const arms = new Map<string, ArmCount>();
+  const arms = new Map<string, CohortStatistics>();
   let samples: Sample[] = [];
   let flushedAt = w.now() as number;
   let taking = true;
@@ -135,7 +135,7 @@
     m.set(k, (m.get(k) ?? 0) + 1);
   }
 
-  function partFor(arm: Arm): (m: Mark, reported: Part | undefined) => Part {
+  function partFor(arm: Arm): (m: WorkerStateEntry, reported: Part | undefined) => Part {
     const rec = feed.record();
     const run = rec.running?.subject;
     return function part(m, reported) {
@@ -681,7 +681,7 @@
     stop: () => {
       stopTelling();
       admission.stop();
-      tell(appliedAll);
+      tell(appliedAllVersions);
     },
   };
 }
--- a/programs/request-router/src/worker-port.ts
+++ b/programs/request-router/src/worker-port.ts
@@ -2,7 +2,7 @@
  * What the executor asks of the way to the workers. A port never throws: each send ends in one of these
  * results, and `notStarted` is claimed only on proof. Programs pass HTTP, the simulator its own links.
  */
-import type { Mark } from '@tansypost/inner-protocol';
+import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 
 export interface WorkerJob {
   readonly request: string;
@@ -39,9 +39,9 @@
   | { readonly tag: 'unknown'; readonly why: string };
 
 export interface WorkerPort {
-  readonly prefill: (m: Mark, j: WorkerJob, signal: AbortSignal) => Promise<PrefillResult>;
+  readonly prefill: (m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal) => Promise<PrefillResult>;
   readonly decode: (
-    m: Mark,
+    m: WorkerStateEntry,
     j: WorkerJob,
     h: HandleParams,
     chunk: (text: string) => void | Promise<void>,
@@ -51,7 +51,7 @@
 
 // The router's end of the hand-over check: the handle must name the request, the prompt and the very
 // worker and incarnation that was asked to read it.
-export function handleFits(h: HandleParams, j: WorkerJob, m: Mark): boolean {
+export function handleFits(h: HandleParams, j: WorkerJob, m: WorkerStateEntry): boolean {
   return (
     h.request_id === j.request &&
     h.prompt_digest === j.digest &&
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -3,7 +3,7 @@
  * its own tokens in flight, and a short memory of failures. It alone says who is a candidate: never a
  * worker that is leaving, gone, or resting after failures.
  */
-import type { Mark, Micros, Report, WorkerId } from '@tansypost/inner-protocol';
+import type { WorkerStateEntry, Micros, WorkerReport, WorkerId } from '@tansypost/inner-protocol';
 import type { Candidate, Paces } from '@tansypost/placement';
 import type { Part } from '@tansypost/rehearsal';
 
@@ -13,8 +13,8 @@
   readonly kv: number;
 }
 interface Row {
-  mark: Mark;
-  report: { r: Report; at: number } | undefined;
+  mark: WorkerStateEntry;
+  report: { r: WorkerReport; at: number } | undefined;
   deeds: Deed[];
   running: number;
   prefillTokens: number;
@@ -25,29 +25,29 @@
   nonsenseAt?: number;
 }
 export interface WorkerTable {
-  readonly marks: (ms: readonly Mark[]) => string[];
-  readonly reports: (rs: readonly Report[]) => void;
+  readonly marks: (ms: readonly WorkerStateEntry[]) => string[];
+  readonly reports: (rs: readonly WorkerReport[]) => void;
   readonly began: (w: WorkerId, phase: 'prefill' | 'decode', tokens: number) => () => void;
   readonly failed: (w: WorkerId) => void;
   readonly went: (w: WorkerId) => void;
-  readonly mark: (w: WorkerId) => Mark | undefined;
+  readonly mark: (w: WorkerId) => WorkerStateEntry | undefined;
   readonly reportedPart: (w: WorkerId) => Part | undefined;
   readonly candidates: (
     phase: 'prefill' | 'decode',
-    part: (m: Mark, reported: Part | undefined) => Part,
+    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
     without: ReadonlySet<string>,
   ) => Candidate[];
   readonly view: () => object[];
 }
 
-export function sane(r: Report): boolean {
+export function sane(r: WorkerReport): boolean {
   return r.queued >= 0 && r.active >= 0 && r.queued < 1e6 && r.active < 1e6 && r.kvUsed >= 0 && r.kvUsed <= 1;
 }
 
 export function createWorkerTable(now: () => Micros, paces: Paces): WorkerTable {
   const rows = new Map<string, Row>();
 
-  function marks(ms: readonly Mark[]): string[] {
+  function marks(ms: readonly WorkerStateEntry[]): string[] {
     const renewed: string[] = [];
     for (const m of ms) {
       const r = rows.get(m.worker);
@@ -69,7 +69,7 @@
     return renewed;
   }
 
-  function reports(rs: readonly Report[]): void {
+  function reports(rs: readonly WorkerReport[]): void {
     for (const r of rs) {
       const x = rows.get(r.worker);
       const at = now() - r.age;
@@ -146,7 +146,7 @@
 
   function candidates(
     phase: 'prefill' | 'decode',
-    part: (m: Mark, reported: Part | undefined) => Part,
+    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
     without: ReadonlySet<string>,
   ): Candidate[] {
     const not = phase === 'prefill' ? 'decode' : 'prefill';
--- a/programs/requester-stand-in/src/drive.ts
+++ b/programs/requester-stand-in/src/drive.ts
@@ -3,7 +3,7 @@
  * deployment's requesters ask a router of their own zone; one that cannot be reached is left alone for a while.
  */
 import type { Agent } from 'undici';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { callOnce, type Outcome } from './requester.js';
 import type { Traffic } from './traffic.js';
 
@@ -19,7 +19,7 @@
 }
 
 export async function drive(o: DriveOptions): Promise<Outcome[]> {
-  const r = seeded(o.seed ^ 0x5bd1e995);
+  const r = createSeededRandom(o.seed ^ 0x5bd1e995);
   const out: Outcome[] = [];
   const open = new Set<Promise<void>>();
   const resting = new Map<string, number>();
--- a/programs/requester-stand-in/src/traffic.ts
+++ b/programs/requester-stand-in/src/traffic.ts
@@ -2,7 +2,7 @@
  * The traffic of the two deployments: tenants, kinds, prompts whose opening parts are shared by many others, and
  * the mix between them. All from a seed, so that a run can be had again.
  */
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { DesiredState } from '@tansypost/desired-state';
 
 export interface KindShape {
@@ -119,13 +119,13 @@
 }
 
 export function createTraffic(d: Deployment, seed: number, mix: Mix = steadyMix): Traffic {
-  const r = seeded(seed);
+  const r = createSeededRandom(seed);
   const shared = new Map<string, string>();
   let n = 0;
   function part(name: string, size: number): string {
     let s = shared.get(name);
     if (s === undefined) {
-      s = words(seeded([...name].reduce((a, c) => (Math.imul(a, 31) + c.charCodeAt(0)) | 0, 7)), size);
+      s = words(createSeededRandom([...name].reduce((a, c) => (Math.imul(a, 31) + c.charCodeAt(0)) | 0, 7)), size);
       shared.set(name, s);
     }
     return s;
