--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -3,14 +3,14 @@
  * It feeds the router on its machine and speaks for it to the core.
  */
 import {
-  appliedAll,
+  appliedAllVersions,
   every,
   micros,
   rendezvous,
   type Address,
-  type DutyMark,
-  type Entry,
-  type Mark,
+  type SingletonRoleEntry,
+  type MemberEntry,
+  type WorkerStateEntry,
   type Message,
   type MessageOf,
   type ReplicaEntry,
@@ -26,7 +26,7 @@
   type AskResult,
   type TrainerPort,
 } from '@tansypost/learning';
-import { createMarks, createViews, markStates } from '@tansypost/membership';
+import { createWorkerStateTable, createGossipMembership, workerStates } from '@tansypost/membership';
 import {
   answerOperator,
   readRecord,
@@ -58,8 +58,8 @@
   readonly slice: number;
   readonly rehearsalLimit: number;
   readonly persisted: {
-    readonly entries: readonly Entry[];
-    readonly marks: readonly Mark[];
+    readonly entries: readonly MemberEntry[];
+    readonly marks: readonly WorkerStateEntry[];
     readonly membershipEpoch: number;
     readonly replicas: readonly ReplicaEntry[];
   };
@@ -77,8 +77,8 @@
   persisted: { entries: [], marks: [], membershipEpoch: 0, replicas: [] },
 };
 export interface AgentPorts {
-  readonly fetchReport: (m: Mark) => Promise<FetchedReport | undefined>;
-  readonly order: (m: Mark, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly trainer: TrainerPort;
   readonly save: (p: AgentOptions['persisted']) => void;
   readonly wall: () => number;
@@ -99,14 +99,16 @@
 
 export interface AgentCore {
   readonly receive: (m: Message, from: Address) => void;
-  readonly platform: (ms: readonly Mark[]) => Promise<{ readonly fresh: Mark[]; readonly confirmed: boolean }>;
+  readonly platform: (
+    ms: readonly WorkerStateEntry[],
+  ) => Promise<{ readonly fresh: WorkerStateEntry[]; readonly confirmed: boolean }>;
   readonly submit: (base: number, change: string, state: unknown) => Promise<Submitted>;
   readonly readDesired: () => Promise<AskResult>;
   readonly lookup: (change: string) => Promise<AskResult>;
   readonly rehearsals: () => RehearsalRecord;
   readonly decide: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
-  readonly members: () => Entry[];
-  readonly marks: () => Mark[];
+  readonly members: () => MemberEntry[];
+  readonly marks: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
   readonly news: News;
   readonly holds: (duty: string) => number | undefined;
@@ -130,8 +132,8 @@
   const met = new Set<string>();
   const confirmations = new Set<(from: string) => void>();
   let traces: TraceEvent[] = [];
-  const marks = createMarks();
-  marks.take(o.persisted.marks);
+  const marks = createWorkerStateTable();
+  marks.merge(o.persisted.marks);
 
   function heardCore(membershipEpoch: number, ps: readonly ReplicaEntry[]): void {
     if (membershipEpoch > core.membershipEpoch && ps.length === 3) core = { membershipEpoch, replicas: ps };
@@ -160,32 +162,32 @@
   );
   const started = w.now();
 
-  function duties(): DutyMark[] {
+  function duties(): SingletonRoleEntry[] {
     return [...candidates].flatMap(([d, c]) => {
       const e = c.holds();
       return e === undefined ? [] : [{ duty: d, holder: o.member, address: o.self, epoch: e }];
     });
   }
 
-  const views = createViews(w, {
+  const views = createGossipMembership(w, {
     member: o.member,
     self: o.self,
     zone: o.zone,
-    http: o.routerHttp,
-    born: o.born,
+    routerHttpAddress: o.routerHttp,
+    incarnation: o.born,
     seeds: o.seeds,
     persisted: o.persisted.entries,
-    size: 8,
-    period: 300_000,
-    forgetAfter: 2_500_000,
-    tenured,
-    core: () => core,
-    duties,
-    heardCore,
-    heardDuty: (d) => candidates.get(d.duty)?.heard(d),
+    viewSize: 8,
+    exchangeInterval: 300_000,
+    failureTimeout: 2_500_000,
+    holdsFeedLease: tenured,
+    controlMembership: () => core,
+    heldSingletonRoles: duties,
+    onControlMembership: heardCore,
+    onSingletonRole: (d) => candidates.get(d.duty)?.heard(d),
     save,
   });
-  function save(es: readonly Entry[]): void {
+  function save(es: readonly MemberEntry[]): void {
     p.save({ entries: es, marks: marks.all(), membershipEpoch: core.membershipEpoch, replicas: core.replicas });
   }
   const asker = createAsker(w, o.self, () => core.replicas);
@@ -193,7 +195,7 @@
     self: o.self,
     member: o.member,
     service: o.service,
-    zone: views.zone,
+    zone: views.zoneMembers,
     replicas: () => core.replicas,
     heardCore,
     changed: (n) => {
@@ -263,12 +265,13 @@
       ? 'operator'
       : 'automatic';
   }
-  function ready(): Mark[] {
+  function ready(): WorkerStateEntry[] {
     return marks.all().filter((m) => m.state === 1);
   }
   function homes(): Address[] {
-    const zones = new Map<string, Entry[]>();
-    for (const e of [...views.live(), ...views.zone()]) zones.set(e.zone, [...(zones.get(e.zone) ?? []), e]);
+    const zones = new Map<string, MemberEntry[]>();
+    for (const e of [...views.liveMembers(), ...views.zoneMembers()])
+      zones.set(e.zone, [...(zones.get(e.zone) ?? []), e]);
     return [...zones.values()].map((es) => rendezvous(o.service, es, (x) => x.member)[0]!.address as Address);
   }
   function note(what: string, key: string, version: number): void {
@@ -290,9 +293,9 @@
       reports: reports.all(),
       news: out,
       grants: warm ? grants : [],
-      contact: views.contact(),
+      contact: views.isInContact(),
       others: views
-        .live()
+        .liveMembers()
         .filter((e) => e.tenured && e.http !== o.routerHttp)
         .map((e) => e.http),
     });
@@ -300,7 +303,8 @@
 
   function onRouterState(m: MessageOf<'RouterState'>): void {
     if (router?.router !== m.router) grants = [];
-    if (m.applied !== appliedAll && router?.applied !== m.applied) note('applied', `desired/${o.service}`, m.applied);
+    if (m.applied !== appliedAllVersions && router?.applied !== m.applied)
+      note('applied', `desired/${o.service}`, m.applied);
     router = m;
     routerAt = w.now();
     news.routerAsks(m.router, m.asked, m.applied);
@@ -308,17 +312,17 @@
     feed();
   }
 
-  function spread(ms: Mark[], but?: Address): void {
+  function spread(ms: WorkerStateEntry[], but?: Address): void {
     if (ms.length === 0) return;
-    for (const m of ms) w.log(3003, { worker: m.worker, incarnation: m.incarnation, state: markStates[m.state] });
+    for (const m of ms) w.log(3003, { worker: m.worker, incarnation: m.incarnation, state: workerStates[m.state] });
     for (const a of views.neighbours())
       if (a !== but) w.send(a, { kind: 'Marks', marks: ms, whole: false, warm: false });
-    save(views.live());
+    save(views.liveMembers());
     feed();
   }
 
   function current(): boolean {
-    return warm && views.contact();
+    return warm && views.isInContact();
   }
   function digest(answer: boolean): MessageOf<'MarksDigest'> {
     return { kind: 'MarksDigest', from: o.self, digest: marks.digest(), answer, warm: current() };
@@ -326,7 +330,7 @@
   function compared(from: string, theirs: boolean): void {
     if (warm) return;
     met.add(from);
-    const live = views.live();
+    const live = views.liveMembers();
     if (theirs || (w.now() - started > 1_500_000 && 2 * live.filter((e) => met.has(e.address)).length >= live.length))
       warm = true;
     if (warm) feed();
@@ -337,7 +341,7 @@
     for (const a of views.neighbours()) w.send(a, digest(true));
     if (
       w.now() - started > 3_000_000 &&
-      views.live().length === 0 &&
+      views.liveMembers().length === 0 &&
       o.persisted.entries.length === 0 &&
       marks.all().length > 0
     )
@@ -362,7 +366,7 @@
       case 'Shuffle':
         return views.receive(m);
       case 'Marks': {
-        spread(marks.take(m.marks), from);
+        spread(marks.merge(m.marks), from);
         if (m.whole) compared(from, m.warm);
         return w.send(from, digest(false));
       }
@@ -425,10 +429,10 @@
   // hold them, and a majority of the core answers after it. Whoever else may go on serving in a cut hears one of the two,
   // so a side that has both has all of them. A side that lacks one keeps the marks and passes them on, but the
   // platform should tell another agent too.
-  function platform(ms: readonly Mark[]): Promise<{ fresh: Mark[]; confirmed: boolean }> {
-    const fresh = marks.take(ms);
+  function platform(ms: readonly WorkerStateEntry[]): Promise<{ fresh: WorkerStateEntry[]; confirmed: boolean }> {
+    const fresh = marks.merge(ms);
     spread(fresh);
-    for (const e of views.live()) w.send(e.address as Address, digest(true));
+    for (const e of views.liveMembers()) w.send(e.address as Address, digest(true));
     return new Promise((done) => {
       const holders = new Set<string>();
       let core = false;
@@ -439,7 +443,7 @@
         done({ fresh, confirmed });
       }
       function look(): void {
-        if (core && 2 * (holders.size + 1) > views.total()) end(true);
+        if (core && 2 * (holders.size + 1) > views.recentCount()) end(true);
       }
       function holds(from: string): void {
         holders.add(from);
@@ -520,7 +524,7 @@
       const b = record();
       return b === undefined ? emptyRecord : readRecord(b);
     },
-    members: () => [...views.live()],
+    members: () => [...views.liveMembers()],
     marks: () => marks.all(),
     trace: (k, v) => traces.filter((t) => t.key === k && t.version === v),
     figures: () => ({
@@ -529,7 +533,7 @@
       home: news.home(),
       isHome: news.isHome(),
       core,
-      members: views.live().length,
+      members: views.liveMembers().length,
       duties: duties(),
       training: training.figures(),
       orders: parts.orders(),
@@ -549,8 +553,8 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   function bench(
-    marks: readonly Mark[],
-    entries: readonly Entry[],
+    marks: readonly WorkerStateEntry[],
+    entries: readonly MemberEntry[],
   ): {
     agent: AgentCore;
     step: (us: number) => void;
@@ -636,8 +640,8 @@
     }
     return { agent, step, granted, tell };
   }
-  const kept: Mark = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
-  function entry(member: string, beat: number): Entry {
+  const kept: WorkerStateEntry = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
+  function entry(member: string, beat: number): MemberEntry {
     return { member, address: `${member}:1`, zone: 'z', born: 1, beat, http: member, tenured: true };
   }
   function shuffle(beat: number): Message {
--- a/programs/router-agent/src/app.ts
+++ b/programs/router-agent/src/app.ts
@@ -6,7 +6,7 @@
 import { Type, type Static } from '@sinclair/typebox';
 import { Value } from '@sinclair/typebox/value';
 import fastify, { type FastifyInstance, type FastifyReply } from 'fastify';
-import { markStates } from '@tansypost/membership';
+import { workerStates } from '@tansypost/membership';
 import type { AgentCore } from './agent-core.js';
 import { cloudEvent, type EventSink } from './event-sink.js';
 
@@ -14,7 +14,7 @@
   {
     worker: Type.String({ minLength: 1, maxLength: 64 }),
     incarnation: Type.Integer({ minimum: 1 }),
-    state: Type.Union(markStates.map((s) => Type.Literal(s))),
+    state: Type.Union(workerStates.map((s) => Type.Literal(s))),
     address: Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' }),
   },
   { additionalProperties: false },
@@ -59,7 +59,7 @@
     if (e !== undefined) return bad(a, `${e.path}: ${e.message}`, 'Correct the field named.');
     const b = q.body as Static<typeof WorkerCall>;
     const r = await core.platform([
-      { worker: b.worker, incarnation: b.incarnation, state: markStates.indexOf(b.state), address: b.address },
+      { worker: b.worker, incarnation: b.incarnation, state: workerStates.indexOf(b.state), address: b.address },
     ]);
     if (r.confirmed || core.members().length === 0) return { taken: r.fresh.length > 0 };
     return a
@@ -73,7 +73,7 @@
         },
       });
   });
-  app.get('/platform/workers', async () => core.marks().map((m) => ({ ...m, state: markStates[m.state] })));
+  app.get('/platform/workers', async () => core.marks().map((m) => ({ ...m, state: workerStates[m.state] })));
 
   app.post('/desired-state', async (q, a) => {
     const e = [...Value.Errors(Submission, q.body)][0];
--- a/programs/router-agent/src/main.ts
+++ b/programs/router-agent/src/main.ts
@@ -2,7 +2,7 @@
 // The router-agent as a process.
 import { Agent, request } from 'undici';
 import { AgentSettings, runProgram } from '@tansypost/boot';
-import { createRealWorld, splitAddress, type Address, type Mark } from '@tansypost/inner-protocol';
+import { createRealWorld, splitAddress, type Address, type WorkerStateEntry } from '@tansypost/inner-protocol';
 import { agentDefaults, createAgentCore } from './agent-core.js';
 import { createAgentApp } from './app.js';
 import type { FetchedReport } from './reports.js';
@@ -21,7 +21,7 @@
     const http = new Agent({ connect: { timeout: 800 }, headersTimeout: 1500, bodyTimeout: 1500 });
     const trainer = createThreadTrainer();
     const file = createViewsFile(b.data);
-    async function fetchReport(m: Mark): Promise<FetchedReport | undefined> {
+    async function fetchReport(m: WorkerStateEntry): Promise<FetchedReport | undefined> {
       try {
         const r = await request(`http://${m.address}/report`, { dispatcher: http });
         const x = (await r.body.json()) as FetchedReport;
@@ -35,7 +35,7 @@
         return undefined;
       }
     }
-    async function order(m: Mark, epoch: number, part: string): Promise<boolean | undefined> {
+    async function order(m: WorkerStateEntry, epoch: number, part: string): Promise<boolean | undefined> {
       try {
         const r = await request(`http://${m.address}/part`, {
           method: 'POST',
@@ -100,7 +100,7 @@
     async function stop(): Promise<void> {
       core.stop();
       sink?.stop();
-      await Promise.all([app.close(), http.destroy(), trainer.close(), real.carrier.close()]);
+      await Promise.all([app.close(), http.destroy(), trainer.close(), real.transport.close()]);
     }
     return { stop };
   },
--- a/programs/router-agent/src/news.ts
+++ b/programs/router-agent/src/news.ts
@@ -8,9 +8,9 @@
   micros,
   rendezvous,
   type Address,
-  type Entry,
+  type MemberEntry,
   type MessageOf,
-  type NewsItem,
+  type KeyUpdate,
   type ReplicaEntry,
   type World,
 } from '@tansypost/inner-protocol';
@@ -19,23 +19,23 @@
   readonly self: Address;
   readonly member: string;
   readonly service: string;
-  readonly zone: () => Entry[];
+  readonly zone: () => MemberEntry[];
   readonly replicas: () => readonly ReplicaEntry[];
   readonly heardCore: (membershipEpoch: number, ps: ReplicaEntry[]) => void;
-  readonly changed: (n: NewsItem) => void;
+  readonly changed: (n: KeyUpdate) => void;
   readonly granted: (g: { asked: number; version: number }, router: string) => void;
 }
 export interface News {
   readonly isHome: () => boolean;
   readonly home: () => Address;
   readonly subscribers: () => Address[];
-  readonly get: (k: string) => NewsItem | undefined;
-  readonly all: () => NewsItem[];
+  readonly get: (k: string) => KeyUpdate | undefined;
+  readonly all: () => KeyUpdate[];
   readonly onNews: (m: MessageOf<'News'>) => void;
   readonly onSubscribe: (m: MessageOf<'Subscribe'>) => void;
   readonly onTenures: (m: MessageOf<'Leases'>) => void;
   readonly routerAsks: (router: string, asked: number, applied: number) => void;
-  readonly learn: (n: NewsItem) => void;
+  readonly learn: (n: KeyUpdate) => void;
   readonly stop: () => void;
 }
 interface Subscriber {
@@ -44,7 +44,7 @@
 }
 
 export function createNews(w: World, o: NewsOptions): News {
-  const held = new Map<string, NewsItem>();
+  const held = new Map<string, KeyUpdate>();
   const subs = new Map<Address, Subscriber>();
   let own: { router: string; asked: number; applied: number } | undefined;
   let ownAt = -Infinity;
@@ -101,7 +101,7 @@
     });
   }
 
-  function learn(n: NewsItem): void {
+  function learn(n: KeyUpdate): void {
     const old = held.get(n.key);
     if (old !== undefined && (n.version < old.version || (n.version === old.version && n.epoch <= old.epoch))) return;
     held.set(n.key, n);
--- a/programs/router-agent/src/parts-duty.ts
+++ b/programs/router-agent/src/parts-duty.ts
@@ -4,17 +4,17 @@
  * measurement shows no harm. Every order carries the duty's epoch. The first thing a new holder does is to fence
  * every worker, so that whatever an earlier holder still has in hand is refused.
  */
-import { micros, type Mark, type Report, type World } from '@tansypost/inner-protocol';
+import { micros, type WorkerStateEntry, type WorkerReport, type World } from '@tansypost/inner-protocol';
 import { begin, end, readRecord, type Part, type PartEntry, type RehearsalRecord } from '@tansypost/rehearsal';
 import type { RecordWriter } from '@tansypost/learning';
 
 export interface PartsDutyOptions {
   readonly holds: () => number | undefined;
   readonly record: () => Buffer | undefined;
-  readonly workers: () => Mark[];
-  readonly reports: () => Report[];
+  readonly workers: () => WorkerStateEntry[];
+  readonly reports: () => WorkerReport[];
   readonly writer: RecordWriter;
-  readonly order: (m: Mark, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly shift: boolean;
   readonly slice: number;
   readonly approval: () => 'automatic' | 'operator';
@@ -27,7 +27,7 @@
   readonly orders: () => number;
 }
 
-export function partOf(r: RehearsalRecord, m: Mark): Part | undefined {
+export function partOf(r: RehearsalRecord, m: WorkerStateEntry): Part | undefined {
   const s = r.running?.subject;
   if (s?.type === 'part' && s.shift.worker === m.worker && s.shift.incarnation === m.incarnation) return 'both';
   const e = r.parts[m.worker];
@@ -35,7 +35,7 @@
 }
 
 // Parts for workers that have none yet; a worker back under a new incarnation keeps the part it had.
-export function assignNew(r: RehearsalRecord, ms: readonly Mark[]): RehearsalRecord | undefined {
+export function assignNew(r: RehearsalRecord, ms: readonly WorkerStateEntry[]): RehearsalRecord | undefined {
   const parts: Record<string, PartEntry> = { ...r.parts };
   let changed = false;
   function n(p: Part): number {
@@ -73,9 +73,13 @@
   readonly prefill: number;
   readonly decode: number;
 }
-export function pressure(r: RehearsalRecord, ms: readonly Mark[], rs: readonly Report[]): Pressure | undefined {
+export function pressure(
+  r: RehearsalRecord,
+  ms: readonly WorkerStateEntry[],
+  rs: readonly WorkerReport[],
+): Pressure | undefined {
   const at = new Map(rs.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]));
-  function mean(p: Part, f: (x: Report) => number): number | undefined {
+  function mean(p: Part, f: (x: WorkerReport) => number): number | undefined {
     const xs = ms
       .filter((m) => partOf(r, m) === p)
       .map((m) => at.get(`${m.worker}/${m.incarnation}`))
@@ -95,7 +99,7 @@
   let lean: { to: Part; since: number } | undefined;
   let restUntil = 0;
 
-  async function send(m: Mark, epoch: number, part: Part | ''): Promise<void> {
+  async function send(m: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
     if (o.holds() !== epoch) return;
     orders += 1;
     // A cut link may hold an order and deliver it long after this tenure, to a worker that no later holder could reach. So
@@ -134,7 +138,7 @@
     });
   }
 
-  async function work(r: RehearsalRecord, ms: Mark[], epoch: number): Promise<void> {
+  async function work(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
     if (ms.length > 0 && assignNew(r, ms) !== undefined) {
       await o.writer.change(
         (x) => assignNew(x, ms),
@@ -152,7 +156,7 @@
     await propose(r, ms, epoch);
   }
 
-  async function propose(r: RehearsalRecord, ms: Mark[], epoch: number): Promise<void> {
+  async function propose(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
     const p = pressure(r, ms, o.reports());
     if (!o.shift || r.running !== undefined || p === undefined || w.now() < restUntil) {
       lean = undefined;
@@ -196,7 +200,7 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { emptyRecord } = await import('@tansypost/rehearsal');
-  function mark(worker: string, incarnation = 1): Mark {
+  function mark(worker: string, incarnation = 1): WorkerStateEntry {
     return { worker, incarnation, state: 1, address: 'x' };
   }
   it('splits new workers evenly, keeps the part over a new incarnation, and never leaves a part empty', () => {
--- a/programs/router-agent/src/reports.ts
+++ b/programs/router-agent/src/reports.ts
@@ -8,9 +8,9 @@
   micros,
   rendezvous,
   type Address,
-  type Mark,
+  type WorkerStateEntry,
   type MessageOf,
-  type Report,
+  type WorkerReport,
   type World,
 } from '@tansypost/inner-protocol';
 
@@ -28,12 +28,12 @@
   readonly home: () => Address;
   readonly homes: () => Address[];
   readonly subscribers: () => Address[];
-  readonly workers: () => Mark[];
-  readonly fetch: (m: Mark) => Promise<FetchedReport | undefined>;
+  readonly workers: () => WorkerStateEntry[];
+  readonly fetch: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   readonly changed: () => void;
 }
 export interface Reports {
-  readonly all: () => Report[];
+  readonly all: () => WorkerReport[];
   readonly take: (m: MessageOf<'Reports'>) => void;
   readonly demand: (m: MessageOf<'Demand'>) => void;
   readonly routerGrants: (router: string, first: number, extra: number, allowance: number) => void;
@@ -46,17 +46,17 @@
 export const nonsense = { queued: -1, active: -1, kvUsed: 0 };
 
 export function createReports(w: World, o: ReportsOptions): Reports {
-  const held = new Map<string, { r: Report; at: number }>();
+  const held = new Map<string, { r: WorkerReport; at: number }>();
   const asked = new Map<string, number>();
   const totals = new Map<string, number>();
   let own: MessageOf<'Demand'> | undefined;
   let pot = 0;
   let probes = 0;
 
-  function out(r: { r: Report; at: number }): Report {
+  function out(r: { r: WorkerReport; at: number }): WorkerReport {
     return { ...r.r, age: Math.max(0, w.now() - r.at) };
   }
-  function keep(r: Report): boolean {
+  function keep(r: WorkerReport): boolean {
     const at = w.now() - r.age;
     const old = held.get(r.worker);
     if (
@@ -103,13 +103,13 @@
     }
   }
 
-  async function fetchOne(m: Mark): Promise<void> {
+  async function fetchOne(m: WorkerStateEntry): Promise<void> {
     const at = w.now();
     const f = await o.fetch(m);
     if (f === undefined)
       return share({ worker: m.worker, incarnation: m.incarnation, ...nonsense, part: '', age: 0, fence: 0 });
     if (f.incarnation !== m.incarnation) return;
-    const r: Report = {
+    const r: WorkerReport = {
       worker: m.worker,
       incarnation: m.incarnation,
       queued: f.queued,
@@ -134,7 +134,7 @@
     share(r);
   }
 
-  function share(r: Report): void {
+  function share(r: WorkerReport): void {
     if (!keep(r)) return;
     o.changed();
     for (const a of o.subscribers()) w.send(a, { kind: 'Reports', reports: [r], relay: false });
--- a/programs/tansypost/src/decisions.ts
+++ b/programs/tansypost/src/decisions.ts
@@ -3,13 +3,13 @@
 import { Command, Option, type BaseContext } from 'clipanion';
 import * as E from 'fp-ts/lib/Either.js';
 import { plotLosses, readLosses, readRun, renderLosses, renderRun, type LossLog } from '@tansypost/decision-report';
-import { UnusableReport } from '@tansypost/inner-protocol';
+import { UnusableReportError } from '@tansypost/inner-protocol';
 
 /** Reads a file whole; an error names the file and the remedy. */
 function readText(file: string): E.Either<Error, string> {
   return E.tryCatch(
     () => readFileSync(file, 'utf8'),
-    (error) => new UnusableReport(`${file} cannot be read: ${String(error)}. Name a file that can.`),
+    (error) => new UnusableReportError(`${file} cannot be read: ${String(error)}. Name a file that can.`),
   );
 }
 
--- a/programs/worker-stand-in/src/main.ts
+++ b/programs/worker-stand-in/src/main.ts
@@ -7,7 +7,7 @@
 import fastify from 'fastify';
 import { request } from 'undici';
 import { runProgram } from '@tansypost/boot';
-import { afterReal, monotonic, splitAddress } from '@tansypost/inner-protocol';
+import { startTimer, monotonicNow, splitAddress } from '@tansypost/inner-protocol';
 import { createWorkerCore, workerDefaults, type Handle, type Part } from './worker-core.js';
 
 const Addr = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
@@ -51,7 +51,7 @@
   start: async (b, log) => {
     const { logLevel: _l, advertise, listen, member, incarnation, runsFile, ...rest } = b;
     const core = createWorkerCore(
-      { now: monotonic, after: afterReal, log },
+      { now: monotonicNow, after: startTimer, log },
       {
         ...workerDefaults,
         ...rest,
--- a/tests/messages.test.ts
+++ b/tests/messages.test.ts
@@ -4,7 +4,13 @@
  * worker. Nothing that must never happen may follow from it.
  */
 import { describe, expect, it } from 'vitest';
-import { decoderForSelf, encode, kinds, type Kind, type Message } from '../packages/inner-protocol/src/index.js';
+import {
+  decoderForOwnSchemas,
+  encodeMessage,
+  messageKinds,
+  type MessageKind,
+  type Message,
+} from '../packages/inner-protocol/src/index.js';
 import {
   passedDeployments,
   playPassedOne,
@@ -26,9 +32,9 @@
 type Way = 'dropped' | 'repeated' | 'late' | 'stale';
 
 /** Kinds of which so few travel that every second one is changed. */
-const fewOnly: ReadonlySet<Kind> = new Set(['HoldsNoState']);
+const fewOnly: ReadonlySet<MessageKind> = new Set(['HoldsNoState']);
 
-function tamper(kind: Kind, way: Way, counted: { n: number }): (n: Network) => void {
+function tamper(kind: MessageKind, way: Way, counted: { n: number }): (n: Network) => void {
   let seen = 0;
   const old = new Map<string, Message>();
   return function set(net) {
@@ -50,7 +56,7 @@
 }
 
 // These travel only in some runs of this size; the rest must have been met.
-const rare = new Set<Kind>([
+const rare = new Set<MessageKind>([
   'Samples',
   'MarksDigest',
   'CopyAsk',
@@ -64,7 +70,7 @@
 
 // These travel where traffic is passed on: between the core and its routers, and when a machine of the core asks for
 // a place. The kinds of the core itself are met there as well.
-const onlyPassed: readonly Kind[] = [
+const onlyPassed: readonly MessageKind[] = [
   'Beat',
   'ConfigurationPatch',
   'Follow',
@@ -78,8 +84,8 @@
   'Reading',
 ];
 // These travel where usage is reported: packages/usage/src/usage-fleet.test.ts changes each in the same ways.
-const ofUsage = new Set<Kind>(['UsageAsk', 'UsageTold']);
-const passed = new Set<Kind>([...onlyPassed, 'Committed', 'News', 'Accept', 'Vote', 'ReplicaHello']);
+const ofUsage = new Set<MessageKind>(['UsageAsk', 'UsageTold']);
+const passed = new Set<MessageKind>([...onlyPassed, 'Committed', 'News', 'Accept', 'Vote', 'ReplicaHello']);
 const troubles: PassedTrouble[] = [
   { at: 1, do: 'config-race', for: 1, who: 0 },
   { at: 2, do: 'core-replaced', for: 2, who: 0.5 },
@@ -89,7 +95,7 @@
 ];
 
 describe.each(['dropped', 'repeated', 'late', 'stale'] as const)('%s', (way) => {
-  it.each(kinds.filter((kind) => !ofUsage.has(kind)))('%s', async (kind) => {
+  it.each(messageKinds.filter((kind) => !ofUsage.has(kind)))('%s', async (kind) => {
     const counted = { n: 0 };
     const x = await runOne(small, 5, faults, { span: 10, calm: 16, rate: 5, breakIt: tamper(kind, way, counted) });
     expect(x.breaches).toEqual([]);
@@ -130,7 +136,7 @@
 });
 
 it('calls every cut or lengthened frame bad and every single altered byte either bad or a message of the same kind', () => {
-  const decode = decoderForSelf();
+  const decode = decoderForOwnSchemas();
   const m: Message = {
     kind: 'Accept',
     id: 'a',
@@ -142,7 +148,7 @@
     value: Buffer.from('{}'),
     changes: ['c@3'],
   };
-  const b = encode(m);
+  const b = encodeMessage(m);
   for (let i = 0; i < b.length; i += 1) {
     expect(decode(b.subarray(0, i))._tag).toBe('Left');
     const x = Buffer.from(b);
--- a/tests/requests.test.ts
+++ b/tests/requests.test.ts
@@ -8,11 +8,11 @@
 import { Agent, request } from 'undici';
 import { afterEach, expect, it } from 'vitest';
 import {
-  afterReal,
+  startTimer,
   digest,
-  monotonic,
+  monotonicNow,
   type Address,
-  type Mark,
+  type WorkerStateEntry,
   type World,
 } from '../packages/inner-protocol/src/index.js';
 import {
@@ -105,9 +105,9 @@
   o: { tenured?: boolean; others?: string[]; patienceMs?: number } = {},
 ): Promise<Router> {
   const world: World = {
-    now: monotonic,
+    now: monotonicNow,
     random: () => 0,
-    after: afterReal,
+    after: startTimer,
     send: () => undefined,
     log: () => undefined,
   };
@@ -129,14 +129,14 @@
       ],
     }),
   );
-  const marks: Mark[] = w === undefined ? [] : [{ worker: 'w', incarnation: 1, state: 1, address: w }];
+  const marks: WorkerStateEntry[] = w === undefined ? [] : [{ worker: 'w', incarnation: 1, state: 1, address: w }];
   function feed(): void {
     core.receive({
       kind: 'Feed',
       workers: marks,
       reports: [],
       news: [{ key: 'desired/main', epoch: 8, version: 1, value }],
-      grants: o.tenured === false ? [] : [{ asked: monotonic(), version: 1 }],
+      grants: o.tenured === false ? [] : [{ asked: monotonicNow(), version: 1 }],
       others: o.others ?? [],
       contact: true,
     });
