--- a/packages/pass-through/src/assign-pair.test.ts
+++ b/packages/pass-through/src/assign-pair.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import { placementDefaults } from '@tansypost/placement';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { assignWorkerPair, defaultPairCosts, type WorkerPair, type PairCosts } from './assign-pair.js';
 import type { IncomingRequest } from './incoming.js';
 import type { WorkerView } from './worker-fleet.js';
@@ -60,7 +60,7 @@
   runners: WorkerView[],
   hits = new Map<string, number>(),
 ): WorkerPair | undefined {
-  return assignWorkerPair(q, readers, runners, hits, undefined, terms, () => 0, seeded(3));
+  return assignWorkerPair(q, readers, runners, hits, undefined, terms, () => 0, createSeededRandom(3));
 }
 const readers = ['p1', 'p2', 'p3'].map((n) => view(n, 'prefill'));
 const runners = ['d1', 'd2'].map((n) => view(n, 'decode'));
--- a/packages/pass-through/src/course.test.ts
+++ b/packages/pass-through/src/course.test.ts
@@ -4,7 +4,7 @@
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
-import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
+import { createVirtualClock, createSeededRandom, type Micros } from '@tansypost/inner-protocol';
 import type { Route, RouteTable } from '@tansypost/paths';
 import type { defaultPairCosts } from './assign-pair.js';
 import { createRequestHandler, type RequestHandler } from './course.js';
@@ -573,7 +573,7 @@
 });
 
 it('gives each service of a route its weight of the requests', async () => {
-  const clock = createVirtualClock({ random: seeded(4) });
+  const clock = createVirtualClock({ random: createSeededRandom(4) });
   const counts = new Map<string, number>();
   const workers = ['a', 'b', 'c'].map((service, i) => ({
     ...fleetOf(0, 1)[0]!,
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -4,13 +4,13 @@
  */
 import {
   createControlFeed,
-  createControlGuide,
-  createCoreAsker,
+  createControlGateway,
+  createControlClient,
   startMembershipRelay,
   type ControlFeed,
 } from '@tansypost/control-feed';
 import { askThrough, createRouterLearning, recordKey, type RouterLearning } from '@tansypost/learning';
-import { hash32, micros, seeded, type Address } from '@tansypost/inner-protocol';
+import { hash32, micros, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import {
   createRequestHandler,
   createGracefulShutdown,
@@ -173,8 +173,8 @@
       streaming: (q) => streaming.get(q.host) ?? true,
       resets,
     });
-    const asker = createCoreAsker(w, self, () => feed.keepers());
-    const l = createRouterLearning(w, { member: name, keepers: () => feed.keepers(), asker: askThrough(w, asker) });
+    const asker = createControlClient(w, self, () => feed.votingNodes());
+    const l = createRouterLearning(w, { member: name, keepers: () => feed.votingNodes(), asker: askThrough(w, asker) });
     learning = l;
     const c = createRequestHandler(
       w,
@@ -197,13 +197,13 @@
                 ratio: 0.2,
                 slack: g.d.sendSlack,
                 window: 10_000_000,
-                routerCount: () => Math.max(4, feed.routers()),
+                routerCount: () => Math.max(4, feed.routerCount()),
                 isFirstStart: proc.incarnation === 0,
               },
       },
       {
         workers: spoiledTellings(g.spoil, spoiled(g, port)),
-        announceActivity: (id, us) => feed.reading(id, us),
+        announceActivity: (id, us) => feed.announcePrefill(id, us),
         recordSample: l.sample,
         assignCohort: l.lot,
       },
@@ -224,10 +224,10 @@
       member: name,
       zone,
       seeds,
-      fetchList: core.fetchList(name, proc),
-      elsewhere: c.recordPeerActivity,
-      more: { key: recordKey, version: l.version, take: l.take },
-      changed: (what) => {
+      fetchWorkerList: core.fetchList(name, proc),
+      onPeerPrefill: c.recordPeerActivity,
+      additionalKey: { key: recordKey, version: l.version, take: l.take },
+      onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
           const t = tableOf(text);
@@ -250,7 +250,7 @@
           c.updateWorkers([...known.values()]);
         }
       },
-      loadsTold: (loads) => {
+      onWorkerLoads: (loads) => {
         for (const l of loads)
           c.updateLoad(l.id, {
             queued: l.queued,
@@ -262,12 +262,12 @@
       },
     });
     controlFeed = feed;
-    const guide = createControlGuide(w, { self, membership: feed.membership, firstStart: mine === 1 });
+    const guide = createControlGateway(w, { self, membership: feed.membership, firstStart: mine === 1 });
     // It draws from numbers of its own, so that days drawn before there was a relay stay what they were.
-    const relayWorld = { ...w, random: seeded(hash32(self) + life) };
+    const relayWorld = { ...w, random: createSeededRandom(hash32(self) + life) };
     if (!holdsControlState) startMembershipRelay(relayWorld, { self, seeds: () => seeds, membership: feed.membership });
     proc.receive = (m, from) => {
-      if (m.kind === 'Answer') asker.answer(m);
+      if (m.kind === 'Answer') asker.handleAnswer(m);
       else if (holdsControlState || !guide(m, from)) feed.receive(m, from);
     };
   }
