--- a/packages/duty-log/src/call-outcome.ts
+++ b/packages/duty-log/src/call-outcome.ts
@@ -6,19 +6,19 @@
 export interface CallOptions {
   readonly port: DutyPort;
   /** After so long without an answer the call counts as unclear and may be repeated, in microseconds. */
-  readonly callPatience: number;
+  readonly callTimeout: number;
 }
 
 /** The outcome of a call, `unknown` where none comes in time; a clear one that comes later is told to `late`. */
 export function outcomeOf(
   world: Pick<World, 'after'>,
-  { port, callPatience }: CallOptions,
+  { port, callTimeout }: CallOptions,
   call: DutyCall,
   late: (outcome: CallOutcome) => void,
 ): Promise<CallOutcome> {
   return new Promise((done) => {
     let inTime = true;
-    const cancel = world.after(micros(callPatience), () => {
+    const cancel = world.after(micros(callTimeout), () => {
       inTime = false;
       done('unknown');
     });
--- a/packages/duty-log/src/duty-record.test.ts
+++ b/packages/duty-log/src/duty-record.test.ts
@@ -2,18 +2,18 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { expect, it } from 'vitest';
 import {
-  bytesOfRecord,
-  mostOpen,
-  mostOutcomes,
-  readDutyRecord,
-  withOutcome,
-  withPlanned,
+  encodeDutyRecord,
+  maxOpenIntents,
+  maxOutcomes,
+  decodeDutyRecord,
+  closeIntent,
+  addPlannedIntents,
   type DutyRecord,
 } from './duty-record.js';
 
 const empty = E.getOrElseW(() => {
   throw new Error('unreadable');
-})(readDutyRecord(Buffer.alloc(0)));
+})(decodeDutyRecord(Buffer.alloc(0)));
 
 function plannedOf(subject: string, ...contents: string[]): { subject: string; content: string }[] {
   return contents.map((content) => ({ subject, content }));
@@ -24,46 +24,46 @@
 }
 
 it('reads back what it wrote, and refuses what is not a record', () => {
-  const { record } = withPlanned(empty, plannedOf('a', '1', '2'), false);
-  const written: DutyRecord = { ...withOutcome(record, 1, 'accepted', 7), term: { holder: 'c0', id: 'x' } };
-  expect(readDutyRecord(bytesOfRecord(written))).toEqual(E.right(written));
+  const { record } = addPlannedIntents(empty, plannedOf('a', '1', '2'), false);
+  const written: DutyRecord = { ...closeIntent(record, 1, 'accepted', 7), term: { holder: 'c0', id: 'x' } };
+  expect(decodeDutyRecord(encodeDutyRecord(written))).toEqual(E.right(written));
   for (const value of ['{', '[]', '{"term":null}', JSON.stringify({ ...written, open: [{ id: 0 }] })])
-    expect(E.isLeft(readDutyRecord(Buffer.from(value)))).toBe(true);
+    expect(E.isLeft(decodeDutyRecord(Buffer.from(value)))).toBe(true);
 });
 
 it('keeps open calls in order, and does not plan one twice', () => {
-  const first = withPlanned(empty, plannedOf('a', '1', '2'), false);
-  const second = withPlanned(first.record, plannedOf('a', '2', '3'), false);
+  const first = addPlannedIntents(empty, plannedOf('a', '1', '2'), false);
+  const second = addPlannedIntents(first.record, plannedOf('a', '2', '3'), false);
   expect(contentsOf(second.record)).toEqual(['1', '2', '3']);
   expect(second.record.open.map((intent) => intent.id)).toEqual([1, 2, 3]);
-  expect([first.overtaken, second.overtaken]).toEqual([[], []]);
-  expect(withPlanned(second.record, plannedOf('a', '3'), false).record).toBe(second.record);
+  expect([first.superseded, second.superseded]).toEqual([[], []]);
+  expect(addPlannedIntents(second.record, plannedOf('a', '3'), false).record).toBe(second.record);
 });
 
 it('lets a newer call take the place of an open one of its subject, where the duty allows it', () => {
-  const first = withPlanned(empty, [...plannedOf('a', '1'), ...plannedOf('b', '1')], true).record;
-  const { record, overtaken } = withPlanned(first, plannedOf('a', '2'), true);
+  const first = addPlannedIntents(empty, [...plannedOf('a', '1'), ...plannedOf('b', '1')], true).record;
+  const { record, superseded } = addPlannedIntents(first, plannedOf('a', '2'), true);
   expect(record.open.map(({ subject, content }) => subject + content)).toEqual(['b1', 'a2']);
-  expect(overtaken.map(({ subject, content }) => subject + content)).toEqual(['a1']);
+  expect(superseded.map(({ subject, content }) => subject + content)).toEqual(['a1']);
 });
 
 it('holds a bounded number of open calls, and tells how many wait', () => {
-  const numbers = Array.from({ length: mostOpen + 5 }).map((_empty, index) => `${index}`);
-  const { record, waiting } = withPlanned(empty, plannedOf('a', ...numbers), false);
-  expect([record.open.length, waiting]).toEqual([mostOpen, 5]);
+  const numbers = Array.from({ length: maxOpenIntents + 5 }).map((_empty, index) => `${index}`);
+  const { record, waiting } = addPlannedIntents(empty, plannedOf('a', ...numbers), false);
+  expect([record.open.length, waiting]).toEqual([maxOpenIntents, 5]);
 });
 
 it('keeps the last outcome of each subject, and forgets the oldest subjects', () => {
   let record = empty;
-  for (let index = 0; index <= mostOutcomes; index += 1) {
-    record = withPlanned(record, plannedOf(`s${index}`, '1'), false).record;
-    record = withOutcome(record, record.lastIntent, 'accepted', 3);
+  for (let index = 0; index <= maxOutcomes; index += 1) {
+    record = addPlannedIntents(record, plannedOf(`s${index}`, '1'), false).record;
+    record = closeIntent(record, record.lastIntent, 'accepted', 3);
   }
-  expect([record.open.length, record.outcomes.length]).toEqual([0, mostOutcomes]);
+  expect([record.open.length, record.outcomes.length]).toEqual([0, maxOutcomes]);
   expect(record.outcomes[0]!.subject).toBe('s1');
-  const again = withPlanned(record, plannedOf('s1', '2'), false).record;
-  const refused = withOutcome(again, again.lastIntent, 'refused', 4);
-  expect(refused.outcomes).toHaveLength(mostOutcomes);
+  const again = addPlannedIntents(record, plannedOf('s1', '2'), false).record;
+  const refused = closeIntent(again, again.lastIntent, 'refused', 4);
+  expect(refused.outcomes).toHaveLength(maxOutcomes);
   expect(refused.outcomes.at(-1)).toEqual({ subject: 's1', content: '2', outcome: 'refused', fence: 4 });
-  expect(withOutcome(refused, again.lastIntent, 'accepted', 4)).toBe(refused);
+  expect(closeIntent(refused, again.lastIntent, 'accepted', 4)).toBe(refused);
 });
--- a/packages/duty-log/src/duty-record.ts
+++ b/packages/duty-log/src/duty-record.ts
@@ -53,14 +53,14 @@
 export type FinalOutcome = LastOutcome['outcome'];
 
 /** Open intents at most; what else is owed waits outside the record. */
-export const mostOpen = 16;
+export const maxOpenIntents = 16;
 /** Subjects of which the last outcome is kept. */
-export const mostOutcomes = 256;
+export const maxOutcomes = 256;
 
 const noRecord: DutyRecord = { term: null, lastIntent: 0, open: [], outcomes: [] };
 
 /** The record in bytes of the control state; no bytes are a duty that was never held. Left: it cannot be read. */
-export function readDutyRecord(value: Buffer): E.Either<string, DutyRecord> {
+export function decodeDutyRecord(value: Buffer): E.Either<string, DutyRecord> {
   if (value.length === 0) return E.right(noRecord);
   try {
     const parsed: unknown = JSON.parse(value.toString('utf8'));
@@ -71,44 +71,48 @@
 }
 
 /** The record as it is stored. */
-export function bytesOfRecord(record: DutyRecord): Buffer {
+export function encodeDutyRecord(record: DutyRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
 
 /** The record with one intent closed; unchanged where that intent is not open. */
-export function withOutcome(record: DutyRecord, id: number, outcome: FinalOutcome, fence: number): DutyRecord {
+export function closeIntent(record: DutyRecord, id: number, outcome: FinalOutcome, fence: number): DutyRecord {
   const intent = record.open.find((entry) => entry.id === id);
   if (intent === undefined) return record;
   const { subject, content } = intent;
   const others = record.outcomes.filter((entry) => entry.subject !== subject);
-  const outcomes = [...others, { subject, content, outcome, fence }].slice(-mostOutcomes);
+  const outcomes = [...others, { subject, content, outcome, fence }].slice(-maxOutcomes);
   return { ...record, open: record.open.filter((entry) => entry.id !== id), outcomes };
 }
 
 /** The record with more intents, those that they overtook, and how many planned calls had no place in it. */
 export interface PlannedRecord {
   readonly record: DutyRecord;
-  readonly overtaken: readonly Intent[];
+  readonly superseded: readonly Intent[];
   readonly waiting: number;
 }
 
 /** The record with an intent for each planned call that is not open as it is, as far as there is room. */
-export function withPlanned(record: DutyRecord, planned: readonly PlannedCall[], mayOvertake: boolean): PlannedRecord {
+export function addPlannedIntents(
+  record: DutyRecord,
+  planned: readonly PlannedCall[],
+  maySupersede: boolean,
+): PlannedRecord {
   let next = record;
   let waiting = 0;
-  const overtaken: Intent[] = [];
+  const superseded: Intent[] = [];
   for (const call of planned) {
     const sameSubject = next.open.filter((intent) => intent.subject === call.subject);
     if (sameSubject.some((intent) => intent.content === call.content)) continue;
-    const replaced = mayOvertake ? sameSubject : [];
-    if (next.open.length - replaced.length >= mostOpen) {
+    const replaced = maySupersede ? sameSubject : [];
+    if (next.open.length - replaced.length >= maxOpenIntents) {
       waiting += 1;
       continue;
     }
-    overtaken.push(...replaced);
+    superseded.push(...replaced);
     next = withIntent(next, call, replaced);
   }
-  return { record: next, overtaken, waiting };
+  return { record: next, superseded, waiting };
 }
 
 function withIntent(record: DutyRecord, call: PlannedCall, replaced: readonly Intent[]): DutyRecord {
--- a/packages/duty-log/src/duty-runner.test.ts
+++ b/packages/duty-log/src/duty-runner.test.ts
@@ -7,7 +7,7 @@
 import { createVoter } from '@tansypost/duty';
 import { createVirtualClock, micros, type Address, type Message } from '@tansypost/inner-protocol';
 import { createDutyRunner } from './duty-runner.js';
-import { bytesOfRecord, dutyRecordKey, mostOpen, readDutyRecord, type DutyRecord } from './duty-record.js';
+import { encodeDutyRecord, dutyRecordKey, maxOpenIntents, decodeDutyRecord, type DutyRecord } from './duty-record.js';
 import type { CallOutcome, Duty, DutyCall, PlannedCall } from './ports.js';
 
 const second = 1_000_000;
@@ -36,7 +36,7 @@
   };
 }
 
-function createScene(duties: readonly Pick<Duty, 'name' | 'mayOvertake'>[], callsPerSecond = 4) {
+function createScene(duties: readonly Pick<Duty, 'name' | 'maySupersede'>[], callsPerSecond = 4) {
   const clock = createVirtualClock();
   const scene: Scene = {
     owed: new Map(duties.map(({ name }) => [name, []])),
@@ -74,7 +74,7 @@
     });
   }
   function send(_to: Address, message: Message): void {
-    if (message.kind === 'Ballot') voter.ballot(message, runner.vote);
+    if (message.kind === 'Ballot') voter.ballot(message, runner.handleVote);
   }
   const runner = createDutyRunner(
     { ...clock.world, send },
@@ -83,18 +83,18 @@
       self: 'c0:1' as Address,
       slot: () => 0,
       replicas: () => ({ membershipEpoch: 1, replicas: [{ slot: 0, address: 'c0:1', disk: 'disk' }] }),
-      willing: () => true,
+      isEligible: () => true,
       leaseDuration,
-      betweenHolders: 3 * second,
+      minTakeoverGap: 3 * second,
       callsPerSecond,
-      callPatience: 2 * second,
+      callTimeout: 2 * second,
       duties: duties.map((duty) => ({ ...duty, plan: (record) => planOf(scene.owed.get(duty.name)!)(record) })),
       record: recordOf,
       port: { call },
     },
   );
   function recordNow(duty: string): DutyRecord {
-    const read = readDutyRecord(newest(dutyRecordKey(duty)).value);
+    const read = decodeDutyRecord(newest(dutyRecordKey(duty)).value);
     if (read._tag === 'Left') throw new Error(read.left);
     return read.right;
   }
@@ -110,8 +110,8 @@
   return planned;
 }
 
-const usage = { name: 'usage', mayOvertake: false };
-const scale = { name: 'scale', mayOvertake: true };
+const usage = { name: 'usage', maySupersede: false };
+const scale = { name: 'scale', maySupersede: true };
 
 it('makes calls in order under the fence of its term, and notes each outcome', async () => {
   const { clock, scene, calls, recordNow, events } = createScene([usage]);
@@ -160,8 +160,8 @@
   await clock.runTo(10 * second);
   scene.answer = () => 'accepted';
   const before = calls.length;
-  expect(recordNow('usage').open).toHaveLength(mostOpen);
-  expect(runner.status().duties[0]!.waiting).toBe(40 - mostOpen);
+  expect(recordNow('usage').open).toHaveLength(maxOpenIntents);
+  expect(runner.status().duties[0]!.waiting).toBe(40 - maxOpenIntents);
   await clock.runTo(30 * second);
   const accepted = calls.slice(before);
   expect(accepted.map((call) => Number(call.content))).toEqual(windows(1, 40).map(({ content }) => Number(content)));
@@ -246,7 +246,7 @@
     open: [{ id: 4, subject: 'all', content: 'as it was' }],
     outcomes: [],
   };
-  stored.set(dutyRecordKey('usage'), { version: 9, value: bytesOfRecord(left) });
+  stored.set(dutyRecordKey('usage'), { version: 9, value: encodeDutyRecord(left) });
   scene.owed.set('usage', windows(1, 1));
   await clock.runTo(5 * second);
   expect(calls.map(({ content, fence }) => [content, fence])).toEqual([
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -21,15 +21,15 @@
   /** Those whose votes count now. */
   readonly replicas: () => VoterGroup;
   /** Whether this node stands for the role now. */
-  readonly willing: () => boolean;
+  readonly isEligible: () => boolean;
   /** The lease of the role; the same for all candidates and voters. */
   readonly leaseDuration: number;
   /** What must lie between calls of two holders. */
-  readonly betweenHolders: number;
+  readonly minTakeoverGap: number;
   /** Over all duties of this holder. */
   readonly callsPerSecond: number;
   /** How long an answer of the platform is waited for. */
-  readonly callPatience: number;
+  readonly callTimeout: number;
   readonly duties: readonly Duty[];
   /** The value of a key of the control state. */
   readonly record: (key: string) => StoredValue;
@@ -46,7 +46,7 @@
 /** The duties at one control node. */
 export interface DutyRunner {
   /** Takes in a voter's answer. */
-  readonly vote: (answer: MessageOf<'BallotVote'>) => void;
+  readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly status: () => DutiesStatus;
   readonly stop: () => void;
 }
@@ -70,7 +70,7 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: options.replicas,
-    willing: options.willing,
+    willing: options.isEligible,
     won: endTerms,
     lost: endTerms,
   });
@@ -88,7 +88,7 @@
 
   const stopLooking = every(world, () => lookEvery, look);
   return {
-    vote: candidate.vote,
+    handleVote: candidate.vote,
     status: () => ({ holder: candidate.holder(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
@@ -108,18 +108,18 @@
   pacer: CallPacer,
   progressed: () => void,
 ): DutyTask {
-  const least = options.betweenHolders + callOnItsWay;
+  const least = options.minTakeoverGap + callOnItsWay;
   return createDutyTask(world, {
     duty,
     member: options.member,
     record: options.record(dutyRecordKey(duty.name)),
     port: options.port,
     pacer,
-    holds: () => candidate.holds() !== undefined,
-    mayCall: () => candidate.holdsFor(least) !== undefined,
-    standBack: least,
-    callOnItsWay,
-    callPatience: options.callPatience,
-    progressed,
+    isLeader: () => candidate.holds() !== undefined,
+    canCall: () => candidate.holdsFor(least) !== undefined,
+    backOffDuration: least,
+    maxCallTransit: callOnItsWay,
+    callTimeout: options.callTimeout,
+    onProgress: progressed,
   });
 }
--- a/packages/duty-log/src/duty-task.ts
+++ b/packages/duty-log/src/duty-task.ts
@@ -9,10 +9,10 @@
 import * as E from 'fp-ts/lib/Either.js';
 import type { CallPacer } from './call-pacer.js';
 import {
-  bytesOfRecord,
-  readDutyRecord,
-  withOutcome,
-  withPlanned,
+  encodeDutyRecord,
+  decodeDutyRecord,
+  closeIntent,
+  addPlannedIntents,
   type DutyRecord,
   type Intent,
   type PlannedRecord,
@@ -32,17 +32,17 @@
   readonly port: DutyPort;
   readonly pacer: CallPacer;
   /** Whether the role is held. */
-  readonly holds: () => boolean;
+  readonly isLeader: () => boolean;
   /** Whether it is held for so long that a call made now is over before a successor's first. */
-  readonly mayCall: () => boolean;
+  readonly canCall: () => boolean;
   /** How long a node that lost its term to another stands back. */
-  readonly standBack: number;
+  readonly backOffDuration: number;
   /** The longest that a call is on its way. */
-  readonly callOnItsWay: number;
+  readonly maxCallTransit: number;
   /** How long an answer is waited for. */
-  readonly callPatience: number;
+  readonly callTimeout: number;
   /** Called when a step has changed something, so that the next may follow at once. */
-  readonly progressed: () => void;
+  readonly onProgress: () => void;
 }
 
 /** One duty at this node. */
@@ -79,7 +79,7 @@
   const state: TaskState = {
     world,
     options,
-    pauses: createRetryPauses(world, options.callOnItsWay),
+    pauses: createRetryPauses(world, options.maxCallTransit),
     openSince: createOpenSince(world),
     term: undefined,
     renews: undefined,
@@ -98,13 +98,13 @@
 }
 
 function look(state: TaskState): void {
-  if (state.busy || !state.options.holds()) return;
+  if (state.busy || !state.options.isLeader()) return;
   reportLate(state);
   state.busy = true;
   void advance(state).then(
     (changed) => {
       state.busy = false;
-      if (changed) state.options.progressed();
+      if (changed) state.options.onProgress();
     },
     (error: unknown) => {
       state.busy = false;
@@ -126,7 +126,7 @@
   }
   if (next.record !== term.record && !(await commit(state, term, next))) return false;
   const intent = nextCall(state, term);
-  if (intent === undefined || !state.options.mayCall() || !state.options.pacer.take()) return false;
+  if (intent === undefined || !state.options.canCall() || !state.options.pacer.take()) return false;
   await makeCall(state, term, intent);
   return true;
 }
@@ -137,7 +137,7 @@
  */
 function needsHigherFence({ options }: TaskState, term: OwnTerm, next: DutyRecord): boolean {
   const planned = next.open.filter((intent) => intent.id > term.record.lastIntent);
-  return options.duty.mayOvertake && planned.some((intent) => term.unclear.has(intent.subject));
+  return options.duty.maySupersede && planned.some((intent) => term.unclear.has(intent.subject));
 }
 
 /** This node's term with the newest record, which is taken or read where that is due. */
@@ -150,15 +150,15 @@
 /** The version of the write that names this node is the fence of its term. */
 async function takeTerm(state: TaskState): Promise<void> {
   const { world, options } = state;
-  if (world.now() < state.standBackUntil || !options.mayCall()) return;
+  if (world.now() < state.standBackUntil || !options.canCall()) return;
   const { ends } = state;
   const stored = await options.record.read();
   const record = stored === undefined ? undefined : readRecord(state, stored);
-  if (stored === undefined || record === undefined || state.ends !== ends || !options.mayCall()) return;
+  if (stored === undefined || record === undefined || state.ends !== ends || !options.canCall()) return;
   if (state.renews !== undefined && isDeposed(state, state.renews, record)) return;
   const id = newTermId(world);
   const own: DutyRecord = { ...record, term: { holder: options.member, id } };
-  const fence = await options.record.write(stored.version, bytesOfRecord(own));
+  const fence = await options.record.write(stored.version, encodeDutyRecord(own));
   if (fence === undefined || state.ends !== ends) return;
   state.term = createOwnTerm(id, fence, own);
   state.renews = undefined;
@@ -186,7 +186,7 @@
 }
 
 function readRecord(state: TaskState, stored: StoredVersion): DutyRecord | undefined {
-  const record = readDutyRecord(stored.value);
+  const record = decodeDutyRecord(stored.value);
   if (E.isRight(record)) {
     state.toldUnreadable = false;
     return record.right;
@@ -205,14 +205,14 @@
 /** The record with the answers that came, and with what is owed now. */
 function nextRecord({ options }: TaskState, term: OwnTerm): PlannedRecord {
   let { record } = term;
-  for (const [id, outcome] of term.answers) record = withOutcome(record, id, outcome, term.fence);
-  return withPlanned(record, options.duty.plan(record), options.duty.mayOvertake);
+  for (const [id, outcome] of term.answers) record = closeIntent(record, id, outcome, term.fence);
+  return addPlannedIntents(record, options.duty.plan(record), options.duty.maySupersede);
 }
 
 /** Writes the record on top of the version known. False: it may or may not be written, or the term is over. */
 async function commit(state: TaskState, term: OwnTerm, next: PlannedRecord): Promise<boolean> {
   const { world, options } = state;
-  const version = await options.record.write(term.version, bytesOfRecord(next.record));
+  const version = await options.record.write(term.version, encodeDutyRecord(next.record));
   if (state.term !== term) return false;
   if (version === undefined) {
     term.mustRead = true;
@@ -220,7 +220,7 @@
   }
   takeIn(state, term, version, next.record);
   term.answers.clear();
-  for (const { subject, content } of next.overtaken) world.log(3108, { duty: options.duty.name, subject, content });
+  for (const { subject, content } of next.superseded) world.log(3108, { duty: options.duty.name, subject, content });
   return true;
 }
 
@@ -269,7 +269,7 @@
 /** Ends the term, and leaves the duty to the other node for as long as must lie between two turns of one holder. */
 function standBack(state: TaskState): void {
   endTerm(state);
-  state.standBackUntil = state.world.now() + state.options.standBack;
+  state.standBackUntil = state.world.now() + state.options.backOffDuration;
 }
 
 function reportLate({ world, options, openSince, term }: TaskState): void {
--- a/packages/duty-log/src/late-answers.test.ts
+++ b/packages/duty-log/src/late-answers.test.ts
@@ -21,7 +21,7 @@
   const calls: DutyCall[] = [];
   const planned: PlannedCall[] = [];
   const task = createDutyTask(clock.world, {
-    duty: { name: 'usage', mayOvertake: false, plan: () => planned },
+    duty: { name: 'usage', maySupersede: false, plan: () => planned },
     member: 'c0',
     record,
     port: {
@@ -31,12 +31,12 @@
       },
     },
     pacer: createCallPacer(clock.world, 5, () => undefined),
-    holds: () => true,
-    mayCall: () => true,
-    standBack: 3.6 * second,
-    callOnItsWay: 0.6 * second,
-    callPatience: 2.5 * second,
-    progressed: () => undefined,
+    isLeader: () => true,
+    canCall: () => true,
+    backOffDuration: 3.6 * second,
+    maxCallTransit: 0.6 * second,
+    callTimeout: 2.5 * second,
+    onProgress: () => undefined,
   });
   function look(): void {
     task.look();
--- a/packages/duty-log/src/plan-throws.test.ts
+++ b/packages/duty-log/src/plan-throws.test.ts
@@ -32,7 +32,7 @@
   }
   process.on('unhandledRejection', note);
   const task = createDutyTask(clock.world, {
-    duty: { name: 'usage', mayOvertake: false, plan },
+    duty: { name: 'usage', maySupersede: false, plan },
     member: 'c0',
     record,
     port: {
@@ -42,12 +42,12 @@
       },
     },
     pacer: createCallPacer(clock.world, 10, () => undefined),
-    holds: () => true,
-    mayCall: () => true,
-    standBack: 1,
-    callOnItsWay: 1,
-    callPatience: 1,
-    progressed: () => undefined,
+    isLeader: () => true,
+    canCall: () => true,
+    backOffDuration: 1,
+    maxCallTransit: 1,
+    callTimeout: 1,
+    onProgress: () => undefined,
   });
   task.look();
   await settle();
--- a/packages/duty-log/src/ports.ts
+++ b/packages/duty-log/src/ports.ts
@@ -33,7 +33,7 @@
 export interface Duty {
   readonly name: string;
   /** Whether a newer call for a subject takes the place of one that is open. */
-  readonly mayOvertake: boolean;
+  readonly maySupersede: boolean;
   /**
    * What is owed now beyond the open calls of the record, in order. Asked several times a second, only while the role
    * is held, with the newest record; what the record holds, open or accepted, must not be planned again with another
--- a/packages/model-checker/src/duties/duty-mutations.ts
+++ b/packages/model-checker/src/duties/duty-mutations.ts
@@ -44,8 +44,8 @@
     leasesOverlap,
     'a write is on top of the version known',
     task,
-    'options.record.write(term.version, bytesOfRecord(next.record));',
-    'options.record.write((await options.record.read())?.version ?? 0, bytesOfRecord(next.record));',
+    'options.record.write(term.version, encodeDutyRecord(next.record));',
+    'options.record.write((await options.record.read())?.version ?? 0, encodeDutyRecord(next.record));',
   ),
   removed(
     fencesChecked,
@@ -58,7 +58,7 @@
     fencesUnchecked,
     'the lease is looked at right before a call',
     task,
-    'if (intent === undefined || !state.options.mayCall() ||',
+    'if (intent === undefined || !state.options.canCall() ||',
     'if (intent === undefined ||',
   ),
   {
@@ -76,7 +76,7 @@
     fencesChecked,
     'only duties that allow it are overtaken',
     record,
-    'const replaced = mayOvertake ? sameSubject : [];',
+    'const replaced = maySupersede ? sameSubject : [];',
     'const replaced = sameSubject;',
   ),
   removed(
@@ -97,7 +97,7 @@
     leasesOverlap,
     'a node that lost its term to another stands back',
     task,
-    'state.standBackUntil = state.world.now() + state.options.standBack;',
+    'state.standBackUntil = state.world.now() + state.options.backOffDuration;',
     'state.standBackUntil = state.world.now();',
   ),
   removed(
--- a/packages/model-checker/src/duties/played-duties.ts
+++ b/packages/model-checker/src/duties/played-duties.ts
@@ -49,7 +49,7 @@
     }
     return planned;
   }
-  return { name: reports, mayOvertake: false, plan };
+  return { name: reports, maySupersede: false, plan };
 }
 
 /** Orders of the numbers wanted now, where they differ from what was ordered last. */
@@ -64,5 +64,5 @@
     }
     return planned;
   }
-  return { name: orders, mayOvertake: true, plan };
+  return { name: orders, maySupersede: true, plan };
 }
--- a/packages/model-checker/src/duties/rules.ts
+++ b/packages/model-checker/src/duties/rules.ts
@@ -1,6 +1,6 @@
 /** What must hold of the calls of duties, as the platform and the control state see them. */
 import type { StoredVersion } from '@tansypost/control-feed';
-import { readDutyRecord, type DutyCall } from '@tansypost/duty-log';
+import { decodeDutyRecord, type DutyCall } from '@tansypost/duty-log';
 import * as E from 'fp-ts/lib/Either.js';
 import type { ArrivedCall } from './platform-model.js';
 import { lastEndedWindow, orders, orderSubjects, reportOf, reports } from './played-duties.js';
@@ -102,7 +102,7 @@
 }
 
 function noteWritten(state: WatchState, key: string, { version, value }: StoredVersion): void {
-  const record = readDutyRecord(value);
+  const record = decodeDutyRecord(value);
   if (E.isLeft(record)) return breakRule(state, 'written before', record.left);
   const { term, open } = record.right;
   if (term !== null && !state.fences.has(term.id)) {
@@ -113,7 +113,7 @@
 }
 
 function noteRead(state: WatchState, holder: string, key: string, { value }: StoredVersion): void {
-  const record = readDutyRecord(value);
+  const record = decodeDutyRecord(value);
   const term = E.isRight(record) ? record.right.term : null;
   if (term !== null) state.newestRead.set(`${holder} ${dutyOf(key)}`, state.fences.get(term.id) ?? 0);
 }
--- a/packages/scaling/src/index.ts
+++ b/packages/scaling/src/index.ts
@@ -2,5 +2,5 @@
 export * from './scale-duty.js';
 export * from './scale-order.js';
 export * from './scale-planner.js';
-export * from './wanted-workers.js';
+export * from './worker-targets.js';
 export * from './zone-load.js';
--- a/packages/scaling/src/load-history.ts
+++ b/packages/scaling/src/load-history.ts
@@ -8,7 +8,7 @@
   /** The highest level. */
   readonly level: number;
   /** The mean of the most loaded moment as reported, which lasted for about a second. */
-  readonly moment: number;
+  readonly burst: number;
 }
 
 /** A history of demand. */
@@ -82,7 +82,7 @@
     const all = since(now - window);
     return {
       level: Math.max(...all.map((sample) => sample.level ?? 0)),
-      moment: Math.max(...all.map((sample) => sample.moment)),
+      burst: Math.max(...all.map((sample) => sample.moment)),
     };
   }
 
--- a/packages/scaling/src/scale-duty.test.ts
+++ b/packages/scaling/src/scale-duty.test.ts
@@ -4,7 +4,7 @@
 import type { DutyRecord } from '@tansypost/duty-log';
 import { createVirtualClock } from '@tansypost/inner-protocol';
 import { createScaleDuty } from './scale-duty.js';
-import { plannedOrder } from './scale-order.js';
+import { toPlannedOrder } from './scale-order.js';
 
 const emptyRecord: DutyRecord = { term: null, lastIntent: 0, open: [], outcomes: [] };
 
@@ -25,7 +25,7 @@
 
 it('orders the number that is there once, whether that order is open or has ended', async () => {
   const duty = await scene();
-  const order = plannedOrder({ service: 's', zone: 'z', workers: 4 });
+  const order = toPlannedOrder({ service: 's', zone: 'z', workers: 4 });
   expect(duty.plan(emptyRecord)).toEqual([order]);
   expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...order }] })).toEqual([]);
   const ended = { ...order, outcome: 'refused' as const, fence: 3 };
--- a/packages/scaling/src/scale-duty.ts
+++ b/packages/scaling/src/scale-duty.ts
@@ -1,7 +1,7 @@
 /** Orders of workers as a duty. Only the newest number for a service and zone counts, so it overtakes one that is open. */
 import type { Duty, DutyRecord, PlannedCall } from '@tansypost/duty-log';
 import { every, micros, type World } from '@tansypost/inner-protocol';
-import { readScaleOrder } from './scale-order.js';
+import { decodeScaleOrder } from './scale-order.js';
 import { createScalePlanner, type FleetView, type ScaledService } from './scale-planner.js';
 
 /** What the duty is told when it is made. */
@@ -23,7 +23,7 @@
 /** Makes the duty, which begins to look at the fleet. */
 export function createScaleDuty(world: World, options: ScaleDutyOptions): ScaleDuty {
   let ordered: ReadonlyMap<string, number> = new Map();
-  const planner = createScalePlanner({ services: options.services, ordered: (subject) => ordered.get(subject) });
+  const planner = createScalePlanner({ services: options.services, lastOrdered: (subject) => ordered.get(subject) });
 
   function plan(record: DutyRecord): readonly PlannedCall[] {
     ordered = orderedNumbers(record);
@@ -32,7 +32,7 @@
 
   return {
     name: scaleDutyName,
-    mayOvertake: true,
+    maySupersede: true,
     plan,
     stop: every(
       world,
@@ -46,7 +46,7 @@
 function orderedNumbers({ open, outcomes }: DutyRecord): ReadonlyMap<string, number> {
   const numbers = new Map<string, number>();
   for (const { subject, content } of [...outcomes, ...open]) {
-    const order = readScaleOrder(content);
+    const order = decodeScaleOrder(content);
     if (order !== undefined) numbers.set(subject, order.workers);
   }
   return numbers;
--- a/packages/scaling/src/scale-order.ts
+++ b/packages/scaling/src/scale-order.ts
@@ -20,12 +20,12 @@
 }
 
 /** The order as it is written down. */
-export function plannedOrder({ service, zone, workers }: ScaleOrder): PlannedOrder {
+export function toPlannedOrder({ service, zone, workers }: ScaleOrder): PlannedOrder {
   return { subject: scaleSubject(service, zone), content: JSON.stringify({ service, zone, workers }) };
 }
 
 /** The order in a content; undefined where that is none. */
-export function readScaleOrder(content: string): ScaleOrder | undefined {
+export function decodeScaleOrder(content: string): ScaleOrder | undefined {
   try {
     const { service, zone, workers } = JSON.parse(content) as Record<string, unknown>;
     if (typeof service !== 'string' || typeof zone !== 'string') return undefined;
--- a/packages/scaling/src/scale-planner.test.ts
+++ b/packages/scaling/src/scale-planner.test.ts
@@ -3,7 +3,7 @@
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import { micros } from '@tansypost/inner-protocol';
 import type { ScalingTerms } from '@tansypost/paths';
-import { createScalePlanner, readScaleOrder, scaleSubject, type ScaledService } from './index.js';
+import { createScalePlanner, decodeScaleOrder, scaleSubject, type ScaledService } from './index.js';
 
 /** A zone as it is seen: its workers, and the load that their reports show; without a load none of them reports. */
 interface SeenZone {
@@ -59,7 +59,7 @@
   const settings = { service };
   const planner = createScalePlanner({
     services: () => [settings.service],
-    ordered: (subject) => record.get(subject),
+    lastOrdered: (subject) => record.get(subject),
   });
   const orders: string[] = [];
   let now = 0;
@@ -72,7 +72,7 @@
       const shown = typeof seen === 'function' ? seen((now - from) / second) : seen;
       planner.observe(now, { listAge: 0, ...more, ...viewOf(shown, now) });
       for (const { subject, content } of planner.plan(now)) {
-        const order = readScaleOrder(content)!;
+        const order = decodeScaleOrder(content)!;
         expect(subject).toBe(scaleSubject(order.service, order.zone));
         record.set(subject, order.workers);
         orders.push(`${order.zone} ${order.workers}`);
@@ -289,7 +289,7 @@
       const { workers, loads } = viewOf(everywhere(20, load), now);
       const few = new Map([...loads].filter(([id]) => Number(id.replace(/\D+/, '')) < 8));
       planner.observe(now, { workers, listAge: 0, loads: few });
-      for (const { subject, content } of planner.plan(now)) record.set(subject, readScaleOrder(content)!.workers);
+      for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
     }
     expect([...record.values()]).toEqual([20, 20, 20]);
   }
@@ -302,7 +302,7 @@
     for (const [id, load] of loads)
       if (Number(id.replace(/\D+/, '')) >= 8) loads.set(id, { ...load, active: 0, queued: 0, silent: true });
     planner.observe(now, { workers, listAge: 0, loads });
-    for (const { subject, content } of planner.plan(now)) record.set(subject, readScaleOrder(content)!.workers);
+    for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
   }
   expect([...record.values()]).toEqual([20, 20, 20]);
 });
@@ -320,12 +320,12 @@
   const record = new Map<string, number>();
   const planner = createScalePlanner({
     services: () => [{ name: 's', scaling: terms }],
-    ordered: (s) => record.get(s),
+    lastOrdered: (s) => record.get(s),
   });
   for (let now = 0; now < 120 * second; now += second / 2) {
     const { workers, loads } = viewOf(everywhere(20, 2), now + (offset ?? 0));
     planner.observe(now, { workers, listAge: 0, loads: offset === undefined ? new Map() : loads });
-    for (const { subject, content } of planner.plan(now)) record.set(subject, readScaleOrder(content)!.workers);
+    for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
   }
   expect([...record.values()]).toEqual([20, 20, 20]);
 });
@@ -350,14 +350,14 @@
       const { workers, loads } = viewOf(everywhere(20, 0), now);
       for (const [id, load] of loads) if (load.part === 'decode') loads.set(id, { ...load, ...full });
       planner.observe(now, { workers, listAge: 0, loads });
-      for (const { subject, content } of planner.plan(now)) record.set(subject, readScaleOrder(content)!.workers);
+      for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
     }
     expect(h.ordered('west')).toBeGreaterThan(20);
   }
 });
 
 it('writes equal orders as equal texts, and reads no order in another content', () => {
-  expect(readScaleOrder('{"service":"s","zone":"z","workers":7}')).toEqual({ service: 's', zone: 'z', workers: 7 });
+  expect(decodeScaleOrder('{"service":"s","zone":"z","workers":7}')).toEqual({ service: 's', zone: 'z', workers: 7 });
   for (const text of ['', '7', 'null', '{}', '{"service":"s","zone":"z","workers":1.5}', '{"service":"s"}'])
-    expect(readScaleOrder(text)).toBe(undefined);
+    expect(decodeScaleOrder(text)).toBe(undefined);
 });
--- a/packages/scaling/src/scale-planner.ts
+++ b/packages/scaling/src/scale-planner.ts
@@ -6,17 +6,17 @@
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import type { ScalingTerms } from '@tansypost/paths';
 import { createLoadHistory, type LoadHistory } from './load-history.js';
-import { plannedOrder, scaleSubject, type PlannedOrder } from './scale-order.js';
+import { toPlannedOrder, scaleSubject, type PlannedOrder } from './scale-order.js';
 import {
-  bearsLostZone,
-  loweredNumber,
-  raisedNumber,
+  toleratesZoneLoss,
+  scaledDownCount,
+  scaledUpCount,
   scalingWindows,
-  usualLoads,
-  withinBounds,
-  type ScalingLoads,
+  defaultThresholds,
+  clampToBounds,
+  type ScalingThresholds,
   type ScalingWindows,
-} from './wanted-workers.js';
+} from './worker-targets.js';
 import { zoneLoads, type ZoneLoad } from './zone-load.js';
 
 /** A service of the configuration in force. */
@@ -37,8 +37,8 @@
 export interface ScalePlannerOptions {
   readonly services: () => readonly ScaledService[];
   /** The number that was ordered last for a subject, whether the order has ended or not; undefined before the first. */
-  readonly ordered: (subject: string) => number | undefined;
-  readonly loads?: ScalingLoads;
+  readonly lastOrdered: (subject: string) => number | undefined;
+  readonly thresholds?: ScalingThresholds;
 }
 
 /** Decides what is owed. Times are microseconds of one clock. */
@@ -75,7 +75,7 @@
 
 interface PlannerState {
   readonly options: ScalePlannerOptions;
-  readonly loads: ScalingLoads;
+  readonly loads: ScalingThresholds;
   readonly services: Map<string, ServiceState>;
   /** The last look at a list that was neither empty nor old. */
   observedAt: number;
@@ -95,7 +95,7 @@
 export function createScalePlanner(options: ScalePlannerOptions): ScalePlanner {
   const state: PlannerState = {
     options,
-    loads: options.loads ?? usualLoads,
+    loads: options.thresholds ?? defaultThresholds,
     services: new Map(),
     observedAt: -Infinity,
   };
@@ -131,8 +131,8 @@
   return { name, terms, windows, total: newHistory(windows), zones: new Map(), shortAt: -Infinity };
 }
 
-function newHistory({ sustain, trend, calm }: ScalingWindows): LoadHistory {
-  return createLoadHistory(sustain, Math.max(trend, calm) + sustain);
+function newHistory({ sustain, trend, stabilization }: ScalingWindows): LoadHistory {
+  return createLoadHistory(sustain, Math.max(trend, stabilization) + sustain);
 }
 
 function observeService(state: PlannerState, service: ServiceState, now: number, view: FleetView): void {
@@ -182,7 +182,7 @@
 }
 
 function noteOrdered(state: PlannerState, service: ServiceState, zone: ZoneState, now: number): void {
-  const ordered = state.options.ordered(scaleSubject(service.name, zone.zone));
+  const ordered = state.options.lastOrdered(scaleSubject(service.name, zone.zone));
   if (ordered !== zone.ordered) zone.orderedSince = now;
   zone.ordered = ordered;
   if (ordered !== undefined && zone.present.listed < leastShareOfZone * ordered) service.shortAt = now;
@@ -208,7 +208,7 @@
   return zones.flatMap((zone) => {
     const workers = wanted.get(zone);
     if (workers === undefined || workers === zone.ordered) return [];
-    return [plannedOrder({ service: service.name, zone: zone.zone, workers })];
+    return [toPlannedOrder({ service: service.name, zone: zone.zone, workers })];
   });
 }
 
@@ -216,10 +216,10 @@
 function wantedAtLeast(state: PlannerState, service: ServiceState, zone: ZoneState, now: number): number | undefined {
   const { terms } = service;
   if (zone.ordered === undefined)
-    return hasSettled(zone, now) ? withinBounds(firstNumber(zone, now), terms) : undefined;
+    return hasSettled(zone, now) ? clampToBounds(firstNumber(zone, now), terms) : undefined;
   const demand = zone.history.level(now);
-  if (demand === undefined) return withinBounds(zone.ordered, terms);
-  return withinBounds(raisedNumber(zone.ordered, demand, growthAhead(service, zone, now), state.loads), terms);
+  if (demand === undefined) return clampToBounds(zone.ordered, terms);
+  return clampToBounds(scaledUpCount(zone.ordered, demand, growthAhead(service, zone, now), state.loads), terms);
 }
 
 /** What demand will have grown by when a worker ordered now serves. */
@@ -250,17 +250,17 @@
   now: number,
 ): void {
   const { windows, terms } = service;
-  const total = service.total.peak(now, windows.calm);
-  if (total === undefined || now - service.shortAt < windows.calm) return;
+  const total = service.total.peak(now, windows.stabilization);
+  if (total === undefined || now - service.shortAt < windows.stabilization) return;
   const bearing = new Map(zones.map((zone) => [zone, Math.min(zone.present.listed, zone.ordered ?? 0)]));
   for (const zone of zones) {
     const { ordered } = zone;
-    const peak = zone.history.peak(now, windows.calm);
-    if (ordered === undefined || peak === undefined || now - zone.orderedSince < windows.step) continue;
-    const workers = withinBounds(loweredNumber(ordered, peak, growthAhead(service, zone, now), loads), terms);
+    const peak = zone.history.peak(now, windows.stabilization);
+    if (ordered === undefined || peak === undefined || now - zone.orderedSince < windows.cooldown) continue;
+    const workers = clampToBounds(scaledDownCount(ordered, peak, growthAhead(service, zone, now), loads), terms);
     if (workers >= ordered) continue;
     const left = new Map(bearing).set(zone, Math.min(bearing.get(zone)!, workers));
-    if (!bearsLostZone([...left.values()], total.moment, loads)) continue;
+    if (!toleratesZoneLoss([...left.values()], total.burst, loads)) continue;
     bearing.set(zone, left.get(zone)!);
     wanted.set(zone, workers);
   }
--- a/packages/scaling/src/wanted-workers.ts
+++ b/packages/scaling/src/worker-targets.ts
@@ -13,25 +13,25 @@
   /** The trend is taken over so much of the past; longer than it is looked ahead, so that a short wave is none. */
   readonly trend: number;
   /** For so long demand must have been low. */
-  readonly calm: number;
+  readonly stabilization: number;
   /** Between two steps down. */
-  readonly step: number;
+  readonly cooldown: number;
 }
 
 /** The loads between which the number stays as it is; 1 is that of workers without a spare moment. */
-export interface ScalingLoads {
+export interface ScalingThresholds {
   /** Above this load of the workers ordered, more are. */
-  readonly high: number;
+  readonly scaleUp: number;
   /** The load that an order of more aims at. */
-  readonly aimed: number;
+  readonly target: number;
   /** A worker is given up where the load of those left would have stayed below this. */
-  readonly low: number;
+  readonly scaleDown: number;
   /** The load that those left may have in a moment, or for as long as a zone is lost. */
-  readonly bearable: number;
+  readonly maximum: number;
 }
 
 /** As weighed in docs/duties.md. */
-export const usualLoads: ScalingLoads = { high: 0.95, aimed: 0.85, low: 0.7, bearable: 1 };
+export const defaultThresholds: ScalingThresholds = { scaleUp: 0.95, target: 0.85, scaleDown: 0.7, maximum: 1 };
 /** A step down gives up one worker in so many, and at least one. */
 const stepShare = 10;
 
@@ -48,33 +48,33 @@
   return {
     sustain: Math.min(longest, Math.max(shortest, boot * bootsPerSustain)),
     trend: boot * bootsPerTrend,
-    calm: boot * bootsPerCalm,
-    step: boot,
+    stabilization: boot * bootsPerCalm,
+    cooldown: boot,
   };
 }
 
 /** The number within the bounds of the service. */
-export function withinBounds(workers: number, { least, most }: ScalingTerms): number {
+export function clampToBounds(workers: number, { least, most }: ScalingTerms): number {
   return Math.min(most, Math.max(least, workers));
 }
 
 /** More than `ordered` where demand is too high for it, else `ordered`. Demand is in workers without a spare moment. */
-export function raisedNumber(ordered: number, demand: number, growth: number, loads: ScalingLoads): number {
+export function scaledUpCount(ordered: number, demand: number, growth: number, loads: ScalingThresholds): number {
   // No more than doubles, however steep.
   const expected = demand + Math.min(growth, demand);
-  return expected > loads.high * ordered ? Math.max(ordered, Math.ceil(expected / loads.aimed)) : ordered;
+  return expected > loads.scaleUp * ordered ? Math.max(ordered, Math.ceil(expected / loads.target)) : ordered;
 }
 
 /** Whether the workers of a service, given for each zone, bear the demand also without the zone that has most. */
-export function bearsLostZone(workersByZone: readonly number[], demand: number, loads: ScalingLoads): boolean {
+export function toleratesZoneLoss(workersByZone: readonly number[], demand: number, loads: ScalingThresholds): boolean {
   if (workersByZone.length < 2) return true;
   const total = workersByZone.reduce((sum, workers) => sum + workers, 0);
-  return (total - Math.max(...workersByZone)) * loads.bearable >= demand;
+  return (total - Math.max(...workersByZone)) * loads.maximum >= demand;
 }
 
 /** One step below `ordered` where those left would have borne the highest recent demand with its growth, else `ordered`. */
-export function loweredNumber(ordered: number, peak: DemandPeak, growth: number, loads: ScalingLoads): number {
-  const needed = Math.ceil(Math.max((peak.level + growth) / loads.low, peak.moment / loads.bearable));
+export function scaledDownCount(ordered: number, peak: DemandPeak, growth: number, loads: ScalingThresholds): number {
+  const needed = Math.ceil(Math.max((peak.level + growth) / loads.scaleDown, peak.burst / loads.maximum));
   const step = Math.max(1, Math.floor(ordered / stepShare));
   return Math.min(ordered, Math.max(needed, ordered - step));
 }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -160,12 +160,12 @@
           workers: listed,
           services: () => servicesOf(host.core()?.replica.row(configurationKey).value),
           record: createStoredValue(w, orderRecordKey, (question) => answerTo(coreAsker, question)),
-          workerOrders: createVirtualOrders(g, workers, m.proc),
+          workerClient: createVirtualOrders(g, workers, m.proc),
           leaseDuration: dutyTenure,
-          betweenHolders,
+          minTakeoverGap: betweenHolders,
         });
         return (message, from) => {
-          if (message.kind === 'BallotVote') recovery.vote(message);
+          if (message.kind === 'BallotVote') recovery.handleVote(message);
           return learning.receive(message, from);
         };
       },
--- a/packages/simulator/src/pass-through/virtual-orders.ts
+++ b/packages/simulator/src/pass-through/virtual-orders.ts
@@ -1,7 +1,7 @@
 /** The way from one life of a control node to the virtual workers: reports, and orders to change their stage. */
 import type { ListedWorker } from '@tansypost/control-feed';
 import { hash32, seeded } from '@tansypost/inner-protocol';
-import type { OrderOutcome, StageOrder, WorkerOrders } from '@tansypost/worker-stages';
+import type { OrderOutcome, StageOrder, WorkerStageClient } from '@tansypost/worker-stages';
 import { into, type Proc } from '../process.js';
 import type { Ground } from './ground.js';
 import { createPipe } from './pipe.js';
@@ -19,7 +19,7 @@
 };
 
 /** The orders of the control node `proc` on a machine of that name. */
-export function createVirtualOrders(ground: Ground, workers: VirtualWorkers, proc: Proc): WorkerOrders {
+export function createVirtualOrders(ground: Ground, workers: VirtualWorkers, proc: Proc): WorkerStageClient {
   const { e: engine, net, h: history } = ground;
   const { machine, incarnation } = proc;
   // How often workers are asked for reports shifts no other draw of the day.
--- a/packages/simulator/src/scaling/scaling-weighed.ts
+++ b/packages/simulator/src/scaling/scaling-weighed.ts
@@ -1,5 +1,11 @@
 /** Weighs the planner's orders on the closed model against all workers always, no orders at all, and an oracle. */
-import { createScalePlanner, readScaleOrder, scaleSubject, usualLoads, type ScalingLoads } from '@tansypost/scaling';
+import {
+  createScalePlanner,
+  decodeScaleOrder,
+  scaleSubject,
+  defaultThresholds,
+  type ScalingThresholds,
+} from '@tansypost/scaling';
 import { playDay, type DayFigures, type DemandDay, type FleetShape, type ScalePolicy } from './fleet-model.js';
 
 /** One policy on one day, over all seeds. */
@@ -67,18 +73,18 @@
 }
 
 /** The planner, with the role held by one node all day and orders accepted at once. */
-export function planned(shape: FleetShape, thresholds: ScalingLoads = usualLoads): ScalePolicy {
+export function planned(shape: FleetShape, thresholds: ScalingThresholds = defaultThresholds): ScalePolicy {
   const record = new Map<string, number>();
   const { least, most, bootTime } = shape;
   const planner = createScalePlanner({
     services: () => [{ name: 's', scaling: { least, most, bootTime: bootTime * 1_000_000 } }],
-    ordered: (subject) => record.get(subject),
-    loads: thresholds,
+    lastOrdered: (subject) => record.get(subject),
+    thresholds: thresholds,
   });
   function look(at: number, { workers, loads }: Parameters<ScalePolicy['look']>[1]): readonly number[] {
     const now = at * 1_000_000;
     planner.observe(now, { workers, loads, listAge: 0 });
-    for (const { subject, content } of planner.plan(now)) record.set(subject, readScaleOrder(content)!.workers);
+    for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
     return Array.from({ length: shape.zones }, (_, zone) => record.get(scaleSubject('s', `z${zone}`)) ?? shape.workers);
   }
   return { name: 'planner', look };
--- a/packages/usage/src/fleet-clock.test.ts
+++ b/packages/usage/src/fleet-clock.test.ts
@@ -36,7 +36,7 @@
     const out = 200 + random() * 3000;
     const back = 200 + random() * 3000;
     const wall = Math.floor(wallOf(node) - back / 1000);
-    clock.told(node, wall, steady - out - back, steady);
+    clock.addSample(node, wall, steady - out - back, steady);
   }
   return { clock, off, heard, run, trueTime, pass: (by: number) => void (steady += by) };
 }
@@ -101,6 +101,6 @@
   scene.run(6);
   scene.off.set('c2', 2000);
   expect(scene.run(5).error).toBeLessThan(5);
-  for (const node of nodes) scene.clock.told(node, scene.trueTime() + 9000, -600_000, 0);
+  for (const node of nodes) scene.clock.addSample(node, scene.trueTime() + 9000, -600_000, 0);
   expect(Math.abs(scene.clock.now() - scene.trueTime())).toBeLessThan(5);
 });
--- a/packages/usage/src/fleet-clock.ts
+++ b/packages/usage/src/fleet-clock.ts
@@ -17,7 +17,7 @@
    * A source's time of day, `wall`, in milliseconds since 1970, was read between `askedAt` and `heardAt` of the
    * monotonic clock, in microseconds. Samples that took too long are passed over.
    */
-  readonly told: (source: string, wall: number, askedAt: number, heardAt: number) => void;
+  readonly addSample: (source: string, wall: number, askedAt: number, heardAt: number) => void;
   /**
    * Milliseconds since 1970. It never goes back by less than a second: after a small correction downwards it stands
    * still until true time has caught up, so a window that it has left is not entered again. A larger correction, as
@@ -70,7 +70,7 @@
     return Math.floor(state.given / microsPerMillisecond);
   }
 
-  return { told, now };
+  return { addSample: told, now };
 }
 
 function forgetSilent(state: ClockState, steady: number): void {
--- a/packages/usage/src/silent-routers.test.ts
+++ b/packages/usage/src/silent-routers.test.ts
@@ -15,10 +15,10 @@
     self: 'c0:1' as Address,
     windowLength,
     reportDelay: 10_000,
-    reserve: 4000,
+    reportingMargin: 4000,
     routers: () => state.routers as Address[],
     wallClock: () => start + clock.world.now() / 1000,
-    isHolder: () => true,
+    isLeader: () => true,
     closedThrough: () => state.closed,
   });
   return { clock, state, collector };
@@ -27,7 +27,7 @@
 it('closes no window as empty before the longest wait where it has not heard a router yet', async () => {
   const { clock, collector } = createScene();
   await clock.runTo(5.5 * second);
-  expect(collector.due()).toEqual([]);
+  expect(collector.readyWindows()).toEqual([]);
 });
 
 it('goes on to hold windows back where all routers fell silent, when they have been forgotten', async () => {
@@ -42,5 +42,5 @@
   await clock.runTo(7 * second);
   state.routers = [];
   await clock.runTo(20 * second);
-  expect(collector.due()).toEqual([]);
+  expect(collector.readyWindows()).toEqual([]);
 });
--- a/packages/usage/src/usage-collector.test.ts
+++ b/packages/usage/src/usage-collector.test.ts
@@ -20,10 +20,10 @@
     self: 'c0:1' as Address,
     windowLength,
     reportDelay,
-    reserve: 4000,
+    reportingMargin: 4000,
     routers: () => state.routers as Address[],
     wallClock: () => start + clock.world.now() / 1000,
-    isHolder: () => state.holder,
+    isLeader: () => state.holder,
     isStandby: () => state.standby,
     closedThrough: () => state.closed,
   });
@@ -35,7 +35,7 @@
     collector.receive({ ...usual, ...over });
   }
   function due(): { window: number; count: number }[] {
-    return collector.due().map(({ window, counts }) => ({ window, count: counts['a'] ?? 0 }));
+    return collector.readyWindows().map(({ window, counts }) => ({ window, count: counts['a'] ?? 0 }));
   }
   function late(): number {
     const events = clock.logged.filter(({ event }) => event === 3501);
@@ -203,9 +203,9 @@
     await to(5 * i);
     tell('r0:1', firstWindow + i - 1, 3, { process: `p${i}` });
   }
-  expect(collector.kept().windows.length).toBeLessThanOrEqual(257);
-  expect(collector.due().length).toBe(16);
+  expect(collector.retained().windows.length).toBeLessThanOrEqual(257);
+  expect(collector.readyWindows().length).toBe(16);
   state.closed = firstWindow + 498;
   await to(2500);
-  expect(collector.kept().windows.length).toBeLessThanOrEqual(3);
+  expect(collector.retained().windows.length).toBeLessThanOrEqual(3);
 });
--- a/packages/usage/src/usage-collector.ts
+++ b/packages/usage/src/usage-collector.ts
@@ -24,13 +24,13 @@
   /** A window's report is due so long after its end. */
   readonly reportDelay: number;
   /** So long before that, a window is closed without the routers that are silent; the reports need this time. */
-  readonly reserve: number;
+  readonly reportingMargin: number;
   /** The routers that this node hears. */
   readonly routers: () => readonly Address[];
   /** This machine's time of day, in milliseconds since 1970. */
   readonly wallClock: () => number;
   /** Whether this node reports now, and has read what the duty's record holds. */
-  readonly isHolder: () => boolean;
+  readonly isLeader: () => boolean;
   /**
    * Whether this node stands by for the duty: it collects as the holder does and gives nothing out. What a router that is
    * killed had told is lost with a holder that nobody stands by for, as far as its windows are open.
@@ -48,9 +48,9 @@
    * The windows after the last one in the record that can be reported, in order and without gaps, some at a time. What has
    * been given out is given out again without change, until the record holds it.
    */
-  readonly due: () => readonly UsageContent[];
+  readonly readyWindows: () => readonly UsageContent[];
   /** The windows of which something is kept, and the routers that are known. */
-  readonly kept: () => { readonly windows: readonly number[]; readonly routers: number };
+  readonly retained: () => { readonly windows: readonly number[]; readonly routers: number };
   readonly stop: () => void;
 }
 
@@ -119,8 +119,8 @@
   };
   return {
     receive: (message) => receive(state, message),
-    due: () => due(state),
-    kept: () => ({ windows: state.book.windows(), routers: state.routers.size }),
+    readyWindows: () => due(state),
+    retained: () => ({ windows: state.book.windows(), routers: state.routers.size }),
     stop: every(
       world,
       () => roundEvery,
@@ -146,7 +146,7 @@
 
 /** Whoever collects no more keeps what it has given out, as a write of it may be under way. */
 function noteCollecting(state: CollectorState): void {
-  const { isHolder, isStandby } = state.options;
+  const { isLeader: isHolder, isStandby } = state.options;
   if (isHolder() || isStandby?.() === true) {
     state.collectsSince ??= state.world.now();
     return;
@@ -163,7 +163,7 @@
   const { book, options } = state;
   const closed = options.closedThrough();
   if (closed !== undefined) book.dropBefore(closed + 1 - closedWindowsKept);
-  if (!options.isHolder()) book.dropBefore(windowOf(state.clock.now(), options.windowLength) - standbyKeeps);
+  if (!options.isLeader()) book.dropBefore(windowOf(state.clock.now(), options.windowLength) - standbyKeeps);
   if (state.round === 0) condenseOld(state);
   book.keepAtMost(mostWindows);
   for (const [router, { heardAt }] of state.routers) if (isGone(state, heardAt)) state.routers.delete(router);
@@ -173,14 +173,14 @@
 /** Windows that nobody fetches, as the record takes no more, are kept as their contents alone. */
 function condenseOld(state: CollectorState): void {
   const { book, clock, options } = state;
-  if (!options.isHolder() || !hasGathered(state)) return;
+  if (!options.isLeader() || !hasGathered(state)) return;
   const old = windowOf(clock.now(), options.windowLength) - condenseAfter;
   for (const window of book.windows()) if (window < old && isReady(state, window)) book.condense(window);
 }
 
 /** Only the holder says what is closed, as it knows what has been heard of that. */
 function ask(state: CollectorState, address: Address): void {
-  const { closedThrough, isHolder, self } = state.options;
+  const { closedThrough, isLeader: isHolder, self } = state.options;
   const known = state.routers.get(address);
   state.askedAt.set(address, state.world.now());
   state.world.send(address, {
@@ -214,7 +214,7 @@
   // An answer to an ask of a holder that knew more leaves a gap here: what lies in it is asked for again.
   const sequence = told.after <= before ? Math.max(before, told.sequence) : before;
   state.routers.set(told.router, { process: told.process, sequence, heardAt, told: told.now });
-  state.clock.told(told.router, told.now, heardAt, heardAt);
+  state.clock.addSample(told.router, told.now, heardAt, heardAt);
 }
 
 /** What is so long ago matters to no window that is waited for. */
@@ -228,7 +228,7 @@
 
 function due(state: CollectorState): readonly UsageContent[] {
   noteCollecting(state);
-  if (!state.options.isHolder() || !hasGathered(state)) return [];
+  if (!state.options.isLeader() || !hasGathered(state)) return [];
   const first = firstOpen(state);
   const contents: UsageContent[] = [];
   if (first === undefined) return contents;
@@ -254,5 +254,5 @@
   const awaited = new Set<string>([...options.routers(), ...routers.keys()]);
   const beyond = [...awaited].filter((router) => (routers.get(router)?.told ?? -Infinity) >= end);
   if (beyond.length === 0 || beyond.length < awaited.size / 2) return now >= end + longestWait * options.reportDelay;
-  return beyond.length === awaited.size || now >= end + options.reportDelay - options.reserve;
+  return beyond.length === awaited.size || now >= end + options.reportDelay - options.reportingMargin;
 }
--- a/packages/usage/src/usage-content.ts
+++ b/packages/usage/src/usage-content.ts
@@ -21,6 +21,6 @@
 }
 
 /** The content as JSON; equal contents give equal texts. */
-export function usageContentText(content: UsageContent): string {
+export function encodeUsageContent(content: UsageContent): string {
   return JSON.stringify({ window: content.window, counts: content.counts });
 }
--- a/packages/usage/src/usage-counter.test.ts
+++ b/packages/usage/src/usage-counter.test.ts
@@ -7,12 +7,12 @@
 const start = 1_790_000_000_000;
 const firstWindow = start / windowLength;
 
-function createScene(keptWindows?: number) {
+function createScene(maxWindows?: number) {
   const logged: { readonly event: number; readonly fields: Record<string, unknown> }[] = [];
   const time = { now: start };
   const counter = createUsageCounter(
     { log: (event, fields) => logged.push({ event, fields }) },
-    { router: 'r:1', process: 'p1', windowLength, trueTime: () => time.now, keptWindows },
+    { router: 'r:1', process: 'p1', windowLength, trueTime: () => time.now, maxWindows },
   );
   function ask(over: Partial<MessageOf<'UsageAsk'>> = {}): MessageOf<'UsageTold'> {
     return counter.answer({ kind: 'UsageAsk', from: 'c:1', process: 'p1', after: 0, closedThrough: 0, ...over });
@@ -22,7 +22,7 @@
 
 it('tells full counts of what has changed since, and all of it to who knows nothing or another process', () => {
   const { counter, time, ask } = createScene();
-  for (const tenant of ['b', 'a', 'b']) counter.began(tenant);
+  for (const tenant of ['b', 'a', 'b']) counter.recordStart(tenant);
   const first = ask();
   expect(first).toMatchObject({ router: 'r:1', process: 'p1', now: start, after: 0, sequence: 3 });
   expect(first.tables).toEqual([
@@ -37,9 +37,9 @@
   expect(ask()).toEqual(first);
   expect(ask({ after: 3 }).tables).toEqual([]);
   time.now += windowLength;
-  counter.began('a');
+  counter.recordStart('a');
   time.now -= 1;
-  counter.began('b');
+  counter.recordStart('b');
   expect(ask({ after: 3 }).tables).toEqual([
     { window: firstWindow, counts: [{ tenant: 'b', count: 3 }] },
     { window: firstWindow + 1, counts: [{ tenant: 'a', count: 1 }] },
@@ -50,9 +50,9 @@
 
 it('keeps a window until it is closed, also when all of it has been told', () => {
   const { counter, time, ask, logged } = createScene();
-  counter.began('a');
+  counter.recordStart('a');
   time.now += windowLength;
-  counter.began('a');
+  counter.recordStart('a');
   ask({ after: 1 });
   ask({ after: 2, closedThrough: firstWindow - 1 });
   expect(ask().tables).toHaveLength(2);
@@ -64,14 +64,14 @@
 
 it('says how much it drops that nobody has heard', () => {
   const { counter, time, ask, logged } = createScene();
-  counter.began('a');
-  counter.began('b');
+  counter.recordStart('a');
+  counter.recordStart('b');
   ask({ after: 0 });
   ask({ after: 2 });
-  counter.began('b');
+  counter.recordStart('b');
   ask({ after: 2, closedThrough: firstWindow });
   expect(logged).toEqual([{ event: 3502, fields: { router: 'r:1', window: firstWindow, count: 1 } }]);
-  counter.began('b');
+  counter.recordStart('b');
   time.now += windowLength;
   ask({ after: 3, closedThrough: firstWindow });
   expect(logged).toHaveLength(2);
@@ -81,7 +81,7 @@
 it('keeps a bounded number of windows when nobody asks', () => {
   const { counter, time, logged } = createScene(4);
   for (let i = 0; i < 100; i += 1) {
-    counter.began('a');
+    counter.recordStart('a');
     time.now += windowLength;
   }
   expect(counter.windows()).toEqual([96, 97, 98, 99].map((i) => firstWindow + i));
@@ -97,7 +97,7 @@
   for (let i = 0; i < seconds; i += 1) {
     for (let j = 0; j < 6 || (j === 6 && random() < 0.43); j += 1) {
       time.now += 150;
-      counter.began(`tenant-${Math.floor(random() * 200)}`);
+      counter.recordStart(`tenant-${Math.floor(random() * 200)}`);
     }
     time.now = start + (i + 1) * 1000;
     const question = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
--- a/packages/usage/src/usage-counter.ts
+++ b/packages/usage/src/usage-counter.ts
@@ -17,13 +17,13 @@
   /** True time in milliseconds since 1970. */
   readonly trueTime: () => number;
   /** As many windows are kept, the newest ones, when nobody says which are fixed. */
-  readonly keptWindows?: number;
+  readonly maxWindows?: number;
 }
 
 /** A router's side of the reports of usage. */
 export interface UsageCounter {
   /** A request of this tenant has begun to run. */
-  readonly began: (tenant: string) => void;
+  readonly recordStart: (tenant: string) => void;
   /** What has changed since the asker heard last; it drops the windows that the ask says are fixed. */
   readonly answer: (ask: MessageOf<'UsageAsk'>) => MessageOf<'UsageTold'>;
   /** The windows that are kept. */
@@ -54,7 +54,7 @@
 /** Makes a counter that has counted nothing. */
 export function createUsageCounter(world: Pick<World, 'log'>, options: UsageCounterOptions): UsageCounter {
   const state: CounterState = { tables: new Map(), sequence: 0, closedThrough: 0 };
-  const keptWindows = options.keptWindows ?? defaultKeptWindows;
+  const keptWindows = options.maxWindows ?? defaultKeptWindows;
 
   function drop(window: number): void {
     const count = unheard(state.tables.get(window)!);
@@ -93,7 +93,7 @@
     };
   }
 
-  return { began, answer, windows: () => [...state.tables.keys()] };
+  return { recordStart: began, answer, windows: () => [...state.tables.keys()] };
 }
 
 function countIn(state: CounterState, window: number, tenant: string): void {
--- a/packages/usage/src/usage-duty.test.ts
+++ b/packages/usage/src/usage-duty.test.ts
@@ -26,7 +26,7 @@
     self: 'c1:1' as Address,
     windowLength,
     reportDelay: 10_000,
-    reserve: 4000,
+    reportingMargin: 4000,
     routers: () => [router],
     wallClock: now,
     hasTerm: () => state.hasTerm,
--- a/packages/usage/src/usage-duty.ts
+++ b/packages/usage/src/usage-duty.ts
@@ -2,10 +2,10 @@
 import type { Duty, DutyRecord, PlannedCall } from '@tansypost/duty-log';
 import type { Message, World } from '@tansypost/inner-protocol';
 import { createUsageCollector, type UsageCollectorOptions } from './usage-collector.js';
-import { usageContentText, type UsageContent } from './usage-content.js';
+import { encodeUsageContent, type UsageContent } from './usage-content.js';
 
 /** What the duty is told when it is made. */
-export interface UsageDutyOptions extends Omit<UsageCollectorOptions, 'isHolder' | 'closedThrough'> {
+export interface UsageDutyOptions extends Omit<UsageCollectorOptions, 'isLeader' | 'closedThrough'> {
   /** Whether this node has the term of this duty. */
   readonly hasTerm: () => boolean;
 }
@@ -28,17 +28,17 @@
   let hasRead = false;
   const collector = createUsageCollector(world, {
     ...options,
-    isHolder: () => hasRead && options.hasTerm(),
+    isLeader: () => hasRead && options.hasTerm(),
     closedThrough: () => closedThrough,
   });
 
   function plan(record: DutyRecord): readonly PlannedCall[] {
     hasRead = true;
     closedThrough = lastWindow(record) ?? closedThrough;
-    return collector.due().map((content) => ({ subject, content: usageContentText(content) }));
+    return collector.readyWindows().map((content) => ({ subject, content: encodeUsageContent(content) }));
   }
 
-  return { name: usageDutyName, mayOvertake: false, plan, receive: collector.receive, stop: collector.stop };
+  return { name: usageDutyName, maySupersede: false, plan, receive: collector.receive, stop: collector.stop };
 }
 
 /** The last window whose content stands in the record, open or reported. */
--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -8,7 +8,7 @@
 import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
 import { createFleetClock } from './fleet-clock.js';
 import { createUsageCollector, type UsageCollector } from './usage-collector.js';
-import { usageContentText, type UsageContent } from './usage-content.js';
+import { encodeUsageContent, type UsageContent } from './usage-content.js';
 import { createUsageCounter, type UsageCounter } from './usage-counter.js';
 
 const startOfClocks = 1_790_000_001_234;
@@ -106,7 +106,7 @@
         if (net.blocked(node, name)) continue;
         const askedAt = world.now();
         const wall = wallOf(node) + random();
-        world.after(micros(400 + random() * 2000), () => clock.told(node, wall, askedAt, world.now()));
+        world.after(micros(400 + random() * 2000), () => clock.addSample(node, wall, askedAt, world.now()));
       }
       world.after(micros(beatsEvery), askTimes);
     }
@@ -187,24 +187,24 @@
       self: `${name}:1` as Address,
       windowLength,
       reportDelay,
-      reserve,
+      reportingMargin: reserve,
       routers: followers,
       wallClock: () => wallOf(name),
-      isHolder: () => holder === index,
+      isLeader: () => holder === index,
       isStandby: () => isCollecting(index),
       closedThrough: () => record.closed,
     });
     const given = new Map<number, string>();
     function look(): void {
-      const due = collector.due();
+      const due = collector.readyWindows();
       for (const content of due) {
-        const text = usageContentText(content);
+        const text = encodeUsageContent(content);
         if ((given.get(content.window) ?? text) !== text) breaches.push('a content that has changed');
         given.set(content.window, text);
       }
       const { version } = record;
       if (due.length > 0) world.after(micros(writeTakes), () => write(index, version, due[0]!));
-      most.windows = Math.max(most.windows, collector.kept().windows.length);
+      most.windows = Math.max(most.windows, collector.retained().windows.length);
       world.after(micros(lookEvery), look);
     }
     look();
@@ -227,7 +227,7 @@
       const began = { window: Math.floor(trueTime() / windowLength), tenant: drawTenant() };
       const counts = truth.get(began.window) ?? new Map<string, number>();
       truth.set(began.window, counts.set(began.tenant, (counts.get(began.tenant) ?? 0) + 1));
-      router.counter.began(began.tenant);
+      router.counter.recordStart(began.tenant);
       router.counted.push(began);
     }
     engine.at(engine.now() + (-Math.log(1 - random()) * 1_000_000) / rate, begin);
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -97,7 +97,7 @@
         if (!alive.has(target)) return;
         if (message.kind === 'Ballot')
           voters[target]!.ballot(message, (vote) => send(target)(message.from as Address, vote));
-        if (message.kind === 'BallotVote') recoveries[target]!.vote(message);
+        if (message.kind === 'BallotVote') recoveries[target]!.handleVote(message);
       });
     };
   }
@@ -144,7 +144,7 @@
       workers: listed,
       services: () => scene.served.map((service) => ({ name: service, switchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
-      workerOrders: {
+      workerClient: {
         report: async ({ id }) => {
           const entry = workers.get(id);
           if (entry === undefined || !scene.reachable() || scene.silent.has(id)) return undefined;
@@ -154,7 +154,7 @@
           alive.has(node) ? take({ at: clock.world.now(), worker: to.id, holder, fence, stage }) : 'unknown',
       },
       leaseDuration,
-      betweenHolders,
+      minTakeoverGap: betweenHolders,
     });
   }
   function readStored(): StoredVersion {
--- a/packages/worker-stages/src/decode-recovery.ts
+++ b/packages/worker-stages/src/decode-recovery.ts
@@ -11,8 +11,8 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { createDecodeSilence, type DecodeSilence } from './decode-silence.js';
 import { createOrderedWorkers, type OrderedWorkers } from './ordered-workers.js';
-import { orderRecordKey, readOrderRecord, withOrder, type OrderRecord } from './order-record.js';
-import type { WorkerOrders, WorkerReport } from './ports.js';
+import { orderRecordKey, decodeOrderRecord, appendOrder, type OrderRecord } from './order-record.js';
+import type { WorkerStageClient, WorkerReport } from './ports.js';
 import { createRecoveryNeeds, type RecoveryNeeds } from './recovery-needs.js';
 import { workersOf, type ServiceWorkers } from './recovery-plan.js';
 
@@ -34,17 +34,17 @@
   readonly services: () => readonly ServedService[];
   /** The value of `orderRecordKey`. */
   readonly record: StoredValue;
-  readonly workerOrders: WorkerOrders;
+  readonly workerClient: WorkerStageClient;
   /** The lease of the role; the same for all candidates and voters. */
   readonly leaseDuration: number;
   /** What must lie between orders of two holders to one worker. */
-  readonly betweenHolders: number;
+  readonly minTakeoverGap: number;
 }
 
 /** The recovery at one control node. */
 export interface DecodeRecovery {
   /** Takes in a voter's answer. */
-  readonly vote: (answer: MessageOf<'BallotVote'>) => void;
+  readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly stop: Cancel;
 }
 
@@ -80,7 +80,7 @@
     workers: options.workers,
     served,
     isAsker: () => options.controlNode()?.rank() === 0,
-    report: options.workerOrders.report,
+    report: options.workerClient.report,
   });
   const needs = createRecoveryNeeds(world, { workers: silence.answeringWorkers, served, rank, ordered });
   const candidate = createCandidate(world, {
@@ -96,7 +96,7 @@
     won: () => undefined,
     lost: () => undefined,
   });
-  const least = options.betweenHolders + orderOnItsWay;
+  const least = options.minTakeoverGap + orderOnItsWay;
   function served(): string[] {
     return options.services().map((service) => service.name);
   }
@@ -108,7 +108,7 @@
   }
   const stopLooking = startLooking({ world, options, needs, silence, ordered, mayOrder });
   return {
-    vote: candidate.vote,
+    handleVote: candidate.vote,
     stop: () => {
       stopLooking();
       candidate.stop();
@@ -146,7 +146,7 @@
 function noteOwnCopy({ options, ordered }: Context): void {
   const row = options.controlNode()?.replica.row(orderRecordKey);
   if (row === undefined || ordered.knows(row.version)) return;
-  const record = readOrderRecord(row.value);
+  const record = decodeOrderRecord(row.value);
   if (E.isRight(record)) ordered.noteRecord(row.version, record.right);
 }
 
@@ -155,7 +155,7 @@
   const { world, options, needs, silence, ordered } = context;
   const stored = await options.record.read();
   if (stored === undefined) return;
-  const record = readOrderRecord(stored.value);
+  const record = decodeOrderRecord(stored.value);
   if (E.isLeft(record)) return world.log(4106, { why: record.left });
   ordered.noteRecord(stored.version, record.right);
   const workers = workersOf(silence.answeringWorkers(), service);
@@ -165,7 +165,10 @@
 }
 
 /** Where a worker decodes already, it was made to: more follow only when it has been seen to run requests. */
-async function isProven({ workerOrders }: DecodeRecoveryOptions, { decode }: ServiceWorkers): Promise<boolean> {
+async function isProven(
+  { workerClient: workerOrders }: DecodeRecoveryOptions,
+  { decode }: ServiceWorkers,
+): Promise<boolean> {
   if (decode.length === 0) return true;
   const reports = await Promise.all(decode.slice(0, mostAsked).map(workerOrders.report));
   return reports.some((report) => report !== undefined && report.stage === 'decode' && report.load > 0);
@@ -178,7 +181,7 @@
 ): Promise<ChosenWorker | undefined> {
   const free = prefill.filter((worker) => !ordered.isWaitedFor(worker.id) && !ordered.isPassedOver(worker.id));
   const asked = free.slice(0, mostAsked);
-  const reports = await Promise.all(asked.map(options.workerOrders.report));
+  const reports = await Promise.all(asked.map(options.workerClient.report));
   const answered: ChosenWorker[] = [];
   let isChanging = false;
   for (const [index, worker] of asked.entries()) {
@@ -201,12 +204,12 @@
 ): Promise<void> {
   const { member: holder } = options;
   const stage = 'decode';
-  const next = withOrder(record, { worker: worker.id, service: worker.service, stage, holder });
+  const next = appendOrder(record, { worker: worker.id, service: worker.service, stage, holder });
   const fence = await options.record.write(version, next.bytes);
   if (fence === undefined || !mayOrder()) return;
   ordered.noteRecord(fence, next.record);
   const { ordersTaken } = report;
-  const outcome = await options.workerOrders.order({ worker, stage, holder, fence, ordersTaken });
+  const outcome = await options.workerClient.order({ worker, stage, holder, fence, ordersTaken });
   world.log(4103, { service: worker.service, worker: worker.id, stage, fence, outcome });
   ordered.noteOutcome(worker.id, outcome);
 }
--- a/packages/worker-stages/src/decode-silence.ts
+++ b/packages/worker-stages/src/decode-silence.ts
@@ -6,7 +6,7 @@
  */
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { World } from '@tansypost/inner-protocol';
-import type { WorkerOrders } from './ports.js';
+import type { WorkerStageClient } from './ports.js';
 import { workersOf } from './recovery-plan.js';
 
 /** Where the workers are found, and how they are asked. */
@@ -17,7 +17,7 @@
   readonly served: () => readonly string[];
   /** Whether this node is the one that asks. */
   readonly isAsker: () => boolean;
-  readonly report: WorkerOrders['report'];
+  readonly report: WorkerStageClient['report'];
 }
 
 /** The silence of decode workers, as one control node sees it. */
@@ -116,7 +116,7 @@
 
 async function ask(
   world: Clock,
-  report: WorkerOrders['report'],
+  report: WorkerStageClient['report'],
   watch: Watch,
   decode: readonly ListedWorker[],
 ): Promise<void> {
--- a/packages/worker-stages/src/order-record.ts
+++ b/packages/worker-stages/src/order-record.ts
@@ -10,16 +10,16 @@
 /** The key of the record. */
 export const orderRecordKey = 'stages/orders';
 
-const GivenOrder = Type.Object({
+const RecordedOrder = Type.Object({
   worker: Type.String(),
   service: Type.String(),
   stage: Type.Union([Type.Literal('prefill'), Type.Literal('decode')]),
   holder: Type.String(),
 });
-const OrderRecord = Type.Object({ orders: Type.Array(GivenOrder) });
+const OrderRecord = Type.Object({ orders: Type.Array(RecordedOrder) });
 
 /** An order that was written down, and then given. */
-export type GivenOrder = Static<typeof GivenOrder>;
+export type RecordedOrder = Static<typeof RecordedOrder>;
 /** The newest orders, the oldest first. */
 export type OrderRecord = Static<typeof OrderRecord>;
 
@@ -27,7 +27,7 @@
 const mostKept = 256;
 
 /** The record in bytes of the control state; no bytes are a record without orders. Left: it cannot be read. */
-export function readOrderRecord(value: Buffer): E.Either<string, OrderRecord> {
+export function decodeOrderRecord(value: Buffer): E.Either<string, OrderRecord> {
   if (value.length === 0) return E.right({ orders: [] });
   try {
     const parsed: unknown = JSON.parse(value.toString('utf8'));
@@ -38,7 +38,7 @@
 }
 
 /** The record with one more order, and its bytes. */
-export function withOrder(record: OrderRecord, order: GivenOrder): { record: OrderRecord; bytes: Buffer } {
+export function appendOrder(record: OrderRecord, order: RecordedOrder): { record: OrderRecord; bytes: Buffer } {
   const next = { orders: [...record.orders, order].slice(-mostKept) };
   return { record: next, bytes: Buffer.from(JSON.stringify(next)) };
 }
--- a/packages/worker-stages/src/ports.ts
+++ b/packages/worker-stages/src/ports.ts
@@ -34,7 +34,7 @@
 export type OrderOutcome = 'accepted' | 'holds' | 'busy' | 'fenced' | 'other' | 'refused' | 'unknown';
 
 /** The way to workers. */
-export interface WorkerOrders {
+export interface WorkerStageClient {
   /** Undefined where no answer came in time. */
   readonly report: (worker: ListedWorker) => Promise<WorkerReport | undefined>;
   readonly order: (order: StageOrder) => Promise<OrderOutcome>;
--- a/packages/worker-stages/src/recovery-needs.ts
+++ b/packages/worker-stages/src/recovery-needs.ts
@@ -2,7 +2,7 @@
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { World } from '@tansypost/inner-protocol';
 import type { OrderedWorkers } from './ordered-workers.js';
-import { decodeMissing, servicesMissingDecode, workersOf } from './recovery-plan.js';
+import { missingDecodeWorkers, servicesMissingDecode, workersOf } from './recovery-plan.js';
 
 /** Where the needs are read from. */
 export interface RecoveryNeedsOptions {
@@ -47,7 +47,7 @@
   const { ordered } = options;
 
   function missing(service: string): number {
-    return decodeMissing(workersOf(options.workers(), service), ordered.recovered());
+    return missingDecodeWorkers(workersOf(options.workers(), service), ordered.recovered());
   }
 
   function isMissing(service: string): boolean {
--- a/packages/worker-stages/src/recovery-plan.test.ts
+++ b/packages/worker-stages/src/recovery-plan.test.ts
@@ -2,7 +2,7 @@
 import { expect, it } from 'vitest';
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { Stage } from './ports.js';
-import { decodeMissing, servicesMissingDecode, workersOf } from './recovery-plan.js';
+import { missingDecodeWorkers, servicesMissingDecode, workersOf } from './recovery-plan.js';
 
 function workers(part: Stage, count: number, leaving = false, service = 's'): ListedWorker[] {
   return Array.from({ length: count }, (_, i) => {
@@ -28,14 +28,14 @@
   (row) => {
     const list = [...workers('prefill', row.prefill), ...workers('decode', row.decode)];
     const known = row.recovered ? allDecode : new Set<string>();
-    expect(decodeMissing(workersOf(list, 's'), known)).toBe(row.missing);
+    expect(missingDecodeWorkers(workersOf(list, 's'), known)).toBe(row.missing);
   },
 );
 
 it('counts those that leave for neither stage, and looks at each service by itself', () => {
   const list = [...workers('prefill', 2), ...workers('decode', 1, true), ...workers('decode', 1, false, 'other')];
   expect(workersOf(list, 's')).toMatchObject({ decode: [], leavingDecode: 1 });
-  expect(decodeMissing(workersOf(list, 's'), new Set())).toBe(1);
+  expect(missingDecodeWorkers(workersOf(list, 's'), new Set())).toBe(1);
   expect(servicesMissingDecode(list, new Set())).toEqual(['s']);
-  expect(decodeMissing(workersOf(workers('prefill', 2, true), 's'), new Set())).toBe(0);
+  expect(missingDecodeWorkers(workersOf(workers('prefill', 2, true), 's'), new Set())).toBe(0);
 });
--- a/packages/worker-stages/src/recovery-plan.ts
+++ b/packages/worker-stages/src/recovery-plan.ts
@@ -43,7 +43,7 @@
 }
 
 /** How many prefill workers have to become decode workers now; `recovered` are those that were made so before. */
-export function decodeMissing({ prefill, decode }: ServiceWorkers, recovered: ReadonlySet<string>): number {
+export function missingDecodeWorkers({ prefill, decode }: ServiceWorkers, recovered: ReadonlySet<string>): number {
   if (prefill.length === 0) return 0;
   if (decode.length === 0) return 1;
   if (decode.some((worker) => !recovered.has(worker.id))) return 0;
