--- a/packages/control-state/src/discovery-bootstrap.test.ts
+++ b/packages/control-state/src/discovery-bootstrap.test.ts
@@ -1,12 +1,12 @@
 import { expect, it } from 'vitest';
-import type { Address, FoundingCandidate, MessageOf } from '@tansypost/inner-protocol';
+import type { Address, BootstrapCandidate, MessageOf } from '@tansypost/inner-protocol';
 import { createDiscoveryBootstrap } from './discovery-bootstrap.js';
 
 const seeds = ['s:1', 't:1', 'u:1'] as Address[];
 const [a, b, c, d] = ['a', 'b', 'c', 'd'].map((name) => ({ address: `${name}:1`, disk: `disk ${name}` }));
 
 function founding(
-  self: FoundingCandidate,
+  self: BootstrapCandidate,
   over: { mayBootstrap?: boolean; minMembers?: number; maxMembers?: number } = {},
 ) {
   const { address, disk } = self;
@@ -16,13 +16,13 @@
 
 function roster(
   from: Address,
-  candidates: readonly FoundingCandidate[],
+  candidates: readonly BootstrapCandidate[],
   firstStart = true,
 ): MessageOf<'FoundingRoster'> {
   return { kind: 'FoundingRoster', from, firstStart, candidates: [...candidates] };
 }
 
-function view(teller: FoundingCandidate, candidates: readonly FoundingCandidate[]): MessageOf<'FoundingView'> {
+function view(teller: BootstrapCandidate, candidates: readonly BootstrapCandidate[]): MessageOf<'FoundingView'> {
   return { kind: 'FoundingView', from: teller.address, disk: teller.disk, candidates: [...candidates] };
 }
 
--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -11,7 +11,7 @@
  * bootstraps after a restart. `docs/design-notes.md` has the full argument. A candidate waits for what it cannot know
  * and never guesses.
  */
-import type { Address, FoundingCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
+import type { Address, BootstrapCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
 import { majorityOf } from './membership-record.js';
 
 type FoundingRoster = MessageOf<'FoundingRoster'>;
@@ -62,25 +62,25 @@
 /** Creates the discovery bootstrap of a machine, without any known candidates. */
 export function createDiscoveryBootstrap(options: DiscoveryBootstrapOptions): DiscoveryBootstrap {
   const seeds = [...options.seeds];
-  const knownCandidates = new Map<string, FoundingCandidate>();
+  const knownCandidates = new Map<string, BootstrapCandidate>();
   const statelessSeeds = new Set<string>();
   const listingSeeds = new Set<string>();
   const viewKeyByCandidate = new Map<string, string>();
 
-  function self(): FoundingCandidate {
+  function self(): BootstrapCandidate {
     return { address: options.self, disk: options.diskId() };
   }
 
-  function addCandidates(candidates: readonly FoundingCandidate[]): void {
+  function addCandidates(candidates: readonly BootstrapCandidate[]): void {
     for (const candidate of candidates) knownCandidates.set(candidateId(candidate), candidate);
   }
 
-  function allCandidates(): FoundingCandidate[] {
+  function allCandidates(): BootstrapCandidate[] {
     const all = new Map(knownCandidates).set(candidateId(self()), self());
     return [...all.values()].sort(byCandidateId);
   }
 
-  function otherCandidates(): FoundingCandidate[] {
+  function otherCandidates(): BootstrapCandidate[] {
     const own = candidateId(self());
     return allCandidates().filter((candidate) => candidateId(candidate) !== own);
   }
@@ -145,14 +145,14 @@
   return { receiveRoster, receiveView, members, greeting, waitsFor };
 }
 
-function candidateId({ address, disk }: FoundingCandidate): string {
+function candidateId({ address, disk }: BootstrapCandidate): string {
   return `${address} ${disk}`;
 }
 
-function byCandidateId(left: FoundingCandidate, right: FoundingCandidate): number {
+function byCandidateId(left: BootstrapCandidate, right: BootstrapCandidate): number {
   return candidateId(left) < candidateId(right) ? -1 : 1;
 }
 
-function viewKeyOf(candidates: readonly FoundingCandidate[]): string {
+function viewKeyOf(candidates: readonly BootstrapCandidate[]): string {
   return candidates.map(candidateId).sort().join('\n');
 }
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -2,7 +2,7 @@
  * The followers of this node: agents that subscribe to keys, and routers that follow one key. They receive committed
  * rows only, so two followers that receive the same version of a key receive the same bytes.
  */
-import { micros, type Address, type MessageOf, type NewsItem } from '@tansypost/inner-protocol';
+import { micros, type Address, type MessageOf, type KeyUpdate } from '@tansypost/inner-protocol';
 import { isLeasedToRouters, isInternalKey, type NodeContext } from './node-context.js';
 import type { CommittedRows } from './committed-rows.js';
 import type { RouterLeases } from './router-leases.js';
@@ -51,7 +51,7 @@
   const { world, replica } = node;
   const followers = new Map<Address, number>();
 
-  function sendUpdates(to: Address, updates: NewsItem[]): void {
+  function sendUpdates(to: Address, updates: KeyUpdate[]): void {
     const { membershipEpoch, replicas } = replica.membership();
     world.send(to, { kind: 'News', news: updates, membershipEpoch, replicas: [...replicas] });
   }
@@ -86,7 +86,7 @@
     const from = request.from as Address;
     if (replica.state() !== 'voting') return;
     followers.set(from, world.now() + followerTimeoutUs);
-    const updates: NewsItem[] = [];
+    const updates: KeyUpdate[] = [];
     for (const held of request.have) {
       const leader = node.leaderOf(held.key);
       if (!leader.isLeading() && options.shouldLead(held.key)) leader.acquire();
@@ -98,8 +98,8 @@
     sendUpdates(from, updates);
   }
 
-  function updatesOfOtherKeys(requestedKeys: ReadonlySet<string>): NewsItem[] {
-    const updates: NewsItem[] = [];
+  function updatesOfOtherKeys(requestedKeys: ReadonlySet<string>): KeyUpdate[] {
+    const updates: KeyUpdate[] = [];
     for (const [key, leader] of node.leaders()) {
       const isDue = !requestedKeys.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
       if (isDue) updates.push(updateOf(key, leader.row()));
@@ -114,6 +114,6 @@
   return { subscribe, follow, push, announceMembership };
 }
 
-function updateOf(key: string, row: Row): NewsItem {
+function updateOf(key: string, row: Row): KeyUpdate {
   return { key, epoch: row.epoch, version: row.version, value: row.value };
 }
--- a/packages/control-state/src/journal.ts
+++ b/packages/control-state/src/journal.ts
@@ -8,7 +8,7 @@
 import { crc32 } from 'node:zlib';
 import avsc from 'avsc';
 import * as E from 'fp-ts/lib/Either.js';
-import { DamagedFile, toSchema, type Of } from '@tansypost/inner-protocol';
+import { DamagedFileError, toSchema, type TypeOfShape } from '@tansypost/inner-protocol';
 
 const recordMagic = Buffer.from('TPJ1');
 const batchMagic = Buffer.from('TPJM');
@@ -24,7 +24,7 @@
   changes: ['string'],
 } as const;
 /** One record of the file. `kind` is `disk`, `state` or `row`; fields that the kind does not use are empty. */
-export type JournalRecord = Of<typeof recordShape>;
+export type JournalRecord = TypeOfShape<typeof recordShape>;
 
 const codecCache: { codec?: avsc.Type } = {};
 
@@ -107,7 +107,7 @@
   readonly tornBytes: number;
 }
 
-/** Reads a file. Left is `DamagedFile` if data that was synced is missing. */
+/** Reads a file. Left is `DamagedFileError` if data that was synced is missing. */
 export function readJournal(file: Buffer): E.Either<Error, JournalContents> {
   const records: JournalRecord[] = [];
   let offset = 0;
@@ -116,7 +116,7 @@
     if (entry === undefined) {
       if (hasIntactRecordAfter(file, offset)) {
         return E.left(
-          new DamagedFile(
+          new DamagedFileError(
             `The data file is damaged at byte ${offset} and intact records follow. It is not used; the replica copies from the others.`,
           ),
         );
@@ -133,7 +133,7 @@
 }
 
 function truncatedSnapshot(expected: number, found: number): Error {
-  return new DamagedFile(
+  return new DamagedFileError(
     `The snapshot in the data file is truncated: it has ${found} of ${expected} records. It is not used; the replica copies from the others.`,
   );
 }
--- a/packages/duty/src/candidate.ts
+++ b/packages/duty/src/candidate.ts
@@ -10,7 +10,7 @@
   every,
   micros,
   type Address,
-  type DutyMark,
+  type SingletonRoleEntry,
   type MessageOf,
   type Micros,
   type ReplicaEntry,
@@ -48,11 +48,11 @@
   /** The same, or undefined if the lease expires within `spanUs` without a renewal. */
   readonly heldEpochFor: (spanUs: number) => number | undefined;
   /** The current leader of the role, if known. */
-  readonly leader: () => DutyMark | undefined;
+  readonly leader: () => SingletonRoleEntry | undefined;
   /** Handles a voter's answer. */
   readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
   /** Records a leader that other members have reported. */
-  readonly observeLeader: (leader: DutyMark) => void;
+  readonly observeLeader: (leader: SingletonRoleEntry) => void;
   readonly stop: () => void;
 }
 
@@ -90,7 +90,7 @@
   leaseUntil: number;
   isHolding: boolean;
   /** Another member that leads the role, and when that was last known to be true. */
-  knownLeader: DutyMark | undefined;
+  knownLeader: SingletonRoleEntry | undefined;
   leaderKnownAt: number;
   election: Election | undefined;
   electionsCalled: number;
@@ -133,7 +133,7 @@
   return state.isHolding ? state.epoch : undefined;
 }
 
-function currentLeader(state: CandidateState, world: World, options: CandidateOptions): DutyMark | undefined {
+function currentLeader(state: CandidateState, world: World, options: CandidateOptions): SingletonRoleEntry | undefined {
   if (heldEpoch(state, world, options) !== undefined) {
     return { duty: options.role, holder: options.member, address: options.self, epoch: state.epoch };
   }
@@ -249,7 +249,12 @@
   options.onElected(state.epoch);
 }
 
-function recordLeader(state: CandidateState, world: World, options: CandidateOptions, leader: DutyMark): void {
+function recordLeader(
+  state: CandidateState,
+  world: World,
+  options: CandidateOptions,
+  leader: SingletonRoleEntry,
+): void {
   if (leader.duty !== options.role || leader.holder === options.member) return;
   if (leader.epoch < (state.knownLeader?.epoch ?? 0)) return;
   state.highestEpochSeen = Math.max(state.highestEpochSeen, leader.epoch);
