--- a/packages/control-state/src/bootstrap-wait-report.ts
+++ b/packages/control-state/src/bootstrap-wait-report.ts
@@ -8,12 +8,12 @@
 const logIntervalUs = 30_000_000;
 
 /** Checks once per second until the returned function is called. */
-export function reportBootstrapWait(world: World, replica: Pick<Replica, 'waitsFor'>): () => void {
+export function reportBootstrapWait(world: World, replica: Pick<Replica, 'bootstrapWait'>): () => void {
   let notWaitingAt = world.now();
   let loggedAt = -Infinity;
 
   function check(): void {
-    const wait = replica.waitsFor();
+    const wait = replica.bootstrapWait();
     const now = world.now();
     if (wait === undefined) {
       notWaitingAt = now;
--- a/packages/control-state/src/catch-up.ts
+++ b/packages/control-state/src/catch-up.ts
@@ -58,7 +58,9 @@
 const rowOverheadBytes = 64;
 const requestTimeoutUs = 150_000;
 const retryDelayUs = 50_000;
+/** How often a learner copies again from a source that it has copied completely. */
 const learnerRefreshUs = 250_000;
+/** How recent a complete copy must be for a replica to count as caught up. */
 const caughtUpWindowUs = 3_000_000;
 
 /** Creates the catch-up of a replica; it sends no request before the first tick. */
--- a/packages/control-state/src/change-history.test.ts
+++ b/packages/control-state/src/change-history.test.ts
@@ -1,9 +1,9 @@
-/** The history of changes: what it finds, keeps and drops, and its form in the journal. */
+/** The change history: lookup, retention, and its journal format. */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
 import { createChangeHistory, decodeChange, encodeChange } from './change-history.js';
 
-it('finds a change by its id up to the version asked for, and forgets only what is older than it keeps', () => {
+it('finds a change by its id up to the given version, and forgets only changes beyond its retention', () => {
   const history = createChangeHistory(100);
   for (let version = 1; version <= 250; version += 1) history.add({ id: `c${version}`, version, epoch: 16 });
   expect(history.versionOf('c250', 250)).toBe(250);
@@ -13,7 +13,7 @@
   expect(history.list()).toHaveLength(100);
 });
 
-it('keeps of two changes of one version that of the higher epoch, in whichever order they come', () => {
+it('keeps the change with the higher epoch of two changes of one version, whatever the order of arrival', () => {
   const chosen = { id: 'chosen', version: 5, epoch: 33 };
   const lost = { id: 'lost', version: 5, epoch: 16 };
   for (const order of [
@@ -27,7 +27,7 @@
   }
 });
 
-it('drops what was accepted above the newest chosen version', () => {
+it('drops changes that were accepted above the newest chosen version', () => {
   const history = createChangeHistory();
   for (let version = 1; version <= 4; version += 1) history.add({ id: `c${version}`, version, epoch: 16 });
   history.dropAbove(3);
@@ -36,7 +36,7 @@
   expect(history.versionOf('other', 4)).toBe(4);
 });
 
-it('comes back from the journal form, and reads the form without an epoch', () => {
+it('decodes what it encodes for the journal, and decodes the earlier format without an epoch', () => {
   fc.assert(
     fc.property(fc.string({ maxLength: 24 }), fc.nat(), fc.nat(), (id, version, epoch) => {
       expect(decodeChange(encodeChange({ id, version, epoch }))).toEqual({ id, version, epoch });
--- a/packages/control-state/src/claims.ts
+++ b/packages/control-state/src/claims.ts
@@ -73,7 +73,7 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('grants a claim once, accepts its repeat, tells others what is known, and restarts its age under a new leader', () => {
+  it('grants a claim once, accepts its repeat, answers others, and restarts its age under a new leader', () => {
     const first: ClaimOperation = { op: 'claim', key: 'k', holder: 'r1#1', request: 'q', ended: '' };
     const second: ClaimOperation = { ...first, holder: 'r2#1' };
     const claimed = applyClaimOperation(Buffer.alloc(0), 8, 0, first);
--- a/packages/control-state/src/control-node.ts
+++ b/packages/control-state/src/control-node.ts
@@ -33,7 +33,7 @@
 import { createServingLeases, renewalInterval } from './serving-lease.js';
 
 /** The settings of a control node. */
-export interface ControlNodeOptions extends Omit<ReplicaOptions, 'learned'> {
+export interface ControlNodeOptions extends Omit<ReplicaOptions, 'onCaughtUp'> {
   /** Duration of the leases that routers are granted. */
   readonly routerLeaseUs: number;
   /** Addresses that are sent the membership record periodically without a subscription. */
@@ -75,11 +75,12 @@
 const announceInterval = micros(1_000_000);
 const pruneInterval = micros(1_000_000);
 const defaultAntiEntropyIntervalUs = 500_000;
+/** How long a replica's membership record may be outdated before this node rewrites the newest one. */
 const maxBehindUs = 600_000;
 
 /** Starts a control node from the contents of its disk. */
 export function createControlNode(world: World, options: ControlNodeOptions): ControlNode {
-  const replica = createReplica(world, { ...options, onStateChange, learned: onLearned });
+  const replica = createReplica(world, { ...options, onStateChange, onCaughtUp });
   const rounds = createQuorumRounds({ ...world, send: sendFromSelf }, replica);
   const leaders = new Map<string, KeyLeader>();
   const node: NodeContext = { world, self: options.self, replica, rounds, leaderOf, leaders: () => leaders };
@@ -275,7 +276,7 @@
     if (state !== 'fenced') world.after(micros(0), sendHellos);
   }
 
-  function onLearned(): void {
+  function onCaughtUp(): void {
     world.after(micros(0), sendHellos);
   }
 
--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -54,9 +54,9 @@
   /** The members of the cluster once this machine may bootstrap it. */
   readonly members: () => readonly ReplicaEntry[] | undefined;
   /** The message to send to the other candidates; undefined if none is known, as when the seeds hold control state. */
-  readonly greeting: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
+  readonly viewMessage: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
   /** Undefined if this machine could bootstrap a cluster now. */
-  readonly waitsFor: () => BootstrapWait | undefined;
+  readonly bootstrapWait: () => BootstrapWait | undefined;
 }
 
 /** Creates the discovery bootstrap of a machine, without any known candidates. */
@@ -110,17 +110,17 @@
   }
 
   function members(): readonly ReplicaEntry[] | undefined {
-    return waitsFor() === undefined ? chooseMembers() : undefined;
+    return bootstrapWait() === undefined ? chooseMembers() : undefined;
   }
 
-  function greeting(): ReturnType<DiscoveryBootstrap['greeting']> {
+  function viewMessage(): ReturnType<DiscoveryBootstrap['viewMessage']> {
     const to = otherCandidates().map((candidate) => candidate.address as Address);
     if (to.length === 0) return undefined;
     const { address: from, disk } = self();
     return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: allCandidates() } };
   }
 
-  function waitsFor(): BootstrapWait | undefined {
+  function bootstrapWait(): BootstrapWait | undefined {
     if (!options.mayBootstrap) return { why: 'not the first start' };
     const unheardSeeds = seeds.filter((seed) => !statelessSeeds.has(seed));
     if (seeds.length === 0 || unheardSeeds.length > 0) return { why: 'seeds not heard', seeds: unheardSeeds };
@@ -142,7 +142,7 @@
     return { why: 'bootstrap members have not bootstrapped yet', machines: chosen.map((entry) => entry.address) };
   }
 
-  return { receiveRoster, receiveView, members, greeting, waitsFor };
+  return { receiveRoster, receiveView, members, viewMessage, bootstrapWait };
 }
 
 function candidateId({ address, disk }: BootstrapCandidate): string {
--- a/packages/control-state/src/disk.ts
+++ b/packages/control-state/src/disk.ts
@@ -7,7 +7,7 @@
 
 /** An append-only file that can be replaced atomically. */
 export interface Disk {
-  readonly append: (r: JournalRecord, done: (e?: Error) => void) => void;
-  readonly rewrite: (rs: readonly JournalRecord[], done: (e?: Error) => void) => void;
+  readonly append: (record: JournalRecord, done: (error?: Error) => void) => void;
+  readonly rewrite: (records: readonly JournalRecord[], done: (error?: Error) => void) => void;
   readonly size: () => number;
 }
--- a/packages/control-state/src/journal.test.ts
+++ b/packages/control-state/src/journal.test.ts
@@ -1,10 +1,10 @@
-/** The journal: what is cut, refused and taken. */
+/** The journal format: which files are truncated, rejected and accepted. */
 import * as E from 'fp-ts/lib/Either.js';
 import { expect, it } from 'vitest';
 import { encodeRecord, encodeSnapshot, joinRecords, readJournal, type JournalRecord } from './journal.js';
 
-function records(n: number): JournalRecord[] {
-  return Array.from({ length: n }, (_, i) => ({
+function records(count: number): JournalRecord[] {
+  return Array.from({ length: count }, (_, i) => ({
     kind: 'row',
     key: `k${i}`,
     promised: i,
@@ -14,45 +14,48 @@
     changes: [`c@${i}`],
   }));
 }
-function some(n: number): Buffer[] {
-  return records(n).map(encodeRecord);
+function encodedRecords(count: number): Buffer[] {
+  return records(count).map(encodeRecord);
 }
-it('cuts a tail torn at any byte and keeps all before it', () => {
-  const rs = some(3);
-  const two = Buffer.concat(rs.slice(0, 2));
-  for (let n = 0; n < rs[2]!.length; n += 1) {
-    const r = readJournal(Buffer.concat([two, rs[2]!.subarray(0, n)]));
-    expect(E.isRight(r) && [r.right.records.length, r.right.validBytes, r.right.tornBytes]).toEqual([2, two.length, n]);
+it('cuts off a last record that is torn at any byte, and keeps all records before it', () => {
+  const encoded = encodedRecords(3);
+  const firstTwo = Buffer.concat(encoded.slice(0, 2));
+  for (let n = 0; n < encoded[2]!.length; n += 1) {
+    const contents = readJournal(Buffer.concat([firstTwo, encoded[2]!.subarray(0, n)]));
+    expect(
+      E.isRight(contents) && [contents.right.records.length, contents.right.validBytes, contents.right.tornBytes],
+    ).toEqual([2, firstTwo.length, n]);
   }
 });
-it('refuses a file with any one byte of a middle record altered', () => {
-  const rs = some(3);
-  const all = Buffer.concat(rs);
-  for (let n = rs[0]!.length; n < rs[0]!.length + rs[1]!.length; n += 1) {
-    const b = Buffer.from(all);
-    b[n] = b[n]! ^ 0x5a;
-    expect(E.isLeft(readJournal(b))).toBe(true);
+it('rejects a file in which any byte of a middle record is corrupted', () => {
+  const encoded = encodedRecords(3);
+  const file = Buffer.concat(encoded);
+  for (let n = encoded[0]!.length; n < encoded[0]!.length + encoded[1]!.length; n += 1) {
+    const corrupted = Buffer.from(file);
+    corrupted[n] = corrupted[n]! ^ 0x5a;
+    expect(E.isLeft(readJournal(corrupted))).toBe(true);
   }
 });
-it('cuts records written together away as one, wherever they are torn', () => {
-  const rs = some(4);
-  const many = joinRecords(rs.slice(1));
-  const whole = readJournal(Buffer.concat([rs[0]!, many, rs[0]!]));
-  expect(E.isRight(whole) && whole.right.records.map((r) => r.key)).toEqual(['k0', 'k1', 'k2', 'k3', 'k0']);
-  for (let n = 0; n < many.length; n += 1) {
-    const torn = Buffer.from(many);
+it('cuts off records that were written together as a unit, wherever they are torn', () => {
+  const encoded = encodedRecords(4);
+  const batch = joinRecords(encoded.slice(1));
+  const whole = readJournal(Buffer.concat([encoded[0]!, batch, encoded[0]!]));
+  expect(E.isRight(whole) && whole.right.records.map((record) => record.key)).toEqual(['k0', 'k1', 'k2', 'k3', 'k0']);
+  for (let n = 0; n < batch.length; n += 1) {
+    const torn = Buffer.from(batch);
     torn.fill(0xee, n, Math.min(n + 8, torn.length));
-    const r = readJournal(Buffer.concat([rs[0]!, torn]));
-    expect(E.isRight(r) && [r.right.records.length, r.right.tornBytes]).toEqual([1, many.length]);
-    expect(E.isLeft(readJournal(Buffer.concat([rs[0]!, torn, rs[0]!])))).toBe(true);
+    const contents = readJournal(Buffer.concat([encoded[0]!, torn]));
+    expect(E.isRight(contents) && [contents.right.records.length, contents.right.tornBytes]).toEqual([1, batch.length]);
+    expect(E.isLeft(readJournal(Buffer.concat([encoded[0]!, torn, encoded[0]!])))).toBe(true);
   }
 });
-it('refuses a snapshot that was cut anywhere, and takes a whole one with what was appended to it', () => {
+it('rejects a snapshot truncated at any byte, and accepts a complete one followed by appended records', () => {
   const snapshot = encodeSnapshot(records(3));
-  const whole = readJournal(Buffer.concat([snapshot, some(1)[0]!]));
-  expect(E.isRight(whole) && whole.right.records.map((r) => r.key)).toEqual(['k0', 'k1', 'k2', 'k0']);
-  const headSize = encodeSnapshot([]).length;
-  const first = encodeSnapshot(records(3)).subarray(0, headSize);
-  expect(E.isRight(readJournal(first.subarray(0, headSize - 1)))).toBe(true);
-  for (let n = headSize; n < snapshot.length; n += 1) expect(E.isLeft(readJournal(snapshot.subarray(0, n)))).toBe(true);
+  const whole = readJournal(Buffer.concat([snapshot, encodedRecords(1)[0]!]));
+  expect(E.isRight(whole) && whole.right.records.map((record) => record.key)).toEqual(['k0', 'k1', 'k2', 'k0']);
+  const headerSize = encodeSnapshot([]).length;
+  const header = encodeSnapshot(records(3)).subarray(0, headerSize);
+  expect(E.isRight(readJournal(header.subarray(0, headerSize - 1)))).toBe(true);
+  for (let n = headerSize; n < snapshot.length; n += 1)
+    expect(E.isLeft(readJournal(snapshot.subarray(0, n)))).toBe(true);
 });
--- a/packages/control-state/src/membership-changes.ts
+++ b/packages/control-state/src/membership-changes.ts
@@ -52,9 +52,13 @@
   readonly isFirstStart: boolean;
 }
 
+/** A machine counts as a candidate for this long after its last join request. */
 const candidateTimeoutUs = 1_000_000;
+/** A candidate that was silent for this long counts as a new one when it asks again. */
 const candidateResetUs = 1_500_000;
+/** Any node may act on a candidate that has been asking for this long, in case the coordinator does not. */
 const coordinatorTimeoutUs = 1_500_000;
+/** Minimum and random jitter of the pause between two proposals of one node. */
 const minCooldownUs = 200_000;
 const cooldownJitterUs = 400_000;
 
@@ -110,7 +114,7 @@
     if (replicas.length % 2 === 0) return replicas.length < targetReplicas;
     const asking = [...candidates].filter(
       ([address, candidate]) =>
-        candidate.isFirstStart && isRecent(candidate) && !replicas.some((r) => r.address === address),
+        candidate.isFirstStart && isRecent(candidate) && !replicas.some((entry) => entry.address === address),
     );
     return asking.length > 1 && replicas.length < targetReplicas - 1;
   }
--- a/packages/control-state/src/peer-liveness.ts
+++ b/packages/control-state/src/peer-liveness.ts
@@ -54,7 +54,9 @@
 export const defaultMissingAfterUs = 1_500_000;
 const liveTimeoutUs = 1_000_000;
 const presenceTimeoutUs = 1_000_000;
+/** Listening time after which the set of live replicas counts as known even if no other replica was heard. */
 const settleDelayUs = 500_000;
+/** A gap of this length between two hellos of this node counts as a pause of its own. */
 const ownPauseUs = 900_000;
 const reconnectAfterUs = 1_000_000;
 
--- a/packages/control-state/src/quorum-round.ts
+++ b/packages/control-state/src/quorum-round.ts
@@ -44,6 +44,7 @@
 
 const defaultTimeoutUs = 1_500_000;
 const retransmitIntervalUs = 200_000;
+/** How long votes are still handled after a round was won. */
 const lateVoteWindowUs = 1_000_000;
 
 /** Creates the quorum rounds of a process. */
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -29,13 +29,13 @@
 export interface ReplicaStorageOptions {
   readonly disk: Disk;
   /** The records read from the journal when it was opened. */
-  readonly found: readonly JournalRecord[];
+  readonly storedRecords: readonly JournalRecord[];
   /** The id assigned to a disk that has none. */
   readonly newDiskId: string;
   /** Size of the journal above which it is compacted. */
   readonly compactAboveBytes?: number;
   /** Called once, when a write to the disk has failed. */
-  readonly failed: (error: Error) => void;
+  readonly onFailed: (error: Error) => void;
 }
 
 /** A row that was stored after a sequence number, with the changes stored after it. */
@@ -95,8 +95,8 @@
   let isCompacting = false;
   let hasFailed = false;
 
-  for (const record of options.found) load(record);
-  if (options.found.length === 0) append(identityRecord(), () => undefined);
+  for (const record of options.storedRecords) load(record);
+  if (options.storedRecords.length === 0) append(identityRecord(), () => undefined);
 
   function load(record: JournalRecord): void {
     if (record.kind === 'disk') diskId = record.key;
@@ -154,7 +154,7 @@
   function fail(error: Error): void {
     if (hasFailed) return;
     hasFailed = true;
-    options.failed(error);
+    options.onFailed(error);
   }
 
   function liveBytes(): number {
--- a/packages/control-state/src/replica.test.ts
+++ b/packages/control-state/src/replica.test.ts
@@ -1,12 +1,12 @@
-/** A replica on a disk in memory: rewriting of its file, and when it gives no vote. */
+/** A replica on an in-memory disk: compaction of its journal, and when it refuses to vote. */
 import { expect, it } from 'vitest';
 import { micros, type Address, type World } from '@tansypost/inner-protocol';
 import type { Disk } from './disk.js';
 import type { JournalRecord } from './journal.js';
 import { createReplica, type Replica } from './replica.js';
 
-/** Time stands still, and nobody else is there. */
-const w: World = {
+/** A world in which time stands still and no other process exists. */
+const world: World = {
   now: () => micros(0),
   random: () => 0.5,
   after: () => () => undefined,
@@ -14,35 +14,35 @@
   log: () => undefined,
 };
 
-it('rewrites its file when it gets long, and comes back from it with every row', () => {
+it('compacts its journal when it grows, and restarts from it with every row', () => {
   let file: JournalRecord[] = [];
   let rewrites = 0;
   const disk: Disk = {
-    append: (r, done) => {
-      file.push(r);
+    append: (record, done) => {
+      file.push(record);
       done();
     },
-    rewrite: (rs, done) => {
+    rewrite: (records, done) => {
       rewrites += 1;
-      file = [...rs];
+      file = [...records];
       done();
     },
     size: () => file.length * 400,
   };
   function open(): Replica {
-    return createReplica(w, {
+    return createReplica(world, {
       slot: 0,
       self: 'a' as Address,
       bootstrapMembers: [],
       disk,
-      found: [...file],
+      storedRecords: [...file],
       newDiskId: 'fresh',
       compactAboveBytes: 4000,
     });
   }
-  const a = open();
+  const replica = open();
   for (let n = 1; n <= 60; n += 1)
-    a.putRow(
+    replica.putRow(
       `k${n % 3}`,
       { promised: n, epoch: n, version: n, value: Buffer.from(`v${n}`) },
       [{ id: `c${n}`, version: n, epoch: n }],
@@ -50,18 +50,22 @@
     );
   expect(rewrites).toBeGreaterThan(2);
   expect(file.length).toBeLessThan(30);
-  const b = open();
-  expect(b.diskId()).toBe('fresh');
-  for (const k of ['k0', 'k1', 'k2']) {
-    expect(b.row(k)).toEqual(a.row(k));
-    expect(b.history(k).list()).toEqual(a.history(k).list());
-    expect(b.history(k).list()).toHaveLength(20);
+  const reopened = open();
+  expect(reopened.diskId()).toBe('fresh');
+  for (const key of ['k0', 'k1', 'k2']) {
+    expect(reopened.row(key)).toEqual(replica.row(key));
+    expect(reopened.history(key).list()).toEqual(replica.history(key).list());
+    expect(reopened.history(key).list()).toHaveLength(20);
   }
 });
 
-it('gives no vote to who knows an older core, to a lower epoch, or before it may vote', () => {
+it('refuses a vote for an older membership or a lower epoch, and before it is a voting member', () => {
   const file: JournalRecord[] = [];
-  const disk: Disk = { append: (r, done) => done(void file.push(r)), rewrite: (_r, done) => done(), size: () => 0 };
+  const disk: Disk = {
+    append: (record, done) => done(void file.push(record)),
+    rewrite: (_records, done) => done(),
+    size: () => 0,
+  };
   const replicas = ['a', 'b', 'c'].map((address, slot) => ({ slot, address, disk: `d${slot}` }));
   function record(kind: string, key: string, epoch: number, value = Buffer.alloc(0)): JournalRecord {
     return { kind, key, promised: epoch, epoch, version: epoch, value, changes: [] };
@@ -72,17 +76,17 @@
     record('row', 'core', 32, Buffer.from(JSON.stringify(replicas))),
     record('row', 'k', 17),
   ];
-  function accept(o: { membershipEpoch?: number; epoch?: number }, from = found): boolean {
-    const p = createReplica(w, {
+  function accept(overrides: { membershipEpoch?: number; epoch?: number }, from = found): boolean {
+    const replica = createReplica(world, {
       slot: undefined,
       self: 'a' as Address,
       bootstrapMembers: [],
       disk,
-      found: from,
+      storedRecords: from,
       newDiskId: 'x',
     });
     let ok = false;
-    p.vote(
+    replica.vote(
       {
         kind: 'Accept',
         id: '',
@@ -93,10 +97,10 @@
         version: 18,
         value: Buffer.from('v'),
         changes: [],
-        ...o,
+        ...overrides,
       },
-      (v) => {
-        ok = v.ok;
+      (vote) => {
+        ok = vote.ok;
       },
     );
     return ok;
@@ -108,8 +112,8 @@
   expect(accept({}, [record('disk', 'other', 0), ...found.slice(1)])).toBe(false);
 });
 
-it('votes after a loss of power between the record of the founding that names its disk and its state', () => {
-  const disk: Disk = { append: (_r, done) => done(), rewrite: (_r, done) => done(), size: () => 0 };
+it('votes after a power loss between writing the bootstrap membership record, which names its disk, and its state', () => {
+  const disk: Disk = { append: (_record, done) => done(), rewrite: (_r, done) => done(), size: () => 0 };
   function stateAfterStart(own: string, membershipEpoch: number): string {
     const members = ['a', 'b', 'c'].map((address, slot) => ({ slot, address, disk: `d${slot}` }));
     const value = Buffer.from(JSON.stringify({ format: 2, cluster: 'd0-d1-d2', replicas: members }));
@@ -118,12 +122,12 @@
       { kind: 'disk', key: own, promised: 0, epoch: 0, version: 0, value: Buffer.alloc(0), changes: [] },
       { kind: 'row', key: 'core', ...row, value, changes: [] },
     ];
-    const replica = createReplica(w, {
+    const replica = createReplica(world, {
       slot: undefined,
       self: 'a' as Address,
       bootstrapMembers: [],
       disk,
-      found,
+      storedRecords: found,
       newDiskId: 'x',
     });
     replica.tick();
@@ -131,6 +135,6 @@
   }
   expect(stateAfterStart('d0', 1)).toBe('voting');
   expect(stateAfterStart('other', 1)).toBe('blank');
-  // A later record may name a disk that has yet to copy what others have voted for.
+  // A later record may name a disk that has not yet copied what others have voted for.
   expect(stateAfterStart('d0', 18)).toBe('blank');
 });
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -31,7 +31,7 @@
 type ReplicaHello = MessageOf<'ReplicaHello'>;
 
 /** The settings of a replica. */
-export interface ReplicaOptions extends Omit<ReplicaStorageOptions, 'failed'> {
+export interface ReplicaOptions extends Omit<ReplicaStorageOptions, 'onFailed'> {
   /** Undefined if only the membership record determines which slot this disk has, if any. */
   readonly slot: number | undefined;
   /** Its slot in a cluster that it bootstraps, if no slot is configured. */
@@ -53,7 +53,7 @@
   /** Called whenever the state has changed. */
   readonly onStateChange?: (state: ReplicaState) => void;
   /** Called when a learner, which no membership record names yet, has copied enough to become a member. */
-  readonly learned?: () => void;
+  readonly onCaughtUp?: () => void;
 }
 
 /** One replica of the control cluster. */
@@ -94,11 +94,12 @@
   /** Handles the candidates that a seed or another candidate knows. */
   readonly receiveCandidates: (message: MessageOf<'FoundingRoster' | 'FoundingView'>) => void;
   /** The message to send to other candidates; undefined once this replica knows a cluster. */
-  readonly bootstrapView: DiscoveryBootstrap['greeting'];
+  readonly bootstrapView: DiscoveryBootstrap['viewMessage'];
   /** What this machine waits for before it holds a replica; undefined once it knows a cluster. */
-  readonly waitsFor: () => BootstrapWait | undefined;
+  readonly bootstrapWait: () => BootstrapWait | undefined;
 }
 
+/** A replica counts as voting for this long after its last hello. */
 const voterFreshnessUs = 2_000_000;
 /** Epoch of the membership record that a bootstrap writes; all later epochs are higher. */
 const bootstrapEpoch = 1;
@@ -107,7 +108,7 @@
 
 /** Starts a replica from the contents of its disk. */
 export function createReplica(world: World, options: ReplicaOptions): Replica {
-  const storage = createReplicaStorage(world, { ...options, failed });
+  const storage = createReplicaStorage(world, { ...options, onFailed });
   const diskId = storage.diskId;
   const lastHeardVoting = new Map<string, number>();
   const foreignAddresses = new Set<string>();
@@ -117,7 +118,7 @@
   let votingSince = 0;
   let leaving = false;
   let successor: string | undefined;
-  let reportedLearnedEpoch = 0;
+  let reportedCaughtUpEpoch = 0;
 
   const acceptor = createAcceptor({
     storage,
@@ -137,7 +138,7 @@
     onCopied: () => {
       if (state !== 'blank') return;
       if (isMember()) changeState('voting');
-      else reportLearned();
+      else reportCaughtUp();
     },
   });
   const seedBootstrap = createSeedBootstrap(world, {
@@ -160,10 +161,10 @@
     catchUp.restart();
   }
 
-  function reportLearned(): void {
-    if (reportedLearnedEpoch === membership.membershipEpoch) return;
-    reportedLearnedEpoch = membership.membershipEpoch;
-    options.learned?.();
+  function reportCaughtUp(): void {
+    if (reportedCaughtUpEpoch === membership.membershipEpoch) return;
+    reportedCaughtUpEpoch = membership.membershipEpoch;
+    options.onCaughtUp?.();
   }
 
   function currentSlot(): number {
@@ -177,7 +178,7 @@
     return membership.replicas.some((replica) => replica.disk === diskId());
   }
 
-  function failed(error: Error): void {
+  function onFailed(error: Error): void {
     world.log(2005, { why: error.message });
     state = 'failed';
     options.onStateChange?.(state);
@@ -298,7 +299,7 @@
   function bootstrapWait(): BootstrapWait | undefined {
     if (!knowsNoCluster()) return undefined;
     const isSeed = (options.initialSeeds ?? options.bootstrapMembers).includes(options.self);
-    if (!isSeed || options.mayBootstrap === false) return discoveryBootstrap.waitsFor();
+    if (!isSeed || options.mayBootstrap === false) return discoveryBootstrap.bootstrapWait();
     return { why: 'bootstrap members not heard', machines: seedBootstrap.unheardMembers() };
   }
 
@@ -375,8 +376,8 @@
     catchUp,
     tick,
     receiveCandidates,
-    bootstrapView: () => (knowsNoCluster() ? discoveryBootstrap.greeting() : undefined),
-    waitsFor: bootstrapWait,
+    bootstrapView: () => (knowsNoCluster() ? discoveryBootstrap.viewMessage() : undefined),
+    bootstrapWait,
   };
 }
 
--- a/packages/control-state/src/seed-bootstrap.test.ts
+++ b/packages/control-state/src/seed-bootstrap.test.ts
@@ -1,3 +1,4 @@
+/** Bootstrap of a cluster by its configured seeds. */
 import { expect, it } from 'vitest';
 import { micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 import { createSeedBootstrap } from './seed-bootstrap.js';
@@ -22,30 +23,30 @@
   };
 }
 
-function founding(founders: readonly Address[], mayBootstrap = true) {
+function createBootstrap(founders: readonly Address[], mayBootstrap = true) {
   return createSeedBootstrap(world, { self: self!, members: founders, mayBootstrap, diskId: () => 'disk 0' });
 }
 
-it('waits for all founders, but for those that have said that they hold no state', () => {
-  const three = founding([self!, second!, third!]);
+it('waits for all bootstrap members except those that have said that they hold no state', () => {
+  const three = createBootstrap([self!, second!, third!]);
   expect(three.receiveHello(blankHello(second!, 1), 0)).toBeUndefined();
   three.markStateless(third!);
   expect(three.receiveHello(blankHello(second!, 1), 0)?.map((member) => member.address)).toEqual([self, second]);
 });
 
-it('founds alone only where every other founder holds no state, and never where it may not begin', () => {
-  const three = founding([self!, second!, third!]);
+it('bootstraps alone only if all other members hold no state, and never if it may not bootstrap', () => {
+  const three = createBootstrap([self!, second!, third!]);
   three.markStateless(second!);
   expect(three.soleMember()).toBeUndefined();
   three.markStateless(third!);
   expect(three.soleMember()?.map((member) => member.address)).toEqual([self]);
-  const joining = founding([self!, second!], false);
+  const joining = createBootstrap([self!, second!], false);
   joining.markStateless(second!);
   expect(joining.soleMember()).toBeUndefined();
 });
 
-it('takes no word of a machine that is no founder, nor of itself', () => {
-  const two = founding([self!, second!]);
+it('ignores a report of no state about itself or about a machine that is not a bootstrap member', () => {
+  const two = createBootstrap([self!, second!]);
   two.markStateless(self!);
   two.markStateless('z:1' as Address);
   expect(two.soleMember()).toBeUndefined();
--- a/packages/control-state/src/seed-bootstrap.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -35,6 +35,7 @@
   readonly heardAt: number;
 }
 
+/** A hello counts as recent for this long. */
 const helloFreshnessUs = 2_000_000;
 
 /** Creates the seed bootstrap of a blank replica. */
--- a/packages/control-state/src/serving-lease.ts
+++ b/packages/control-state/src/serving-lease.ts
@@ -32,6 +32,7 @@
 export const renewalInterval: Micros = micros(300_000);
 /** Above any epoch in use, so that the vote of every replica counts whichever node leads the key. */
 const epochAboveAll = 2 ** 52;
+/** How long a lease is renewed after it was last requested. */
 const leaseRetentionUs = 10_000_000;
 const roundTimeoutUs = 500_000;
 
--- a/packages/duty/src/candidate.test.ts
+++ b/packages/duty/src/candidate.test.ts
@@ -1,4 +1,4 @@
-/** A candidate wins by a majority, holds its lease by the clock, and stands back from a holder it knows of. */
+/** A candidate wins by a majority, loses its lease by the clock, and calls no election while it knows a leader. */
 import { expect, it } from 'vitest';
 import {
   createVirtualClock,
@@ -88,7 +88,7 @@
   expect(scene.events).toEqual(['won 69']);
 });
 
-it('counts its lease from before it asked, renews it, and loses it by the clock', () => {
+it('counts its lease from before it requested the votes, renews it, and loses it by the clock', () => {
   const scene = createScene();
   scene.advance(leaseDuration / 6);
   scene.grant(0);
@@ -103,7 +103,7 @@
   expect(scene.events).toEqual(['won 69', 'lost']);
 });
 
-it('takes no lease from votes that arrive after it would have ended', () => {
+it('acquires no lease from votes that arrive after the lease would have expired', () => {
   const scene = createScene();
   scene.advance(leaseDuration / 6);
   scene.stopWanting();
@@ -114,7 +114,7 @@
   expect(scene.candidate.heldEpoch()).toBeUndefined();
 });
 
-it('calls no election while another is known to hold the role, and a higher epoch after that', () => {
+it('calls no election while another leader is known, and then calls one under a higher epoch', () => {
   const scene = createScene();
   scene.candidate.observeLeader({ duty: 'training', holder: 'b', address: 'b:1', epoch: 200 });
   scene.advance(leaseDuration - 1);
@@ -124,8 +124,11 @@
   expect(scene.ballots[0]!.epoch).toBe(256 + 5);
 });
 
-/** Four candidates with the shipped voters beside them; `delays` are those of messages, by sender and receiver. */
-async function electAmongFour(until: number, delayOf: (from: number, to: number) => number): Promise<string[]> {
+/**
+ * Runs four candidates with real voters beside them; `delayOf` gives the delay of messages, by sender and receiver.
+ * Returns the members that hold the role at the end.
+ */
+async function electAmongFour(untilUs: number, delayOf: (from: number, to: number) => number): Promise<string[]> {
   const clock = createVirtualClock({ random: createSeededRandom(1) });
   const replicas = [0, 1, 2, 3].map((slot) => ({ slot, address: `c${slot}:1`, disk: `disk${slot}` }));
   function after(from: number, to: number, run: () => void): void {
@@ -176,17 +179,17 @@
       },
     ),
   );
-  await clock.runTo(until);
+  await clock.runTo(untilUs);
   return candidates.flatMap((candidate, slot) => (candidate.heldEpoch() === undefined ? [] : [`m${slot}`]));
 }
 
-it('elects one after a split of the votes, which the losers let lapse', async () => {
-  function ownFirst(from: number, to: number): number {
+it('elects one leader after a split vote, because the losers let their votes expire', async () => {
+  function fastToSelf(from: number, to: number): number {
     return from === to ? 1000 : 5000;
   }
-  function inPairs(from: number, to: number): number {
+  function fastWithinPairs(from: number, to: number): number {
     return from >> 1 === to >> 1 ? 1000 + 500 * (from % 2) : 5000;
   }
-  expect(await electAmongFour(30_000_000, ownFirst)).toHaveLength(1);
-  expect(await electAmongFour(30_000_000, inPairs)).toHaveLength(1);
+  expect(await electAmongFour(30_000_000, fastToSelf)).toHaveLength(1);
+  expect(await electAmongFour(30_000_000, fastWithinPairs)).toHaveLength(1);
 });
--- a/packages/duty/src/voter.test.ts
+++ b/packages/duty/src/voter.test.ts
@@ -3,10 +3,10 @@
 import { micros, type MessageOf } from '@tansypost/inner-protocol';
 import { createVoter } from './voter.js';
 
-it('lends its vote to one at a time, and to that one again under a higher epoch only', () => {
+it('grants its vote to one candidate at a time, and to the same one again only under the same or a higher epoch', () => {
   let now = 10_000_000;
-  let kept = 0;
-  const v = createVoter(
+  let savedEpoch = 0;
+  const voter = createVoter(
     {
       now: () => micros(now),
       random: () => 0,
@@ -22,27 +22,28 @@
       membershipEpoch: () => 1,
       leaseDuration: 3_000_000,
       store: {
-        epoch: () => kept,
+        epoch: () => savedEpoch,
         save: (_duty, epoch, done) => {
-          kept = epoch;
+          savedEpoch = epoch;
           done(true);
         },
       },
     },
   );
   function ask(candidate: string, epoch: number, from = `${candidate}:1`): boolean {
-    const got: MessageOf<'BallotVote'>[] = [];
-    v.requestVote({ kind: 'Ballot', id: 'x', from, duty: 'training', candidate, epoch, membershipEpoch: 1 }, (x) =>
-      got.push(x),
+    const answers: MessageOf<'BallotVote'>[] = [];
+    voter.requestVote(
+      { kind: 'Ballot', id: 'x', from, duty: 'training', candidate, epoch, membershipEpoch: 1 },
+      (vote) => answers.push(vote),
     );
-    return got[0]!.granted;
+    return answers[0]!.granted;
   }
   expect(ask('a', 64)).toBe(true);
   expect(ask('b', 129)).toBe(false);
   expect(ask('a', 64)).toBe(true);
   expect(ask('a', 128)).toBe(true);
   expect(ask('a', 64)).toBe(false);
-  // Another process under that name waits like anybody else.
+  // Another process with the same member name waits like any other candidate.
   expect(ask('a', 192, 'c:1')).toBe(false);
   now += 3_000_000;
   expect(ask('b', 129)).toBe(true);
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/founding-schedules.ts
@@ -120,7 +120,7 @@
     if (candidate.record !== undefined) return;
     const { address: from, disk, first } = candidate;
     for (const seed of this.guides.keys()) this.send(from, seed, { kind: 'Join', from, disk, first, caughtUp: false });
-    const view = candidate.founding.greeting();
+    const view = candidate.founding.viewMessage();
     for (const to of view?.to ?? []) this.send(from, to, view!.message);
   }
 
--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -18,7 +18,7 @@
   readonly aside?: string;
   readonly close?: () => Promise<void>;
 }
-export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'found' | 'newDiskId'> {
+export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'storedRecords' | 'newDiskId'> {
   // `afresh` asks that what is found be written to a new file and synced before it is handed over.
   // `blank` asks that what is found be thrown away.
   readonly open: (afresh: boolean, blank: boolean) => Promise<E.Either<Error, OpenDisk>>;
@@ -60,7 +60,7 @@
       ...(blank ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
       reopened: afresh,
       disk: disk.disk,
-      found: disk.found,
+      storedRecords: disk.found,
       newDiskId: o.newDiskId(),
       onStateChange: (s) => {
         if (s === 'failed') w.after(micros(0), look);
