--- a/packages/control-state/src/journal.test.ts
+++ b/packages/control-state/src/journal.test.ts
@@ -39,8 +39,14 @@
 it('cuts off records that were written together as a unit, wherever they are torn', () => {
   const encoded = encodedRecords(4);
   const batch = joinRecords(encoded.slice(1));
-  const whole = readJournal(Buffer.concat([encoded[0]!, batch, encoded[0]!]));
-  expect(E.isRight(whole) && whole.right.records.map((record) => record.key)).toEqual(['k0', 'k1', 'k2', 'k3', 'k0']);
+  const complete = readJournal(Buffer.concat([encoded[0]!, batch, encoded[0]!]));
+  expect(E.isRight(complete) && complete.right.records.map((record) => record.key)).toEqual([
+    'k0',
+    'k1',
+    'k2',
+    'k3',
+    'k0',
+  ]);
   for (let n = 0; n < batch.length; n += 1) {
     const torn = Buffer.from(batch);
     torn.fill(0xee, n, Math.min(n + 8, torn.length));
@@ -51,8 +57,8 @@
 });
 it('rejects a snapshot truncated at any byte, and accepts a complete one followed by appended records', () => {
   const snapshot = encodeSnapshot(records(3));
-  const whole = readJournal(Buffer.concat([snapshot, encodedRecords(1)[0]!]));
-  expect(E.isRight(whole) && whole.right.records.map((record) => record.key)).toEqual(['k0', 'k1', 'k2', 'k0']);
+  const complete = readJournal(Buffer.concat([snapshot, encodedRecords(1)[0]!]));
+  expect(E.isRight(complete) && complete.right.records.map((record) => record.key)).toEqual(['k0', 'k1', 'k2', 'k0']);
   const headerSize = encodeSnapshot([]).length;
   const header = encodeSnapshot(records(3)).subarray(0, headerSize);
   expect(E.isRight(readJournal(header.subarray(0, headerSize - 1)))).toBe(true);
--- a/packages/control-state/src/seed-bootstrap.test.ts
+++ b/packages/control-state/src/seed-bootstrap.test.ts
@@ -23,8 +23,8 @@
   };
 }
 
-function createBootstrap(founders: readonly Address[], mayBootstrap = true) {
-  return createSeedBootstrap(world, { self: self!, members: founders, mayBootstrap, diskId: () => 'disk 0' });
+function createBootstrap(members: readonly Address[], mayBootstrap = true) {
+  return createSeedBootstrap(world, { self: self!, members, mayBootstrap, diskId: () => 'disk 0' });
 }
 
 it('waits for all bootstrap members except those that have said that they hold no state', () => {
