--- a/packages/pass-through/src/admission-attempts.test.ts
+++ b/packages/pass-through/src/admission-attempts.test.ts
@@ -2,8 +2,8 @@
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Micros } from '@tansypost/inner-protocol';
 import { digestOfKey, type RouteTable, type Tenant } from '@tansypost/paths';
-import { createRequestHandler } from './course.js';
-import type { IncomingRequest } from './incoming.js';
+import { createRequestHandler } from './request-handler.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { ResponseWriter, RunResult, ResponseSink } from './ports.js';
 
 const second = 1_000_000;
--- a/packages/pass-through/src/admission.ts
+++ b/packages/pass-through/src/admission.ts
@@ -4,27 +4,27 @@
  * are heads like any other.
  */
 import { createTenantDirectory, type Route, type Tenant, type TenantDirectory } from '@tansypost/paths';
-import type { IncomingRequest } from './incoming.js';
+import type { IncomingRequest } from './incoming-request.js';
 
 /** A request as it is given to workers, and its route with the priority that counts. */
 export interface Admitted {
   readonly request: IncomingRequest;
-  readonly path: Route;
+  readonly route: Route;
 }
 
 /** Admits requests by the newest tenants. */
 export interface Admission {
   /** Takes the tenants of a new route table; undefined where it asks for no keys. */
-  readonly replace: (tenants: readonly Tenant[] | undefined) => void;
+  readonly updateTenants: (tenants: readonly Tenant[] | undefined) => void;
   /** The request as workers get it; undefined where it may not be run. */
-  readonly admit: (request: IncomingRequest, path: Route) => Admitted | undefined;
+  readonly admit: (request: IncomingRequest, route: Route) => Admitted | undefined;
 }
 
 /** An admission that asks for no keys until it is told of tenants. */
 export function createAdmission(): Admission {
   let directory: TenantDirectory | undefined;
 
-  function replace(tenants: readonly Tenant[] | undefined): void {
+  function updateTenants(tenants: readonly Tenant[] | undefined): void {
     directory = tenants === undefined ? undefined : createTenantDirectory(tenants);
   }
 
@@ -32,17 +32,17 @@
     return request.keyDigest === undefined ? undefined : directory?.find(request.keyDigest);
   }
 
-  function admit(request: IncomingRequest, path: Route): Admitted | undefined {
-    if (directory === undefined) return { request, path };
+  function admit(request: IncomingRequest, route: Route): Admitted | undefined {
+    if (directory === undefined) return { request, route };
     const tenant = tenantOf(request);
-    if (tenant === undefined && path.public !== true) return undefined;
-    const withheld = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
-    return { request: withheld, path: withRank(path, tenant?.priority) };
+    if (tenant === undefined && route.public !== true) return undefined;
+    const withoutKey = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
+    return { request: withoutKey, route: withPriority(route, tenant?.priority) };
   }
 
-  return { replace, admit };
+  return { updateTenants, admit };
 }
 
-function withRank(path: Route, rank: number | undefined): Route {
-  return rank === undefined || rank === path.priority ? path : { ...path, priority: rank };
+function withPriority(route: Route, priority: number | undefined): Route {
+  return priority === undefined || priority === route.priority ? route : { ...route, priority };
 }
--- a/packages/pass-through/src/assign-pair.test.ts
+++ b/packages/pass-through/src/assign-worker-pair.test.ts
@@ -1,8 +1,8 @@
 import { expect, it } from 'vitest';
 import { placementDefaults } from '@tansypost/placement';
 import { seeded } from '@tansypost/inner-protocol';
-import { assignWorkerPair, defaultPairCosts, type WorkerPair, type PairCosts } from './assign-pair.js';
-import type { IncomingRequest } from './incoming.js';
+import { assignWorkerPair, defaultPairCosts, type WorkerPair, type PairCosts } from './assign-worker-pair.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { WorkerView } from './worker-fleet.js';
 
 const terms: PairCosts = {
--- a/packages/pass-through/src/assign-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -12,7 +12,7 @@
   type PromptFacts,
 } from '@tansypost/placement';
 import { hash32, rendezvous } from '@tansypost/inner-protocol';
-import type { IncomingRequest } from './incoming.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { FleetWorker, WorkerView } from './worker-fleet.js';
 
 export interface PairCosts {
--- a/packages/pass-through/src/attempt-abort.ts
+++ b/packages/pass-through/src/attempt-abort.ts
@@ -1,30 +1,30 @@
-/** Ends an attempt when its request's time is over, when the requester leaves, or when the worker is left. */
+/** Aborts an attempt when the deadline of its request passes, the client disconnects, or the worker is abandoned. */
 import { micros, type World } from '@tansypost/inner-protocol';
 import type { InFlightRequest } from './in-flight-request.js';
 
-/** Aborts one attempt; `end` takes back timer and listener. */
+/** Aborts one attempt; `dispose` removes the timer and the listener. */
 export interface AttemptAbort {
   readonly signal: AbortSignal;
   readonly abort: () => void;
-  readonly end: () => void;
+  readonly dispose: () => void;
 }
 
-/** Aborts at the limit of the request, and when its requester leaves. */
+/** Aborts at the deadline of the request, and when its client disconnects. */
 export function createAttemptAbort(world: World, inFlight: InFlightRequest): AttemptAbort {
   const controller = new AbortController();
   function abort(): void {
     controller.abort();
   }
-  const cancelLimit = world.after(micros(Math.max(0, inFlight.limit - world.now())), abort);
-  inFlight.gone.addEventListener('abort', abort, { once: true });
+  const cancelDeadline = world.after(micros(Math.max(0, inFlight.deadline - world.now())), abort);
+  inFlight.clientGone.addEventListener('abort', abort, { once: true });
   inFlight.abortAttempt = abort;
   return {
     signal: controller.signal,
     abort,
-    end: () => {
-      cancelLimit();
+    dispose: () => {
+      cancelDeadline();
       inFlight.abortAttempt = undefined;
-      inFlight.gone.removeEventListener('abort', abort);
+      inFlight.clientGone.removeEventListener('abort', abort);
     },
   };
 }
--- a/packages/pass-through/src/decision.ts
+++ b/packages/pass-through/src/decision.ts
@@ -32,7 +32,7 @@
 }
 
 /** The next step; of runs, `first` is the request's first send, and any later one is extra. */
-export type Step =
+export type NextStep =
   | { readonly step: 'stop' }
   | { readonly step: 'run'; readonly first: boolean }
   | { readonly step: 'resume' }
@@ -43,33 +43,33 @@
       readonly ran: 'no' | 'maybe';
     };
 
-function afterPossibleRun(again: boolean, { idempotent: repeatable, resumable }: RequestConditions): Step {
-  if ((repeatable || resumable) && again) return { step: 'run', first: false };
+function afterPossibleRun(mayRetry: boolean, { idempotent: repeatable, resumable }: RequestConditions): NextStep {
+  if ((repeatable || resumable) && mayRetry) return { step: 'run', first: false };
   return { step: 'giveUp', kind: 'outcome_unknown', ran: 'maybe' };
 }
 
 /** A key that was taken away is good for no further attempt. */
-function withoutKey({ ran }: AttemptHistory): Step {
+function afterKeyRevoked({ ran }: AttemptHistory): NextStep {
   return { step: 'giveUp', kind: ran === 'no' ? 'unknown_key' : 'outcome_unknown', ran };
 }
 
-function whileNothingRan(
-  again: boolean,
+function beforeAnyRun(
+  mayRetry: boolean,
   { attempts: sends }: AttemptHistory,
   { workerAvailable: workers }: RequestConditions,
-): Step {
+): NextStep {
   if (!workers) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
   if (sends === 0) return { step: 'run', first: true };
-  return again ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
+  return mayRetry ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
 }
 
 /** The only step that is allowed and useful now. */
-export function decideNextStep(ledger: AttemptHistory, facts: RequestConditions): Step {
-  if (facts.clientGone) return { step: 'stop' };
-  const again = facts.maxAttempts > ledger.attempts && facts.retryAllowed && facts.workerAvailable;
-  const mayResume = facts.remainingTime > 0 && facts.resumable && facts.admitted && again;
-  if (ledger.responseStarted) return { step: mayResume ? 'resume' : 'cut' };
-  if (facts.remainingTime <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: ledger.ran };
-  if (!facts.admitted) return withoutKey(ledger);
-  return ledger.ran === 'maybe' ? afterPossibleRun(again, facts) : whileNothingRan(again, ledger, facts);
+export function decideNextStep(history: AttemptHistory, conditions: RequestConditions): NextStep {
+  if (conditions.clientGone) return { step: 'stop' };
+  const mayRetry = conditions.maxAttempts > history.attempts && conditions.retryAllowed && conditions.workerAvailable;
+  const mayResume = conditions.remainingTime > 0 && conditions.resumable && conditions.admitted && mayRetry;
+  if (history.responseStarted) return { step: mayResume ? 'resume' : 'cut' };
+  if (conditions.remainingTime <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: history.ran };
+  if (!conditions.admitted) return afterKeyRevoked(history);
+  return history.ran === 'maybe' ? afterPossibleRun(mayRetry, conditions) : beforeAnyRun(mayRetry, history, conditions);
 }
--- a/packages/pass-through/src/graceful-shutdown.ts
+++ b/packages/pass-through/src/graceful-shutdown.ts
@@ -48,64 +48,64 @@
 }
 
 /** Until then the platform may not have seen that the router is not ready, and goes on sending it new connections. */
-const longestUnseen = 2_600_000;
+const maxReadinessLagMicros = 2_600_000;
 /** The part of the grace period that this takes at the most. */
-const unseenShare = 0.5;
+const maxReadinessLagShare = 0.5;
 /** So long before the end by force what has not begun is given up on, and the process ends by itself. */
-const giveUpMargin = 900_000;
-const endMargin = 400_000;
-const lookEvery = micros(100_000);
+const rejectMarginMicros = 900_000;
+const exitMarginMicros = 400_000;
+const drainCheckInterval = micros(100_000);
 /** Seconds; other routers serve now. */
-const retryAfter = 0.1;
+const retryAfterSeconds = 0.1;
 
-const leaving: Rejection = {
+const shuttingDown: Rejection = {
   kind: 'leaving',
   ran: 'no',
   reason: 'This router is about to end; ask again on a new connection.',
-  retryAfter,
+  retryAfterSeconds,
 };
 
 /** A stop that has not begun. */
 export function createGracefulShutdown(world: World, options: GracefulShutdownOptions): GracefulShutdown {
   const { gracePeriod } = options;
-  const unseen = Math.min(longestUnseen, gracePeriod * unseenShare);
+  const readinessLag = Math.min(maxReadinessLagMicros, gracePeriod * maxReadinessLagShare);
   const counts = { activeAtSignal: 0, taken: 0, refused: 0, onKeptConnections: 0, lastTakenAfter: 0 };
   let begunAt: number | undefined;
-  let refuses = false;
+  let refusing = false;
 
   function begin(): void {
     if (begunAt !== undefined) return;
     begunAt = world.now();
     counts.activeAtSignal = options.activeRequests();
     world.log(1002, { active: counts.activeAtSignal, graceMs: gracePeriod / 1000 });
-    world.after(micros(unseen), stopTaking);
-    world.after(micros(gracePeriod - giveUpMargin), options.rejectUnstarted);
+    world.after(micros(readinessLag), startRefusing);
+    world.after(micros(gracePeriod - rejectMarginMicros), options.rejectUnstarted);
   }
 
-  function stopTaking(): void {
-    refuses = true;
+  function startRefusing(): void {
+    refusing = true;
     options.closeIdleConnections();
-    look();
+    checkDrained();
   }
 
-  function look(): void {
+  function checkDrained(): void {
     const active = options.activeRequests();
-    if (active === 0 || sinceSignal() >= gracePeriod - endMargin) return end(active);
-    world.after(lookEvery, look);
+    if (active === 0 || sinceSignal() >= gracePeriod - exitMarginMicros) return exit(active);
+    world.after(drainCheckInterval, checkDrained);
   }
 
-  function end(cut: number): void {
+  function exit(cut: number): void {
     const report = { took: sinceSignal(), ...counts, cut };
     world.log(1003, { ...report });
     options.exit(report);
   }
 
-  function arrived(onKeptConnection: boolean): Rejection | undefined {
+  function checkArrival(onKeptConnection: boolean): Rejection | undefined {
     if (begunAt === undefined) return undefined;
     if (onKeptConnection) counts.onKeptConnections += 1;
-    if (refuses) {
+    if (refusing) {
       counts.refused += 1;
-      return leaving;
+      return shuttingDown;
     }
     counts.taken += 1;
     counts.lastTakenAfter = sinceSignal();
@@ -116,5 +116,5 @@
     return begunAt === undefined ? 0 : world.now() - begunAt;
   }
 
-  return { begin, hasBegun: () => begunAt !== undefined, checkArrival: arrived };
+  return { begin, hasBegun: () => begunAt !== undefined, checkArrival };
 }
--- a/packages/pass-through/src/course-context.ts
+++ b/packages/pass-through/src/handler-context.ts
@@ -2,10 +2,10 @@
 import type { World } from '@tansypost/inner-protocol';
 import { createPaces, createRadixTree, placementDefaults, type PlacementOptions } from '@tansypost/placement';
 import { createAdmission, type Admission } from './admission.js';
-import { createAnswerPatience, type AnswerPatience } from './answer-patience.js';
-import { defaultPairCosts } from './assign-pair.js';
+import { createResponseTimeouts, type ResponseTimeouts } from './response-timeouts.js';
+import { defaultPairCosts } from './assign-worker-pair.js';
 import type { Rejection, CohortAssignment, ResponseWriter, WorkerPort } from './ports.js';
-import { createRetryBudget, type RetryBudget, type RetryBudgetOptions } from './send-budget.js';
+import { createRetryBudget, type RetryBudget, type RetryBudgetOptions } from './retry-budget.js';
 import { createWorkerFleet, type WorkerFleet } from './worker-fleet.js';
 
 /** What a router knows of itself, and how it weighs workers. */
@@ -23,9 +23,9 @@
 export interface RequestHandlerPorts {
   readonly workers: WorkerPort;
   /** A read that takes so long was sent, or a send failed: others may want to know. */
-  readonly announceActivity?: (worker: string, service: number, bad?: boolean) => void;
+  readonly announceActivity?: (worker: string, serviceTime: number, failed?: boolean) => void;
   /** What a reader was chosen by, and how long it then took until the first piece. */
-  readonly recordSample?: (row: Float32Array, firstTime: number) => void;
+  readonly recordSample?: (features: Float32Array, timeToFirstChunk: number) => void;
   readonly assignCohort?: (request: string) => CohortAssignment;
   /** A worker has begun to run a request of this tenant: its first piece has come. Called once for each request. */
   readonly requestStarted?: (tenant: string) => void;
@@ -43,7 +43,7 @@
   readonly tree: ReturnType<typeof createRadixTree>;
   readonly retryBudget: RetryBudget;
   readonly admission: Admission;
-  readonly responseTimeouts: AnswerPatience;
+  readonly responseTimeouts: ResponseTimeouts;
   /** Counts an event by its name and gives how often it has happened. */
   readonly count: (event: string) => number;
   readonly counts: () => Record<string, number>;
@@ -59,9 +59,9 @@
   const counts = new Map<string, number>();
 
   function count(event: string): number {
-    const times = (counts.get(event) ?? 0) + 1;
-    counts.set(event, times);
-    return times;
+    const occurrences = (counts.get(event) ?? 0) + 1;
+    counts.set(event, occurrences);
+    return occurrences;
   }
 
   return {
@@ -75,14 +75,14 @@
     tree: createRadixTree(),
     retryBudget: createRetryBudget(world.now, options.retryBudget),
     admission: createAdmission(),
-    responseTimeouts: createAnswerPatience(),
+    responseTimeouts: createResponseTimeouts(),
     count,
     counts: () => Object.fromEntries([...counts].sort()),
   };
 }
 
 /** Answers that the request was given up on; what is given here reaches the requester at once. */
-export function reject(context: HandlerContext, reply: ResponseWriter, answer: Rejection): void {
-  context.count(`gave up: ${answer.kind}`);
-  reply.reject(answer);
+export function reject(context: HandlerContext, response: ResponseWriter, rejection: Rejection): void {
+  context.count(`gave up: ${rejection.kind}`);
+  response.reject(rejection);
 }
--- a/packages/pass-through/src/index.ts
+++ b/packages/pass-through/src/index.ts
@@ -1,11 +1,11 @@
-export * from './course.js';
-export type { RequestHandlerOptions, RequestHandlerPorts } from './course-context.js';
+export * from './request-handler.js';
+export type { RequestHandlerOptions, RequestHandlerPorts } from './handler-context.js';
 export * from './decision.js';
-export * from './events.js';
+export * from './sse-framer.js';
 export * from './graceful-shutdown.js';
-export * from './incoming.js';
-export type { RequestLogFields } from './loss-events.js';
+export * from './incoming-request.js';
+export type { RequestLogFields } from './request-log.js';
 export * from './ports.js';
-export * from './send-budget.js';
-export * from './assign-pair.js';
+export * from './retry-budget.js';
+export * from './assign-worker-pair.js';
 export * from './worker-fleet.js';
--- a/packages/pass-through/src/pair-choice.ts
+++ b/packages/pass-through/src/pair-selection.ts
@@ -1,56 +1,57 @@
 /** Which workers a request goes to next, chosen from the fleet's table and what was read where. */
-import { assignWorkerPair, promptBlocks, type WorkerPair, type PairCosts } from './assign-pair.js';
-import type { HandlerContext } from './course-context.js';
+import { assignWorkerPair, promptBlocks, type WorkerPair, type PairCosts } from './assign-worker-pair.js';
+import type { HandlerContext } from './handler-context.js';
 import type { InFlightRequest } from './in-flight-request.js';
 import type { FleetWorker } from './worker-fleet.js';
 
 /** What a worker read longer ago than this has given way to other prompts. */
-const keptFor = 10_000_000;
+const prefixCacheRetention = 10_000_000;
 /** So high that nothing is explored by it. */
-const noDraw = 0.999999;
+const noExplorationDraw = 0.999999;
 const bytesPerMebibyte = 1_048_576;
 
 /** The time to the first token of a run whose prompt was read elsewhere. */
-export const firstTimeFromMemory = 60_000;
+export const timeToFirstTokenFromKv = 60_000;
 
-function terms(context: HandlerContext, inFlight: InFlightRequest): PairCosts {
-  const { options, ports, pairCosts: pair, placement } = context;
+function pairCostsFor(context: HandlerContext, inFlight: InFlightRequest): PairCosts {
+  const { options, ports, pairCosts: defaults, placement } = context;
   return {
-    ...pair,
+    ...defaults,
     zone: options.zone,
     regionOf: options.regionOf,
     ...(ports.workers.hasIdleConnection === undefined ? {} : { hasIdleConnection: ports.workers.hasIdleConnection }),
-    targetLatency: inFlight.path.targetLatency,
+    targetLatency: inFlight.route.targetLatency,
     kvBytesPerToken: inFlight.service.kvBytesPerToken,
     linkMbps: inFlight.service.linkMbps,
     placement,
   };
 }
 
-function hitsOf(context: HandlerContext, inFlight: InFlightRequest): ReadonlyMap<string, number> {
-  return context.tree.hits(promptBlocks(inFlight.request), context.world.now() - keptFor);
+function prefixHits(context: HandlerContext, inFlight: InFlightRequest): ReadonlyMap<string, number> {
+  return context.tree.hits(promptBlocks(inFlight.request), context.world.now() - prefixCacheRetention);
 }
 
 /** The pair that costs least, without those in `tried`; without a reader where `aloneOnly`. */
 export function choosePair(
   context: HandlerContext,
   inFlight: InFlightRequest,
-  aloneOnly: boolean,
-  tried: ReadonlySet<string> = inFlight.tried,
+  localPrefillOnly: boolean,
+  excluded: ReadonlySet<string> = inFlight.triedWorkers,
   random: () => number = context.world.random,
 ): WorkerPair | undefined {
   const { fleet, world } = context;
   const service = inFlight.service.name;
-  const runners = fleet.candidates(service, 'decode', tried);
+  const decodeWorkers = fleet.candidates(service, 'decode', excluded);
   // Without a prompt there is nothing to read, and a reader would run the request instead.
-  const readers = aloneOnly || inFlight.request.promptTokens === 0 ? [] : fleet.candidates(service, 'prefill', tried);
+  const prefillWorkers =
+    localPrefillOnly || inFlight.request.promptTokens === 0 ? [] : fleet.candidates(service, 'prefill', excluded);
   return assignWorkerPair(
     inFlight.request,
-    readers,
-    runners,
-    hitsOf(context, inFlight),
-    inFlight.lot?.model,
-    terms(context, inFlight),
+    prefillWorkers,
+    decodeWorkers,
+    prefixHits(context, inFlight),
+    inFlight.cohort?.model,
+    pairCostsFor(context, inFlight),
     world.now,
     random,
   );
@@ -60,47 +61,48 @@
  * The runner for what `reader` has read. It is chosen anew after the read: a second may have passed, and one that left
  * meanwhile is no candidate.
  */
-export function chooseRunnerAfterRead(
+export function chooseDecodeWorker(
   context: HandlerContext,
   inFlight: InFlightRequest,
-  reader: FleetWorker,
+  prefillWorker: FleetWorker,
 ): WorkerPair | undefined {
   const { fleet, world } = context;
-  const runners = fleet.candidates(inFlight.service.name, 'decode', inFlight.tried);
-  const usual = terms(context, inFlight);
-  const moved = (inFlight.request.promptTokens * usual.kvBytesPerToken) / bytesPerMebibyte;
+  const decodeWorkers = fleet.candidates(inFlight.service.name, 'decode', inFlight.triedWorkers);
+  const costs = pairCostsFor(context, inFlight);
+  const kvMebibytes = (inFlight.request.promptTokens * costs.kvBytesPerToken) / bytesPerMebibyte;
   const pair = assignWorkerPair(
     // What was read moves whole, so only load and distance count here.
     { ...inFlight.request, promptTokens: 1, promptSegments: [] },
     [],
-    runners.map((view) => ({ ...view, queueDelay: view.queueDelay + 1 })),
-    hitsOf(context, inFlight),
+    decodeWorkers.map((view) => ({ ...view, queueDelay: view.queueDelay + 1 })),
+    prefixHits(context, inFlight),
     undefined,
     {
-      ...usual,
+      ...costs,
       recomputeCost: 0,
-      zone: reader.zone,
-      crossZoneCost: usual.crossZoneCost + moved * usual.kvTransferCost,
+      zone: prefillWorker.zone,
+      crossZoneCost: costs.crossZoneCost + kvMebibytes * costs.kvTransferCost,
     },
     world.now,
     world.random,
   );
   return pair === undefined
     ? undefined
-    : { ...pair, prefillWorker: reader, decodeWorkerTokens: 1, timeToFirstToken: firstTimeFromMemory };
+    : { ...pair, prefillWorker, decodeWorkerTokens: 1, timeToFirstToken: timeToFirstTokenFromKv };
 }
 
 /** A run at a worker that has the whole prompt; undefined where it is leaving, gone or silent. */
-export function pairWithHolder(context: HandlerContext, holder: FleetWorker): WorkerPair | undefined {
-  const runner = context.fleet.find(holder.id);
-  if (runner === undefined || runner.leaving || context.fleet.isUnresponsive(runner.id)) return undefined;
+export function pairWithSameWorker(context: HandlerContext, worker: FleetWorker): WorkerPair | undefined {
+  const decodeWorker = context.fleet.find(worker.id);
+  if (decodeWorker === undefined || decodeWorker.leaving || context.fleet.isUnresponsive(decodeWorker.id))
+    return undefined;
   return {
     prefillWorker: undefined,
-    decodeWorker: runner,
+    decodeWorker,
     prefillWorkerTokens: 0,
     decodeWorkerTokens: 1,
     prefillTime: 0,
-    timeToFirstToken: firstTimeFromMemory,
+    timeToFirstToken: timeToFirstTokenFromKv,
     serviceTime: 0,
     assignment: undefined,
   };
@@ -111,27 +113,37 @@
   context: HandlerContext,
   inFlight: InFlightRequest,
   worker: string,
-  aloneOnly: boolean,
+  localPrefillOnly: boolean,
 ): WorkerPair | undefined {
   const { fleet } = context;
-  const other = choosePair(context, inFlight, aloneOnly, new Set([...inFlight.tried, worker]), () => noDraw);
-  if (other === undefined || !fleet.isAvailable(other.decodeWorker.id)) return undefined;
-  return other.prefillWorker === undefined || fleet.isAvailable(other.prefillWorker.id) ? other : undefined;
+  const alternative = choosePair(
+    context,
+    inFlight,
+    localPrefillOnly,
+    new Set([...inFlight.triedWorkers, worker]),
+    () => noExplorationDraw,
+  );
+  if (alternative === undefined || !fleet.isAvailable(alternative.decodeWorker.id)) return undefined;
+  return alternative.prefillWorker === undefined || fleet.isAvailable(alternative.prefillWorker.id)
+    ? alternative
+    : undefined;
 }
 
 /**
  * Whether a worker that may still answer is left for another: an extra send is in the budget, and the worker has been
  * silent for as long as another one is expected to take, so that a wrong guess at most doubles the wait.
  */
-export function isWorthLeaving(
+export function isWorthAbandoning(
   context: HandlerContext,
   inFlight: InFlightRequest,
   worker: string,
   waited: number,
-  aloneOnly: boolean,
+  localPrefillOnly: boolean,
 ): boolean {
   if (!context.retryBudget.hasRoom(inFlight.service.name)) return false;
-  const other = alternativeTo(context, inFlight, worker, aloneOnly);
-  const left = inFlight.limit - context.world.now();
-  return other !== undefined && waited >= other.timeToFirstToken && left > other.timeToFirstToken;
+  const alternative = alternativeTo(context, inFlight, worker, localPrefillOnly);
+  const remainingTime = inFlight.deadline - context.world.now();
+  return (
+    alternative !== undefined && waited >= alternative.timeToFirstToken && remainingTime > alternative.timeToFirstToken
+  );
 }
--- a/packages/pass-through/src/ports.ts
+++ b/packages/pass-through/src/ports.ts
@@ -3,7 +3,7 @@
  * `unsent` are claimed only on proof that nothing ran: the worker said so, or no byte was sent.
  */
 import type { Model } from '@tansypost/placement';
-import type { IncomingRequest } from './incoming.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { FleetWorker } from './worker-fleet.js';
 
 export interface ResponseHead {
@@ -82,7 +82,7 @@
   readonly kind: RejectionKind;
   readonly ran: 'no' | 'maybe';
   readonly reason: string;
-  readonly retryAfter?: number;
+  readonly retryAfterSeconds?: number;
 }
 // What a request drew when it came: the model that serves it, and who is told how it ended. Times are microseconds, the
 // first piece's from arrival.
--- a/packages/pass-through/src/readiness.ts
+++ b/packages/pass-through/src/readiness.ts
@@ -11,31 +11,31 @@
  * The part of a route's aim for which a request may wait for a router that is starting. A refusal costs nothing within
  * a quarter of the aim; the rest is for the way to the requester.
  */
-const shareOfAim = 1 / 5;
+const maxTargetLatencyShare = 1 / 5;
 /** The wait, in microseconds, while the route and so its aim are unknown. */
-const routeUnknownWait = 150_000;
+const unknownRouteWaitMicros = 150_000;
 /** The wait is never longer than this part of what the requester waits. */
-const shareOfPatience = 1 / 4;
+const maxClientTimeoutShare = 1 / 4;
 
 /** Lets requests wait until the router is ready. */
 export interface Readiness {
   /** Routes or workers have become known: those who wait look again. */
-  readonly changed: () => void;
+  readonly notifyChanged: () => void;
   /** Ends when the router is ready, or the longest wait since `arrived` is over. */
-  readonly wait: (arrived: number, patience: number, aim: () => number | undefined) => Promise<void>;
+  readonly wait: (arrivedAt: number, clientTimeout: number, targetLatency: () => number | undefined) => Promise<void>;
 }
 
 /** Waits by the clock of `world` for `ready` to hold. */
 export function createReadiness(world: World, ready: () => boolean): Readiness {
   const waiting = new Set<() => void>();
 
-  function changed(): void {
-    for (const lookAgain of [...waiting]) lookAgain();
+  function notifyChanged(): void {
+    for (const recheck of [...waiting]) recheck();
   }
 
-  function changeWithin(longest: number): Promise<void> {
+  function waitForChange(maxWait: number): Promise<void> {
     return new Promise((done) => {
-      const cancel = world.after(micros(longest), end);
+      const cancel = world.after(micros(maxWait), end);
       function end(): void {
         cancel();
         if (waiting.delete(end)) done();
@@ -44,15 +44,22 @@
     });
   }
 
-  async function wait(arrived: number, patience: number, aim: () => number | undefined): Promise<void> {
+  async function wait(
+    arrivedAt: number,
+    clientTimeout: number,
+    targetLatency: () => number | undefined,
+  ): Promise<void> {
     while (!ready()) {
-      const known = aim();
-      const longest = Math.min(known === undefined ? routeUnknownWait : shareOfAim * known, shareOfPatience * patience);
-      const left = arrived + longest - world.now();
-      if (left <= 0) return;
-      await changeWithin(Math.ceil(left));
+      const routeTarget = targetLatency();
+      const maxWait = Math.min(
+        routeTarget === undefined ? unknownRouteWaitMicros : maxTargetLatencyShare * routeTarget,
+        maxClientTimeoutShare * clientTimeout,
+      );
+      const remaining = arrivedAt + maxWait - world.now();
+      if (remaining <= 0) return;
+      await waitForChange(Math.ceil(remaining));
     }
   }
 
-  return { changed, wait };
+  return { notifyChanged, wait };
 }
--- a/packages/pass-through/src/course.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -6,9 +6,9 @@
 import { expect, it } from 'vitest';
 import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
 import type { Route, RouteTable } from '@tansypost/paths';
-import type { defaultPairCosts } from './assign-pair.js';
-import { createRequestHandler, type RequestHandler } from './course.js';
-import type { IncomingRequest } from './incoming.js';
+import type { defaultPairCosts } from './assign-worker-pair.js';
+import { createRequestHandler, type RequestHandler } from './request-handler.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { Rejection, PrefillResult, ResponseWriter, RunResult, ResponseSink, WorkerPort } from './ports.js';
 import type { FleetWorker, ReportedLoad } from './worker-fleet.js';
 
@@ -495,7 +495,7 @@
         if (!path.resumable) expect(mayHaveRun.length).toBeLessThanOrEqual(1);
         if (typeof how === 'object') {
           if (mayHaveRun.length > 0) expect(how.ran).toBe('maybe');
-          if (how.ran === 'no') expect(how.retryAfter).toBeGreaterThan(0);
+          if (how.ran === 'no') expect(how.retryAfterSeconds).toBeGreaterThan(0);
         }
         if (how === 'failed') expect(x.ended!.status).toBe(statuses.get(x.ended!.seal!));
       },
--- a/packages/pass-through/src/course.ts
+++ b/packages/pass-through/src/request-handler.ts
@@ -13,40 +13,40 @@
   type HandlerContext,
   type RequestHandlerOptions,
   type RequestHandlerPorts,
-} from './course-context.js';
+} from './handler-context.js';
 import { createInFlightRequest, type InFlightRequest } from './in-flight-request.js';
-import type { IncomingRequest } from './incoming.js';
-import { logEnd } from './loss-events.js';
+import type { IncomingRequest } from './incoming-request.js';
+import { logRequestEnd } from './request-log.js';
 import type { CompletedRequest, Rejection, ResponseWriter } from './ports.js';
 import { createReadiness } from './readiness.js';
-import { createDecodeWatch } from './decode-watch.js';
+import { createDecodeAvailability } from './decode-availability.js';
 import type { FleetWorker, ReportedLoad } from './worker-fleet.js';
 
 /**
  * Seconds after which a router that was starting is asked again. By then it is ready even if all were killed; a requester
  * that comes back sooner may be refused again, and has no further try.
  */
-const retryAfterStart = 1.2;
-const retryWithoutService = 1;
+const retryAfterStartSeconds = 1.2;
+const retryWithoutServiceSeconds = 1;
 /** Workers shown in the figures: a line that is too long for the log's pipe is lost. */
-const mostShown = 16;
+const maxLoggedWorkers = 16;
 
 const routesUnknown: Rejection = {
   kind: 'not_ready',
   ran: 'no',
   reason: 'No paths are known here yet.',
-  retryAfter: retryAfterStart,
+  retryAfterSeconds: retryAfterStartSeconds,
 };
 const workersUnknown: Rejection = { ...routesUnknown, reason: 'No workers are known here yet.' };
-const noRoute: Rejection = { kind: 'unknown_path', ran: 'no', reason: 'No path has this host and prefix.' };
+const unknownRoute: Rejection = { kind: 'unknown_path', ran: 'no', reason: 'No path has this host and prefix.' };
 const unknownKey: Rejection = { kind: 'unknown_key', ran: 'no', reason: 'No tenant has this key.' };
 const noService: Rejection = {
   kind: 'no_workers',
   ran: 'no',
   reason: 'The path has no service.',
-  retryAfter: retryWithoutService,
+  retryAfterSeconds: retryWithoutServiceSeconds,
 };
-const unforeseen: Rejection = {
+const internalError: Rejection = {
   kind: 'outcome_unknown',
   ran: 'maybe',
   reason: 'Something unforeseen went wrong inside this router.',
@@ -54,11 +54,11 @@
 
 /** Serves requests, and takes in what the router is told of routes, workers and loads. */
 export interface RequestHandler {
-  readonly serve: (request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<void>;
+  readonly serve: (request: IncomingRequest, response: ResponseWriter, clientGone: AbortSignal) => Promise<void>;
   readonly updateRoutes: (table: RouteTable) => void;
   readonly updateWorkers: (list: readonly FleetWorker[]) => void;
   readonly updateLoad: (worker: string, load: ReportedLoad) => void;
-  readonly recordPeerActivity: (worker: string, service: number, bad: boolean) => void;
+  readonly recordPeerActivity: (worker: string, serviceTime: number, failed: boolean) => void;
   readonly isReady: () => boolean;
   readonly activeRequests: () => number;
   /** Gives up on all requests whose answers have not begun, as this router ends before they could. */
@@ -67,24 +67,32 @@
 }
 
 /** The routes and services of the newest table. */
-interface Routes {
+interface RoutingState {
   readonly matcher: RouteMatcher;
   readonly services: ReadonlyMap<string, Service>;
 }
 
 /** A service of the path, drawn by weight. */
-function pickService(path: Route, services: ReadonlyMap<string, Service>, random: () => number): Service | undefined {
-  const whole = path.weightedServices.reduce((sum, share) => sum + share.weight, 0);
-  let at = random() * whole;
-  for (const share of path.weightedServices) {
-    at -= share.weight;
-    if (at < 0) return services.get(share.service);
+function pickService(route: Route, services: ReadonlyMap<string, Service>, random: () => number): Service | undefined {
+  const totalWeight = route.weightedServices.reduce((sum, share) => sum + share.weight, 0);
+  let remaining = random() * totalWeight;
+  for (const share of route.weightedServices) {
+    remaining -= share.weight;
+    if (remaining < 0) return services.get(share.service);
   }
-  return services.get(path.weightedServices.find((share) => share.weight > 0)?.service ?? '');
+  return services.get(route.weightedServices.find((share) => share.weight > 0)?.service ?? '');
 }
 
-function answered(inFlight: InFlightRequest, now: number): CompletedRequest {
-  const { path, pieces, firstAt, arrived, limit, whole, gone } = inFlight;
+function completedRequest(inFlight: InFlightRequest, now: number): CompletedRequest {
+  const {
+    route: path,
+    chunkCount: pieces,
+    firstChunkAt: firstAt,
+    arrivedAt: arrived,
+    deadline: limit,
+    completed: whole,
+    clientGone: gone,
+  } = inFlight;
   return {
     route: path.name,
     end: whole ? 'whole' : gone.aborted ? 'left' : 'failed',
@@ -98,15 +106,15 @@
 async function serveRouted(
   context: HandlerContext,
   inFlights: Set<InFlightRequest>,
-  routes: Routes,
-  { request, path }: Admitted,
-  facts: Pick<InFlightRequest, 'received' | 'reply' | 'gone' | 'arrived'>,
+  routes: RoutingState,
+  { request, route: path }: Admitted,
+  arrival: Pick<InFlightRequest, 'receivedRequest' | 'response' | 'clientGone' | 'arrivedAt'>,
 ): Promise<void> {
   const service = pickService(path, routes.services, context.world.random);
-  if (service === undefined) return reject(context, facts.reply, noService);
-  const lot = context.ports.assignCohort?.(request.id);
-  const inFlight = createInFlightRequest({ ...facts, request, path, service, lot });
-  inFlight.timeline.parts.ready = context.world.now() - facts.arrived;
+  if (service === undefined) return reject(context, arrival.response, noService);
+  const cohort = context.ports.assignCohort?.(request.id);
+  const inFlight = createInFlightRequest({ ...arrival, request, route: path, service, cohort });
+  inFlight.timeline.parts.ready = context.world.now() - arrival.arrivedAt;
   context.retryBudget.recordRequest(service.name);
   inFlights.add(inFlight);
   try {
@@ -114,8 +122,8 @@
   } finally {
     inFlights.delete(inFlight);
   }
-  if (context.options.logRequests === true) logEnd(context, inFlight);
-  lot?.completed(answered(inFlight, context.world.now()));
+  if (context.options.logRequests === true) logRequestEnd(context, inFlight);
+  cohort?.completed(completedRequest(inFlight, context.world.now()));
 }
 
 /** A course that knows no routes and no workers yet. */
@@ -126,93 +134,102 @@
 ): RequestHandler {
   const context = createHandlerContext(world, options, ports);
   const { fleet, tree } = context;
-  let routes: Routes | undefined;
-  const decodeWatch = createDecodeWatch(world);
-  let listed: readonly FleetWorker[] | undefined;
+  let routes: RoutingState | undefined;
+  const decodeAvailability = createDecodeAvailability(world);
+  let workers: readonly FleetWorker[] | undefined;
   const inFlights = new Set<InFlightRequest>();
   let active = 0;
 
-  function ready(): boolean {
-    return routes !== undefined && listed !== undefined;
+  function isReady(): boolean {
+    return routes !== undefined && workers !== undefined;
   }
-  const readiness = createReadiness(world, ready);
+  const readiness = createReadiness(world, isReady);
 
-  function paths(table: RouteTable): void {
+  function updateRoutes(table: RouteTable): void {
     const services = new Map(table.services.map((service) => [service.name, service]));
     routes = { matcher: createRouteMatcher(table), services };
-    context.admission.replace(table.tenants);
-    changed();
+    context.admission.updateTenants(table.tenants);
+    onStateChanged();
   }
 
-  function workers(list: readonly FleetWorker[]): void {
-    listed = list;
-    for (const id of fleet.updateWorkers(list)) tree.forget(id);
-    changed();
+  function updateWorkers(workerList: readonly FleetWorker[]): void {
+    workers = workerList;
+    for (const id of fleet.updateWorkers(workerList)) tree.forget(id);
+    onStateChanged();
   }
 
-  function changed(): void {
-    readiness.changed();
-    if (routes !== undefined && listed !== undefined) decodeWatch.look(routes.services.keys(), listed);
+  function onStateChanged(): void {
+    readiness.notifyChanged();
+    if (routes !== undefined && workers !== undefined) decodeAvailability.check(routes.services.keys(), workers);
   }
 
   function routeOf(request: IncomingRequest): Route | undefined {
     return routes?.matcher.find(request.host, request.target);
   }
 
-  async function serveArrived(request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
-    const arrived = world.now();
-    await readiness.wait(arrived, request.timeout, () => routeOf(request)?.targetLatency);
-    if (gone.aborted) return void context.count('requester left');
-    if (routes === undefined) return reject(context, reply, routesUnknown);
-    const path = routeOf(request);
-    if (path === undefined) return reject(context, reply, noRoute);
-    const admitted = context.admission.admit(request, path);
-    if (admitted === undefined) return reject(context, reply, unknownKey);
-    if (listed === undefined) return reject(context, reply, workersUnknown);
-    await serveRouted(context, inFlights, routes, admitted, { received: request, reply, gone, arrived });
+  async function serveArrived(
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+  ): Promise<void> {
+    const arrivedAt = world.now();
+    await readiness.wait(arrivedAt, request.timeout, () => routeOf(request)?.targetLatency);
+    if (clientGone.aborted) return void context.count('requester left');
+    if (routes === undefined) return reject(context, response, routesUnknown);
+    const route = routeOf(request);
+    if (route === undefined) return reject(context, response, unknownRoute);
+    const admitted = context.admission.admit(request, route);
+    if (admitted === undefined) return reject(context, response, unknownKey);
+    if (workers === undefined) return reject(context, response, workersUnknown);
+    await serveRouted(context, inFlights, routes, admitted, {
+      receivedRequest: request,
+      response,
+      clientGone,
+      arrivedAt,
+    });
   }
 
-  async function serve(request: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
+  async function serve(request: IncomingRequest, response: ResponseWriter, clientGone: AbortSignal): Promise<void> {
     active += 1;
     try {
-      await serveArrived(request, reply, gone);
+      await serveArrived(request, response, clientGone);
     } catch (error) {
       const why = error instanceof Error ? (error.stack ?? error.message) : String(error);
       world.log(5105, { request: request.id, why });
-      reject(context, reply, unforeseen);
+      reject(context, response, internalError);
     } finally {
       active -= 1;
     }
   }
 
-  function giveUpUnbegun(): void {
+  function rejectUnstarted(): void {
     for (const inFlight of inFlights) {
-      if (inFlight.begun) continue;
-      inFlight.limit = world.now();
+      if (inFlight.responseStarted) continue;
+      inFlight.deadline = world.now();
       inFlight.abortAttempt?.();
     }
   }
 
-  function figures(): Record<string, unknown> {
+  function metrics(): Record<string, unknown> {
     const budget = context.retryBudget.totals();
     return {
       active,
       counts: context.counts(),
       budget,
-      listed: listed?.length ?? 0,
-      workers: fleet.summaries(mostShown),
+      workers: workers?.length ?? 0,
+      updateWorkers: fleet.summaries(maxLoggedWorkers),
     };
   }
 
   return {
     serve,
-    updateRoutes: paths,
-    updateWorkers: workers,
+    updateRoutes,
+    updateWorkers,
     updateLoad: fleet.updateLoad,
     recordPeerActivity: fleet.recordPeerActivity,
-    isReady: ready,
+    isReady,
     activeRequests: () => active,
-    rejectUnstarted: giveUpUnbegun,
-    metrics: figures,
+    rejectUnstarted,
+    metrics,
   };
 }
--- a/packages/pass-through/src/loss-events.ts
+++ b/packages/pass-through/src/request-log.ts
@@ -1,7 +1,7 @@
 /** Tells the operator's log of requests: how each ended, what its time went to, and where. */
-import type { HandlerContext } from './course-context.js';
+import type { HandlerContext } from './handler-context.js';
 import type { InFlightRequest } from './in-flight-request.js';
-import { causeOf, type RequestOutcome, type TimeParts } from './request-timeline.js';
+import { lossCauseOf, type RequestOutcome, type TimeParts } from './request-timeline.js';
 
 /** The fields of events 5101 and 5109, times in milliseconds. */
 export interface RequestLogFields {
@@ -26,19 +26,27 @@
 
 /** How a request ended; what is given up on without a promise that nothing ran counts apart from a refusal. */
 export function outcomeOf(inFlight: InFlightRequest, now: number): RequestOutcome {
-  const { path, refusal, whole, gone, arrived, firstAt, timeline } = inFlight;
+  const {
+    route: path,
+    rejection: refusal,
+    completed: whole,
+    clientGone: gone,
+    arrivedAt: arrived,
+    firstChunkAt: firstAt,
+    timeline,
+  } = inFlight;
   if (refusal !== undefined) return refusal.ran === 'no' ? 'refused' : 'given up';
-  if (!whole) return gone.aborted ? 'requester left' : inFlight.begun ? 'cut' : 'worker failed';
+  if (!whole) return gone.aborted ? 'requester left' : inFlight.responseStarted ? 'cut' : 'worker failed';
   const answeredAt = path.streaming ? firstAt : now;
   if (answeredAt - arrived > path.targetLatency) return 'late first piece';
-  return path.maxEventGap > 0 && timeline.longestPause > path.maxEventGap ? 'late later piece' : 'in time';
+  return path.maxEventGap > 0 && timeline.longestEventGap > path.maxEventGap ? 'late later piece' : 'in time';
 }
 
 function milliseconds(micros: number): number {
   return Math.round(micros / 1000);
 }
 
-function spent(parts: TimeParts): Partial<TimeParts> {
+function nonZeroParts(parts: TimeParts): Partial<TimeParts> {
   const above = Object.entries(parts).filter(([, time]) => time >= 500);
   return Object.fromEntries(above.map(([name, time]) => [name, milliseconds(time)]));
 }
@@ -48,22 +56,33 @@
 }
 
 /** Logs the request, which has just ended: as lost if it did not end in time, else as answered. */
-export function logEnd(context: HandlerContext, inFlight: InFlightRequest): void {
+export function logRequestEnd(context: HandlerContext, inFlight: InFlightRequest): void {
   const now = context.world.now();
   const outcome = outcomeOf(inFlight, now);
-  const { request, path, service, arrived, firstAt, pieces, timeline, reads, sends, workers } = inFlight;
+  const {
+    request,
+    route: path,
+    service,
+    arrivedAt: arrived,
+    firstChunkAt: firstAt,
+    chunkCount: pieces,
+    timeline,
+    prefillAttempts: reads,
+    attempts: sends,
+    workerIds: workers,
+  } = inFlight;
   const event: RequestLogFields = {
     request: request.id,
     path: path.name,
     service: service.name,
     outcome,
-    cause: causeOf(outcome, timeline),
+    cause: lossCauseOf(outcome, timeline),
     prompt: request.promptTokens,
     shared: sharedTokens(inFlight),
     firstMs: pieces === 0 ? -1 : milliseconds(firstAt - arrived),
     endMs: milliseconds(now - arrived),
     aimMs: milliseconds(path.targetLatency),
-    parts: spent(timeline.parts),
+    parts: nonZeroParts(timeline.parts),
     reads,
     sends,
     workers,
--- a/packages/pass-through/src/request-timeline.ts
+++ b/packages/pass-through/src/request-timeline.ts
@@ -40,7 +40,7 @@
 export interface RequestTimeline {
   readonly parts: TimeParts;
   /** The longest time between two pieces of the answer. */
-  longestPause: number;
+  longestEventGap: number;
 }
 
 /** A timeline on which nothing has been spent. */
@@ -56,21 +56,24 @@
       decodePrefill: 0,
       lostRun: 0,
     },
-    longestPause: 0,
+    longestEventGap: 0,
   };
 }
 
 /** Splits the time at a worker that read the prompt into the reading itself and the wait before it. */
-export function splitReading(took: number, serviceTime: number): { readonly queue: number; readonly reading: number } {
-  const reading = Math.min(took, serviceTime);
-  return { queue: took - reading, reading };
+export function splitPrefillTime(
+  took: number,
+  serviceTime: number,
+): { readonly queue: number; readonly prefill: number } {
+  const prefill = Math.min(took, serviceTime);
+  return { queue: took - prefill, prefill };
 }
 
 /** Parts that a larger prompt makes longer by itself; where one of them is the largest, the size is the cause. */
-const ownSize: readonly (keyof TimeParts)[] = ['prefill', 'decodePrefill'];
+const sizeDependentParts: readonly (keyof TimeParts)[] = ['prefill', 'decodePrefill'];
 
 /** The cause of a request that did not end in time. */
-export function causeOf(outcome: RequestOutcome, { parts }: RequestTimeline): LossCause {
+export function lossCauseOf(outcome: RequestOutcome, { parts }: RequestTimeline): LossCause {
   if (outcome === 'in time' || outcome === 'worker failed') return 'none';
   if (outcome === 'late later piece') return 'pause';
   const [largest, time] = Object.entries(parts).reduce((most, part) => (part[1] > most[1] ? part : most)) as [
@@ -78,5 +81,5 @@
     number,
   ];
   if (time === 0) return 'none';
-  return ownSize.includes(largest) ? 'size' : largest;
+  return sizeDependentParts.includes(largest) ? 'size' : largest;
 }
--- a/packages/pass-through/src/send-budget.test.ts
+++ b/packages/pass-through/src/retry-budget.test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from 'vitest';
-import { createRetryBudget, type RetryBudget } from './send-budget.js';
+import { createRetryBudget, type RetryBudget } from './retry-budget.js';
 
 it('stays within the fleet’s budget over every window, for seven routers that spend all they can', () => {
   let t = 0;
--- a/packages/pass-through/src/send-budget.ts
+++ b/packages/pass-through/src/retry-budget.ts
@@ -29,53 +29,53 @@
   extra: number;
 }
 
-const slotsOfWindow = 20;
+const slotsPerWindow = 20;
 /** The part of the allowance that is spent. */
-const caution = 0.7;
+const spendableShare = 0.7;
 /** Lives of this router that may begin within one window, beside the one before them. */
-const livesInWindow = 2;
+const maxRestartsPerWindow = 2;
 /** The part that is spent in the first window: former lives of this router may have spent the rest in the same window. */
-const cautionAtFirst = (1 - caution) / livesInWindow;
+const spendableShareAfterStart = (1 - spendableShare) / maxRestartsPerWindow;
 
 /** A budget of which nothing has been spent. */
-export function createRetryBudget(now: () => number, terms: RetryBudgetOptions): RetryBudget {
+export function createRetryBudget(now: () => number, options: RetryBudgetOptions): RetryBudget {
   const startedAt = now();
   const services = new Map<string, Slot[]>();
   const totals = { first: 0, extra: 0 };
 
-  function slotsOf(service: string): Slot[] {
+  function slotsFor(service: string): Slot[] {
     let slots = services.get(service);
     if (slots === undefined) services.set(service, (slots = []));
     return slots;
   }
 
   /** The slots of the last window, with the present one at the end. */
-  function recent(service: string): Slot[] {
-    const at = Math.floor((now() * slotsOfWindow) / terms.window);
-    const slots = slotsOf(service);
-    while (slots.length > 0 && slots[0]!.at <= at - slotsOfWindow - 1) slots.shift();
+  function recentSlots(service: string): Slot[] {
+    const at = Math.floor((now() * slotsPerWindow) / options.window);
+    const slots = slotsFor(service);
+    while (slots.length > 0 && slots[0]!.at <= at - slotsPerWindow - 1) slots.shift();
     if (slots.at(-1)?.at !== at) slots.push({ at, first: 0, extra: 0 });
     return slots;
   }
 
-  function room(service: string): boolean {
-    const slots = recent(service);
+  function hasRoom(service: string): boolean {
+    const slots = recentSlots(service);
     const first = slots.reduce((sum, slot) => sum + slot.first, 0);
     const extra = slots.reduce((sum, slot) => sum + slot.extra, 0);
-    const always = Math.max(1, Math.floor(terms.slack / Math.max(1, terms.routerCount())));
-    const mayFollowOther = terms.isFirstStart !== true && now() - startedAt < terms.window;
-    const part = mayFollowOther ? cautionAtFirst : caution;
-    return extra + 1 <= part * (terms.ratio * first + always);
+    const slack = Math.max(1, Math.floor(options.slack / Math.max(1, options.routerCount())));
+    const mayHavePredecessor = options.isFirstStart !== true && now() - startedAt < options.window;
+    const share = mayHavePredecessor ? spendableShareAfterStart : spendableShare;
+    return extra + 1 <= share * (options.ratio * first + slack);
   }
 
   function count(service: string, kind: 'first' | 'extra'): void {
     totals[kind] += 1;
-    recent(service).at(-1)![kind] += 1;
+    recentSlots(service).at(-1)![kind] += 1;
   }
 
   return {
     recordRequest: (service) => count(service, 'first'),
-    hasRoom: room,
+    hasRoom,
     recordRetry: (service) => count(service, 'extra'),
     totals: () => ({ ...totals }),
   };
--- a/packages/pass-through/src/run-under-way.ts
+++ b/packages/pass-through/src/run-attempt-state.ts
@@ -8,18 +8,18 @@
 /** A run under way, with what has been heard of it. */
 export interface RunAttempt {
   readonly inFlight: InFlightRequest;
-  readonly runner: FleetWorker;
+  readonly worker: FleetWorker;
   /** What was read for it elsewhere; undefined where it reads for itself. */
-  readonly memory: KvSource | undefined;
+  readonly kvSource: KvSource | undefined;
   readonly timing: AttemptTiming;
   /** How long the prompt takes to read where the runner reads for itself. */
   readonly serviceTime: number;
-  readonly begunAt: number;
+  readonly startedAt: number;
   readonly abort: AttemptAbort;
-  readonly under: AttemptTracker;
+  readonly tracker: AttemptTracker;
   /** Whether a piece has come, and when the worker was last heard. */
-  seen: boolean;
-  heardAt: number;
+  chunkReceived: boolean;
+  lastHeardAt: number;
   ended: boolean;
   overdue: boolean;
 }
--- a/packages/pass-through/src/run-attempt.ts
+++ b/packages/pass-through/src/run-attempt.ts
@@ -1,134 +1,154 @@
 /** One attempt to have a request run by a decode worker, whose stream is passed on as it comes. */
 import { micros } from '@tansypost/inner-protocol';
-import type { WorkerPair } from './assign-pair.js';
+import type { WorkerPair } from './assign-worker-pair.js';
 import { createAttemptAbort } from './attempt-abort.js';
-import { firstLookAtRun, longestPause, nextLookIn, runTiming } from './attempt-timing.js';
-import type { HandlerContext } from './course-context.js';
-import { createSseFramer } from './events.js';
-import { hasSendLeft, mayMove, type InFlightRequest } from './in-flight-request.js';
-import { alternativeTo, isWorthLeaving } from './pair-choice.js';
+import { firstRunCheckIn, maxStreamSilence, nextCheckIn, runTiming } from './attempt-timing.js';
+import type { HandlerContext } from './handler-context.js';
+import { createSseFramer } from './sse-framer.js';
+import { hasAttemptLeft, mayReassign, type InFlightRequest } from './in-flight-request.js';
+import { alternativeTo, isWorthAbandoning } from './pair-selection.js';
 import type { ResponseHead, KvSource, RunResult, ResponseSink, RunParameters } from './ports.js';
-import { splitReading } from './request-timeline.js';
+import { splitPrefillTime } from './request-timeline.js';
 import { finishRun } from './run-outcome.js';
-import type { RunAttempt } from './run-under-way.js';
+import type { RunAttempt } from './run-attempt-state.js';
 
 /** Where another available worker may take it up, one that has been silent for too long is left. */
-function watch(context: HandlerContext, attempt: RunAttempt): void {
-  const { inFlight, runner, timing, seen } = attempt;
-  if (attempt.ended || !mayMove(inFlight)) return;
-  const waited = context.world.now() - attempt.heardAt;
-  const mayLeave = hasSendLeft(inFlight);
-  const late = !seen && mayLeave && waited >= timing.overdueAfter;
-  attempt.overdue = late && isWorthLeaving(context, inFlight, runner.id, waited, true);
-  if (attempt.overdue || (mayLeave && isSilent(context, attempt, waited) && hasAlternative(context, attempt))) {
+function checkRun(context: HandlerContext, attempt: RunAttempt): void {
+  const { inFlight, worker, timing, chunkReceived } = attempt;
+  if (attempt.ended || !mayReassign(inFlight)) return;
+  const waited = context.world.now() - attempt.lastHeardAt;
+  const mayLeave = hasAttemptLeft(inFlight);
+  const late = !chunkReceived && mayLeave && waited >= timing.overdueAfter;
+  attempt.overdue = late && isWorthAbandoning(context, inFlight, worker.id, waited, true);
+  if (attempt.overdue || (mayLeave && isUnresponsive(context, attempt, waited) && hasAlternative(context, attempt))) {
     context.count(attempt.overdue ? 'left an overdue run' : 'left a silent worker');
     attempt.abort.abort();
   } else {
-    const next = nextLookIn(waited, seen ? longestPause(inFlight) : Math.min(timing.overdueAfter, timing.silentAfter));
-    context.world.after(micros(next), () => watch(context, attempt));
+    const interval = nextCheckIn(
+      waited,
+      chunkReceived ? maxStreamSilence(inFlight) : Math.min(timing.overdueAfter, timing.unresponsiveAfter),
+    );
+    context.world.after(micros(interval), () => checkRun(context, attempt));
   }
 }
 
-function isSilent(context: HandlerContext, attempt: RunAttempt, waited: number): boolean {
-  if (attempt.seen) return waited >= longestPause(attempt.inFlight);
-  return waited >= attempt.timing.silentAfter && context.fleet.isUnresponsive(attempt.runner.id);
+function isUnresponsive(context: HandlerContext, attempt: RunAttempt, waited: number): boolean {
+  if (attempt.chunkReceived) return waited >= maxStreamSilence(attempt.inFlight);
+  return waited >= attempt.timing.unresponsiveAfter && context.fleet.isUnresponsive(attempt.worker.id);
 }
 
-function hasAlternative(context: HandlerContext, { inFlight, runner }: RunAttempt): boolean {
+function hasAlternative(context: HandlerContext, { inFlight, worker }: RunAttempt): boolean {
   return (
     context.retryBudget.hasRoom(inFlight.service.name) &&
-    alternativeTo(context, inFlight, runner.id, true) !== undefined
+    alternativeTo(context, inFlight, worker.id, true) !== undefined
   );
 }
 
-function begin(
+function startRun(
   context: HandlerContext,
   inFlight: InFlightRequest,
   pair: WorkerPair,
-  memory: KvSource | undefined,
+  kvSource: KvSource | undefined,
 ): RunAttempt {
   const { world, fleet, ports } = context;
-  const { decodeWorker: runner } = pair;
-  const timing = runTiming(context, inFlight, pair, memory !== undefined);
-  const under = fleet.startAttempt(runner.id, 'run', pair.decodeWorkerTokens, timing.expected);
+  const { decodeWorker: worker } = pair;
+  const timing = runTiming(context, inFlight, pair, kvSource !== undefined);
+  const tracker = fleet.startAttempt(worker.id, 'run', pair.decodeWorkerTokens, timing.expected);
   const abort = createAttemptAbort(world, inFlight);
-  const begunAt = world.now();
-  const heard = { seen: false, heardAt: begunAt, ended: false, overdue: false };
+  const startedAt = world.now();
+  const initialState = { chunkReceived: false, lastHeardAt: startedAt, ended: false, overdue: false };
   const { serviceTime } = pair;
-  const attempt: RunAttempt = { inFlight, runner, memory, timing, serviceTime, begunAt, abort, under, ...heard };
-  if (mayMove(inFlight)) world.after(micros(firstLookAtRun(timing)), () => watch(context, attempt));
-  inFlight.sends += 1;
-  inFlight.workers.push(runner.id);
-  if (memory === undefined) ports.announceActivity?.(runner.id, pair.serviceTime);
-  context.count(memory === undefined ? 'run alone' : 'run from memory');
+  const attempt: RunAttempt = {
+    inFlight,
+    worker,
+    kvSource,
+    timing,
+    serviceTime,
+    startedAt,
+    abort,
+    tracker,
+    ...initialState,
+  };
+  if (mayReassign(inFlight)) world.after(micros(firstRunCheckIn(timing)), () => checkRun(context, attempt));
+  inFlight.attempts += 1;
+  inFlight.workerIds.push(worker.id);
+  if (kvSource === undefined) ports.announceActivity?.(worker.id, pair.serviceTime);
+  context.count(kvSource === undefined ? 'run alone' : 'run from memory');
   return attempt;
 }
 
-function runTerms({ inFlight, memory, timing, begunAt }: RunAttempt): RunParameters {
-  const asked = inFlight.request.lastEventId;
-  const lastEvent = inFlight.begun ? (inFlight.cutter?.lastEventId() ?? asked) : asked;
+function runParameters({ inFlight, kvSource, timing, startedAt }: RunAttempt): RunParameters {
+  const requestedEventId = inFlight.request.lastEventId;
+  const lastEventId = inFlight.responseStarted
+    ? (inFlight.framer?.lastEventId() ?? requestedEventId)
+    : requestedEventId;
   return {
-    remainingTime: inFlight.limit - begunAt,
+    remainingTime: inFlight.deadline - startedAt,
     urgency: timing.urgency,
-    ...(memory === undefined ? {} : { kvSource: memory }),
-    ...(lastEvent === undefined ? {} : { lastEventId: lastEvent }),
+    ...(kvSource === undefined ? {} : { kvSource }),
+    ...(lastEventId === undefined ? {} : { lastEventId }),
   };
 }
 
-function passHead(context: HandlerContext, attempt: RunAttempt, head: ResponseHead): void {
+function forwardHead(context: HandlerContext, attempt: RunAttempt, head: ResponseHead): void {
   const { inFlight } = attempt;
-  attempt.under.progress();
-  attempt.heardAt = context.world.now();
-  if (inFlight.begun) return;
-  inFlight.begun = true;
-  inFlight.cutter = inFlight.path.streaming ? createSseFramer(inFlight.request.lastEventId) : undefined;
-  inFlight.reply.head(head);
+  attempt.tracker.progress();
+  attempt.lastHeardAt = context.world.now();
+  if (inFlight.responseStarted) return;
+  inFlight.responseStarted = true;
+  inFlight.framer = inFlight.route.streaming ? createSseFramer(inFlight.request.lastEventId) : undefined;
+  inFlight.response.head(head);
 }
 
-function spentOnFirstPiece({ inFlight, memory, serviceTime }: RunAttempt, took: number): void {
+function recordTimeToFirstChunk({ inFlight, kvSource, serviceTime }: RunAttempt, took: number): void {
   const { parts } = inFlight.timeline;
-  if (memory !== undefined) {
+  if (kvSource !== undefined) {
     parts.move += took;
     return;
   }
-  const { queue, reading } = splitReading(took, serviceTime);
+  const { queue, prefill } = splitPrefillTime(took, serviceTime);
   parts.decodeQueue += queue;
-  parts.decodePrefill += reading;
+  parts.decodePrefill += prefill;
 }
 
 /** The first piece of a request, whichever of its attempts it came from: it has begun to run. */
-function heardFirstPiece(context: HandlerContext, { inFlight, heardAt }: RunAttempt): void {
-  inFlight.firstAt = heardAt;
+function recordFirstChunk(context: HandlerContext, { inFlight, lastHeardAt }: RunAttempt): void {
+  inFlight.firstChunkAt = lastHeardAt;
   const { tenant } = inFlight.request;
   if (tenant !== undefined) context.ports.requestStarted?.(tenant);
 }
 
 /** Notes that a piece has come, for the estimates of this attempt and of its reader. */
-function heardPiece(context: HandlerContext, attempt: RunAttempt): void {
+function recordChunk(context: HandlerContext, attempt: RunAttempt): void {
   const { inFlight, timing } = attempt;
   const now = context.world.now();
   const { timeline } = inFlight;
-  if (inFlight.pieces > 0) timeline.longestPause = Math.max(timeline.longestPause, now - inFlight.lastPieceAt);
-  if (inFlight.pieces === 0) spentOnFirstPiece(attempt, now - attempt.begunAt);
-  inFlight.lastPieceAt = now;
-  attempt.heardAt = now;
-  if (!attempt.seen) context.responseTimeouts.observe(timing.kind, timing.expected, attempt.heardAt - attempt.begunAt);
-  attempt.seen = true;
-  inFlight.pieces += 1;
-  if (inFlight.pieces === 1) heardFirstPiece(context, attempt);
-  if (inFlight.chosen !== undefined)
-    context.ports.recordSample?.(inFlight.chosen.row, attempt.heardAt - inFlight.chosen.at);
-  inFlight.chosen = undefined;
-  attempt.under.progress();
+  if (inFlight.chunkCount > 0)
+    timeline.longestEventGap = Math.max(timeline.longestEventGap, now - inFlight.lastChunkAt);
+  if (inFlight.chunkCount === 0) recordTimeToFirstChunk(attempt, now - attempt.startedAt);
+  inFlight.lastChunkAt = now;
+  attempt.lastHeardAt = now;
+  if (!attempt.chunkReceived)
+    context.responseTimeouts.observe(timing.kind, timing.expected, attempt.lastHeardAt - attempt.startedAt);
+  attempt.chunkReceived = true;
+  inFlight.chunkCount += 1;
+  if (inFlight.chunkCount === 1) recordFirstChunk(context, attempt);
+  if (inFlight.placementSample !== undefined)
+    context.ports.recordSample?.(
+      inFlight.placementSample.features,
+      attempt.lastHeardAt - inFlight.placementSample.chosenAt,
+    );
+  inFlight.placementSample = undefined;
+  attempt.tracker.progress();
 }
 
 /** Passes on the whole events that have come; a stream that leaves one out is ended. */
-function passPiece(context: HandlerContext, attempt: RunAttempt, piece: Buffer): void | Promise<void> {
-  const { cutter, reply } = attempt.inFlight;
-  heardPiece(context, attempt);
-  const events = cutter === undefined ? piece : cutter.push(piece);
-  if (cutter?.hasGap() === true) attempt.abort.abort();
-  return events.length > 0 ? reply.chunk(events) : undefined;
+function forwardChunk(context: HandlerContext, attempt: RunAttempt, chunk: Buffer): void | Promise<void> {
+  const { framer, response } = attempt.inFlight;
+  recordChunk(context, attempt);
+  const events = framer === undefined ? chunk : framer.push(chunk);
+  if (framer?.hasGap() === true) attempt.abort.abort();
+  return events.length > 0 ? response.chunk(events) : undefined;
 }
 
 /** Runs the request on `pair.runner`. True when the request has been answered. */
@@ -136,20 +156,20 @@
   context: HandlerContext,
   inFlight: InFlightRequest,
   pair: WorkerPair,
-  memory: KvSource | undefined,
+  kvSource: KvSource | undefined,
 ): Promise<boolean> {
-  const attempt = begin(context, inFlight, pair, memory);
-  const terms = runTerms(attempt);
-  if (inFlight.begun) inFlight.cutter?.resume();
+  const attempt = startRun(context, inFlight, pair, kvSource);
+  const parameters = runParameters(attempt);
+  if (inFlight.responseStarted) inFlight.framer?.resume();
   const sink: ResponseSink = {
-    head: (head) => passHead(context, attempt, head),
-    chunk: (piece) => passPiece(context, attempt, piece),
+    head: (head) => forwardHead(context, attempt, head),
+    chunk: (chunk) => forwardChunk(context, attempt, chunk),
   };
-  const { runner, abort } = attempt;
-  const got: RunResult = await context.ports.workers.run(runner, inFlight.request, terms, sink, abort.signal);
+  const { worker, abort } = attempt;
+  const result: RunResult = await context.ports.workers.run(worker, inFlight.request, parameters, sink, abort.signal);
   attempt.ended = true;
-  abort.end();
-  if (inFlight.pieces === 0 && got.tag !== 'whole')
-    inFlight.timeline.parts.lostRun += context.world.now() - attempt.begunAt;
-  return finishRun(context, attempt, got);
+  abort.dispose();
+  if (inFlight.chunkCount === 0 && result.tag !== 'whole')
+    inFlight.timeline.parts.lostRun += context.world.now() - attempt.startedAt;
+  return finishRun(context, attempt, result);
 }
--- a/packages/pass-through/src/run-outcome.ts
+++ b/packages/pass-through/src/run-outcome.ts
@@ -1,66 +1,66 @@
 /** What follows from the end of a run: for the worker's record, for the request, and for the requester. */
-import { promptBlocks } from './assign-pair.js';
-import type { HandlerContext } from './course-context.js';
+import { promptBlocks } from './assign-worker-pair.js';
+import type { HandlerContext } from './handler-context.js';
 import type { RunResult } from './ports.js';
-import type { RunAttempt } from './run-under-way.js';
+import type { RunAttempt } from './run-attempt-state.js';
 
 type Failed = Extract<RunResult, { tag: 'failed' }>;
 type Refused = Extract<RunResult, { tag: 'refused' }>;
 
 /** Notes what the end says about the worker, whatever it means for the request. */
-function learn(context: HandlerContext, attempt: RunAttempt, got: RunResult): void {
-  const { inFlight, runner, timing, overdue } = attempt;
+function recordWorkerOutcome(context: HandlerContext, attempt: RunAttempt, result: RunResult): void {
+  const { inFlight, worker, timing, overdue } = attempt;
   const now = context.world.now();
-  if (overdue) context.responseTimeouts.observe(timing.kind, timing.expected, now - attempt.begunAt);
-  const turnedAway = got.tag === 'refused' && !got.misdirected && attempt.memory === undefined;
-  if (overdue || got.tag === 'failed' || turnedAway) context.ports.announceActivity?.(runner.id, 0, true);
-  if (got.tag === 'whole' || got.tag === 'failed' || attempt.seen)
-    context.tree.insert(promptBlocks(inFlight.request), runner.id, now);
+  if (overdue) context.responseTimeouts.observe(timing.kind, timing.expected, now - attempt.startedAt);
+  const refusedByWorker = result.tag === 'refused' && !result.misdirected && attempt.kvSource === undefined;
+  if (overdue || result.tag === 'failed' || refusedByWorker) context.ports.announceActivity?.(worker.id, 0, true);
+  if (result.tag === 'whole' || result.tag === 'failed' || attempt.chunkReceived)
+    context.tree.insert(promptBlocks(inFlight.request), worker.id, now);
 }
 
 /** True when the answer was passed on to its end; false where a stream left an event out. */
-async function finishWhole(context: HandlerContext, { inFlight, under }: RunAttempt): Promise<boolean> {
-  under.finish('done');
-  if (inFlight.cutter?.hasGap() === true) return false;
-  const rest = inFlight.cutter?.remainder();
-  if (rest !== undefined && rest.length > 0) await inFlight.reply.chunk(rest);
+async function finishCompleted(context: HandlerContext, { inFlight, tracker }: RunAttempt): Promise<boolean> {
+  tracker.finish('done');
+  if (inFlight.framer?.hasGap() === true) return false;
+  const remainder = inFlight.framer?.remainder();
+  if (remainder !== undefined && remainder.length > 0) await inFlight.response.chunk(remainder);
   context.count('whole');
-  inFlight.whole = true;
-  inFlight.reply.end();
+  inFlight.completed = true;
+  inFlight.response.end();
   return true;
 }
 
-function freeMemory(context: HandlerContext, { memory }: RunAttempt): void {
-  if (memory !== undefined) context.ports.workers.freeKv(memory.worker, memory.kvHandle);
+function releaseKv(context: HandlerContext, { kvSource }: RunAttempt): void {
+  if (kvSource !== undefined) context.ports.workers.freeKv(kvSource.worker, kvSource.kvHandle);
 }
 
 function afterUnsent(context: HandlerContext, attempt: RunAttempt): void {
   const { inFlight } = attempt;
-  attempt.under.finish('failed');
-  inFlight.sends -= 1;
-  inFlight.unsent += 1;
-  inFlight.tried.add(attempt.runner.id);
-  freeMemory(context, attempt);
+  attempt.tracker.finish('failed');
+  inFlight.attempts -= 1;
+  inFlight.unsentAttempts += 1;
+  inFlight.triedWorkers.add(attempt.worker.id);
+  releaseKv(context, attempt);
 }
 
 /** A worker that only could not have the memory may be asked again, to read for itself. */
-function afterRefused(context: HandlerContext, attempt: RunAttempt, got: Refused): void {
+function afterRefused(context: HandlerContext, attempt: RunAttempt, result: Refused): void {
   const { inFlight } = attempt;
-  const ofWorker = attempt.memory === undefined;
-  attempt.under.finish(got.misdirected ? 'gone' : ofWorker ? 'refused' : 'left');
-  context.count(got.misdirected ? 'run misdirected' : ofWorker ? 'run refused' : 'memory refused');
+  const workerRefused = attempt.kvSource === undefined;
+  attempt.tracker.finish(result.misdirected ? 'gone' : workerRefused ? 'refused' : 'left');
+  context.count(result.misdirected ? 'run misdirected' : workerRefused ? 'run refused' : 'memory refused');
   inFlight.lastRefused = true;
-  if (ofWorker || got.misdirected) inFlight.tried.add(attempt.runner.id);
-  freeMemory(context, attempt);
+  if (workerRefused || result.misdirected) inFlight.triedWorkers.add(attempt.worker.id);
+  releaseKv(context, attempt);
 }
 
-function afterFailed(context: HandlerContext, attempt: RunAttempt, got: Failed): void {
+function afterFailed(context: HandlerContext, attempt: RunAttempt, result: Failed): void {
   const { inFlight } = attempt;
-  attempt.under.finish('ill');
+  attempt.tracker.finish('ill');
   context.count('run failed');
   inFlight.ran = 'maybe';
-  inFlight.tried.add(attempt.runner.id);
-  if (!inFlight.begun) inFlight.failed = got;
+  inFlight.triedWorkers.add(attempt.worker.id);
+  if (!inFlight.responseStarted) inFlight.lastFailure = result;
 }
 
 /**
@@ -69,31 +69,31 @@
  */
 function afterUnknown(context: HandlerContext, attempt: RunAttempt): void {
   const { inFlight } = attempt;
-  const left = inFlight.gone.aborted;
-  attempt.under.finish(left ? 'left' : attempt.overdue ? 'overdue' : 'failed');
-  if (!left) context.count(attempt.seen ? 'stream broke' : 'run unknown');
+  const clientLeft = inFlight.clientGone.aborted;
+  attempt.tracker.finish(clientLeft ? 'left' : attempt.overdue ? 'overdue' : 'failed');
+  if (!clientLeft) context.count(attempt.chunkReceived ? 'stream broke' : 'run unknown');
   inFlight.ran = 'maybe';
-  if (attempt.abort.signal.aborted || inFlight.askedHolder) inFlight.tried.add(attempt.runner.id);
+  if (attempt.abort.signal.aborted || inFlight.sameWorkerRetried) inFlight.triedWorkers.add(attempt.worker.id);
   else {
-    inFlight.holder = attempt.runner;
-    inFlight.askedHolder = true;
+    inFlight.sameWorkerRetry = attempt.worker;
+    inFlight.sameWorkerRetried = true;
   }
 }
 
 /** Takes in the end of a run. True when the request has been answered. */
-export async function finishRun(context: HandlerContext, attempt: RunAttempt, got: RunResult): Promise<boolean> {
-  learn(context, attempt, got);
-  switch (got.tag) {
+export async function finishRun(context: HandlerContext, attempt: RunAttempt, result: RunResult): Promise<boolean> {
+  recordWorkerOutcome(context, attempt, result);
+  switch (result.tag) {
     case 'whole':
-      return finishWhole(context, attempt);
+      return finishCompleted(context, attempt);
     case 'unsent':
       afterUnsent(context, attempt);
       return false;
     case 'refused':
-      afterRefused(context, attempt, got);
+      afterRefused(context, attempt, result);
       return false;
     case 'failed':
-      afterFailed(context, attempt, got);
+      afterFailed(context, attempt, result);
       return false;
     case 'unknown':
       afterUnknown(context, attempt);
--- a/packages/pass-through/src/events.test.ts
+++ b/packages/pass-through/src/sse-framer.test.ts
@@ -1,5 +1,5 @@
 import { expect, it } from 'vitest';
-import { createSseFramer } from './events.js';
+import { createSseFramer } from './sse-framer.js';
 
 const all = Buffer.from('id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\r\ndata: c\r\n\r\nid: 4\ndata: d\n\n');
 
--- a/packages/pass-through/src/events.ts
+++ b/packages/pass-through/src/sse-framer.ts
@@ -19,7 +19,7 @@
 }
 
 /** More than this is not held: what has no end of an event by then is no stream of events. */
-const mostHeld = 4 * 1024 * 1024;
+const maxBufferedBytes = 4 * 1024 * 1024;
 const lineFeed = 10;
 const carriageReturn = 13;
 
@@ -37,48 +37,48 @@
 }
 
 /** A cutter for a requester that has the events up to `after`. */
-export function createSseFramer(after?: number): SseFramer {
-  let held: Buffer = Buffer.alloc(0);
-  let last = after;
+export function createSseFramer(lastReceivedId?: number): SseFramer {
+  let buffered: Buffer = Buffer.alloc(0);
+  let lastId = lastReceivedId;
   let resumed = false;
   let gap = false;
 
   /** Whether the event is to be passed on: it is neither known to the requester nor behind a gap. */
-  function isNext(id: number | undefined): boolean {
-    if (resumed && id !== undefined && last !== undefined) {
-      if (id <= last) return false;
-      if (id > last + 1) gap = true;
+  function shouldForward(id: number | undefined): boolean {
+    if (resumed && id !== undefined && lastId !== undefined) {
+      if (id <= lastId) return false;
+      if (id > lastId + 1) gap = true;
     }
     resumed = false;
     return !gap;
   }
 
   function push(bytes: Buffer): Buffer {
-    held = held.length === 0 ? bytes : Buffer.concat([held, bytes]);
-    const whole: Buffer[] = [];
-    let at = 0;
-    for (let end = endOfEvent(held, at); end >= 0 && !gap; end = endOfEvent(held, at)) {
-      const event = held.subarray(at, end);
+    buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
+    const completeEvents: Buffer[] = [];
+    let offset = 0;
+    for (let end = endOfEvent(buffered, offset); end >= 0 && !gap; end = endOfEvent(buffered, offset)) {
+      const event = buffered.subarray(offset, end);
       const id = idOf(event);
-      at = end;
-      if (!isNext(id)) continue;
-      if (id !== undefined) last = id;
-      whole.push(event);
+      offset = end;
+      if (!shouldForward(id)) continue;
+      if (id !== undefined) lastId = id;
+      completeEvents.push(event);
     }
-    held = held.subarray(at);
-    if (held.length > mostHeld) {
-      whole.push(held);
-      held = Buffer.alloc(0);
+    buffered = buffered.subarray(offset);
+    if (buffered.length > maxBufferedBytes) {
+      completeEvents.push(buffered);
+      buffered = Buffer.alloc(0);
     }
-    return whole.length === 1 ? whole[0]! : Buffer.concat(whole);
+    return completeEvents.length === 1 ? completeEvents[0]! : Buffer.concat(completeEvents);
   }
 
   return {
     push,
-    remainder: () => held,
-    lastEventId: () => last,
+    remainder: () => buffered,
+    lastEventId: () => lastId,
     resume: () => {
-      held = Buffer.alloc(0);
+      buffered = Buffer.alloc(0);
       resumed = true;
     },
     hasGap: () => gap,
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -351,7 +351,7 @@
         if (!connections.has(connection)) return finish('unread', 'the connection was closed');
         t.readAt = e.now();
         const refusal = shutdown?.checkArrival(connection.used);
-        if (refusal !== undefined) return finish('refused', refusal.kind, refusal.retryAfter);
+        if (refusal !== undefined) return finish('refused', refusal.kind, refusal.retryAfterSeconds);
         if (isLeftOut(g.spoil, t.tenant)) return finish('refused', 'overloaded');
         void course!.serve(
           q,
@@ -369,7 +369,7 @@
             end: () => finish('whole', ''),
             abort: () => finish('cut', 'cut by the router'),
             respond: (a) => finish([408, 421, 429, 503].includes(a.status) ? 'refused' : 'failed', `${a.status}`),
-            reject: (x) => finish(endOf(x), x.kind, x.retryAfter),
+            reject: (x) => finish(endOf(x), x.kind, x.retryAfterSeconds),
           },
           gone.signal,
         );
