--- a/packages/pass-through/src/admission.test.ts
+++ b/packages/pass-through/src/admission.test.ts
@@ -22,7 +22,7 @@
 
 it('passes credentials on where the table has no tenants', () => {
   const admission = createAdmission();
-  expect(admission.admit(request('any'), path)).toEqual({ request: request('any'), path });
+  expect(admission.admit(request('any'), path)).toEqual({ request: request('any'), route: path });
 });
 
 it('withholds the key and names the tenant, with its own priority where it has one', () => {
--- a/packages/pass-through/src/admission.ts
+++ b/packages/pass-through/src/admission.ts
@@ -36,8 +36,8 @@
     if (directory === undefined) return { request, route };
     const tenant = tenantOf(request);
     if (tenant === undefined && route.public !== true) return undefined;
-    const withoutKey = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
-    return { request: withoutKey, route: withPriority(route, tenant?.priority) };
+    const redacted = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
+    return { request: redacted, route: withPriority(route, tenant?.priority) };
   }
 
   return { updateTenants, admit };
--- a/packages/pass-through/src/attempt-loop.ts
+++ b/packages/pass-through/src/attempt-loop.ts
@@ -23,16 +23,16 @@
 const ended: AfterPrefill = { next: 'ended' };
 
 function nextStep(context: HandlerContext, inFlight: InFlightRequest, pair: WorkerPair | undefined): NextStep {
-  const { route: path, attempts: sends, ran, responseStarted: begun, lastRefused } = inFlight;
+  const { route, attempts, ran, responseStarted, lastRefused } = inFlight;
   return decideNextStep(
-    { attempts: sends, ran, responseStarted: begun, lastRefused },
+    { attempts, ran, responseStarted, lastRefused },
     {
       clientGone: inFlight.clientGone.aborted,
       admitted: readmit(context, inFlight),
       remainingTime: inFlight.deadline - context.world.now(),
-      idempotent: path.idempotent,
-      resumable: path.resumable,
-      maxAttempts: Math.max(1, path.maxAttempts),
+      idempotent: route.idempotent,
+      resumable: route.resumable,
+      maxAttempts: Math.max(1, route.maxAttempts),
       retryAllowed: context.retryBudget.hasRoom(inFlight.service.name),
       workerAvailable: pair !== undefined,
     },
@@ -46,9 +46,9 @@
   return admitted !== undefined;
 }
 
-function rejectRequest(context: HandlerContext, inFlight: InFlightRequest, answer: Rejection): void {
-  inFlight.rejection = answer;
-  reject(context, inFlight.response, answer);
+function rejectRequest(context: HandlerContext, inFlight: InFlightRequest, rejection: Rejection): void {
+  inFlight.rejection = rejection;
+  reject(context, inFlight.response, rejection);
 }
 
 function endRequest(context: HandlerContext, inFlight: InFlightRequest, step: EndStep): void {
@@ -68,11 +68,11 @@
 /** The worker that has the prompt of a broken run, else the pair that costs least; undefined where nobody is left. */
 function nextPair(context: HandlerContext, inFlight: InFlightRequest): WorkerPair | undefined {
   if (inFlight.unsentAttempts > maxUnsentAttempts) return undefined;
-  const { sameWorkerRetry: brokenWorker } = inFlight;
+  const { sameWorkerRetry } = inFlight;
   inFlight.sameWorkerRetry = undefined;
-  const samePair = brokenWorker === undefined ? undefined : pairWithSameWorker(context, brokenWorker);
+  const samePair = sameWorkerRetry === undefined ? undefined : pairWithSameWorker(context, sameWorkerRetry);
   if (samePair !== undefined) return samePair;
-  if (brokenWorker !== undefined) inFlight.triedWorkers.add(brokenWorker.id);
+  if (sameWorkerRetry !== undefined) inFlight.triedWorkers.add(sameWorkerRetry.id);
   const localPrefillOnly = inFlight.attempts > 0 || inFlight.ran === 'maybe' || inFlight.prefillAttempts > 0;
   return choosePair(context, inFlight, localPrefillOnly);
 }
@@ -156,8 +156,8 @@
   retryAfterSeconds: retryAfterSeconds.refused,
 };
 
-function rejectAndEnd(context: HandlerContext, inFlight: InFlightRequest, answer: Rejection): AfterPrefill {
-  rejectRequest(context, inFlight, answer);
+function rejectAndEnd(context: HandlerContext, inFlight: InFlightRequest, rejection: Rejection): AfterPrefill {
+  rejectRequest(context, inFlight, rejection);
   return ended;
 }
 
@@ -167,13 +167,13 @@
   inFlight: InFlightRequest,
   result: PrefillResult,
 ): AfterPrefill {
-  const { retryBudget: budget } = context;
+  const { retryBudget } = context;
   const service = inFlight.service.name;
   const isRetry = result.tag !== 'unsent';
-  if (isRetry && !budget.hasRoom(service)) return rejectAndEnd(context, inFlight, prefillFailed);
+  if (isRetry && !retryBudget.hasRoom(service)) return rejectAndEnd(context, inFlight, prefillFailed);
   const pair = choosePair(context, inFlight, !mayPrefillAgain(inFlight));
   if (pair === undefined) return rejectAndEnd(context, inFlight, noWorkerLeft);
-  if (isRetry) budget.recordRetry(service);
+  if (isRetry) retryBudget.recordRetry(service);
   if (pair.prefillWorker === undefined) return { next: 'run', pair, kvSource: undefined };
   // A read after the first counts among the workers that a request may go to, if it is taken up or not.
   inFlight.attempts += 1;
--- a/packages/pass-through/src/decision.ts
+++ b/packages/pass-through/src/decision.ts
@@ -43,8 +43,8 @@
       readonly ran: 'no' | 'maybe';
     };
 
-function afterPossibleRun(mayRetry: boolean, { idempotent: repeatable, resumable }: RequestConditions): NextStep {
-  if ((repeatable || resumable) && mayRetry) return { step: 'run', first: false };
+function afterPossibleRun(mayRetry: boolean, { idempotent, resumable }: RequestConditions): NextStep {
+  if ((idempotent || resumable) && mayRetry) return { step: 'run', first: false };
   return { step: 'giveUp', kind: 'outcome_unknown', ran: 'maybe' };
 }
 
@@ -55,11 +55,11 @@
 
 function beforeAnyRun(
   mayRetry: boolean,
-  { attempts: sends }: AttemptHistory,
-  { workerAvailable: workers }: RequestConditions,
+  { attempts }: AttemptHistory,
+  { workerAvailable }: RequestConditions,
 ): NextStep {
-  if (!workers) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
-  if (sends === 0) return { step: 'run', first: true };
+  if (!workerAvailable) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
+  if (attempts === 0) return { step: 'run', first: true };
   return mayRetry ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
 }
 
--- a/packages/pass-through/src/graceful-shutdown.test.ts
+++ b/packages/pass-through/src/graceful-shutdown.test.ts
@@ -43,7 +43,7 @@
   expect(shutdown.checkArrival(true)).toBeUndefined();
   for (const time of [takenAtMost, 5 * second, 7 * second]) {
     await clock.runTo(time);
-    expect(shutdown.checkArrival(false)).toMatchObject({ kind: 'leaving', ran: 'no', retryAfter: 0.1 });
+    expect(shutdown.checkArrival(false)).toMatchObject({ kind: 'leaving', ran: 'no', retryAfterSeconds: 0.1 });
   }
   const closed = asked.filter(({ what }) => what === 'close idle');
   expect(closed).toHaveLength(1);
--- a/packages/pass-through/src/graceful-shutdown.ts
+++ b/packages/pass-through/src/graceful-shutdown.ts
@@ -70,12 +70,12 @@
   const { gracePeriod } = options;
   const readinessLag = Math.min(maxReadinessLagMicros, gracePeriod * maxReadinessLagShare);
   const counts = { activeAtSignal: 0, taken: 0, refused: 0, onKeptConnections: 0, lastTakenAfter: 0 };
-  let begunAt: number | undefined;
+  let signalledAt: number | undefined;
   let refusing = false;
 
   function begin(): void {
-    if (begunAt !== undefined) return;
-    begunAt = world.now();
+    if (signalledAt !== undefined) return;
+    signalledAt = world.now();
     counts.activeAtSignal = options.activeRequests();
     world.log(1002, { active: counts.activeAtSignal, graceMs: gracePeriod / 1000 });
     world.after(micros(readinessLag), startRefusing);
@@ -101,7 +101,7 @@
   }
 
   function checkArrival(onKeptConnection: boolean): Rejection | undefined {
-    if (begunAt === undefined) return undefined;
+    if (signalledAt === undefined) return undefined;
     if (onKeptConnection) counts.onKeptConnections += 1;
     if (refusing) {
       counts.refused += 1;
@@ -113,8 +113,8 @@
   }
 
   function sinceSignal(): number {
-    return begunAt === undefined ? 0 : world.now() - begunAt;
+    return signalledAt === undefined ? 0 : world.now() - signalledAt;
   }
 
-  return { begin, hasBegun: () => begunAt !== undefined, checkArrival };
+  return { begin, hasBegun: () => signalledAt !== undefined, checkArrival };
 }
--- a/packages/pass-through/src/in-flight-request.ts
+++ b/packages/pass-through/src/in-flight-request.ts
@@ -62,10 +62,10 @@
 }
 
 /** A request for which nothing has been tried yet. */
-export function createInFlightRequest(facts: FixedRequestState & Pick<InFlightRequest, 'request'>): InFlightRequest {
+export function createInFlightRequest(fixed: FixedRequestState & Pick<InFlightRequest, 'request'>): InFlightRequest {
   return {
-    ...facts,
-    deadline: facts.arrivedAt + Math.min(facts.request.timeout, facts.route.timeout),
+    ...fixed,
+    deadline: fixed.arrivedAt + Math.min(fixed.request.timeout, fixed.route.timeout),
     abortAttempt: undefined,
     attempts: 0,
     ran: 'no',
--- a/packages/pass-through/src/prefill-attempt.ts
+++ b/packages/pass-through/src/prefill-attempt.ts
@@ -81,9 +81,9 @@
 function finishPrefill(context: HandlerContext, attempt: PrefillAttempt): void {
   const { inFlight, pair, prefillWorker, startedAt } = attempt;
   const now = context.world.now();
-  const { queue, prefill: reading } = splitPrefillTime(now - startedAt, pair.serviceTime);
+  const { queue, prefill } = splitPrefillTime(now - startedAt, pair.serviceTime);
   inFlight.timeline.parts.prefillQueue += queue;
-  inFlight.timeline.parts.prefill += reading;
+  inFlight.timeline.parts.prefill += prefill;
   attempt.tracker.finish('done');
   context.tree.insert(promptBlocks(inFlight.request), prefillWorker.id, now);
   if (pair.assignment === undefined) return;
--- a/packages/pass-through/src/request-handler.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -245,7 +245,7 @@
 });
 
 it('refuses, unrun, what waited for the workers or the routes, within a quarter of its aim', async () => {
-  const refused = { kind: 'not_ready', ran: 'no', retryAfter: 1.2 };
+  const refused = { kind: 'not_ready', ran: 'no', retryAfterSeconds: 1.2 };
   const noWorkers = await play({ read: readAt, run: wholeRun }, { workersAt: second });
   expect(noWorkers.ended).toMatchObject({ at: aim / 5, how: refused });
   const later = { path: { targetLatency: 2 * aim }, pathsAt: aim / 8, workersAt: second };
@@ -431,13 +431,13 @@
 it('answers at once when the time has run out in a read, promises that nothing ran, and begins no run', async () => {
   const x = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { always: 0, path: { timeout: second } });
   expect(x.attempts.map((a) => a.kind)).toEqual(['read']);
-  expect(x.ended).toMatchObject({ at: second, how: { kind: 'budget_spent', ran: 'no', retryAfter: 0.3 } });
+  expect(x.ended).toMatchObject({ at: second, how: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 } });
 });
 
 it('frees what was read for a request that no worker is left to run', async () => {
   const x = await play({ read: readAt, run: () => Promise.resolve({ tag: 'unsent', reason: '' }) });
   expect(x.freed.length).toBe(1);
-  expect(x.ended?.how).toMatchObject({ ran: 'no', retryAfter: 0.3 });
+  expect(x.ended?.how).toMatchObject({ ran: 'no', retryAfterSeconds: 0.3 });
 });
 
 const outcomes = fc.record({
@@ -509,7 +509,10 @@
 it('gives up on what has not begun when the router is about to end, with the promise only where nothing ran', async () => {
   const leavesAt = 0.3 * second;
   const unread = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { leavesAt, path: { maxAttempts: 1 } });
-  expect(unread.ended).toMatchObject({ at: leavesAt, how: { kind: 'budget_spent', ran: 'no', retryAfter: 0.3 } });
+  expect(unread.ended).toMatchObject({
+    at: leavesAt,
+    how: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 },
+  });
   const running = await play({ read: readAt, run: (_a, gone) => never(gone) }, { leavesAt, path: { maxAttempts: 1 } });
   expect(running.ended).toMatchObject({ at: leavesAt, how: { kind: 'budget_spent', ran: 'maybe' } });
   expect(running.attempts.map((a) => a.kind)).toEqual(['read', 'run']);
--- a/packages/pass-through/src/request-handler.ts
+++ b/packages/pass-through/src/request-handler.ts
@@ -84,21 +84,13 @@
 }
 
 function completedRequest(inFlight: InFlightRequest, now: number): CompletedRequest {
-  const {
-    route: path,
-    chunkCount: pieces,
-    firstChunkAt: firstAt,
-    arrivedAt: arrived,
-    deadline: limit,
-    completed: whole,
-    clientGone: gone,
-  } = inFlight;
+  const { route, chunkCount, firstChunkAt, arrivedAt, deadline, completed, clientGone } = inFlight;
   return {
-    route: path.name,
-    end: whole ? 'whole' : gone.aborted ? 'left' : 'failed',
-    timeout: limit - arrived,
-    timeToFirstChunk: firstAt - arrived,
-    timePerChunk: pieces > 1 ? (now - firstAt) / (pieces - 1) : undefined,
+    route: route.name,
+    end: completed ? 'whole' : clientGone.aborted ? 'left' : 'failed',
+    timeout: deadline - arrivedAt,
+    timeToFirstChunk: firstChunkAt - arrivedAt,
+    timePerChunk: chunkCount > 1 ? (now - firstChunkAt) / (chunkCount - 1) : undefined,
   };
 }
 
@@ -107,13 +99,13 @@
   context: HandlerContext,
   inFlights: Set<InFlightRequest>,
   routes: RoutingState,
-  { request, route: path }: Admitted,
+  { request, route }: Admitted,
   arrival: Pick<InFlightRequest, 'receivedRequest' | 'response' | 'clientGone' | 'arrivedAt'>,
 ): Promise<void> {
-  const service = pickService(path, routes.services, context.world.random);
+  const service = pickService(route, routes.services, context.world.random);
   if (service === undefined) return reject(context, arrival.response, noService);
   const cohort = context.ports.assignCohort?.(request.id);
-  const inFlight = createInFlightRequest({ ...arrival, request, route: path, service, cohort });
+  const inFlight = createInFlightRequest({ ...arrival, request, route, service, cohort });
   inFlight.timeline.parts.ready = context.world.now() - arrival.arrivedAt;
   context.retryBudget.recordRequest(service.name);
   inFlights.add(inFlight);
@@ -216,8 +208,8 @@
       active,
       counts: context.counts(),
       budget,
-      workers: workers?.length ?? 0,
-      updateWorkers: fleet.summaries(maxLoggedWorkers),
+      listed: workers?.length ?? 0,
+      workers: fleet.summaries(maxLoggedWorkers),
     };
   }
 
--- a/packages/pass-through/src/request-log.ts
+++ b/packages/pass-through/src/request-log.ts
@@ -6,7 +6,7 @@
 /** The fields of events 5101 and 5109, times in milliseconds. */
 export interface RequestLogFields {
   readonly request: string;
-  readonly path: string;
+  readonly route: string;
   readonly service: string;
   readonly outcome: RequestOutcome;
   readonly cause: string;
@@ -26,20 +26,12 @@
 
 /** How a request ended; what is given up on without a promise that nothing ran counts apart from a refusal. */
 export function outcomeOf(inFlight: InFlightRequest, now: number): RequestOutcome {
-  const {
-    route: path,
-    rejection: refusal,
-    completed: whole,
-    clientGone: gone,
-    arrivedAt: arrived,
-    firstChunkAt: firstAt,
-    timeline,
-  } = inFlight;
-  if (refusal !== undefined) return refusal.ran === 'no' ? 'refused' : 'given up';
-  if (!whole) return gone.aborted ? 'requester left' : inFlight.responseStarted ? 'cut' : 'worker failed';
-  const answeredAt = path.streaming ? firstAt : now;
-  if (answeredAt - arrived > path.targetLatency) return 'late first piece';
-  return path.maxEventGap > 0 && timeline.longestEventGap > path.maxEventGap ? 'late later piece' : 'in time';
+  const { route, rejection, completed, clientGone, arrivedAt, firstChunkAt, timeline } = inFlight;
+  if (rejection !== undefined) return rejection.ran === 'no' ? 'refused' : 'given up';
+  if (!completed) return clientGone.aborted ? 'requester left' : inFlight.responseStarted ? 'cut' : 'worker failed';
+  const answeredAt = route.streaming ? firstChunkAt : now;
+  if (answeredAt - arrivedAt > route.targetLatency) return 'late first piece';
+  return route.maxEventGap > 0 && timeline.longestEventGap > route.maxEventGap ? 'late later piece' : 'in time';
 }
 
 function milliseconds(micros: number): number {
@@ -52,7 +44,7 @@
 }
 
 function sharedTokens(inFlight: InFlightRequest): number {
-  return inFlight.request.promptSegments.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
+  return inFlight.request.promptSegments.slice(0, -1).reduce((sum, segment) => sum + segment.tokens, 0);
 }
 
 /** Logs the request, which has just ended: as lost if it did not end in time, else as answered. */
@@ -61,11 +53,11 @@
   const outcome = outcomeOf(inFlight, now);
   const {
     request,
-    route: path,
+    route,
     service,
-    arrivedAt: arrived,
-    firstChunkAt: firstAt,
-    chunkCount: pieces,
+    arrivedAt,
+    firstChunkAt,
+    chunkCount,
     timeline,
     prefillAttempts: reads,
     attempts: sends,
@@ -73,15 +65,15 @@
   } = inFlight;
   const event: RequestLogFields = {
     request: request.id,
-    path: path.name,
+    route: route.name,
     service: service.name,
     outcome,
     cause: lossCauseOf(outcome, timeline),
     prompt: request.promptTokens,
     shared: sharedTokens(inFlight),
-    firstMs: pieces === 0 ? -1 : milliseconds(firstAt - arrived),
-    endMs: milliseconds(now - arrived),
-    aimMs: milliseconds(path.targetLatency),
+    firstMs: chunkCount === 0 ? -1 : milliseconds(firstChunkAt - arrivedAt),
+    endMs: milliseconds(now - arrivedAt),
+    aimMs: milliseconds(route.targetLatency),
     parts: nonZeroParts(timeline.parts),
     reads,
     sends,
--- a/packages/pass-through/src/request-timeline.test.ts
+++ b/packages/pass-through/src/request-timeline.test.ts
@@ -8,8 +8,8 @@
 }
 
 it('splits the time at a reader into the reading and the wait before it', () => {
-  expect(splitPrefillTime(100, 30)).toEqual({ queue: 70, reading: 30 });
-  expect(splitPrefillTime(20, 30)).toEqual({ queue: 0, reading: 20 });
+  expect(splitPrefillTime(100, 30)).toEqual({ queue: 70, prefill: 30 });
+  expect(splitPrefillTime(20, 30)).toEqual({ queue: 0, prefill: 20 });
 });
 
 it('names the largest part as the cause, and the size of the prompt where reading it is the largest', () => {
