--- a/packages/decision-report/src/read-losses.ts
+++ b/packages/decision-report/src/read-losses.ts
@@ -29,7 +29,7 @@
 
 function isLossEvent(value: unknown): value is RequestLogFields {
   if (typeof value !== 'object' || value === null) return false;
-  const { route: path, outcome, cause, prompt } = value as Partial<RequestLogFields>;
+  const { path, outcome, cause, prompt } = value as Partial<RequestLogFields>;
   return [path, outcome, cause].every((text) => typeof text === 'string') && typeof prompt === 'number';
 }
 
--- a/packages/decision-report/src/render.ts
+++ b/packages/decision-report/src/render.ts
@@ -49,7 +49,7 @@
 
 /** What the routers say of the requests that did not end in time. */
 export function renderLosses({ losses, damaged }: LossLog): string {
-  const byCause = groupLosses(losses, (loss) => [loss.route, causeName(loss), placementOf(loss)]);
+  const byCause = groupLosses(losses, (loss) => [loss.path, causeName(loss), placementOf(loss)]);
   const bySize = groupLosses(losses, (loss) => [sizeRange(loss.prompt), causeName(loss), placementOf(loss)]);
   const byWorker = groupLosses(losses, (loss) => [loss.workers.at(-1) ?? 'none', loss.cause]);
   const note = damaged === 0 ? '' : `\n${damaged} damaged lines were left out.\n`;
--- a/packages/pass-through/src/request-log.ts
+++ b/packages/pass-through/src/request-log.ts
@@ -6,7 +6,7 @@
 /** The fields of events 5101 and 5109, times in milliseconds. */
 export interface RequestLogFields {
   readonly request: string;
-  readonly route: string;
+  readonly path: string;
   readonly service: string;
   readonly outcome: RequestOutcome;
   readonly cause: string;
@@ -65,7 +65,7 @@
   } = inFlight;
   const event: RequestLogFields = {
     request: request.id,
-    route: route.name,
+    path: route.name,
     service: service.name,
     outcome,
     cause: lossCauseOf(outcome, timeline),
