--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -1,8 +1,9 @@
 /**
- * The placement of one request: which worker reads its prompt and which makes its tokens, or one that does both. The
- * reader is assigned as Lodestar says (heuristic first, then the model where one serves and knows the range); the
- * heuristic's cost is the expected time to the first token, to which the memory that would move is added at a rate,
- * more between zones. Coming late costs a step, so that a prompt which will be late anyway takes nobody's place.
+ * Placement of one request: the worker that prefills its prompt and the one that generates its tokens, or one worker
+ * that does both. The prefill worker is assigned by the Lodestar policy (heuristic first, then the learned model where
+ * one is in service and covers the range of inputs). The cost of the heuristic is the expected time to the first token
+ * plus a cost per byte of KV cache to transfer, which is higher between zones. Missing the target latency adds a step to
+ * the cost, so that a prompt which will be late anyway takes no capacity from one that can still be in time.
  */
 import {
   assignPrefill,
@@ -15,34 +16,45 @@
 import type { IncomingRequest } from './incoming-request.js';
 import type { FleetWorker, WorkerView } from './worker-fleet.js';
 
+/** Costs of a placement, in microseconds of time to the first token unless stated otherwise, and their context. */
 export interface PairCosts {
   readonly zone: string;
   readonly regionOf: (zone: string) => string;
   readonly targetLatency: number;
-  // Bytes of memory a token, and megabits a second of a worker's link.
+  /** Size of the KV cache of one token. */
   readonly kvBytesPerToken: number;
+  /** Bandwidth of a worker's link in megabits per second. */
   readonly linkMbps: number;
-  // Microseconds that a mebibyte moved, a kilobyte sent to another zone, and a token read again are worth.
+  /** Per mebibyte of KV cache transferred. */
   readonly kvTransferCost: number;
+  /** Per kilobyte sent to another zone. */
   readonly crossZoneCost: number;
+  /** Per shared token that is prefilled again. */
   readonly recomputeCost: number;
+  /** Per run in flight at the decode worker. */
   readonly activeRunCost: number;
-  // What a microsecond is worth by which a run under way is held up.
+  /** Per microsecond by which a prefill delays a run in flight at the same worker. */
   readonly interferenceCost: number;
+  /** Per microsecond of the gap between chunks of the decode worker's streams. */
   readonly eventGapCost: number;
-  // The part of what is shared that the first workers in the rank of its group are taken to hold.
+  /** The share of the shared prefix that the first workers in the ranking of its group are assumed to have cached. */
   readonly affinityCredits: readonly number[];
-  // Whether a connection to it is open and free, and what a new one costs.
-  readonly hasIdleConnection?: (w: FleetWorker) => boolean;
+  /** Whether an open, idle connection to the worker exists. */
+  readonly hasIdleConnection?: (worker: FleetWorker) => boolean;
+  /** For opening a connection. */
   readonly connectCost: number;
-  // What a send that fails costs.
+  /** For an attempt that fails. */
   readonly failureCost: number;
-  // What a microsecond until the first token is worth, what being late is, and from which part of the aim on.
+  /** Per microsecond until the first token. */
   readonly latencyCost: number;
+  /** For missing the target latency. */
   readonly lateCost: number;
+  /** The share of the target latency at which half of `lateCost` applies. */
   readonly lateThreshold: number;
   readonly placement: PlacementOptions;
 }
+
+/** The default costs. */
 export const defaultPairCosts = {
   kvTransferCost: 150,
   crossZoneCost: 400,
@@ -58,210 +70,233 @@
   lateThreshold: 0.8,
 };
 
+/** The workers chosen for a request, with the estimates behind the choice. */
 export interface WorkerPair {
+  /** Undefined where the decode worker prefills the prompt itself. */
   readonly prefillWorker: FleetWorker | undefined;
   readonly decodeWorker: FleetWorker;
+  /** Tokens expected to be prefilled at either worker. */
   readonly prefillWorkerTokens: number;
   readonly decodeWorkerTokens: number;
-  // Until the reader has answered, and until the first token.
+  /** Time until the prefill worker has answered. */
   readonly prefillTime: number;
   readonly timeToFirstToken: number;
-  // How long the prompt takes to read once its turn comes.
+  /** Duration of the prefill itself, without the wait in the queue. */
   readonly serviceTime: number;
   readonly assignment: Assignment | undefined;
 }
 
-// Ours: past so many readers the dearest are left out before they are scored.
-const mostScored = 40;
+/** Of more prefill workers than this, only the cheapest by the heuristic are scored; this limit is not part of Lodestar. */
+const maxScored = 40;
 
-export function promptBlocks(q: IncomingRequest): number[] {
-  return q.promptSegments.map((p) => hash32(p.id));
+/** The hashes of the prompt's segments, by which cached prefixes are looked up. */
+export function promptBlocks(request: IncomingRequest): number[] {
+  return request.promptSegments.map((segment) => hash32(segment.id));
 }
-// What requests share: all parts but the last.
-export function promptGroup(q: IncomingRequest): string {
-  return q.promptSegments
+
+/** The group of requests that share a prefix: all segments but the last. */
+export function promptGroup(request: IncomingRequest): string {
+  return request.promptSegments
     .slice(0, -1)
-    .map((p) => p.id)
+    .map((segment) => segment.id)
     .join('/');
 }
-/** The tokens of the first n parts, for each n from 0. */
-function tokensUpTo(q: IncomingRequest): number[] {
+
+/** The tokens of the first n segments, for each n from 0. */
+function cumulativeTokens(request: IncomingRequest): number[] {
   const sums = [0];
-  for (const part of q.promptSegments) sums.push(sums[sums.length - 1]! + part.tokens);
+  for (const segment of request.promptSegments) sums.push(sums[sums.length - 1]! + segment.tokens);
   return sums;
 }
-/** Works a value out once for each worker: a decision asks for most of them several times. */
-function remembered(valueOf: (v: WorkerView) => number): (v: WorkerView) => number {
+
+/** Computes a value once for each worker: a decision needs most of them several times. */
+function memoized(valueOf: (view: WorkerView) => number): (view: WorkerView) => number {
   const values = new Map<WorkerView, number>();
-  return function value(v) {
-    let known = values.get(v);
-    if (known === undefined) values.set(v, (known = valueOf(v)));
+  return function value(view) {
+    let known = values.get(view);
+    if (known === undefined) values.set(view, (known = valueOf(view)));
     return known;
   };
 }
 
+/** The cheapest pair, or undefined where there is no decode worker. */
 export function assignWorkerPair(
-  q: IncomingRequest,
-  readers: readonly WorkerView[],
-  runners: readonly WorkerView[],
+  request: IncomingRequest,
+  prefillWorkers: readonly WorkerView[],
+  decodeWorkers: readonly WorkerView[],
   hits: ReadonlyMap<string, number>,
   model: Model | undefined,
-  t: PairCosts,
+  costs: PairCosts,
   now: () => number,
   random: () => number,
 ): WorkerPair | undefined {
-  if (runners.length === 0) return undefined;
-  const blocks = promptBlocks(q);
-  const group = promptGroup(q);
-  const tokens = tokensUpTo(q);
-  const shared = tokens[Math.max(0, q.promptSegments.length - 1)]!;
-  const facts: PromptFacts = { tokens: q.promptTokens, blocks, group };
+  if (decodeWorkers.length === 0) return undefined;
+  const blocks = promptBlocks(request);
+  const group = promptGroup(request);
+  const tokens = cumulativeTokens(request);
+  const shared = tokens[Math.max(0, request.promptSegments.length - 1)]!;
+  const promptFacts: PromptFacts = { tokens: request.promptTokens, blocks, group };
 
-  // Routers do not tell each other what they sent where, but all rank workers alike for a group: the first is taken to
-  // hold what the group shares, the second, where what the first cannot take goes, to hold some of it.
-  function homes(vs: readonly WorkerView[]): Map<string, number> {
-    const ranked = rendezvous(group, vs, (v) => v.worker.id);
-    return new Map(ranked.slice(0, t.affinityCredits.length).map((v, i) => [v.worker.id, t.affinityCredits[i]!]));
+  // Routers do not share which prefixes they sent where, but all rank the workers of a group alike by rendezvous
+  // hashing: the first is assumed to have most of the shared prefix cached, the second, which receives the overflow,
+  // part of it.
+  function affinityShares(views: readonly WorkerView[]): Map<string, number> {
+    const ranked = rendezvous(group, views, (view) => view.worker.id);
+    return new Map(
+      ranked.slice(0, costs.affinityCredits.length).map((view, i) => [view.worker.id, costs.affinityCredits[i]!]),
+    );
   }
-  const readerHomes = homes(readers);
-  const runnerHomes = homes(runners);
-  function known(v: WorkerView, home: ReadonlyMap<string, number>): number {
-    // A request that was read elsewhere is asked about without its parts, while hits are those of the whole prompt.
-    const held = tokens[Math.min(hits.get(v.worker.id) ?? 0, q.promptSegments.length)]!;
-    return Math.max(held, shared * (home.get(v.worker.id) ?? 0));
+  const prefillAffinity = affinityShares(prefillWorkers);
+  const decodeAffinity = affinityShares(decodeWorkers);
+  function cachedTokens(view: WorkerView, affinity: ReadonlyMap<string, number>): number {
+    // A request prefilled elsewhere is placed without its segments, while the hits are those of the whole prompt.
+    const cached = tokens[Math.min(hits.get(view.worker.id) ?? 0, request.promptSegments.length)]!;
+    return Math.max(cached, shared * (affinity.get(view.worker.id) ?? 0));
   }
-  const readerKnown = remembered((v) => known(v, readerHomes));
-  const runnerKnown = remembered((v) => known(v, runnerHomes));
-  function readerMiss(v: WorkerView): number {
-    return Math.max(1, q.promptTokens - readerKnown(v));
+  const prefillCached = memoized((view) => cachedTokens(view, prefillAffinity));
+  const decodeCached = memoized((view) => cachedTokens(view, decodeAffinity));
+  function prefillTokens(view: WorkerView): number {
+    return Math.max(1, request.promptTokens - prefillCached(view));
   }
-  function runnerMiss(v: WorkerView): number {
-    return Math.max(1, q.promptTokens - runnerKnown(v));
+  function localPrefillTokens(view: WorkerView): number {
+    return Math.max(1, request.promptTokens - decodeCached(view));
   }
-  function apart(a: string, b: string): number {
-    return a === b ? 0 : t.regionOf(a) === t.regionOf(b) ? 1 : 5;
+  function zoneDistance(a: string, b: string): number {
+    return a === b ? 0 : costs.regionOf(a) === costs.regionOf(b) ? 1 : 5;
   }
-  const send = remembered((v) => {
-    const connect = t.hasIdleConnection?.(v.worker) === true ? 0 : t.connectCost;
-    return connect + apart(t.zone, v.worker.zone) * t.crossZoneCost * (1 + q.body.length / 1024);
+  const sendCost = memoized((view) => {
+    const connect = costs.hasIdleConnection?.(view.worker) === true ? 0 : costs.connectCost;
+    return (
+      connect + zoneDistance(costs.zone, view.worker.zone) * costs.crossZoneCost * (1 + request.body.length / 1024)
+    );
   });
   function score(time: number, cost: number): number {
-    // A step where it comes late, and a slope before and behind it.
-    const late = 1 / (1 + Math.exp(-(time - t.lateThreshold * t.targetLatency) / (0.08 * t.targetLatency)));
-    return t.latencyCost * time + t.lateCost * late + cost;
+    // A smooth step at the late threshold, added to a cost linear in time.
+    const late = 1 / (1 + Math.exp(-(time - costs.lateThreshold * costs.targetLatency) / (0.08 * costs.targetLatency)));
+    return costs.latencyCost * time + costs.lateCost * late + cost;
   }
 
-  function readTime(v: WorkerView): number {
-    return v.queueDelay + readerMiss(v) * v.timePerToken;
+  function prefillTime(view: WorkerView): number {
+    return view.queueDelay + prefillTokens(view) * view.timePerToken;
   }
-  function readCost(v: WorkerView, time: number): number {
+  function prefillCost(view: WorkerView, time: number): number {
     return score(
       time,
-      t.failureCost * v.failureRate + send(v) + t.recomputeCost * Math.max(0, shared - readerKnown(v)),
+      costs.failureCost * view.failureRate +
+        sendCost(view) +
+        costs.recomputeCost * Math.max(0, shared - prefillCached(view)),
     );
   }
-  function moveTime(v: WorkerView, from: FleetWorker): number {
-    const bytes = Math.max(0, q.promptTokens - runnerKnown(v)) * t.kvBytesPerToken;
-    return ((bytes * 8) / t.linkMbps) * (1 + apart(v.worker.zone, from.zone));
+  function transferTime(view: WorkerView, from: FleetWorker): number {
+    const bytes = Math.max(0, request.promptTokens - decodeCached(view)) * costs.kvBytesPerToken;
+    return ((bytes * 8) / costs.linkMbps) * (1 + zoneDistance(view.worker.zone, from.zone));
   }
-  function moveCost(v: WorkerView, from: FleetWorker): number {
+  function transferCost(view: WorkerView, from: FleetWorker): number {
     return (
-      ((q.promptTokens * t.kvBytesPerToken) / 1_048_576) * t.kvTransferCost * (1 + apart(v.worker.zone, from.zone))
+      ((request.promptTokens * costs.kvBytesPerToken) / 1_048_576) *
+      costs.kvTransferCost *
+      (1 + zoneDistance(view.worker.zone, from.zone))
     );
   }
-  const paused = runners.filter((v) => v.eventGap > 0);
-  const usualPause = paused.length === 0 ? 0 : Math.min(...paused.map((v) => v.eventGap));
-  function runLoad(v: WorkerView): number {
+  const measured = decodeWorkers.filter((view) => view.eventGap > 0);
+  const minEventGap = measured.length === 0 ? 0 : Math.min(...measured.map((view) => view.eventGap));
+  function decodeLoadCost(view: WorkerView): number {
     return (
-      t.failureCost * v.failureRate +
-      t.activeRunCost * v.activeRuns +
-      t.eventGapCost * (v.eventGap > 0 ? v.eventGap : usualPause) +
-      Math.max(0, v.candidate.kvUsed - 0.85) * 10_000_000
+      costs.failureCost * view.failureRate +
+      costs.activeRunCost * view.activeRuns +
+      costs.eventGapCost * (view.eventGap > 0 ? view.eventGap : minEventGap) +
+      Math.max(0, view.candidate.kvUsed - 0.85) * 10_000_000
     );
   }
-  function direct(v: WorkerView): { time: number; cost: number } {
-    const own = runnerMiss(v) * v.timePerToken;
-    const time = v.queueDelay + own + 10_000;
-    // What it reads holds up all that it runs.
-    const held = own * v.activeRuns * t.interferenceCost;
+  function localEstimate(view: WorkerView): { time: number; cost: number } {
+    const prefill = localPrefillTokens(view) * view.timePerToken;
+    const time = view.queueDelay + prefill + 10_000;
+    // A prefill delays all runs in flight at the same worker.
+    const interference = prefill * view.activeRuns * costs.interferenceCost;
     return {
       time,
-      cost: score(time, held + send(v) + runLoad(v) + t.recomputeCost * Math.max(0, shared - runnerKnown(v))),
+      cost: score(
+        time,
+        interference +
+          sendCost(view) +
+          decodeLoadCost(view) +
+          costs.recomputeCost * Math.max(0, shared - decodeCached(view)),
+      ),
     };
   }
-  function best<T>(xs: readonly T[], cost: (x: T) => number): T | undefined {
-    let [b, c] = [undefined as T | undefined, Infinity];
-    for (const x of xs) {
-      const y = cost(x) + random();
-      if (y < c) [b, c] = [x, y];
+  function cheapest<T>(items: readonly T[], cost: (item: T) => number): T | undefined {
+    let [cheapestItem, lowestCost] = [undefined as T | undefined, Infinity];
+    for (const item of items) {
+      const itemCost = cost(item) + random();
+      if (itemCost < lowestCost) [cheapestItem, lowestCost] = [item, itemCost];
     }
-    return b;
+    return cheapestItem;
   }
 
-  const one = best(runners, (v) => direct(v).cost)!;
-  const alone: WorkerPair = {
+  const localWorker = cheapest(decodeWorkers, (view) => localEstimate(view).cost)!;
+  const localPair: WorkerPair = {
     prefillWorker: undefined,
-    decodeWorker: one.worker,
+    decodeWorker: localWorker.worker,
     prefillWorkerTokens: 0,
-    decodeWorkerTokens: runnerMiss(one),
+    decodeWorkerTokens: localPrefillTokens(localWorker),
     prefillTime: 0,
-    timeToFirstToken: direct(one).time,
-    serviceTime: runnerMiss(one) * one.timePerToken,
+    timeToFirstToken: localEstimate(localWorker).time,
+    serviceTime: localPrefillTokens(localWorker) * localWorker.timePerToken,
     assignment: undefined,
   };
-  if (readers.length === 0) return alone;
-  const few =
-    readers.length <= mostScored
-      ? readers
-      : readers
-          .map((v) => ({ v, cost: readCost(v, readTime(v)) }))
-          .sort((x, y) => x.cost - y.cost)
-          .slice(0, mostScored)
-          .map((x) => x.v);
-  const views = new Map(few.map((v) => [v.candidate.worker as string, v]));
-  function viewOf(c: { readonly worker: string }): WorkerView {
-    return views.get(c.worker)!;
+  if (prefillWorkers.length === 0) return localPair;
+  const scored =
+    prefillWorkers.length <= maxScored
+      ? prefillWorkers
+      : prefillWorkers
+          .map((view) => ({ view, cost: prefillCost(view, prefillTime(view)) }))
+          .sort((a, b) => a.cost - b.cost)
+          .slice(0, maxScored)
+          .map((entry) => entry.view);
+  const views = new Map(scored.map((view) => [view.candidate.worker as string, view]));
+  function viewOf(candidate: { readonly worker: string }): WorkerView {
+    return views.get(candidate.worker)!;
   }
-  const a = assignPrefill(
+  const assignment = assignPrefill(
     {
-      prompt: facts,
-      candidates: few.map((v) => v.candidate),
-      expected: (c) => readTime(viewOf(c)),
-      expectedHit: (c) => readerKnown(viewOf(c)) / Math.max(1, q.promptTokens),
-      priced: (c, time) => readCost(viewOf(c), time),
+      prompt: promptFacts,
+      candidates: scored.map((view) => view.candidate),
+      expected: (candidate) => prefillTime(viewOf(candidate)),
+      expectedHit: (candidate) => prefillCached(viewOf(candidate)) / Math.max(1, request.promptTokens),
+      priced: (candidate, time) => prefillCost(viewOf(candidate), time),
       hits,
       model,
       now,
       random,
-      first: (cs) => {
-        const v = best(few, (x) => readCost(x, readTime(x)))!;
-        return cs.find((c) => c.worker === v.worker.id)!;
+      first: (candidates) => {
+        const best = cheapest(scored, (view) => prefillCost(view, prefillTime(view)))!;
+        return candidates.find((candidate) => candidate.worker === best.worker.id)!;
       },
     },
-    t.placement,
+    costs.placement,
   )!;
-  const r = readers.find((v) => v.worker.id === a.worker.worker)!;
-  function through(v: WorkerView): number {
+  const prefillView = prefillWorkers.find((view) => view.worker.id === assignment.worker.worker)!;
+  function pairCost(view: WorkerView): number {
     return score(
-      readTime(r) + moveTime(v, r.worker) + 20_000,
-      send(r) +
-        t.failureCost * r.failureRate +
-        send(v) +
-        moveCost(v, r.worker) +
-        runLoad(v) +
-        t.recomputeCost * Math.max(0, shared - readerKnown(r)),
+      prefillTime(prefillView) + transferTime(view, prefillView.worker) + 20_000,
+      sendCost(prefillView) +
+        costs.failureCost * prefillView.failureRate +
+        sendCost(view) +
+        transferCost(view, prefillView.worker) +
+        decodeLoadCost(view) +
+        costs.recomputeCost * Math.max(0, shared - prefillCached(prefillView)),
     );
   }
-  const d = best(runners, through)!;
-  if (direct(one).cost <= through(d)) return alone;
+  const decodeView = cheapest(decodeWorkers, pairCost)!;
+  if (localEstimate(localWorker).cost <= pairCost(decodeView)) return localPair;
   return {
-    prefillWorker: r.worker,
-    decodeWorker: d.worker,
-    prefillWorkerTokens: readerMiss(r),
+    prefillWorker: prefillView.worker,
+    decodeWorker: decodeView.worker,
+    prefillWorkerTokens: prefillTokens(prefillView),
     decodeWorkerTokens: 1,
-    prefillTime: readTime(r),
-    timeToFirstToken: readTime(r) + moveTime(d, r.worker) + 20_000,
-    serviceTime: readerMiss(r) * r.timePerToken,
-    assignment: a,
+    prefillTime: prefillTime(prefillView),
+    timeToFirstToken: prefillTime(prefillView) + transferTime(decodeView, prefillView.worker) + 20_000,
+    serviceTime: prefillTokens(prefillView) * prefillView.timePerToken,
+    assignment,
   };
 }
--- a/packages/pass-through/src/attempt-timing.ts
+++ b/packages/pass-through/src/attempt-timing.ts
@@ -3,7 +3,7 @@
 import type { WorkerPair } from './assign-worker-pair.js';
 import type { HandlerContext } from './handler-context.js';
 import type { InFlightRequest } from './in-flight-request.js';
-import { timeToFirstTokenFromKv } from './pair-selection.js';
+import { timeToFirstTokenFromKvMicros } from './pair-selection.js';
 
 /** A worker that answers no request is abandoned after this, where another attempt is safe. */
 const prefillSilence = { minMicros: 450_000, factor: 2.5 };
@@ -88,7 +88,7 @@
   pair: WorkerPair,
   hasKv: boolean,
 ): AttemptTiming {
-  const expected = hasKv ? timeToFirstTokenFromKv : pair.timeToFirstToken;
+  const expected = hasKv ? timeToFirstTokenFromKvMicros : pair.timeToFirstToken;
   const localKind: AttemptKind = isShort(pair) ? 'short run alone' : 'run alone';
   const kind = hasKv ? 'run from memory' : localKind;
   const minimum = hasKv ? timeoutOf(kvRunTimeout, expected) : minPrefillTimeout(inFlight, pair, expected);
--- a/packages/pass-through/src/graceful-shutdown.ts
+++ b/packages/pass-through/src/graceful-shutdown.ts
@@ -1,9 +1,9 @@
 /**
  * Graceful shutdown of a router, in four steps. On the signal it reports that it is not ready, so that the platform
- * sends it no new connections, and goes on serving until the platform has seen that. Then it closes idle connections and
- * rejects new requests at once, since the process may end before they are served. The process exits when no request is
- * in flight. Shortly before the grace period is over, requests whose responses have not started are rejected, so that
- * their clients can retry elsewhere.
+ * sends it no new connections, and goes on serving until the platform has seen that. Then it closes idle connections
+ * and rejects new requests at once, since the process may end before they are served. The process exits when no request
+ * is in flight. Shortly before the grace period is over, requests whose responses have not started are rejected, so
+ * that their clients can retry elsewhere.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 import type { Rejection } from './ports.js';
--- a/packages/pass-through/src/pair-selection.ts
+++ b/packages/pass-through/src/pair-selection.ts
@@ -11,7 +11,7 @@
 const bytesPerMebibyte = 1_048_576;
 
 /** Expected time to the first token of a run with transferred KV cache. */
-export const timeToFirstTokenFromKv = 60_000;
+export const timeToFirstTokenFromKvMicros = 60_000;
 
 function pairCostsFor(context: HandlerContext, inFlight: InFlightRequest): PairCosts {
   const { options, ports, pairCosts: defaults, placement } = context;
@@ -88,7 +88,7 @@
   );
   return pair === undefined
     ? undefined
-    : { ...pair, prefillWorker, decodeWorkerTokens: 1, timeToFirstToken: timeToFirstTokenFromKv };
+    : { ...pair, prefillWorker, decodeWorkerTokens: 1, timeToFirstToken: timeToFirstTokenFromKvMicros };
 }
 
 /** A run at a worker that has the whole prompt cached; undefined where it is leaving, gone or unresponsive. */
@@ -102,7 +102,7 @@
     prefillWorkerTokens: 0,
     decodeWorkerTokens: 1,
     prefillTime: 0,
-    timeToFirstToken: timeToFirstTokenFromKv,
+    timeToFirstToken: timeToFirstTokenFromKvMicros,
     serviceTime: 0,
     assignment: undefined,
   };
--- a/packages/pass-through/src/worker-fleet.ts
+++ b/packages/pass-through/src/worker-fleet.ts
@@ -1,13 +1,16 @@
 /**
- * The router's table of the workers it may send to: what the list says of each, the last load it told, what this
- * router has under way there, the pace it has shown, and how far its answers were off what was expected, which is how
- * the load of other routers shows. It alone says who is a candidate: never one that is leaving or gone, and one that
- * failed or fell silent only where nobody else is left.
+ * The router's table of the workers it may send to: each worker's entry in the worker list, its last reported load,
+ * this router's attempts in flight there, its observed prefill rate, and how much its responses were delayed beyond the
+ * expected time, which shows the load from other routers. Only this table decides which workers are candidates: never
+ * one that is leaving or gone, and one that failed or is unresponsive only where no other is left.
  */
 import type { Candidate } from '@tansypost/placement';
 import type { WorkerId } from '@tansypost/inner-protocol';
 
+/** The stage that a worker serves. */
 export type WorkerStage = 'prefill' | 'decode';
+
+/** A worker as the worker list describes it; the names are written to metrics. */
 export interface FleetWorker {
   readonly id: string;
   readonly service: string;
@@ -17,347 +20,408 @@
   readonly part: WorkerStage;
   readonly leaving: boolean;
 }
+
+/** The load that a worker reported. */
 export interface ReportedLoad {
   readonly queued: number;
   readonly active: number;
-  // A share from 0 to 1.
+  /** A share from 0 to 1. */
   readonly kvUsed: number;
-  // It was asked and did not answer.
+  /** The worker was polled and did not answer. */
   readonly unresponsive: boolean;
   readonly reportedAt: number;
 }
-export type AttemptWork = 'read' | 'run';
+
+/** What a worker does for an attempt: a prefill (`read`) or a run. */
+export type WorkKind = 'read' | 'run';
+
+/** Reports the progress of one attempt to the worker table. */
 export interface AttemptTracker {
-  // Bytes came: the worker is alive. The first ones of a run also say that its prompt is read.
+  /** Bytes came, so the worker is alive. The first bytes of a run also show that its prompt is prefilled. */
   readonly progress: () => void;
-  // `ill`: it ran and said that it failed; `gone`: another worker has its address now; `overdue`: it may still answer
-  // others, but did not answer this in time.
-  readonly finish: (how: 'done' | 'refused' | 'ill' | 'failed' | 'left' | 'gone' | 'overdue') => void;
+  /**
+   * Ends the attempt. `ill`: the worker ran it and reported a failure; `gone`: another worker has the address now;
+   * `overdue`: the worker did not answer this attempt in time, but may answer others.
+   */
+  readonly finish: (outcome: 'done' | 'refused' | 'ill' | 'failed' | 'left' | 'gone' | 'overdue') => void;
 }
+
+/** What placement needs to know about one worker; times are microseconds. */
 export interface WorkerView {
   readonly worker: FleetWorker;
   readonly candidate: Candidate;
-  // How long a prompt of no tokens would wait there before it is read, and how long a token takes to read.
+  /** How long a prompt without tokens would wait there until it is prefilled. */
   readonly queueDelay: number;
+  /** Prefill time for one token. */
   readonly timePerToken: number;
-  // How much what it is doing slows each token it makes: runs under way.
+  /** Runs in flight; each one slows the generation of every token. */
   readonly activeRuns: number;
-  // The pause between two pieces of its streams as seen lately; 0 where none was seen.
+  /** The recent gap between two chunks of its streams; 0 where none was observed. */
   readonly eventGap: number;
-  // The share of sends that failed there lately, as this router and those that tell it saw.
+  /** The recent share of attempts that failed there, as observed by this router and by those that report to it. */
   readonly failureRate: number;
 }
+
+/** The router's table of workers. */
 export interface WorkerFleet {
-  readonly updateWorkers: (ws: readonly FleetWorker[]) => string[];
-  readonly updateLoad: (id: string, l: ReportedLoad) => void;
+  /** Takes a new worker list; returns the ids of the workers that are gone. */
+  readonly updateWorkers: (workers: readonly FleetWorker[]) => string[];
+  readonly updateLoad: (id: string, load: ReportedLoad) => void;
   readonly find: (id: string) => FleetWorker | undefined;
-  readonly candidates: (service: string, part: WorkerStage, without: ReadonlySet<string>) => WorkerView[];
-  // `tokens` are those expected to be read there, `expected` the time until the first answer.
-  readonly startAttempt: (id: string, doing: AttemptWork, tokens: number, expected: number) => AttemptTracker;
-  // Another router has sent it a prompt that takes so long to read, or saw a send fail there.
-  readonly recordPeerActivity: (id: string, service: number, bad?: boolean) => void;
+  /** The workers that may be chosen; those that are not healthy only where no other is left. */
+  readonly candidates: (service: string, part: WorkerStage, excluded: ReadonlySet<string>) => WorkerView[];
+  /** `tokens` are those expected to be prefilled there, `expected` is the time until the first response. */
+  readonly startAttempt: (id: string, kind: WorkKind, tokens: number, expected: number) => AttemptTracker;
+  /** Another router sent the worker a prompt whose prefill takes `serviceTime`, or observed a failed attempt there. */
+  readonly recordPeerActivity: (id: string, serviceTime: number, failed?: boolean) => void;
   readonly isUnresponsive: (id: string) => boolean;
-  /** Whether it could take up a request now: `views` gives others too where nobody better is left. */
+  /** Whether the worker could accept a request now; `candidates` also returns others where no better one is left. */
   readonly isAvailable: (id: string) => boolean;
-  /** What is known of the workers: at most so many, those that do the most or fare the worst first. */
-  readonly summaries: (most: number) => object[];
+  /** State of at most `maxCount` workers for metrics, the busiest and least healthy first. */
+  readonly summaries: (maxCount: number) => object[];
 }
 
-interface Send {
-  readonly doing: AttemptWork;
-  readonly at: number;
+/** An attempt of this router in flight at a worker. */
+interface Attempt {
+  readonly kind: WorkKind;
+  readonly startedAt: number;
   readonly tokens: number;
   readonly expected: number;
-  readonly alone: boolean;
-  read: boolean;
+  /** Whether no other prefill of this router was pending there at its start. */
+  readonly uncontended: boolean;
+  prefilled: boolean;
 }
+
+/** State of one worker. */
 interface Row {
-  w: FleetWorker;
-  told: ReportedLoad | undefined;
-  readonly sends: Set<Send>;
-  // Tokens a microsecond.
-  pace: number;
-  seen: number;
-  off: number;
-  offAt: number;
-  heardAt: number;
-  pause: number;
-  pauseAt: number;
-  // What was sent there lately by this router and others, as far as they told, in time to read.
-  work: { readonly at: number; readonly us: number }[];
-  noted: number;
-  bad: number;
-  badAt: number;
+  worker: FleetWorker;
+  load: ReportedLoad | undefined;
+  readonly attempts: Set<Attempt>;
+  /** Tokens per microsecond. */
+  prefillRate: number;
+  rateSamples: number;
+  /** How much later than expected its first responses came, smoothed; decays with time. */
+  delayError: number;
+  delayErrorAt: number;
+  lastHeardAt: number;
+  eventGap: number;
+  eventGapAt: number;
+  /** Recent prefills sent there by this router, and by others as far as they report, by their prefill time. */
+  queuedWork: { readonly at: number; readonly duration: number }[];
+  lastPeerReportAt: number;
+  failureRate: number;
+  failureRateAt: number;
+  /** Consecutive failures. */
   failures: number;
-  restUntil: number;
+  backoffUntil: number;
 }
-// Until a worker has shown its pace: tokens a millisecond of one that reads only, and of one that reads beside its runs.
-const firstPace = { prefill: 40, decode: 20 };
-const fixed = 15_000;
-const offHalf = 1_000_000;
-const silentAfter = 450_000;
-const pauseKept = 2_500_000;
-const toldKept = 1_600_000;
-const badHalf = 2_500_000;
-const workKept = 6_000_000;
-const notesKept = 5_000_000;
 
+/**
+ * Assumed rates until a worker's rate is observed, in tokens per millisecond: of a worker that only prefills, and of
+ * one that prefills next to its runs.
+ */
+const initialPrefillRates = { prefill: 40, decode: 20 };
+/** Time of a prefill beyond its tokens. */
+const baseLatencyMicros = 15_000;
+const delayErrorHalfLifeMicros = 1_000_000;
+/** Minimum silence after which a worker with unanswered attempts counts as unresponsive. */
+const unresponsiveAfterMicros = 450_000;
+const eventGapRetentionMicros = 2_500_000;
+const loadRetentionMicros = 1_600_000;
+const failureHalfLifeMicros = 2_500_000;
+const workRetentionMicros = 6_000_000;
+const peerReportRetentionMicros = 5_000_000;
+
+/** Creates an empty table. `speedClass` classifies a worker by its observed speed. */
 export function createWorkerFleet(readClock: () => number, speedClass: (id: string) => number = () => 0): WorkerFleet {
   const rows = new Map<string, Row>();
-  let usualRead = 1500;
+  let meanPrefillTokens = 1500;
   let callTime = readClock();
 
-  /** The clock is read once a call: a decision looks at a hundred workers a dozen times each. */
+  /** The clock is read once per call: a decision examines a hundred workers a dozen times each. */
   function now(): number {
     return callTime;
   }
-  function beginCall(): void {
+  function refreshClock(): void {
     callTime = readClock();
   }
 
-  function list(ws: readonly FleetWorker[]): string[] {
-    beginCall();
-    const ids = new Set(ws.map((w) => w.id));
-    const gone = [...rows.keys()].filter((id) => !ids.has(id));
-    for (const id of gone) rows.delete(id);
-    for (const w of ws) {
-      const r = rows.get(w.id);
-      if (r === undefined)
-        rows.set(w.id, {
-          w,
-          told: undefined,
-          sends: new Set(),
-          pace: firstPace[w.part] / 1000,
-          seen: 0,
-          off: 0,
-          offAt: 0,
-          heardAt: -Infinity,
-          pause: 0,
-          pauseAt: -Infinity,
-          work: [],
-          noted: -Infinity,
-          bad: 0,
-          badAt: -Infinity,
+  function updateWorkers(workers: readonly FleetWorker[]): string[] {
+    refreshClock();
+    const ids = new Set(workers.map((worker) => worker.id));
+    const removed = [...rows.keys()].filter((id) => !ids.has(id));
+    for (const id of removed) rows.delete(id);
+    for (const worker of workers) {
+      const row = rows.get(worker.id);
+      if (row === undefined)
+        rows.set(worker.id, {
+          worker,
+          load: undefined,
+          attempts: new Set(),
+          prefillRate: initialPrefillRates[worker.part] / 1000,
+          rateSamples: 0,
+          delayError: 0,
+          delayErrorAt: 0,
+          lastHeardAt: -Infinity,
+          eventGap: 0,
+          eventGapAt: -Infinity,
+          queuedWork: [],
+          lastPeerReportAt: -Infinity,
+          failureRate: 0,
+          failureRateAt: -Infinity,
           failures: 0,
-          restUntil: 0,
+          backoffUntil: 0,
         });
       else {
-        if (r.w.part !== w.part) {
-          r.pace = firstPace[w.part] / 1000;
-          r.off = 0;
-          // It may have turned away as not its own what was asked of the part that it had no more.
-          r.restUntil = 0;
+        if (row.worker.part !== worker.part) {
+          row.prefillRate = initialPrefillRates[worker.part] / 1000;
+          row.delayError = 0;
+          // It may have rejected, as misdirected, requests for the stage that it no longer served.
+          row.backoffUntil = 0;
         }
-        r.w = { ...w, leaving: w.leaving || r.w.leaving };
+        row.worker = { ...worker, leaving: worker.leaving || row.worker.leaving };
       }
     }
-    return gone;
+    return removed;
   }
 
-  function off(r: Row): number {
-    return r.off * 2 ** (-(now() - r.offAt) / offHalf);
+  function currentDelayError(row: Row): number {
+    return row.delayError * 2 ** (-(now() - row.delayErrorAt) / delayErrorHalfLifeMicros);
   }
-  function badNow(r: Row): number {
-    return r.bad < 0.01 ? 0 : r.bad * 2 ** (-(now() - r.badAt) / badHalf);
+  function currentFailureRate(row: Row): number {
+    return row.failureRate < 0.01 ? 0 : row.failureRate * 2 ** (-(now() - row.failureRateAt) / failureHalfLifeMicros);
   }
-  function sawBad(r: Row, x: 0 | 1, weight: number): void {
-    r.bad = badNow(r) * (1 - weight) + weight * x;
-    r.badAt = now();
+  function recordOutcome(row: Row, failed: 0 | 1, weight: number): void {
+    row.failureRate = currentFailureRate(row) * (1 - weight) + weight * failed;
+    row.failureRateAt = now();
   }
-  function reading(r: Row): number {
-    let n = 0;
-    for (const s of r.sends) if (!s.read) n += s.tokens;
-    return n;
+  function pendingTokens(row: Row): number {
+    let tokens = 0;
+    for (const attempt of row.attempts) if (!attempt.prefilled) tokens += attempt.tokens;
+    return tokens;
   }
-  // What is left of the work sent there if it is done one after the other; an idle report ends what was sent before it.
-  function backlog(r: Row): number {
-    const t = now();
-    while (r.work.length > 0 && t - r.work[0]!.at > workKept) r.work.shift();
+  /** Remaining time of the work sent there if it is done sequentially; an idle report completes all earlier work. */
+  function backlog(row: Row): number {
+    const time = now();
+    while (row.queuedWork.length > 0 && time - row.queuedWork[0]!.at > workRetentionMicros) row.queuedWork.shift();
     const idleAt =
-      r.told !== undefined && !r.told.unresponsive && r.told.queued + r.told.active === 0
-        ? r.told.reportedAt
+      row.load !== undefined && !row.load.unresponsive && row.load.queued + row.load.active === 0
+        ? row.load.reportedAt
         : -Infinity;
-    let [left, at] = [0, 0];
-    for (const x of r.work) {
-      if (x.at < idleAt) continue;
-      left = Math.max(0, left - (x.at - at)) + x.us;
-      at = x.at;
+    let [remaining, lastAt] = [0, 0];
+    for (const item of row.queuedWork) {
+      if (item.at < idleAt) continue;
+      remaining = Math.max(0, remaining - (item.at - lastAt)) + item.duration;
+      lastAt = item.at;
     }
-    return Math.max(0, left - (t - at));
+    return Math.max(0, remaining - (time - lastAt));
   }
-  function add(r: Row, us: number): void {
-    r.work.push({ at: now(), us: Math.min(3_000_000, us) });
-    if (r.work.length > 200) r.work.shift();
+  function addWork(row: Row, duration: number): void {
+    row.queuedWork.push({ at: now(), duration: Math.min(3_000_000, duration) });
+    if (row.queuedWork.length > 200) row.queuedWork.shift();
   }
-  function runs(r: Row): number {
-    let n = 0;
-    for (const s of r.sends) if (s.doing === 'run') n += 1;
-    return n;
+  function runsInFlight(row: Row): number {
+    let count = 0;
+    for (const attempt of row.attempts) if (attempt.kind === 'run') count += 1;
+    return count;
   }
-  function quiet(r: Row): boolean {
-    const t = now();
-    if (r.told?.unresponsive === true && t - r.told.reportedAt < toldKept && r.heardAt < r.told.reportedAt) return true;
-    // One that told its load a moment ago is alive, however long its queue.
-    const alive = r.told !== undefined && !r.told.unresponsive && t - r.told.reportedAt < toldKept;
-    const [least, times] = alive ? [3 * silentAfter, 5] : [silentAfter, 2.5];
-    for (const s of r.sends)
-      if (!s.read && t - s.at > Math.max(least, times * s.expected) && t - r.heardAt > least) return true;
+  function isUnresponsive(row: Row): boolean {
+    const time = now();
+    if (
+      row.load?.unresponsive === true &&
+      time - row.load.reportedAt < loadRetentionMicros &&
+      row.lastHeardAt < row.load.reportedAt
+    )
+      return true;
+    // A worker that has just reported its load is alive, however long its queue.
+    const alive = row.load !== undefined && !row.load.unresponsive && time - row.load.reportedAt < loadRetentionMicros;
+    const [minimum, factor] = alive ? [3 * unresponsiveAfterMicros, 5] : [unresponsiveAfterMicros, 2.5];
+    for (const attempt of row.attempts)
+      if (
+        !attempt.prefilled &&
+        time - attempt.startedAt > Math.max(minimum, factor * attempt.expected) &&
+        time - row.lastHeardAt > minimum
+      )
+        return true;
     return false;
   }
-  function slots(r: Row): boolean {
-    return r.told !== undefined && now() - r.told.reportedAt < 2_000_000 && r.told.queued > r.w.slots;
+  function isOverloaded(row: Row): boolean {
+    return row.load !== undefined && now() - row.load.reportedAt < 2_000_000 && row.load.queued > row.worker.slots;
   }
 
-  function view(r: Row): WorkerView {
-    const told =
-      r.told !== undefined && !r.told.unresponsive && now() - r.told.reportedAt < toldKept ? r.told : undefined;
-    const mine = r.sends.size;
-    const all = Math.max(mine, told === undefined ? mine : told.queued + told.active);
-    const queued = Math.min(all, told?.queued ?? 0);
-    const pending = reading(r);
-    // Of the reads of others only their number is known where they do not tell.
-    const notes = now() - r.noted < notesKept;
-    const others = r.w.part !== 'prefill' || notes ? 0 : Math.max(0, all - mine) * usualRead;
+  function viewOf(row: Row): WorkerView {
+    const load =
+      row.load !== undefined && !row.load.unresponsive && now() - row.load.reportedAt < loadRetentionMicros
+        ? row.load
+        : undefined;
+    const own = row.attempts.size;
+    const total = Math.max(own, load === undefined ? own : load.queued + load.active);
+    const queued = Math.min(total, load?.queued ?? 0);
+    const ownTokens = pendingTokens(row);
+    // Where other routers do not report, only the number of their requests is known.
+    const peersReport = now() - row.lastPeerReportAt < peerReportRetentionMicros;
+    const peerTokens = row.worker.part !== 'prefill' || peersReport ? 0 : Math.max(0, total - own) * meanPrefillTokens;
     return {
-      worker: r.w,
+      worker: row.worker,
       candidate: {
-        worker: r.w.id as WorkerId,
+        worker: row.worker.id as WorkerId,
         incarnation: 1,
-        running: all - queued,
+        running: total - queued,
         queued,
-        // Those that other routers told of are in flight too.
-        prefillTokens: Math.round(Math.max(pending, backlog(r) * r.pace)),
-        decodeTokens: runs(r),
-        kvUsed: told?.kvUsed ?? 0,
-        speedClass: speedClass(r.w.id),
+        // Prefills reported by other routers are in flight too.
+        prefillTokens: Math.round(Math.max(ownTokens, backlog(row) * row.prefillRate)),
+        decodeTokens: runsInFlight(row),
+        kvUsed: load?.kvUsed ?? 0,
+        speedClass: speedClass(row.worker.id),
       },
-      queueDelay: fixed + Math.max((pending + others) / r.pace, backlog(r)) + Math.max(0, off(r)),
-      timePerToken: 1 / r.pace,
-      activeRuns: Math.max(runs(r), r.w.part === 'decode' ? (told?.active ?? 0) : 0),
-      eventGap: now() - r.pauseAt < pauseKept ? r.pause : 0,
-      failureRate: badNow(r),
+      queueDelay:
+        baseLatencyMicros +
+        Math.max((ownTokens + peerTokens) / row.prefillRate, backlog(row)) +
+        Math.max(0, currentDelayError(row)),
+      timePerToken: 1 / row.prefillRate,
+      activeRuns: Math.max(runsInFlight(row), row.worker.part === 'decode' ? (load?.active ?? 0) : 0),
+      eventGap: now() - row.eventGapAt < eventGapRetentionMicros ? row.eventGap : 0,
+      failureRate: currentFailureRate(row),
     };
   }
 
-  function notableFirst(): Row[] {
-    beginCall();
+  function mostNotableFirst(): Row[] {
+    refreshClock();
     return [...rows.values()].sort((a, b) => notability(b) - notability(a));
   }
-  function notability(r: Row): number {
-    return (r.w.leaving ? 1000 : 0) + 100 * r.failures + r.sends.size;
+  function notability(row: Row): number {
+    return (row.worker.leaving ? 1000 : 0) + 100 * row.failures + row.attempts.size;
   }
 
-  /** Neither resting after a failure, nor silent, nor with more waiting than it runs at once. */
-  function well(r: Row): boolean {
-    return r.restUntil <= now() && !quiet(r) && !slots(r);
+  /** Neither backed off after a failure, nor unresponsive, nor with a queue longer than its slots. */
+  function isHealthy(row: Row): boolean {
+    return row.backoffUntil <= now() && !isUnresponsive(row) && !isOverloaded(row);
   }
 
-  function views(service: string, part: WorkerStage, without: ReadonlySet<string>): WorkerView[] {
-    beginCall();
-    const fit = [...rows.values()].filter(
-      (r) => r.w.service === service && r.w.part === part && !r.w.leaving && !without.has(r.w.id),
+  function candidates(service: string, part: WorkerStage, excluded: ReadonlySet<string>): WorkerView[] {
+    refreshClock();
+    const eligible = [...rows.values()].filter(
+      (row) =>
+        row.worker.service === service &&
+        row.worker.part === part &&
+        !row.worker.leaving &&
+        !excluded.has(row.worker.id),
     );
-    const best = fit.filter(well);
-    return (best.length > 0 ? best : fit).map(view);
+    const healthy = eligible.filter(isHealthy);
+    return (healthy.length > 0 ? healthy : eligible).map(viewOf);
   }
 
-  function began(id: string, doing: AttemptWork, tokens: number, expected: number): AttemptTracker {
-    beginCall();
-    const r = rows.get(id);
-    if (r === undefined) return { progress: () => undefined, finish: () => undefined };
-    const s: Send = { doing, at: now(), tokens, expected, alone: reading(r) === 0, read: false };
-    r.sends.add(s);
-    if (doing === 'read') usualRead += 0.05 * (tokens - usualRead);
-    if (tokens > 1) add(r, tokens / r.pace);
-    function firstSeen(): void {
-      if (s.read) return;
-      s.read = true;
-      const took = now() - s.at;
-      const miss = took - s.expected;
-      r!.off = off(r!) * 0.6 + 0.4 * Math.max(-200_000, Math.min(3_000_000, miss + off(r!)));
-      r!.offAt = now();
-      if (s.alone && s.tokens >= 256 && took > fixed) {
-        const p = s.tokens / Math.max(1000, took - fixed);
-        const known = r!.seen < 4;
-        r!.pace += (p > r!.pace ? (known ? 0.5 : 0.2) : known ? 0.2 : 0.03) * (p - r!.pace);
-        r!.pace = Math.max(0.001, Math.min(1, r!.pace));
-        r!.seen += 1;
+  function startAttempt(id: string, kind: WorkKind, tokens: number, expected: number): AttemptTracker {
+    refreshClock();
+    const row = rows.get(id);
+    if (row === undefined) return { progress: () => undefined, finish: () => undefined };
+    const attempt: Attempt = {
+      kind,
+      startedAt: now(),
+      tokens,
+      expected,
+      uncontended: pendingTokens(row) === 0,
+      prefilled: false,
+    };
+    row.attempts.add(attempt);
+    if (kind === 'read') meanPrefillTokens += 0.05 * (tokens - meanPrefillTokens);
+    if (tokens > 1) addWork(row, tokens / row.prefillRate);
+    function recordFirstResponse(): void {
+      if (attempt.prefilled) return;
+      attempt.prefilled = true;
+      const took = now() - attempt.startedAt;
+      const residual = took - attempt.expected;
+      row!.delayError =
+        currentDelayError(row!) * 0.6 +
+        0.4 * Math.max(-200_000, Math.min(3_000_000, residual + currentDelayError(row!)));
+      row!.delayErrorAt = now();
+      if (attempt.uncontended && attempt.tokens >= 256 && took > baseLatencyMicros) {
+        const observedRate = attempt.tokens / Math.max(1000, took - baseLatencyMicros);
+        const fewSamples = row!.rateSamples < 4;
+        row!.prefillRate +=
+          (observedRate > row!.prefillRate ? (fewSamples ? 0.5 : 0.2) : fewSamples ? 0.2 : 0.03) *
+          (observedRate - row!.prefillRate);
+        row!.prefillRate = Math.max(0.001, Math.min(1, row!.prefillRate));
+        row!.rateSamples += 1;
       }
     }
-    let last = -Infinity;
+    let lastProgressAt = -Infinity;
     return {
       progress: () => {
-        beginCall();
-        const t = now();
-        r.heardAt = t;
-        if (s.read && doing === 'run' && last > -Infinity && t - last > 1000) {
-          const known = t - r.pauseAt < pauseKept;
-          r.pause = known ? r.pause + 0.15 * (t - last - r.pause) : t - last;
-          r.pauseAt = t;
+        refreshClock();
+        const time = now();
+        row.lastHeardAt = time;
+        if (attempt.prefilled && kind === 'run' && lastProgressAt > -Infinity && time - lastProgressAt > 1000) {
+          const isRecent = time - row.eventGapAt < eventGapRetentionMicros;
+          row.eventGap = isRecent
+            ? row.eventGap + 0.15 * (time - lastProgressAt - row.eventGap)
+            : time - lastProgressAt;
+          row.eventGapAt = time;
         }
-        last = t;
-        firstSeen();
+        lastProgressAt = time;
+        recordFirstResponse();
       },
-      finish: (how) => {
-        if (!r.sends.delete(s)) return;
-        beginCall();
-        // One that is silent or gone rests; one that answers, and badly, costs more.
-        if (how === 'done') sawBad(r, 0, 0.2);
-        else if (how === 'refused' || how === 'ill' || how === 'overdue') sawBad(r, 1, 0.2);
-        if (how === 'done' || how === 'ill') {
-          r.heardAt = now();
-          r.failures = 0;
-          firstSeen();
-        } else if (how === 'refused') {
-          r.heardAt = now();
-          r.restUntil = Math.max(r.restUntil, now() + 150_000);
-        } else if (how === 'gone') r.restUntil = Infinity;
-        else if (how === 'failed') {
-          r.failures += 1;
-          r.restUntil = now() + Math.min(4_000_000, 400_000 * 2 ** Math.min(4, r.failures - 1));
+      finish: (outcome) => {
+        if (!row.attempts.delete(attempt)) return;
+        refreshClock();
+        // A worker that is unreachable or gone is backed off; one that answers with failures costs more in placement.
+        if (outcome === 'done') recordOutcome(row, 0, 0.2);
+        else if (outcome === 'refused' || outcome === 'ill' || outcome === 'overdue') recordOutcome(row, 1, 0.2);
+        if (outcome === 'done' || outcome === 'ill') {
+          row.lastHeardAt = now();
+          row.failures = 0;
+          recordFirstResponse();
+        } else if (outcome === 'refused') {
+          row.lastHeardAt = now();
+          row.backoffUntil = Math.max(row.backoffUntil, now() + 150_000);
+        } else if (outcome === 'gone') row.backoffUntil = Infinity;
+        else if (outcome === 'failed') {
+          row.failures += 1;
+          row.backoffUntil = now() + Math.min(4_000_000, 400_000 * 2 ** Math.min(4, row.failures - 1));
         }
       },
     };
   }
 
   return {
-    updateWorkers: list,
-    updateLoad: (id, l) => {
-      const r = rows.get(id);
-      if (r !== undefined && (r.told === undefined || l.reportedAt > r.told.reportedAt)) r.told = l;
+    updateWorkers,
+    updateLoad: (id, load) => {
+      const row = rows.get(id);
+      if (row !== undefined && (row.load === undefined || load.reportedAt > row.load.reportedAt)) row.load = load;
     },
-    find: (id) => rows.get(id)?.w,
-    candidates: views,
-    startAttempt: began,
-    recordPeerActivity: (id, service, bad = false) => {
-      const r = rows.get(id);
-      if (r === undefined) return;
-      beginCall();
-      if (bad) return sawBad(r, 1, 0.15);
-      r.noted = now();
-      add(r, service);
+    find: (id) => rows.get(id)?.worker,
+    candidates,
+    startAttempt,
+    recordPeerActivity: (id, serviceTime, failed = false) => {
+      const row = rows.get(id);
+      if (row === undefined) return;
+      refreshClock();
+      if (failed) return recordOutcome(row, 1, 0.15);
+      row.lastPeerReportAt = now();
+      addWork(row, serviceTime);
     },
     isUnresponsive: (id) => {
-      beginCall();
-      const r = rows.get(id);
-      return r === undefined || quiet(r);
+      refreshClock();
+      const row = rows.get(id);
+      return row === undefined || isUnresponsive(row);
     },
     isAvailable: (id) => {
-      beginCall();
-      const r = rows.get(id);
-      return r !== undefined && !r.w.leaving && well(r);
+      refreshClock();
+      const row = rows.get(id);
+      return row !== undefined && !row.worker.leaving && isHealthy(row);
     },
-    summaries: (most) =>
-      notableFirst()
-        .slice(0, most)
-        .map((r) => ({
-          ...r.w,
-          sends: r.sends.size,
-          pace: Math.round(r.pace * 1e5) / 100,
-          off: Math.round(off(r) / 1000),
-          pause: Math.round(r.pause / 1000),
-          told: r.told === undefined ? '' : `${r.told.queued}+${r.told.active} ${Math.round(r.told.kvUsed * 100)}`,
-          failures: r.failures,
+    summaries: (maxCount) =>
+      mostNotableFirst()
+        .slice(0, maxCount)
+        .map((row) => ({
+          ...row.worker,
+          sends: row.attempts.size,
+          pace: Math.round(row.prefillRate * 1e5) / 100,
+          off: Math.round(currentDelayError(row) / 1000),
+          pause: Math.round(row.eventGap / 1000),
+          told:
+            row.load === undefined ? '' : `${row.load.queued}+${row.load.active} ${Math.round(row.load.kvUsed * 100)}`,
+          failures: row.failures,
         })),
   };
 }
