--- a/packages/paths/src/route-table.test.ts
+++ b/packages/paths/src/route-table.test.ts
@@ -1,10 +1,10 @@
-/** Looking up the path of a request, and the faults of a route table. */
+/** Looking up the route of a request, and validation of a route table. */
 import { expect, it } from 'vitest';
 import { validateRouteTable } from './validate-route-table.js';
 import { createRouteMatcher } from './route-matcher.js';
 import type { Route, RouteTable, Service } from './route-table.js';
 
-function path(name: string, host: string, prefix: string): Route {
+function route(name: string, host: string, prefix: string): Route {
   return {
     name,
     host,
@@ -21,46 +21,46 @@
   };
 }
 
-it('finds the longest prefix of the host, whatever its port and case, and nothing else', () => {
-  const t = {
+it('finds the route with the longest prefix of the host, ignoring port and case, and no other', () => {
+  const hosts = {
     revision: 1,
     services: [],
     limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
-    routes: [path('a', 'H.example', '/a/'), path('ab', 'h.example', '/a/b/'), path('o', 'o.example', '/')],
+    routes: [route('a', 'H.example', '/a/'), route('ab', 'h.example', '/a/b/'), route('o', 'o.example', '/')],
   } as RouteTable;
-  const m = createRouteMatcher(t);
-  function at(h: string, p: string): string | undefined {
-    return m.find(h, p)?.name;
+  const matcher = createRouteMatcher(hosts);
+  function find(host: string, target: string): string | undefined {
+    return matcher.find(host, target)?.name;
   }
-  expect(at('h.example', '/a/x?q=/a/b/')).toBe('a');
-  expect(at('h.EXAMPLE:80', '/a/b/c')).toBe('ab');
-  expect(at('h.example', '/a')).toBeUndefined();
-  expect(at('x.example', '/a/x')).toBeUndefined();
-  expect(at('o.example', '/any')).toBe('o');
+  expect(find('h.example', '/a/x?q=/a/b/')).toBe('a');
+  expect(find('h.EXAMPLE:80', '/a/b/c')).toBe('ab');
+  expect(find('h.example', '/a')).toBeUndefined();
+  expect(find('x.example', '/a/x')).toBeUndefined();
+  expect(find('o.example', '/any')).toBe('o');
 });
 
-const sound = path('chat', 'h.example', '/v1/');
+const valid = route('chat', 'h.example', '/v1/');
 const table = {
   revision: 1,
   services: [{ name: 's' } as Service],
   limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 },
-  routes: [sound],
+  routes: [valid],
 } as RouteTable;
 
-it('lets a sound table pass', () => {
+it('accepts a valid table', () => {
   expect(validateRouteTable(table)).toEqual([]);
 });
 
 it.each<[string, RouteTable]>([
   ['revision', { ...table, revision: 0.5 }],
   ['Two services', { ...table, services: [...table.services, ...table.services] }],
-  ['Two paths', { ...table, routes: [sound, { ...sound, host: 'H.example' }] }],
-  ['prefix', { ...table, routes: [{ ...sound, prefix: '/v1' }] }],
-  ['budget', { ...table, routes: [{ ...sound, timeout: Number.NaN }] }],
-  ['weights', { ...table, routes: [{ ...sound, weightedServices: [{ service: 's', weight: 0 }] }] }],
-  ['which is not stated', { ...table, routes: [{ ...sound, weightedServices: [{ service: 'other', weight: 1 }] }] }],
-])('finds one fault: %s', (words, faulty) => {
-  const faults = validateRouteTable(faulty);
-  expect(faults).toHaveLength(1);
-  expect(faults[0]).toContain(words);
+  ['Two routes', { ...table, routes: [valid, { ...valid, host: 'H.example' }] }],
+  ['prefix', { ...table, routes: [{ ...valid, prefix: '/v1' }] }],
+  ['deadline', { ...table, routes: [{ ...valid, timeout: Number.NaN }] }],
+  ['weights', { ...table, routes: [{ ...valid, weightedServices: [{ service: 's', weight: 0 }] }] }],
+  ['which is not defined', { ...table, routes: [{ ...valid, weightedServices: [{ service: 'other', weight: 1 }] }] }],
+])('reports exactly one error: %s', (words, invalid) => {
+  const errors = validateRouteTable(invalid);
+  expect(errors).toHaveLength(1);
+  expect(errors[0]).toContain(words);
 });
--- a/packages/paths/src/route-table.ts
+++ b/packages/paths/src/route-table.ts
@@ -1,48 +1,47 @@
 /**
- * The route table for traffic that is passed through as it comes: which requests there are (a host and a
- * prefix), how urgent and how patient each kind is, which service runs it, and what the services are.
- * Times are whole microseconds, sizes are bytes.
+ * The route table for pass-through traffic: the routes (a host and a path prefix) with their priorities, timeouts and
+ * services, and the services themselves. Times are whole microseconds, sizes are bytes.
  */
 import type { Tenant } from './tenants.js';
 
-/** The part of a path's requests that goes to one service. */
+/** A service of a route and the share of the route's requests that it receives. */
 export interface WeightedService {
   readonly service: string;
-  /** Relative to the other shares of the path; not negative. */
+  /** Relative to the other weights of the route; not negative. */
   readonly weight: number;
 }
 
-/** One kind of request, and how it is to be served. */
+/** One route: which requests it matches and how they are served. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly prefix: string;
-  /** The deadline: the longest that a request is held. */
+  /** Maximum time from the arrival of a request to the end of its response. */
   readonly timeout: number;
-  /** The target: the time within which the first bytes are worth most. */
+  /** Target for the time to the first bytes of the response. */
   readonly targetLatency: number;
-  /** The longest gap between events of a stream that is still in time; 0 where the answer is not a stream. */
+  /** Target for the longest gap between events of a stream; 0 where the response is not a stream. */
   readonly maxEventGap: number;
-  /** The priority; 0 goes first. */
+  /** 0 is the highest priority. */
   readonly priority: number;
   readonly streaming: boolean;
-  /** May run more than once (idempotent). */
+  /** Whether a request may run more than once. */
   readonly idempotent: boolean;
-  /** A stream that broke may be taken up by another worker. */
+  /** Whether a broken stream may be resumed at another worker. */
   readonly resumable: boolean;
-  /** The largest number of attempts: workers that one request may go to. */
+  /** Maximum number of workers that one request may be sent to. */
   readonly maxAttempts: number;
   readonly weightedServices: readonly WeightedService[];
-  /** Needs no key, also where the table has tenants. */
+  /** Whether requests need no API key even where the table has tenants. */
   readonly public?: boolean;
 }
 
-/** How many workers a service may have in each zone in which it runs; numbers are of workers of both stages. */
+/** Bounds on the number of workers of a service in each zone in which it runs, counting workers of both stages. */
 export interface ScalingBounds {
   readonly minWorkers: number;
   readonly maxWorkers: number;
-  /** How long after an order a new worker serves. */
+  /** Time from an order until the new worker serves. */
   readonly bootTime: number;
 }
 
@@ -51,41 +50,41 @@
   readonly name: string;
   /** HTTP path of the workers' health report. */
   readonly healthPath: string;
-  /** The largest number of connections to one worker. */
+  /** Maximum number of connections to one worker. */
   readonly maxConnections: number;
-  /** Requests that one worker runs at a time. */
+  /** Requests that one worker runs concurrently. */
   readonly slots: number;
-  /** Tokens that fit into one worker's KV memory. */
+  /** Capacity of one worker's KV cache in tokens. */
   readonly kvCapacityTokens: number;
-  /** Size of one token's KV memory. */
+  /** Size of the KV cache of one token. */
   readonly kvBytesPerToken: number;
-  /** Bandwidth between workers, in megabits a second. */
+  /** Bandwidth between workers in megabits per second. */
   readonly linkMbps: number;
   /** Time to live of a KV handle. */
   readonly handleTtl: number;
-  /** How long a worker takes to change between prefill and decode. */
+  /** Time that a worker takes to switch between prefill and decode. */
   readonly stageSwitchTime: number;
-  /** Undefined where the number of workers is not ours to order. */
+  /** Undefined where the number of workers is not controlled by this system. */
   readonly scaling?: ScalingBounds | undefined;
 }
 
-/** What a client may send, and how slowly. */
+/** Limits on the size and the speed of what a client sends. */
 export interface ClientLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
-  /** The longest time until the head is complete. */
+  /** Maximum time until the headers are complete. */
   readonly headerTimeout: number;
-  /** The longest time without a byte. */
+  /** Maximum time without a byte. */
   readonly idleTimeout: number;
 }
 
-/** The whole route table, taken or refused as one. */
+/** The whole route table, which is accepted or rejected as one. */
 export interface RouteTable {
-  /** Grows with every change; starts at 1. */
+  /** Increases with every change; starts at 1. */
   readonly revision: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
   readonly limits: ClientLimits;
-  /** Who may send requests; undefined where no keys are asked for. */
+  /** The tenants that may send requests; undefined where no API keys are required. */
   readonly tenants?: readonly Tenant[] | undefined;
 }
--- a/packages/paths/src/validate-route-table.ts
+++ b/packages/paths/src/validate-route-table.ts
@@ -1,51 +1,53 @@
-/** What is wrong with a route table beyond its shape. */
+/** Validates a route table beyond its shape. */
 import type { Route, RouteTable, Service } from './route-table.js';
 import { validateTenants } from './tenants.js';
 
-/** Each fault of the table as a sentence for its author; none when the table may go into force. */
+/** The errors in the table, as sentences for its author; empty when the table is valid. */
 export function validateRouteTable(table: RouteTable): string[] {
-  const faults: string[] = [];
+  const errors: string[] = [];
   const services = new Set(table.services.map((service) => service.name));
   if (!Number.isSafeInteger(table.revision) || table.revision < 1) {
-    faults.push('The revision must be a whole number above 0.');
+    errors.push('The revision must be an integer greater than 0.');
   }
-  if (services.size !== table.services.length) faults.push('Two services have one name; name each once.');
+  if (services.size !== table.services.length) errors.push('Two services have the same name; names must be unique.');
   const seen = new Set<string>();
-  for (const path of table.routes) {
-    const at = `${path.host.toLowerCase()} ${path.prefix}`;
-    if (seen.has(at)) faults.push(`Two paths have the host and prefix ${at}; keep one.`);
-    seen.add(at);
-    faults.push(...faultsOfPath(path, services));
+  for (const route of table.routes) {
+    const hostAndPrefix = `${route.host.toLowerCase()} ${route.prefix}`;
+    if (seen.has(hostAndPrefix))
+      errors.push(`Two routes have the host and prefix ${hostAndPrefix}; this pair must be unique.`);
+    seen.add(hostAndPrefix);
+    errors.push(...validateRoute(route, services));
   }
-  return [...faults, ...table.services.flatMap(faultsOfScaling), ...validateTenants(table.tenants ?? [])];
+  return [...errors, ...table.services.flatMap(validateScaling), ...validateTenants(table.tenants ?? [])];
 }
 
-function faultsOfPath(path: Route, services: ReadonlySet<string>): string[] {
-  const faults: string[] = [];
-  if (!path.prefix.startsWith('/') || !path.prefix.endsWith('/')) {
-    faults.push(`The prefix of ${path.name} must begin and end with a slash.`);
+function validateRoute(route: Route, services: ReadonlySet<string>): string[] {
+  const errors: string[] = [];
+  if (!route.prefix.startsWith('/') || !route.prefix.endsWith('/')) {
+    errors.push(`The prefix of ${route.name} must start and end with a slash.`);
   }
-  if (!(path.timeout > 0)) faults.push(`The budget of ${path.name} must be above 0.`);
-  // Written so that NaN is a fault too.
-  const negative = path.weightedServices.some((share) => !(share.weight >= 0));
-  const total = path.weightedServices.reduce((sum, share) => sum + share.weight, 0);
-  if (negative || !(total > 0)) faults.push(`The weights of ${path.name} must add up to more than 0.`);
-  for (const share of path.weightedServices) {
+  if (!(route.timeout > 0)) errors.push(`The deadline of ${route.name} must be greater than 0.`);
+  // Negated comparisons, so that NaN is an error too.
+  const negative = route.weightedServices.some((share) => !(share.weight >= 0));
+  const total = route.weightedServices.reduce((sum, share) => sum + share.weight, 0);
+  if (negative || !(total > 0))
+    errors.push(`The weights of ${route.name} must not be negative, and their sum must be greater than 0.`);
+  for (const share of route.weightedServices) {
     if (services.has(share.service)) continue;
-    faults.push(`${path.name} names the service ${share.service}, which is not stated.`);
+    errors.push(`${route.name} refers to the service ${share.service}, which is not defined.`);
   }
-  return faults;
+  return errors;
 }
 
-function faultsOfScaling({ name, scaling }: Service): string[] {
+function validateScaling({ name, scaling }: Service): string[] {
   if (scaling === undefined) return [];
-  const { minWorkers: least, maxWorkers: most, bootTime } = scaling;
-  const faults: string[] = [];
-  if (![least, most].every((count) => Number.isSafeInteger(count) && count >= 0)) {
-    faults.push(`The least and the most workers of ${name} must be whole numbers of 0 or more.`);
+  const { minWorkers, maxWorkers, bootTime } = scaling;
+  const errors: string[] = [];
+  if (![minWorkers, maxWorkers].every((count) => Number.isSafeInteger(count) && count >= 0)) {
+    errors.push(`The minimum and maximum numbers of workers of ${name} must be integers of at least 0.`);
   }
-  // Written so that NaN is a fault too.
-  if (!(least <= most)) faults.push(`The least workers of ${name} must not be above the most.`);
-  if (!(bootTime >= 0)) faults.push(`The boot time of ${name} must be 0 or more.`);
-  return faults;
+  // Negated comparisons, so that NaN is an error too.
+  if (!(minWorkers <= maxWorkers)) errors.push(`The minimum number of workers of ${name} must not exceed the maximum.`);
+  if (!(bootTime >= 0)) errors.push(`The boot time of ${name} must not be negative.`);
+  return errors;
 }
