--- a/packages/pass-through/src/request-handler.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -1,6 +1,6 @@
 /**
- * The course of single requests in virtual time, with workers that answer as drawn or as scripted: what is sent to
- * whom and when, between the failure of one attempt and the next one or the answer.
+ * The request handler in virtual time, one request at a time, with workers whose behavior is scripted or generated:
+ * which attempts are made at which workers, and when each one follows the failure of the previous one.
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
@@ -13,56 +13,56 @@
 import type { FleetWorker, ReportedLoad } from './worker-fleet.js';
 
 const second = 1_000_000;
-const aim = 0.8 * second;
-const limit = 8 * second;
+const targetLatency = 0.8 * second;
+const routeTimeout = 8 * second;
 const body = Buffer.from('x');
 
 interface Attempt {
   readonly kind: 'read' | 'run';
   readonly worker: string;
-  readonly left: number;
-  readonly from: number;
-  to: number | undefined;
+  readonly remainingTime: number;
+  readonly startedAt: number;
+  endedAt: number | undefined;
   result: (PrefillResult | RunResult)['tag'] | undefined;
 }
-type Answering<R> = (attempt: Attempt, gone: AbortSignal, sink: ResponseSink | undefined) => Promise<R>;
+type WorkerBehavior<R> = (attempt: Attempt, signal: AbortSignal, sink: ResponseSink | undefined) => Promise<R>;
 interface Script {
-  readonly read: Answering<PrefillResult>;
-  readonly run: Answering<RunResult>;
+  readonly prefill: WorkerBehavior<PrefillResult>;
+  readonly run: WorkerBehavior<RunResult>;
 }
-interface Ended {
-  readonly at: number;
-  readonly how: 'whole' | 'failed' | 'cut' | Rejection;
+interface ClientResponse {
+  readonly time: number;
+  readonly result: 'whole' | 'failed' | 'cut' | Rejection;
   readonly status?: number;
   readonly seal?: string;
 }
-interface Played {
+interface Outcome {
   readonly attempts: Attempt[];
-  readonly freed: string[];
-  readonly ended: Ended | undefined;
-  readonly began: boolean;
-  /** Tenants whose requests were said to have begun to run. */
-  readonly begunFor: readonly string[];
+  readonly freedHandles: string[];
+  readonly response: ClientResponse | undefined;
+  readonly responseStarted: boolean;
+  /** Tenants for which `requestStarted` was called. */
+  readonly startedTenants: readonly string[];
 }
 
-function never(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
+function neverAnswers(signal: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
   return new Promise((done) => {
-    gone.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
+    signal.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
   });
 }
 
-function fleetOf(readers: number, runners: number): FleetWorker[] {
-  return [...Array(readers + runners).keys()].map((i) => ({
-    id: i < readers ? `reader${i}` : `runner${i - readers}`,
+function createWorkers(prefillWorkers: number, decodeWorkers: number): FleetWorker[] {
+  return [...Array(prefillWorkers + decodeWorkers).keys()].map((i) => ({
+    id: i < prefillWorkers ? `reader${i}` : `runner${i - prefillWorkers}`,
     service: 's',
     address: `10.0.0.${i}:1`,
     zone: 'z',
     slots: 8,
-    part: i < readers ? 'prefill' : 'decode',
+    part: i < prefillWorkers ? 'prefill' : 'decode',
     leaving: false,
   }));
 }
-function tableOf(over: Partial<Route>): RouteTable {
+function routeTable(overrides: Partial<Route>): RouteTable {
   return {
     revision: 1,
     routes: [
@@ -70,8 +70,8 @@
         name: 'p',
         host: 'h',
         prefix: '/',
-        timeout: limit,
-        targetLatency: aim,
+        timeout: routeTimeout,
+        targetLatency,
         maxEventGap: 300_000,
         priority: 0,
         streaming: true,
@@ -79,7 +79,7 @@
         resumable: true,
         maxAttempts: 2,
         weightedServices: [{ service: 's', weight: 1 }],
-        ...over,
+        ...overrides,
       },
     ],
     services: [{ name: 's', healthPath: '/', maxConnections: 10, slots: 8, kvBytesPerToken: 1000, linkMbps: 10_000 }],
@@ -99,59 +99,68 @@
     { id: 'a', tokens: 3000 },
     { id: 'b', tokens: 1000 },
   ],
-  timeout: limit,
+  timeout: routeTimeout,
   lastEventId: undefined,
 };
 
-interface Setting {
-  /** When the router is told its routes and its workers, if not before the request. */
-  readonly pathsAt?: number;
+interface Scenario {
+  /** When the handler receives its routes and workers; before the request by default. */
+  readonly routesAt?: number;
   readonly workersAt?: number;
-  /** What each worker tells of its load, where it is not one run. */
+  /** The load that a worker reports; one active run by default. */
   readonly load?: (id: string) => Partial<ReportedLoad>;
   readonly request?: Partial<IncomingRequest>;
-  readonly pair?: Partial<typeof defaultPairCosts>;
-  readonly path?: Partial<Route>;
-  readonly always?: number;
-  readonly readers?: number;
-  readonly runners?: number;
-  /** When the router gives up on what has not begun, as it is about to end. */
-  readonly leavesAt?: number;
+  readonly pairCosts?: Partial<typeof defaultPairCosts>;
+  readonly route?: Partial<Route>;
+  readonly retrySlack?: number;
+  readonly prefillWorkers?: number;
+  readonly decodeWorkers?: number;
+  /** When the router rejects unstarted requests during its shutdown. */
+  readonly rejectUnstartedAt?: number;
 }
-async function play(script: Script, setting: Setting = {}): Promise<Played> {
+async function runRequest(script: Script, scenario: Scenario = {}): Promise<Outcome> {
   const { world, runUntil } = createVirtualClock();
   const attempts: Attempt[] = [];
-  const freed: string[] = [];
-  const workers = fleetOf(setting.readers ?? 3, setting.runners ?? 3);
-  let ended: Ended | undefined;
-  let began = false;
-  const begunFor: string[] = [];
+  const freedHandles: string[] = [];
+  const workers = createWorkers(scenario.prefillWorkers ?? 3, scenario.decodeWorkers ?? 3);
+  let response: ClientResponse | undefined;
+  let responseStarted = false;
+  const startedTenants: string[] = [];
 
   async function attempt<R extends PrefillResult | RunResult>(
     kind: Attempt['kind'],
     worker: FleetWorker,
-    left: number,
-    answer: (a: Attempt) => Promise<R>,
+    remainingTime: number,
+    answer: (record: Attempt) => Promise<R>,
   ): Promise<R> {
-    const a: Attempt = { kind, worker: worker.id, left, from: world.now(), to: undefined, result: undefined };
-    attempts.push(a);
-    const result = await answer(a);
-    a.to = world.now();
-    a.result = result.tag;
+    const record: Attempt = {
+      kind,
+      worker: worker.id,
+      remainingTime,
+      startedAt: world.now(),
+      endedAt: undefined,
+      result: undefined,
+    };
+    attempts.push(record);
+    const result = await answer(record);
+    record.endedAt = world.now();
+    record.result = result.tag;
     return result;
   }
   const port: WorkerPort = {
-    prefill: (w, _q, left, _urgency, gone) => attempt('read', w, left, (a) => script.read(a, gone, undefined)),
-    run: (w, _q, t, sink, gone) => attempt('run', w, t.remainingTime, (a) => script.run(a, gone, sink)),
-    freeKv: (_w, handle) => void freed.push(handle),
+    prefill: (worker, _request, remainingTime, _urgency, signal) =>
+      attempt('read', worker, remainingTime, (record) => script.prefill(record, signal, undefined)),
+    run: (worker, _request, parameters, sink, signal) =>
+      attempt('run', worker, parameters.remainingTime, (record) => script.run(record, signal, sink)),
+    freeKv: (_worker, handle) => void freedHandles.push(handle),
   };
-  function end(how: Ended['how'], more: { status?: number; seal?: string } = {}): void {
-    if (ended !== undefined) throw new Error('answered twice');
-    ended = { at: world.now(), how, ...more };
+  function end(result: ClientResponse['result'], more: { status?: number; seal?: string } = {}): void {
+    if (response !== undefined) throw new Error('answered twice');
+    response = { time: world.now(), result, ...more };
   }
-  const reply: ResponseWriter = {
+  const writer: ResponseWriter = {
     head: () => {
-      began = true;
+      responseStarted = true;
     },
     chunk: () => undefined,
     end: () => end('whole'),
@@ -159,345 +168,417 @@
     respond: (h) => end('failed', { status: h.status, seal: h.headers[1]! }),
     reject: (g) => end(g),
   };
-  const course: RequestHandler = createRequestHandler(
+  const handler: RequestHandler = createRequestHandler(
     world,
     {
       zone: 'z',
       regionOf: () => 'r',
-      retryBudget: { ratio: 0.2, slack: setting.always ?? 50, window: 10 * second, routerCount: () => 1 },
-      ...(setting.pair === undefined ? {} : { pairCosts: setting.pair }),
+      retryBudget: { ratio: 0.2, slack: scenario.retrySlack ?? 50, window: 10 * second, routerCount: () => 1 },
+      ...(scenario.pairCosts === undefined ? {} : { pairCosts: scenario.pairCosts }),
     },
-    { workers: port, requestStarted: (tenant) => begunFor.push(tenant) },
+    { workers: port, requestStarted: (tenant) => startedTenants.push(tenant) },
   );
-  at(setting.pathsAt, () => course.updateRoutes(tableOf(setting.path ?? {})));
-  at(setting.workersAt, () => course.updateWorkers(workers));
-  function at(when: number | undefined, run: () => void): void {
-    if (when === undefined) run();
-    else world.after(when as Micros, run);
+  at(scenario.routesAt, () => handler.updateRoutes(routeTable(scenario.route ?? {})));
+  at(scenario.workersAt, () => handler.updateWorkers(workers));
+  function at(time: number | undefined, run: () => void): void {
+    if (time === undefined) run();
+    else world.after(time as Micros, run);
   }
-  if (setting.leavesAt !== undefined) at(setting.leavesAt, course.rejectUnstarted);
-  // All workers tell their load all the time: none of them is silent to everybody.
-  function tellLoads(): void {
-    const usual = { queued: 0, active: 1, kvUsed: 0.1, unresponsive: false, reportedAt: world.now() };
-    for (const w of workers) course.updateLoad(w.id, { ...usual, ...setting.load?.(w.id) });
-    world.after(second as Micros, tellLoads);
+  if (scenario.rejectUnstartedAt !== undefined) at(scenario.rejectUnstartedAt, handler.rejectUnstarted);
+  // All workers report their load regularly, so none of them counts as unresponsive.
+  function reportLoads(): void {
+    const load = { queued: 0, active: 1, kvUsed: 0.1, unresponsive: false, reportedAt: world.now() };
+    for (const worker of workers) handler.updateLoad(worker.id, { ...load, ...scenario.load?.(worker.id) });
+    world.after(second as Micros, reportLoads);
   }
-  tellLoads();
-  const served = course.serve({ ...incoming, ...setting.request }, reply, new AbortController().signal);
-  await runUntil(() => ended !== undefined);
+  reportLoads();
+  const served = handler.serve({ ...incoming, ...scenario.request }, writer, new AbortController().signal);
+  await runUntil(() => response !== undefined);
   await served;
-  return { attempts, freed, ended, began, begunFor };
+  return {
+    attempts,
+    freedHandles,
+    response,
+    responseStarted,
+    startedTenants,
+  };
 }
 
-function readAt(a: Attempt): Promise<PrefillResult> {
-  return Promise.resolve({ tag: 'read', kvHandle: `handle of ${a.worker}`, tokens: 1 });
+function prefillSucceeds(attempt: Attempt): Promise<PrefillResult> {
+  return Promise.resolve({ tag: 'read', kvHandle: `handle of ${attempt.worker}`, tokens: 1 });
 }
-function wholeRun(_a: Attempt, _gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+function runSucceeds(_attempt: Attempt, _signal: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
   sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
   return Promise.resolve({ tag: 'whole' });
 }
-/** The first attempt of a kind is left unanswered, the later ones are answered. */
-function firstSilent<R>(later: Answering<R>): Answering<R | { readonly tag: 'unknown'; readonly reason: string }> {
+/** Leaves the first attempt unanswered; later ones behave as given. */
+function firstUnanswered<R>(
+  behavior: WorkerBehavior<R>,
+): WorkerBehavior<R | { readonly tag: 'unknown'; readonly reason: string }> {
   let first = true;
-  return (a, gone, sink) => {
-    if (!first) return later(a, gone, sink);
+  return (attempt, signal, sink) => {
+    if (!first) return behavior(attempt, signal, sink);
     first = false;
-    return never(gone);
+    return neverAnswers(signal);
   };
 }
-function kinds(x: Played): string {
-  return x.attempts.map((a) => `${a.kind} ${a.result}`).join(', ');
+function attemptsOf(outcome: Outcome): string {
+  return outcome.attempts.map((attempt) => `${attempt.kind} ${attempt.result}`).join(', ');
 }
 
-/** Runners that have enough to do for a short prompt to be read apart. */
-function busyRunners(id: string): Partial<ReportedLoad> {
+/** Decode workers so busy that even a short prompt is sent to a prefill worker. */
+function busyDecodeWorkers(id: string): Partial<ReportedLoad> {
   return id.startsWith('runner') ? { active: 8 } : {};
 }
 
-/** The first read ends as given, any later one is answered. */
-function firstRead(first: PrefillResult): Answering<PrefillResult> {
-  let begun = false;
-  return (a) => {
-    if (begun) return readAt(a);
-    begun = true;
-    return Promise.resolve(first);
+/** The first prefill has the given result, later ones succeed. */
+function firstPrefill(result: PrefillResult): WorkerBehavior<PrefillResult> {
+  let isLater = false;
+  return (attempt) => {
+    if (isLater) return prefillSucceeds(attempt);
+    isLater = true;
+    return Promise.resolve(result);
   };
 }
-it('counts the wait for a starting router within the time that the route allows', async () => {
-  const budget = second;
-  const pathsAt = 0.1 * second;
-  const x = await play(
-    { read: readAt, run: (_a, gone) => never(gone) },
-    { pathsAt, path: { timeout: budget, maxAttempts: 1 } },
+it('counts the wait for a starting router against the timeout of the route', async () => {
+  const timeout = second;
+  const routesAt = 0.1 * second;
+  const outcome = await runRequest(
+    { prefill: prefillSucceeds, run: (_attempt, signal) => neverAnswers(signal) },
+    { routesAt, route: { timeout, maxAttempts: 1 } },
   );
-  expect(x.attempts.map((a) => a.from)).toEqual([pathsAt, pathsAt]);
-  expect(x.attempts.map((a) => a.left)).toEqual([budget - pathsAt, budget - pathsAt]);
-  expect(x.ended).toMatchObject({ at: budget, how: { kind: 'budget_spent', ran: 'maybe' } });
+  expect(outcome.attempts.map((attempt) => attempt.startedAt)).toEqual([routesAt, routesAt]);
+  expect(outcome.attempts.map((attempt) => attempt.remainingTime)).toEqual([timeout - routesAt, timeout - routesAt]);
+  expect(outcome.response).toMatchObject({ time: timeout, result: { kind: 'budget_spent', ran: 'maybe' } });
 });
 
-it("hands each attempt no more time than is left of the client's, also one that comes late", async () => {
-  const patience = 4 * second;
-  const x = await play({ read: readAt, run: firstSilent(wholeRun) }, { request: { timeout: patience } });
-  expect(x.ended?.how).toBe('whole');
-  expect(x.attempts.at(-1)!.from).toBeGreaterThan(0.35 * second);
-  for (const attempt of x.attempts) expect(attempt.left).toBe(patience - attempt.from);
+it("gives each attempt only the time that remains of the client's timeout, also a late one", async () => {
+  const timeout = 4 * second;
+  const outcome = await runRequest(
+    { prefill: prefillSucceeds, run: firstUnanswered(runSucceeds) },
+    { request: { timeout } },
+  );
+  expect(outcome.response?.result).toBe('whole');
+  expect(outcome.attempts.at(-1)!.startedAt).toBeGreaterThan(0.35 * second);
+  for (const attempt of outcome.attempts) expect(attempt.remainingTime).toBe(timeout - attempt.startedAt);
 });
 
-it('refuses, unrun, what waited for the workers or the routes, within a quarter of its aim', async () => {
+it('rejects unrun requests that waited for workers or routes within a quarter of the target latency', async () => {
   const refused = { kind: 'not_ready', ran: 'no', retryAfterSeconds: 1.2 };
-  const noWorkers = await play({ read: readAt, run: wholeRun }, { workersAt: second });
-  expect(noWorkers.ended).toMatchObject({ at: aim / 5, how: refused });
-  const later = { path: { targetLatency: 2 * aim }, pathsAt: aim / 8, workersAt: second };
-  const late = await play({ read: readAt, run: wholeRun }, later);
-  expect(late.ended).toMatchObject({ at: (2 * aim) / 5, how: refused });
-  const noPaths = await play({ read: readAt, run: wholeRun }, { pathsAt: second });
-  expect(noPaths.ended).toMatchObject({ at: 150_000, how: refused });
-  for (const x of [noWorkers, late, noPaths]) expect(x.attempts).toEqual([]);
+  const noWorkers = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, { workersAt: second });
+  expect(noWorkers.response).toMatchObject({ time: targetLatency / 5, result: refused });
+  const later = { route: { targetLatency: 2 * targetLatency }, routesAt: targetLatency / 8, workersAt: second };
+  const late = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, later);
+  expect(late.response).toMatchObject({ time: (2 * targetLatency) / 5, result: refused });
+  const noRoutes = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, { routesAt: second });
+  expect(noRoutes.response).toMatchObject({ time: 150_000, result: refused });
+  for (const outcome of [noWorkers, late, noRoutes]) expect(outcome.attempts).toEqual([]);
 });
 
-it('serves what waited as soon as routes and workers are known', async () => {
-  const x = await play({ read: readAt, run: wholeRun }, { pathsAt: 0.05 * second, workersAt: 0.1 * second });
-  expect([x.ended?.how, x.ended?.at]).toEqual(['whole', 0.1 * second]);
+it('serves waiting requests as soon as routes and workers are known', async () => {
+  const outcome = await runRequest(
+    { prefill: prefillSucceeds, run: runSucceeds },
+    { routesAt: 0.05 * second, workersAt: 0.1 * second },
+  );
+  expect([outcome.response?.result, outcome.response?.time]).toEqual(['whole', 0.1 * second]);
 });
 
-const refusedRead: PrefillResult = { tag: 'refused', reason: 'full', misdirected: false };
-const lostRead: PrefillResult = { tag: 'unknown', reason: 'reset' };
+const refusedPrefill: PrefillResult = { tag: 'refused', reason: 'full', misdirected: false };
+const lostPrefill: PrefillResult = { tag: 'unknown', reason: 'reset' };
 
-it('asks another reader at once where a read was turned away, and runs what that one read', async () => {
-  const x = await play({ read: firstRead(refusedRead), run: wholeRun });
-  expect([x.ended?.how, x.ended?.at, kinds(x)]).toEqual(['whole', 0, 'read refused, read read, run whole']);
+it('retries a refused prefill at another prefill worker at once, and runs with its KV cache', async () => {
+  const outcome = await runRequest({ prefill: firstPrefill(refusedPrefill), run: runSucceeds });
+  expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+    'whole',
+    0,
+    'read refused, read read, run whole',
+  ]);
 });
 
-it('asks another reader after a lost read only where that read and the run stay within the most sends', async () => {
+it('retries a lost prefill only where that retry and the run stay within the maximum attempts', async () => {
   for (const sends of [2, 3]) {
-    const x = await play({ read: firstRead(lostRead), run: wholeRun }, { path: { maxAttempts: sends } });
-    expect([x.ended?.how, x.ended?.at, kinds(x)]).toEqual(['whole', 0, 'read unknown, read read, run whole']);
+    const outcome = await runRequest(
+      { prefill: firstPrefill(lostPrefill), run: runSucceeds },
+      { route: { maxAttempts: sends } },
+    );
+    expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+      'whole',
+      0,
+      'read unknown, read read, run whole',
+    ]);
   }
-  for (const first of [lostRead, refusedRead]) {
-    const x = await play({ read: firstRead(first), run: wholeRun }, { path: { maxAttempts: 1 } });
-    expect([x.ended?.how, x.ended?.at, kinds(x)]).toEqual(['whole', 0, `read ${first.tag}, run whole`]);
+  for (const first of [lostPrefill, refusedPrefill]) {
+    const outcome = await runRequest({ prefill: firstPrefill(first), run: runSucceeds }, { route: { maxAttempts: 1 } });
+    expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+      'whole',
+      0,
+      `read ${first.tag}, run whole`,
+    ]);
   }
 });
 
-it('reads at most twice for a request, and sends no more after reads and a run than the most sends', async () => {
-  const lost = await play({ read: () => Promise.resolve(lostRead), run: wholeRun }, { path: { maxAttempts: 4 } });
-  expect([lost.ended?.how, kinds(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
-  const none = await play({ read: firstRead(lostRead), run: () => Promise.resolve({ tag: 'unknown', reason: '' }) });
-  expect([kinds(none), none.ended?.how]).toEqual([
+it('prefills a prompt at most twice, and counts the second prefill against the maximum attempts', async () => {
+  const lost = await runRequest(
+    { prefill: () => Promise.resolve(lostPrefill), run: runSucceeds },
+    { route: { maxAttempts: 4 } },
+  );
+  expect([lost.response?.result, attemptsOf(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
+  const none = await runRequest({
+    prefill: firstPrefill(lostPrefill),
+    run: () => Promise.resolve({ tag: 'unknown', reason: '' }),
+  });
+  expect([attemptsOf(none), none.response?.result]).toEqual([
     'read unknown, read read, run unknown',
     expect.objectContaining({ kind: 'outcome_unknown', ran: 'maybe' }),
   ]);
 });
 
-it('has nothing read apart that has no prompt, since a reader would run it', async () => {
+it('sends a request without a prompt to no prefill worker, which would run it', async () => {
   const request = { promptTokens: 0, promptSegments: [] };
-  const x = await play(
-    { read: readAt, run: wholeRun },
-    { request, load: busyRunners, pair: { interferenceCost: 1000 } },
+  const outcome = await runRequest(
+    { prefill: prefillSucceeds, run: runSucceeds },
+    { request, load: busyDecodeWorkers, pairCosts: { interferenceCost: 1000 } },
   );
-  expect(kinds(x)).toBe('run whole');
+  expect(attemptsOf(outcome)).toBe('run whole');
 });
 
-it('leaves a read that a worker which answers others does not answer, long before the request runs out', async () => {
-  const x = await play({ read: firstSilent<PrefillResult>(readAt), run: wholeRun });
-  expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read unknown, read read, run whole']);
-  expect(x.ended!.at).toBeLessThanOrEqual(aim);
+it('abandons a prefill that a responsive worker does not answer, long before the deadline of the request', async () => {
+  const outcome = await runRequest({ prefill: firstUnanswered<PrefillResult>(prefillSucceeds), run: runSucceeds });
+  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read unknown, read read, run whole']);
+  expect(outcome.response!.time).toBeLessThanOrEqual(targetLatency);
 });
 
-it('leaves a read of a short prompt, which waits behind no others, in time for another worker to be within the aim', async () => {
+it('abandons the prefill of a short prompt early enough for another worker to meet the target latency', async () => {
   const request = { promptTokens: 600, promptSegments: [{ id: 'a', tokens: 600 }] };
   function script(): Script {
-    return { read: firstSilent<PrefillResult>(readAt), run: wholeRun };
+    return { prefill: firstUnanswered<PrefillResult>(prefillSucceeds), run: runSucceeds };
   }
-  const x = await play(script(), {
+  const outcome = await runRequest(script(), {
     request,
-    load: busyRunners,
-    path: { maxAttempts: 1, idempotent: false, resumable: false },
+    load: busyDecodeWorkers,
+    route: { maxAttempts: 1, idempotent: false, resumable: false },
   });
-  expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read unknown, run whole']);
-  expect(x.ended!.at).toBeLessThanOrEqual(0.6 * aim);
-  const long = await play(script(), { request: { promptTokens: 40_000, promptSegments: [] } });
-  expect(long.ended!.at).toBeGreaterThanOrEqual(aim);
+  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read unknown, run whole']);
+  expect(outcome.response!.time).toBeLessThanOrEqual(0.6 * targetLatency);
+  const long = await runRequest(script(), { request: { promptTokens: 40_000, promptSegments: [] } });
+  expect(long.response!.time).toBeGreaterThanOrEqual(targetLatency);
 });
 
-it('leaves a run that is not answered where another worker may take it up, and only there', async () => {
-  const x = await play({ read: readAt, run: firstSilent<RunResult>(wholeRun) });
-  expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read read, run unknown, run whole']);
-  expect(x.ended!.at).toBeLessThan(aim);
-  const once = await play({ read: readAt, run: firstSilent<RunResult>(wholeRun) }, { path: { resumable: false } });
-  expect([kinds(once), once.ended?.at]).toEqual(['read read, run unknown', limit]);
-  expect(once.ended?.how).toMatchObject({ kind: 'budget_spent', ran: 'maybe' });
+it('abandons an unanswered run only where the request may run at another worker', async () => {
+  const outcome = await runRequest({ prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) });
+  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
+  expect(outcome.response!.time).toBeLessThan(targetLatency);
+  const once = await runRequest(
+    { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
+    { route: { resumable: false } },
+  );
+  expect([attemptsOf(once), once.response?.time]).toEqual(['read read, run unknown', routeTimeout]);
+  expect(once.response?.result).toMatchObject({ kind: 'budget_spent', ran: 'maybe' });
 });
 
-it('leaves nobody where no extra send is in the budget, or no other worker is there', async () => {
-  for (const setting of [{ always: 0 }, { runners: 1 }]) {
-    const x = await play({ read: readAt, run: firstSilent<RunResult>(wholeRun) }, setting);
-    expect([kinds(x), x.ended?.at]).toEqual(['read read, run unknown', limit]);
+it('abandons no worker where the retry budget is exhausted or no other worker exists', async () => {
+  for (const scenario of [{ retrySlack: 0 }, { decodeWorkers: 1 }]) {
+    const outcome = await runRequest(
+      { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
+      scenario,
+    );
+    expect([attemptsOf(outcome), outcome.response?.time]).toEqual(['read read, run unknown', routeTimeout]);
   }
 });
 
-/** A run that sends its first event and then nothing more. */
-function silentMidway(_a: Attempt, gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+/** A run that sends its first event and then nothing. */
+function stallsMidStream(_attempt: Attempt, signal: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
   sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
-  return never(gone);
+  return neverAnswers(signal);
 }
-function silentMidwayFirst(): Answering<RunResult> {
+function firstStallsMidStream(): WorkerBehavior<RunResult> {
   let first = true;
-  return (a, gone, sink) => {
-    const answer = first ? silentMidway : wholeRun;
+  return (attempt, signal, sink) => {
+    const answer = first ? stallsMidStream : runSucceeds;
     first = false;
-    return answer(a, gone, sink);
+    return answer(attempt, signal, sink);
   };
 }
 
-it('leaves a stream that falls silent where another worker is available to go on with it', async () => {
-  const x = await play({ read: readAt, run: silentMidwayFirst() });
-  expect([x.ended?.how, kinds(x)]).toEqual(['whole', 'read read, run unknown, run whole']);
-  expect(x.ended!.at).toBeLessThan(1.1 * second);
+it('abandons a stalled stream where another worker is available to resume it', async () => {
+  const outcome = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() });
+  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
+  expect(outcome.response!.time).toBeLessThan(1.1 * second);
 });
 
-function brokenMidway(_a: Attempt, _gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+function breaksMidStream(_attempt: Attempt, _signal: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
   sink!.head({ status: 200, headers: ['Seal', 'seal'] });
   void sink!.chunk(Buffer.from('id: 1\n\n'));
   return Promise.resolve({ tag: 'unknown', reason: 'reset' });
 }
-function brokenUnanswered(): Promise<RunResult> {
+function breaksBeforeResponse(): Promise<RunResult> {
   return Promise.resolve({ tag: 'unknown', reason: 'reset' });
 }
 function unreachable(): Promise<RunResult> {
   return Promise.resolve({ tag: 'unsent', reason: 'refused' });
 }
-/** Runs end as given, one after the other. */
-function inTurn(...answers: readonly Answering<RunResult>[]): Answering<RunResult> {
+/** Runs behave as given, one after the other. */
+function sequence(...behaviors: readonly WorkerBehavior<RunResult>[]): WorkerBehavior<RunResult> {
   let turn = 0;
-  return (a, gone, sink) => answers[turn++]!(a, gone, sink);
+  return (attempt, signal, sink) => behaviors[turn++]!(attempt, signal, sink);
 }
-function runnersOf(x: Played): string[] {
-  return x.attempts.filter((a) => a.kind === 'run').map((a) => a.worker);
+function decodeWorkersOf(outcome: Outcome): string[] {
+  return outcome.attempts.filter((attempt) => attempt.kind === 'run').map((attempt) => attempt.worker);
 }
 
-it('asks the worker again whose connection broke in a run, since it has the prompt, and then another', async () => {
-  for (const broken of [brokenMidway, brokenUnanswered]) {
-    const x = await play({ read: readAt, run: inTurn(broken, broken, wholeRun) }, { path: { maxAttempts: 3 } });
-    expect([x.ended?.how, x.ended?.at]).toEqual(['whole', 0]);
-    const [first, second, third] = runnersOf(x);
+it('retries a worker whose connection broke once, as it has the prompt cached, and then another', async () => {
+  for (const broken of [breaksMidStream, breaksBeforeResponse]) {
+    const outcome = await runRequest(
+      { prefill: prefillSucceeds, run: sequence(broken, broken, runSucceeds) },
+      { route: { maxAttempts: 3 } },
+    );
+    expect([outcome.response?.result, outcome.response?.time]).toEqual(['whole', 0]);
+    const [first, second, third] = decodeWorkersOf(outcome);
     expect([second, third === first]).toEqual([first, false]);
   }
 });
 
-it('says once that a request of a tenant has begun to run, however many workers run it, and never what did not run', async () => {
+it('reports the start of a request of a tenant once for all its runs, and never without a run', async () => {
   const request = { tenant: 'acme' };
-  const twice = await play(
-    { read: readAt, run: inTurn(brokenMidway, brokenMidway, wholeRun) },
-    { request, path: { maxAttempts: 3 } },
+  const twice = await runRequest(
+    { prefill: prefillSucceeds, run: sequence(breaksMidStream, breaksMidStream, runSucceeds) },
+    { request, route: { maxAttempts: 3 } },
   );
-  expect([twice.ended?.how, runnersOf(twice).length, twice.begunFor]).toEqual(['whole', 3, ['acme']]);
-  const late = await play({ read: readAt, run: inTurn(brokenUnanswered, wholeRun) }, { request });
-  expect([late.ended?.how, late.begunFor]).toEqual(['whole', ['acme']]);
-  const none = await play({ read: readAt, run: () => unreachable() }, { request });
-  expect(none.begunFor).toEqual([]);
-  const nobody = await play({ read: readAt, run: wholeRun });
-  expect([nobody.ended?.how, nobody.begunFor]).toEqual(['whole', []]);
+  expect([twice.response?.result, decodeWorkersOf(twice).length, twice.startedTenants]).toEqual(['whole', 3, ['acme']]);
+  const late = await runRequest(
+    { prefill: prefillSucceeds, run: sequence(breaksBeforeResponse, runSucceeds) },
+    { request },
+  );
+  expect([late.response?.result, late.startedTenants]).toEqual(['whole', ['acme']]);
+  const none = await runRequest({ prefill: prefillSucceeds, run: () => unreachable() }, { request });
+  expect(none.startedTenants).toEqual([]);
+  const nobody = await runRequest({ prefill: prefillSucceeds, run: runSucceeds });
+  expect([nobody.response?.result, nobody.startedTenants]).toEqual(['whole', []]);
 });
 
-it('goes to another worker where the one whose connection broke cannot be reached, or was left', async () => {
-  const gone = await play({ read: readAt, run: inTurn(brokenMidway, unreachable, wholeRun) });
-  expect([gone.ended?.how, gone.ended?.at]).toEqual(['whole', 0]);
-  expect(new Set(runnersOf(gone)).size).toBe(2);
-  const left = await play({ read: readAt, run: inTurn(silentMidway, wholeRun) });
-  expect([left.ended?.how, new Set(runnersOf(left)).size]).toEqual(['whole', 2]);
+it('goes to another worker where the one whose connection broke is unreachable or was abandoned', async () => {
+  const broken = await runRequest({
+    prefill: prefillSucceeds,
+    run: sequence(breaksMidStream, unreachable, runSucceeds),
+  });
+  expect([broken.response?.result, broken.response?.time]).toEqual(['whole', 0]);
+  expect(new Set(decodeWorkersOf(broken)).size).toBe(2);
+  const left = await runRequest({ prefill: prefillSucceeds, run: sequence(stallsMidStream, runSucceeds) });
+  expect([left.response?.result, new Set(decodeWorkersOf(left)).size]).toEqual(['whole', 2]);
 });
 
-it('waits for a stream that falls silent to the end of its time where no other worker is available', async () => {
+it('waits for a stalled stream until the deadline where no other worker is available', async () => {
   const others = /^runner[12]$/;
   const full = { load: (id: string) => (others.test(id) ? { queued: 9 } : {}) };
   const silent = { load: (id: string) => (others.test(id) ? { unresponsive: true } : {}) };
-  for (const setting of [{ runners: 1 }, { always: 0 }, { path: { maxAttempts: 1 } }, full, silent]) {
-    const x = await play({ read: readAt, run: silentMidwayFirst() }, setting);
-    expect([kinds(x), x.ended?.how, x.ended?.at]).toEqual(['read read, run unknown', 'cut', limit]);
+  for (const scenario of [{ decodeWorkers: 1 }, { retrySlack: 0 }, { route: { maxAttempts: 1 } }, full, silent]) {
+    const outcome = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() }, scenario);
+    expect([attemptsOf(outcome), outcome.response?.result, outcome.response?.time]).toEqual([
+      'read read, run unknown',
+      'cut',
+      routeTimeout,
+    ]);
   }
 });
 
-it('waits for an answer that has begun and may be repeated, but not be resumed', async () => {
-  const path = { idempotent: true, resumable: false };
-  const begun = await play({ read: readAt, run: silentMidwayFirst() }, { path });
-  expect([kinds(begun), begun.ended?.how, begun.ended?.at]).toEqual(['read read, run unknown', 'cut', limit]);
-  const unbegun = await play({ read: readAt, run: firstSilent<RunResult>(wholeRun) }, { path });
-  expect([kinds(unbegun), unbegun.ended?.how]).toEqual(['read read, run unknown, run whole', 'whole']);
+it('waits for a started response of a request that is idempotent but not resumable', async () => {
+  const route = { idempotent: true, resumable: false };
+  const started = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() }, { route });
+  expect([attemptsOf(started), started.response?.result, started.response?.time]).toEqual([
+    'read read, run unknown',
+    'cut',
+    routeTimeout,
+  ]);
+  const unstarted = await runRequest(
+    { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
+    { route },
+  );
+  expect([attemptsOf(unstarted), unstarted.response?.result]).toEqual(['read read, run unknown, run whole', 'whole']);
 });
 
-it('answers at once when the time has run out in a read, promises that nothing ran, and begins no run', async () => {
-  const x = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { always: 0, path: { timeout: second } });
-  expect(x.attempts.map((a) => a.kind)).toEqual(['read']);
-  expect(x.ended).toMatchObject({ at: second, how: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 } });
+it('rejects at the deadline during a prefill, guarantees that nothing ran, and starts no run', async () => {
+  const outcome = await runRequest(
+    { prefill: (_attempt, signal) => neverAnswers(signal), run: runSucceeds },
+    { retrySlack: 0, route: { timeout: second } },
+  );
+  expect(outcome.attempts.map((attempt) => attempt.kind)).toEqual(['read']);
+  expect(outcome.response).toMatchObject({
+    time: second,
+    result: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 },
+  });
 });
 
-it('frees what was read for a request that no worker is left to run', async () => {
-  const x = await play({ read: readAt, run: () => Promise.resolve({ tag: 'unsent', reason: '' }) });
-  expect(x.freed.length).toBe(1);
-  expect(x.ended?.how).toMatchObject({ ran: 'no', retryAfterSeconds: 0.3 });
+it('frees the KV cache of a request that no worker is left to run', async () => {
+  const outcome = await runRequest({
+    prefill: prefillSucceeds,
+    run: () => Promise.resolve({ tag: 'unsent', reason: '' }),
+  });
+  expect(outcome.freedHandles.length).toBe(1);
+  expect(outcome.response?.result).toMatchObject({ ran: 'no', retryAfterSeconds: 0.3 });
 });
 
-const outcomes = fc.record({
+const behaviors = fc.record({
   tag: fc.constantFrom('good', 'unsent', 'refused', 'misdirected', 'failed', 'unknown', 'broken', 'never'),
   delay: fc.integer({ min: 0, max: 2 * second }),
 });
 
-it('leaves no hole between attempts, sends what may not be repeated once, and keeps to the most sends', async () => {
+it('makes attempts without delay, runs non-repeatable requests once, and respects the maximum attempts', async () => {
   const ends = new Map<string, number>();
   await fc.assert(
     fc.asyncProperty(
-      fc.array(outcomes, { minLength: 8, maxLength: 8 }),
+      fc.array(behaviors, { minLength: 8, maxLength: 8 }),
       fc.record({ resumable: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }) }),
       fc.constantFrom(0, 50),
-      async (drawn, path, always) => {
+      async (drawn, route, retrySlack) => {
         let turn = 0;
         const statuses = new Map<string, number>();
-        function answering(good: Answering<PrefillResult | RunResult>): Answering<PrefillResult | RunResult> {
-          return async (a, gone, sink) => {
+        function behaving(good: WorkerBehavior<PrefillResult | RunResult>): WorkerBehavior<PrefillResult | RunResult> {
+          return async (attempt, signal, sink) => {
             const { tag, delay } = drawn[(turn += 1) % drawn.length]!;
-            // Answers take no time here but where a worker is silent: what passes else would be a hole.
-            if (tag === 'never' || delay > 1.9 * second) return never(gone);
-            const failure = { status: 500 + turn, headers: ['Seal', `seal of ${a.worker} ${500 + turn}`], body };
+            // Workers answer at once unless they are silent, so any other time that passes is an idle delay.
+            if (tag === 'never' || delay > 1.9 * second) return neverAnswers(signal);
+            const failure = { status: 500 + turn, headers: ['Seal', `seal of ${attempt.worker} ${500 + turn}`], body };
             statuses.set(failure.headers[1]!, failure.status);
-            if (tag === 'good') return good(a, gone, sink);
+            if (tag === 'good') return good(attempt, signal, sink);
             if (tag === 'unsent') return { tag, reason: '' };
             if (tag === 'refused' || tag === 'misdirected')
               return { tag: 'refused', reason: '', misdirected: tag === 'misdirected', response: failure };
-            if (tag === 'failed' && a.kind === 'run') return { tag, response: failure };
-            if (tag === 'broken' && a.kind === 'run') {
+            if (tag === 'failed' && attempt.kind === 'run') return { tag, response: failure };
+            if (tag === 'broken' && attempt.kind === 'run') {
               sink!.head({ status: 200, headers: ['Seal', 'seal'] });
               void sink!.chunk(Buffer.from('id: 1\n\n'));
             }
             return { tag: 'unknown', reason: '' };
           };
         }
-        const x = await play(
+        const outcome = await runRequest(
           {
-            read: answering(readAt as Answering<PrefillResult>) as Answering<PrefillResult>,
-            run: answering(wholeRun as Answering<RunResult>) as Answering<RunResult>,
+            prefill: behaving(prefillSucceeds as WorkerBehavior<PrefillResult>) as WorkerBehavior<PrefillResult>,
+            run: behaving(runSucceeds as WorkerBehavior<RunResult>) as WorkerBehavior<RunResult>,
           },
-          { path, always },
+          { route, retrySlack },
         );
-        const how = x.ended!.how;
-        const name = typeof how === 'string' ? how : `${how.kind} ${how.ran}`;
+        const result = outcome.response!.result;
+        const name = typeof result === 'string' ? result : `${result.kind} ${result.ran}`;
         ends.set(name, (ends.get(name) ?? 0) + 1);
 
-        x.attempts.forEach((a, i) => expect((x.attempts[i + 1]?.from ?? x.ended!.at) - a.to!).toBe(0));
-        for (const a of x.attempts) expect(a.left).toBeGreaterThan(0);
-        const runs = x.attempts.filter((a) => a.kind === 'run' && a.result !== 'unsent');
-        const mayHaveRun = runs.filter((a) => a.result !== 'refused');
-        expect(runs.length).toBeLessThanOrEqual(path.maxAttempts);
-        const reads = x.attempts.filter((a) => a.kind === 'read' && a.result !== 'unsent');
-        if (reads.length > 1) expect(reads.length + runs.length).toBeLessThanOrEqual(path.maxAttempts + 1);
-        if (!path.resumable) expect(mayHaveRun.length).toBeLessThanOrEqual(1);
-        if (typeof how === 'object') {
-          if (mayHaveRun.length > 0) expect(how.ran).toBe('maybe');
-          if (how.ran === 'no') expect(how.retryAfterSeconds).toBeGreaterThan(0);
+        outcome.attempts.forEach((attempt, i) =>
+          expect((outcome.attempts[i + 1]?.startedAt ?? outcome.response!.time) - attempt.endedAt!).toBe(0),
+        );
+        for (const attempt of outcome.attempts) expect(attempt.remainingTime).toBeGreaterThan(0);
+        const runs = outcome.attempts.filter((attempt) => attempt.kind === 'run' && attempt.result !== 'unsent');
+        const mayHaveRun = runs.filter((attempt) => attempt.result !== 'refused');
+        expect(runs.length).toBeLessThanOrEqual(route.maxAttempts);
+        const prefills = outcome.attempts.filter((attempt) => attempt.kind === 'read' && attempt.result !== 'unsent');
+        if (prefills.length > 1) expect(prefills.length + runs.length).toBeLessThanOrEqual(route.maxAttempts + 1);
+        if (!route.resumable) expect(mayHaveRun.length).toBeLessThanOrEqual(1);
+        if (typeof result === 'object') {
+          if (mayHaveRun.length > 0) expect(result.ran).toBe('maybe');
+          if (result.ran === 'no') expect(result.retryAfterSeconds).toBeGreaterThan(0);
         }
-        if (how === 'failed') expect(x.ended!.status).toBe(statuses.get(x.ended!.seal!));
+        if (result === 'failed') expect(outcome.response!.status).toBe(statuses.get(outcome.response!.seal!));
       },
     ),
     { seed: 517, numRuns: 1000 },
@@ -506,36 +587,49 @@
     expect([end, (ends.get(end) ?? 0) > 3]).toEqual([end, true]);
 });
 
-it('gives up on what has not begun when the router is about to end, with the promise only where nothing ran', async () => {
-  const leavesAt = 0.3 * second;
-  const unread = await play({ read: (_a, gone) => never(gone), run: wholeRun }, { leavesAt, path: { maxAttempts: 1 } });
-  expect(unread.ended).toMatchObject({
-    at: leavesAt,
-    how: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 },
+it('rejects unstarted requests at shutdown, and guarantees that nothing ran only where that holds', async () => {
+  const rejectAt = 0.3 * second;
+  const unread = await runRequest(
+    { prefill: (_attempt, signal) => neverAnswers(signal), run: runSucceeds },
+    { rejectUnstartedAt: rejectAt, route: { maxAttempts: 1 } },
+  );
+  expect(unread.response).toMatchObject({
+    time: rejectAt,
+    result: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 },
   });
-  const running = await play({ read: readAt, run: (_a, gone) => never(gone) }, { leavesAt, path: { maxAttempts: 1 } });
-  expect(running.ended).toMatchObject({ at: leavesAt, how: { kind: 'budget_spent', ran: 'maybe' } });
-  expect(running.attempts.map((a) => a.kind)).toEqual(['read', 'run']);
+  const running = await runRequest(
+    { prefill: prefillSucceeds, run: (_attempt, signal) => neverAnswers(signal) },
+    { rejectUnstartedAt: rejectAt, route: { maxAttempts: 1 } },
+  );
+  expect(running.response).toMatchObject({ time: rejectAt, result: { kind: 'budget_spent', ran: 'maybe' } });
+  expect(running.attempts.map((attempt) => attempt.kind)).toEqual(['read', 'run']);
 });
 
-it('leaves what has begun to its end when the router is about to end', async () => {
+it('lets started responses complete at shutdown', async () => {
   let finish: (() => void) | undefined;
-  function begun(_a: Attempt, gone: AbortSignal, sink: ResponseSink | undefined): Promise<RunResult> {
+  function waitsForLoadReport(
+    _attempt: Attempt,
+    signal: AbortSignal,
+    sink: ResponseSink | undefined,
+  ): Promise<RunResult> {
     sink!.head({ status: 200, headers: [] });
     return new Promise((done) => {
       finish = () => done({ tag: 'whole' });
-      gone.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
+      signal.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
     });
   }
-  const playing = play({ read: readAt, run: begun }, { leavesAt: 0.3 * second, load: () => (finish?.(), {}) });
-  expect((await playing).ended).toMatchObject({ how: 'whole', at: second });
+  const playing = runRequest(
+    { prefill: prefillSucceeds, run: waitsForLoadReport },
+    { rejectUnstartedAt: 0.3 * second, load: () => (finish?.(), {}) },
+  );
+  expect((await playing).response).toMatchObject({ result: 'whole', time: second });
 });
 
-const budget = { ratio: 1, slack: 50, window: 10 * second, routerCount: () => 1 };
+const retryBudget = { ratio: 1, slack: 50, window: 10 * second, routerCount: () => 1 };
 function ignore(): undefined {
   return undefined;
 }
-const unheard: ResponseWriter = {
+const ignoredResponse: ResponseWriter = {
   head: ignore,
   chunk: ignore,
   end: ignore,
@@ -544,54 +638,54 @@
   reject: ignore,
 };
 
-it('ends its attempt in the instant in which the requester leaves, and makes no other', async () => {
+it('aborts the attempt at once when the client disconnects, and makes no other', async () => {
   const leftAt = 0.3 * second;
   const clock = createVirtualClock();
   const aborted: number[] = [];
   let attempts = 0;
-  function unanswered(gone: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
+  function recordAttempt(signal: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
     attempts += 1;
-    gone.addEventListener('abort', () => aborted.push(clock.world.now()));
-    return never(gone);
+    signal.addEventListener('abort', () => aborted.push(clock.world.now()));
+    return neverAnswers(signal);
   }
-  const course = createRequestHandler(
+  const handler = createRequestHandler(
     clock.world,
-    { zone: 'z', regionOf: () => 'r', retryBudget: budget },
+    { zone: 'z', regionOf: () => 'r', retryBudget },
     {
       workers: {
-        prefill: (_w, _q, _left, _urgency, gone) => unanswered(gone),
-        run: (_w, _q, _t, _sink, gone) => unanswered(gone),
+        prefill: (_worker, _request, _remainingTime, _urgency, signal) => recordAttempt(signal),
+        run: (_worker, _request, _parameters, _sink, signal) => recordAttempt(signal),
         freeKv: ignore,
       },
     },
   );
-  course.updateRoutes(tableOf({ idempotent: true, maxAttempts: 3 }));
-  course.updateWorkers(fleetOf(3, 3));
-  const requester = new AbortController();
-  const served = course.serve(incoming, unheard, requester.signal);
-  clock.world.after(leftAt as Micros, () => requester.abort());
+  handler.updateRoutes(routeTable({ idempotent: true, maxAttempts: 3 }));
+  handler.updateWorkers(createWorkers(3, 3));
+  const client = new AbortController();
+  const served = handler.serve(incoming, ignoredResponse, client.signal);
+  clock.world.after(leftAt as Micros, () => client.abort());
   await clock.runTo(4 * second);
   await served;
   expect([attempts, aborted]).toEqual([1, [leftAt]]);
 });
 
-it('gives each service of a route its weight of the requests', async () => {
+it('distributes the requests of a route over its services by weight', async () => {
   const clock = createVirtualClock({ random: seeded(4) });
   const counts = new Map<string, number>();
   const workers = ['a', 'b', 'c'].map((service, i) => ({
-    ...fleetOf(0, 1)[0]!,
+    ...createWorkers(0, 1)[0]!,
     id: service,
     service,
     address: `w${i}:1`,
   }));
-  const course = createRequestHandler(
+  const handler = createRequestHandler(
     clock.world,
-    { zone: 'z', regionOf: () => 'r', retryBudget: budget },
+    { zone: 'z', regionOf: () => 'r', retryBudget },
     {
       workers: {
-        prefill: () => Promise.resolve(lostRead),
-        run: (w, _q, _t, sink) => {
-          counts.set(w.service, (counts.get(w.service) ?? 0) + 1);
+        prefill: () => Promise.resolve(lostPrefill),
+        run: (worker, _request, _parameters, sink) => {
+          counts.set(worker.service, (counts.get(worker.service) ?? 0) + 1);
           sink.head({ status: 200, headers: [] });
           return Promise.resolve({ tag: 'whole' });
         },
@@ -599,17 +693,17 @@
       },
     },
   );
-  const table = tableOf({});
+  const table = routeTable({});
   const weights = { a: 70, b: 25, c: 5 };
-  const shares = Object.entries(weights).map(([service, weight]) => ({ service, weight }));
-  const services = shares.map(({ service }) => ({ ...table.services[0]!, name: service }));
-  course.updateRoutes({
+  const weightedServices = Object.entries(weights).map(([service, weight]) => ({ service, weight }));
+  const services = weightedServices.map(({ service }) => ({ ...table.services[0]!, name: service }));
+  handler.updateRoutes({
     ...table,
-    routes: table.routes.map((path) => ({ ...path, weightedServices: shares })),
+    routes: table.routes.map((route) => ({ ...route, weightedServices })),
     services,
   });
-  course.updateWorkers(workers);
-  for (let i = 0; i < 2000; i += 1) await course.serve(incoming, unheard, new AbortController().signal);
+  handler.updateWorkers(workers);
+  for (let i = 0; i < 2000; i += 1) await handler.serve(incoming, ignoredResponse, new AbortController().signal);
   for (const [service, weight] of Object.entries(weights))
     expect(Math.abs((counts.get(service) ?? 0) / 2000 - weight / 100)).toBeLessThan(0.03);
 });
