--- a/packages/pass-through/src/admission-attempts.test.ts
+++ b/packages/pass-through/src/admission-attempts.test.ts
@@ -1,4 +1,4 @@
-/** A request between two of its attempts when the route table begins to ask for keys, or when its key is taken away. */
+/** Authentication of later attempts when the route table starts to require keys, or a key is revoked. */
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Micros } from '@tansypost/inner-protocol';
 import { digestOfKey, type RouteTable, type Tenant } from '@tansypost/paths';
@@ -8,8 +8,8 @@
 
 const second = 1_000_000;
 
-function tableOf(revision: number, tenants: readonly Tenant[] | undefined): RouteTable {
-  const path = {
+function routeTable(revision: number, tenants: readonly Tenant[] | undefined): RouteTable {
+  const route = {
     name: 'p',
     host: 'h',
     prefix: '/',
@@ -25,9 +25,9 @@
   };
   const service = { name: 's', healthPath: '/', maxConnections: 10, slots: 8, kvBytesPerToken: 1000, linkMbps: 10_000 };
   const limits = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeout: 1, idleTimeout: 1 };
-  return { revision, routes: [path], services: [service], limits, tenants } as unknown as RouteTable;
+  return { revision, routes: [route], services: [service], limits, tenants } as unknown as RouteTable;
 }
-const holder: Tenant = { name: 'acme', keyDigests: [digestOfKey('k')], priority: undefined };
+const tenant: Tenant = { name: 'acme', keyDigests: [digestOfKey('k')], priority: undefined };
 const request: IncomingRequest = {
   id: 'q',
   method: 'POST',
@@ -44,15 +44,15 @@
   lastEventId: undefined,
 };
 
-/** What workers are given when the table changes during the first run. */
-async function sent(
-  before: readonly Tenant[] | undefined,
-  after: readonly Tenant[] | undefined,
-  first: (sink: ResponseSink) => RunResult,
+/** The requests that workers receive when the route table changes during the first run. */
+async function requestsSentToWorkers(
+  tenantsBefore: readonly Tenant[] | undefined,
+  tenantsAfter: readonly Tenant[] | undefined,
+  firstRun: (sink: ResponseSink) => RunResult,
 ): Promise<IncomingRequest[]> {
   const { world, runUntil } = createVirtualClock();
-  const seen: IncomingRequest[] = [];
-  const course = createRequestHandler(
+  const received: IncomingRequest[] = [];
+  const handler = createRequestHandler(
     world,
     {
       zone: 'z',
@@ -62,18 +62,18 @@
     {
       workers: {
         prefill: async () => ({ tag: 'unsent', reason: '' }),
-        run: async (_worker, given, _terms, sink) => {
-          seen.push(given);
-          if (seen.length > 1) return { tag: 'whole' };
-          course.updateRoutes(tableOf(2, after));
-          return first(sink);
+        run: async (_worker, attempted, _parameters, sink) => {
+          received.push(attempted);
+          if (received.length > 1) return { tag: 'whole' };
+          handler.updateRoutes(routeTable(2, tenantsAfter));
+          return firstRun(sink);
         },
         freeKv: () => undefined,
       },
     },
   );
-  course.updateRoutes(tableOf(1, before));
-  course.updateWorkers(
+  handler.updateRoutes(routeTable(1, tenantsBefore));
+  handler.updateWorkers(
     [0, 1, 2].map((n) => ({
       id: `w${n}`,
       service: 's',
@@ -85,45 +85,45 @@
     })),
   );
   for (const n of [0, 1, 2])
-    course.updateLoad(`w${n}`, {
+    handler.updateLoad(`w${n}`, {
       queued: 0,
       active: 1,
       kvUsed: 0.1,
       unresponsive: false,
       reportedAt: world.now() as Micros,
     });
-  let over = false;
-  const reply: ResponseWriter = {
+  let ended = false;
+  const response: ResponseWriter = {
     head: () => undefined,
     chunk: () => undefined,
-    end: () => void (over = true),
-    abort: () => void (over = true),
-    respond: () => void (over = true),
-    reject: () => void (over = true),
+    end: () => void (ended = true),
+    abort: () => void (ended = true),
+    respond: () => void (ended = true),
+    reject: () => void (ended = true),
   };
-  const served = course.serve(request, reply, new AbortController().signal);
-  await runUntil(() => over);
+  const served = handler.serve(request, response, new AbortController().signal);
+  await runUntil(() => ended);
   await served;
-  return seen;
+  return received;
 }
 
-it('withholds the key and names the tenant in an attempt after tenants were added', async () => {
-  const given = await sent(undefined, [holder], () => ({
+it('removes the key and names the tenant in attempts after tenants were added', async () => {
+  const received = await requestsSentToWorkers(undefined, [tenant], () => ({
     tag: 'refused',
     reason: '503',
     misdirected: false,
     response: { status: 503, headers: [], body: Buffer.alloc(0) },
   }));
-  expect(given.slice(1).map(({ credentialHeaders: credentials, tenant }) => ({ credentials, tenant }))).toEqual([
+  expect(received.slice(1).map(({ credentialHeaders: credentials, tenant }) => ({ credentials, tenant }))).toEqual([
     { credentials: undefined, tenant: 'acme' },
   ]);
 });
 
-it('resumes no stream at another worker for a key that was taken away', async () => {
-  const given = await sent([holder], [], (sink) => {
+it('does not resume a stream at another worker after its key was revoked', async () => {
+  const received = await requestsSentToWorkers([tenant], [], (sink) => {
     sink.head({ status: 200, headers: ['Seal', 's', 'Content-Type', 'text/event-stream'] });
     void sink.chunk(Buffer.from('id: 1\ndata: a\n\n'));
     return { tag: 'unknown', reason: 'broken' };
   });
-  expect(given.length).toBe(1);
+  expect(received.length).toBe(1);
 });
--- a/packages/pass-through/src/assign-worker-pair.test.ts
+++ b/packages/pass-through/src/assign-worker-pair.test.ts
@@ -1,3 +1,4 @@
+/** Placement of requests: affinity of prefixes, local prefill, and the cost of loaded or distant workers. */
 import { expect, it } from 'vitest';
 import { placementDefaults } from '@tansypost/placement';
 import { seeded } from '@tansypost/inner-protocol';
@@ -5,7 +6,7 @@
 import type { IncomingRequest } from './incoming-request.js';
 import type { WorkerView } from './worker-fleet.js';
 
-const terms: PairCosts = {
+const costs: PairCosts = {
   ...defaultPairCosts,
   zone: 'z1',
   regionOf: () => 'r',
@@ -15,7 +16,7 @@
   linkMbps: 740_000,
   placement: { ...placementDefaults, explore: 0 },
 };
-function prompt(group: string, shared: number, own: number): IncomingRequest {
+function requestWithPrompt(group: string, shared: number, own: number): IncomingRequest {
   return {
     id: 'q',
     method: 'POST',
@@ -33,7 +34,7 @@
     lastEventId: undefined,
   };
 }
-function view(id: string, part: 'prefill' | 'decode', x: Partial<WorkerView> = {}, zone = 'z1'): WorkerView {
+function view(id: string, part: 'prefill' | 'decode', overrides: Partial<WorkerView> = {}, zone = 'z1'): WorkerView {
   return {
     worker: { id, service: 's', address: id, zone, slots: 64, part, leaving: false },
     candidate: {
@@ -51,61 +52,70 @@
     activeRuns: 10,
     eventGap: 60_000,
     failureRate: 0,
-    ...x,
+    ...overrides,
   };
 }
 function assign(
-  q: IncomingRequest,
-  readers: WorkerView[],
-  runners: WorkerView[],
+  request: IncomingRequest,
+  prefillViews: WorkerView[],
+  decodeViews: WorkerView[],
   hits = new Map<string, number>(),
 ): WorkerPair | undefined {
-  return assignWorkerPair(q, readers, runners, hits, undefined, terms, () => 0, seeded(3));
+  return assignWorkerPair(request, prefillViews, decodeViews, hits, undefined, costs, () => 0, seeded(3));
 }
-const readers = ['p1', 'p2', 'p3'].map((n) => view(n, 'prefill'));
-const runners = ['d1', 'd2'].map((n) => view(n, 'decode'));
+const prefillWorkers = ['p1', 'p2', 'p3'].map((id) => view(id, 'prefill'));
+const decodeWorkers = ['d1', 'd2'].map((id) => view(id, 'decode'));
 
-it('gives one reader to all prompts of a group, whichever router asks, and another when its queue is long', () => {
-  const q = prompt('g', 5000, 5000);
-  const one = assign(q, readers, runners)!.prefillWorker!.id;
-  for (let i = 0; i < 5; i += 1) expect(assign(q, [...readers].reverse(), runners)!.prefillWorker!.id).toBe(one);
-  const busy = readers.map((v) => (v.worker.id === one ? { ...v, queueDelay: 1_500_000 } : v));
-  expect(assign(q, busy, runners)!.prefillWorker!.id).not.toBe(one);
+it('assigns one prefill worker to all prompts of a group at any router, and another when its queue is long', () => {
+  const request = requestWithPrompt('g', 5000, 5000);
+  const preferred = assign(request, prefillWorkers, decodeWorkers)!.prefillWorker!.id;
+  for (let i = 0; i < 5; i += 1)
+    expect(assign(request, [...prefillWorkers].reverse(), decodeWorkers)!.prefillWorker!.id).toBe(preferred);
+  const busy = prefillWorkers.map((entry) =>
+    entry.worker.id === preferred ? { ...entry, queueDelay: 1_500_000 } : entry,
+  );
+  expect(assign(request, busy, decodeWorkers)!.prefillWorker!.id).not.toBe(preferred);
   expect(
     new Set(
-      ['a', 'b', 'c', 'd', 'e', 'f'].map((g) => assign(prompt(g, 5000, 5000), readers, runners)!.prefillWorker!.id),
+      ['a', 'b', 'c', 'd', 'e', 'f'].map(
+        (group) => assign(requestWithPrompt(group, 5000, 5000), prefillWorkers, decodeWorkers)!.prefillWorker!.id,
+      ),
     ).size,
   ).toBe(3);
 });
 
-it('lets a worker that makes tokens read a short prompt itself when it has little to do, a long one not', () => {
-  const idle = runners.map((v) => ({ ...v, activeRuns: 0 }));
-  expect(assign(prompt('g', 100, 100), readers, idle)!.prefillWorker).toBeUndefined();
-  expect(assign(prompt('g', 5000, 9000), readers, idle)!.prefillWorker).toBeDefined();
-  expect(assign(prompt('g', 5000, 9000), [], idle)!.prefillWorker).toBeUndefined();
-  expect(assign(prompt('g', 5000, 9000), readers, [])).toBeUndefined();
+it('lets an idle decode worker prefill a short prompt itself, but not a long one', () => {
+  const idle = decodeWorkers.map((entry) => ({ ...entry, activeRuns: 0 }));
+  expect(assign(requestWithPrompt('g', 100, 100), prefillWorkers, idle)!.prefillWorker).toBeUndefined();
+  expect(assign(requestWithPrompt('g', 5000, 9000), prefillWorkers, idle)!.prefillWorker).toBeDefined();
+  expect(assign(requestWithPrompt('g', 5000, 9000), [], idle)!.prefillWorker).toBeUndefined();
+  expect(assign(requestWithPrompt('g', 5000, 9000), prefillWorkers, [])).toBeUndefined();
 });
 
-it('takes the runner with the shorter pauses and fewer runs, near the reader', () => {
-  const q = prompt('g', 5000, 9000);
-  expect(assign(q, readers, [view('d1', 'decode', { eventGap: 200_000 }), view('d2', 'decode')])!.decodeWorker.id).toBe(
-    'd2',
-  );
-  expect(assign(q, readers, [view('d1', 'decode', { activeRuns: 40 }), view('d2', 'decode')])!.decodeWorker.id).toBe(
-    'd2',
-  );
-  expect(assign(q, readers, [view('d1', 'decode', {}, 'z2'), view('d2', 'decode')])!.decodeWorker.id).toBe('d2');
-  expect(assign(q, readers, [view('d1', 'decode', { failureRate: 0.4 }), view('d2', 'decode')])!.decodeWorker.id).toBe(
+it('prefers the decode worker with smaller chunk gaps, fewer runs and failures, and near the prefill worker', () => {
+  const request = requestWithPrompt('g', 5000, 9000);
+  expect(
+    assign(request, prefillWorkers, [view('d1', 'decode', { eventGap: 200_000 }), view('d2', 'decode')])!.decodeWorker
+      .id,
+  ).toBe('d2');
+  expect(
+    assign(request, prefillWorkers, [view('d1', 'decode', { activeRuns: 40 }), view('d2', 'decode')])!.decodeWorker.id,
+  ).toBe('d2');
+  expect(assign(request, prefillWorkers, [view('d1', 'decode', {}, 'z2'), view('d2', 'decode')])!.decodeWorker.id).toBe(
     'd2',
   );
+  expect(
+    assign(request, prefillWorkers, [view('d1', 'decode', { failureRate: 0.4 }), view('d2', 'decode')])!.decodeWorker
+      .id,
+  ).toBe('d2');
 });
 
-it('chooses a runner by load for what was read elsewhere, also where a runner holds more parts than are asked about', () => {
-  const readElsewhere = { ...prompt('g', 5000, 5000), promptTokens: 1, promptSegments: [] };
-  const busy = { ...runners[0]!, activeRuns: 40 };
-  for (const kept of [1, 2]) {
-    const held = new Map(runners.map((runner) => [runner.worker.id as string, kept]));
-    const pair = assign(readElsewhere, [], [busy, runners[1]!], held);
+it('chooses a decode worker by load after a prefill elsewhere, also where it has more segments cached', () => {
+  const prefilledElsewhere = { ...requestWithPrompt('g', 5000, 5000), promptTokens: 1, promptSegments: [] };
+  const busy = { ...decodeWorkers[0]!, activeRuns: 40 };
+  for (const cachedSegments of [1, 2]) {
+    const hits = new Map(decodeWorkers.map((entry) => [entry.worker.id as string, cachedSegments]));
+    const pair = assign(prefilledElsewhere, [], [busy, decodeWorkers[1]!], hits);
     expect([pair?.decodeWorker.id, pair?.timeToFirstToken]).toEqual(['d2', 25_050]);
   }
 });
--- a/packages/pass-through/src/attempt-timing.ts
+++ b/packages/pass-through/src/attempt-timing.ts
@@ -25,7 +25,7 @@
 const checkIntervalShare = 1 / 8;
 
 /** Urgency values; workers admit the lowest first. */
-const urgencies = { short: 1, begun: 2, tight: 3, near: 4, ample: 5, late: 7 };
+const urgencies = { short: 1, prefilled: 2, tight: 3, near: 4, ample: 5, late: 7 };
 /** Shares of the target latency below which the remaining slack is tight or near. */
 const tightSlack = 0.25;
 const nearSlack = 0.6;
@@ -97,7 +97,7 @@
     expected,
     unresponsiveAfter: timeoutOf(runSilence, pair.timeToFirstToken),
     overdueAfter: context.responseTimeouts.timeoutFor(kind, expected, minimum),
-    urgency: hasKv ? urgencies.begun : urgencyOf(context, inFlight, pair),
+    urgency: hasKv ? urgencies.prefilled : urgencyOf(context, inFlight, pair),
   };
 }
 
--- a/packages/pass-through/src/decision.test.ts
+++ b/packages/pass-through/src/decision.test.ts
@@ -1,14 +1,15 @@
+/** Rules that every decision follows, whatever the history and the conditions. */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
 import { decideNextStep } from './decision.js';
 
-const ledger = fc.record({
+const histories = fc.record({
   attempts: fc.integer({ min: 0, max: 3 }),
   ran: fc.constantFrom('no' as const, 'maybe' as const),
   responseStarted: fc.boolean(),
   lastRefused: fc.boolean(),
 });
-const facts = fc.record({
+const conditions = fc.record({
   clientGone: fc.boolean(),
   admitted: fc.boolean(),
   remainingTime: fc.constantFrom(0, 1_000_000),
@@ -19,20 +20,21 @@
   workerAvailable: fc.boolean(),
 });
 
-it('never runs twice what may not be, never refuses what may have run, and spends no extra send without room', () => {
+it('never repeats a non-repeatable run, never denies a possible run, and never exceeds the retry budget', () => {
   fc.assert(
-    fc.property(ledger, facts, (l, f) => {
-      const s = decideNextStep(l, f);
-      const runs = s.step === 'run' || s.step === 'resume';
-      if (runs && l.ran === 'maybe') expect(f.idempotent || f.resumable).toBe(true);
-      if (s.step === 'giveUp') expect(s.ran).toBe(l.ran);
-      if (l.responseStarted) expect(['stop', 'resume', 'cut']).toContain(s.step);
-      if (s.step === 'resume') expect(f.resumable && l.responseStarted).toBe(true);
-      if (runs && (l.attempts > 0 || l.ran === 'maybe'))
-        expect(f.retryAllowed && f.maxAttempts > l.attempts).toBe(true);
-      if (runs) expect(f.workerAvailable && f.remainingTime > 0 && !f.clientGone).toBe(true);
-      if (runs) expect(f.admitted).toBe(true);
-      if (s.step === 'giveUp' && s.kind === 'unknown_key') expect(!f.admitted && l.ran === 'no').toBe(true);
+    fc.property(histories, conditions, (history, condition) => {
+      const next = decideNextStep(history, condition);
+      const runs = next.step === 'run' || next.step === 'resume';
+      if (runs && history.ran === 'maybe') expect(condition.idempotent || condition.resumable).toBe(true);
+      if (next.step === 'giveUp') expect(next.ran).toBe(history.ran);
+      if (history.responseStarted) expect(['stop', 'resume', 'cut']).toContain(next.step);
+      if (next.step === 'resume') expect(condition.resumable && history.responseStarted).toBe(true);
+      if (runs && (history.attempts > 0 || history.ran === 'maybe'))
+        expect(condition.retryAllowed && condition.maxAttempts > history.attempts).toBe(true);
+      if (runs) expect(condition.workerAvailable && condition.remainingTime > 0 && !condition.clientGone).toBe(true);
+      if (runs) expect(condition.admitted).toBe(true);
+      if (next.step === 'giveUp' && next.kind === 'unknown_key')
+        expect(!condition.admitted && history.ran === 'no').toBe(true);
     }),
     { seed: 12 },
   );
--- a/packages/pass-through/src/handler-context.ts
+++ b/packages/pass-through/src/handler-context.ts
@@ -41,7 +41,7 @@
   readonly pairCosts: typeof defaultPairCosts;
   readonly fleet: WorkerFleet;
   readonly paces: ReturnType<typeof createPaces>;
-  readonly tree: ReturnType<typeof createRadixTree>;
+  readonly prefixTree: ReturnType<typeof createRadixTree>;
   readonly retryBudget: RetryBudget;
   readonly admission: Admission;
   readonly responseTimeouts: ResponseTimeouts;
@@ -73,7 +73,7 @@
     pairCosts: { ...defaultPairCosts, ...options.pairCosts },
     fleet: createWorkerFleet(world.now, paces.speedClass),
     paces,
-    tree: createRadixTree(),
+    prefixTree: createRadixTree(),
     retryBudget: createRetryBudget(world.now, options.retryBudget),
     admission: createAdmission(),
     responseTimeouts: createResponseTimeouts(),
--- a/packages/pass-through/src/pair-selection.ts
+++ b/packages/pass-through/src/pair-selection.ts
@@ -28,7 +28,7 @@
 }
 
 function prefixHits(context: HandlerContext, inFlight: InFlightRequest): ReadonlyMap<string, number> {
-  return context.tree.hits(promptBlocks(inFlight.request), context.world.now() - prefixCacheRetentionMicros);
+  return context.prefixTree.hits(promptBlocks(inFlight.request), context.world.now() - prefixCacheRetentionMicros);
 }
 
 /** The cheapest pair without the workers in `excluded`; without a prefill worker where `localPrefillOnly`. */
--- a/packages/pass-through/src/ports.ts
+++ b/packages/pass-through/src/ports.ts
@@ -13,14 +13,20 @@
   readonly headers: readonly string[];
 }
 
-/** Result of a prefill. `misdirected` says that another worker has the address (status 421). */
+/**
+ * Result of a prefill. `read`: the prompt is prefilled; `unknown`: the worker may have accepted it. `misdirected` says
+ * that another worker has the address (status 421).
+ */
 export type PrefillResult =
   | { readonly tag: 'read'; readonly kvHandle: string; readonly tokens: number }
   | { readonly tag: 'unsent'; readonly reason: string }
   | { readonly tag: 'refused'; readonly reason: string; readonly misdirected: boolean }
   | { readonly tag: 'unknown'; readonly reason: string };
 
-/** Result of a run. `misdirected` says that another worker has the address (status 421). */
+/**
+ * Result of a run. `whole`: the response is complete; `failed`: the worker responded with an error; `unknown`: the worker
+ * may have run the request in part. `misdirected` says that another worker has the address (status 421).
+ */
 export type RunResult =
   | { readonly tag: 'whole' }
   | { readonly tag: 'unsent'; readonly reason: string }
--- a/packages/pass-through/src/prefill-attempt.ts
+++ b/packages/pass-through/src/prefill-attempt.ts
@@ -85,7 +85,7 @@
   inFlight.timeline.parts.prefillQueue += queue;
   inFlight.timeline.parts.prefill += prefill;
   attempt.tracker.finish('done');
-  context.tree.insert(promptBlocks(inFlight.request), prefillWorker.id, now);
+  context.prefixTree.insert(promptBlocks(inFlight.request), prefillWorker.id, now);
   if (pair.assignment === undefined) return;
   context.paces.saw(prefillWorker.id, pair.prefillWorkerTokens, now - startedAt, pair.assignment.worker.running);
   inFlight.placementSample = { features: pair.assignment.row, chosenAt: startedAt };
--- a/packages/pass-through/src/request-handler.ts
+++ b/packages/pass-through/src/request-handler.ts
@@ -133,7 +133,7 @@
   ports: RequestHandlerPorts,
 ): RequestHandler {
   const context = createHandlerContext(world, options, ports);
-  const { fleet, tree } = context;
+  const { fleet, prefixTree: tree } = context;
   let routes: RoutingState | undefined;
   const decodeAvailability = createDecodeAvailability(world);
   let workers: readonly FleetWorker[] | undefined;
--- a/packages/pass-through/src/response-timeouts.ts
+++ b/packages/pass-through/src/response-timeouts.ts
@@ -9,7 +9,10 @@
  * the errors of their estimates are small and are tracked separately.
  */
 
-/** Kinds of attempts whose estimation errors are tracked separately. */
+/**
+ * Kinds of attempts whose estimation errors are tracked separately: prefills, runs with transferred KV cache (`run from
+ * memory`) and runs with a local prefill (`run alone`).
+ */
 export type AttemptKind = 'read' | 'short read' | 'run from memory' | 'run alone' | 'short run alone';
 
 /** Timeouts derived from the responses so far. */
--- a/packages/pass-through/src/run-outcome.ts
+++ b/packages/pass-through/src/run-outcome.ts
@@ -15,7 +15,7 @@
   const refusedByWorker = result.tag === 'refused' && !result.misdirected && attempt.kvSource === undefined;
   if (overdue || result.tag === 'failed' || refusedByWorker) context.ports.announceActivity?.(worker.id, 0, true);
   if (result.tag === 'whole' || result.tag === 'failed' || attempt.chunkReceived)
-    context.tree.insert(promptBlocks(inFlight.request), worker.id, now);
+    context.prefixTree.insert(promptBlocks(inFlight.request), worker.id, now);
 }
 
 /** Returns true when the response was forwarded completely; false where a stream skipped an event. */
--- a/packages/pass-through/src/worker-fleet.test.ts
+++ b/packages/pass-through/src/worker-fleet.test.ts
@@ -1,83 +1,84 @@
+/** Which workers the table offers as candidates, and how it estimates their queues. */
 import { expect, it } from 'vitest';
 import { createWorkerFleet, type FleetWorker, type WorkerFleet } from './worker-fleet.js';
 
-function worker(id: string, x: Partial<FleetWorker> = {}): FleetWorker {
-  return { id, service: 's', address: `${id}:1`, zone: 'z', slots: 64, part: 'prefill', leaving: false, ...x };
+function worker(id: string, overrides: Partial<FleetWorker> = {}): FleetWorker {
+  return { id, service: 's', address: `${id}:1`, zone: 'z', slots: 64, part: 'prefill', leaving: false, ...overrides };
 }
-function names(f: WorkerFleet, part: 'prefill' | 'decode' = 'prefill'): string {
-  return f
+function candidateIds(fleet: WorkerFleet, part: 'prefill' | 'decode' = 'prefill'): string {
+  return fleet
     .candidates('s', part, new Set())
-    .map((v) => v.worker.id)
+    .map((view) => view.worker.id)
     .join(' ');
 }
 
-it('offers no worker that leaves or is gone, and never takes leaving back', () => {
-  const f = createWorkerFleet(() => 0);
-  f.updateWorkers([worker('a'), worker('b', { leaving: true }), worker('c', { service: 'other' }), worker('d')]);
-  expect(names(f)).toBe('a d');
-  f.updateWorkers([worker('a'), worker('b')]);
-  expect(names(f)).toBe('a');
+it('offers no worker that is leaving or gone, and never returns a leaving worker to service', () => {
+  const fleet = createWorkerFleet(() => 0);
+  fleet.updateWorkers([worker('a'), worker('b', { leaving: true }), worker('c', { service: 'other' }), worker('d')]);
+  expect(candidateIds(fleet)).toBe('a d');
+  fleet.updateWorkers([worker('a'), worker('b')]);
+  expect(candidateIds(fleet)).toBe('a');
 });
 
-it('counts what other routers told as work that drains, and an idle report as its end', () => {
-  let t = 0;
-  const f = createWorkerFleet(() => t);
-  f.updateWorkers([worker('a'), worker('b')]);
-  function wait(id: string): number {
-    return f.candidates('s', 'prefill', new Set()).find((v) => v.worker.id === id)!.queueDelay;
+it('counts the work reported by other routers until it drains or the worker reports that it is idle', () => {
+  let time = 0;
+  const fleet = createWorkerFleet(() => time);
+  fleet.updateWorkers([worker('a'), worker('b')]);
+  function queueDelay(id: string): number {
+    return fleet.candidates('s', 'prefill', new Set()).find((view) => view.worker.id === id)!.queueDelay;
   }
-  const none = wait('a');
-  f.recordPeerActivity('a', 500_000);
-  f.recordPeerActivity('a', 300_000);
-  expect(wait('a') - none).toBe(800_000);
-  expect(wait('b')).toBe(none);
-  t = 300_000;
-  expect(wait('a') - none).toBe(500_000);
-  f.updateLoad('a', { queued: 0, active: 0, kvUsed: 0, unresponsive: false, reportedAt: 200_000 });
-  expect(wait('a')).toBe(none);
-  f.recordPeerActivity('a', 100_000);
-  expect(wait('a') - none).toBe(100_000);
+  const baseline = queueDelay('a');
+  fleet.recordPeerActivity('a', 500_000);
+  fleet.recordPeerActivity('a', 300_000);
+  expect(queueDelay('a') - baseline).toBe(800_000);
+  expect(queueDelay('b')).toBe(baseline);
+  time = 300_000;
+  expect(queueDelay('a') - baseline).toBe(500_000);
+  fleet.updateLoad('a', { queued: 0, active: 0, kvUsed: 0, unresponsive: false, reportedAt: 200_000 });
+  expect(queueDelay('a')).toBe(baseline);
+  fleet.recordPeerActivity('a', 100_000);
+  expect(queueDelay('a') - baseline).toBe(100_000);
 });
 
-it('passes over a worker that is silent, by its own sends or as told, while another is left', () => {
-  let t = 0;
-  const f = createWorkerFleet(() => t);
-  f.updateWorkers([worker('a'), worker('b')]);
-  f.startAttempt('a', 'read', 1000, 40_000);
-  t = 300_000;
-  expect(names(f)).toBe('a b');
-  t = 500_000;
-  expect(names(f)).toBe('b');
-  expect(f.isUnresponsive('a')).toBe(true);
-  f.updateLoad('b', { queued: 0, active: 0, kvUsed: 0, unresponsive: true, reportedAt: t });
-  expect(names(f)).toBe('a b');
-  // A worker that told its load is alive, however long its queue.
-  f.updateLoad('a', { queued: 9, active: 1, kvUsed: 0, unresponsive: false, reportedAt: t + 1 });
-  t = 600_000;
-  expect(names(f)).toBe('a');
+it('skips a worker that is unresponsive, as observed or as reported, while another is left', () => {
+  let time = 0;
+  const fleet = createWorkerFleet(() => time);
+  fleet.updateWorkers([worker('a'), worker('b')]);
+  fleet.startAttempt('a', 'read', 1000, 40_000);
+  time = 300_000;
+  expect(candidateIds(fleet)).toBe('a b');
+  time = 500_000;
+  expect(candidateIds(fleet)).toBe('b');
+  expect(fleet.isUnresponsive('a')).toBe(true);
+  fleet.updateLoad('b', { queued: 0, active: 0, kvUsed: 0, unresponsive: true, reportedAt: time });
+  expect(candidateIds(fleet)).toBe('a b');
+  // A worker that has just reported its load is alive, however long its queue.
+  fleet.updateLoad('a', { queued: 9, active: 1, kvUsed: 0, unresponsive: false, reportedAt: time + 1 });
+  time = 600_000;
+  expect(candidateIds(fleet)).toBe('a');
 });
 
-it('rests a worker that failed, for longer each time, and one whose address another has for good', () => {
-  let t = 0;
-  const f = createWorkerFleet(() => t);
-  f.updateWorkers([worker('a'), worker('b'), worker('c')]);
-  f.startAttempt('a', 'run', 1, 1000).finish('failed');
-  f.startAttempt('c', 'run', 1, 1000).finish('gone');
-  expect(names(f)).toBe('b');
-  t = 400_001;
-  expect(names(f)).toBe('a b');
-  f.startAttempt('a', 'run', 1, 1000).finish('failed');
-  t = 800_000;
-  expect(names(f)).toBe('b');
-  t = 1_200_002;
-  expect(names(f)).toBe('a b');
+it('backs off a worker that failed, longer each time, and for good one whose address another worker has', () => {
+  let time = 0;
+  const fleet = createWorkerFleet(() => time);
+  fleet.updateWorkers([worker('a'), worker('b'), worker('c')]);
+  fleet.startAttempt('a', 'run', 1, 1000).finish('failed');
+  fleet.startAttempt('c', 'run', 1, 1000).finish('gone');
+  expect(candidateIds(fleet)).toBe('b');
+  time = 400_001;
+  expect(candidateIds(fleet)).toBe('a b');
+  fleet.startAttempt('a', 'run', 1, 1000).finish('failed');
+  time = 800_000;
+  expect(candidateIds(fleet)).toBe('b');
+  time = 1_200_002;
+  expect(candidateIds(fleet)).toBe('a b');
 });
 
-it('offers a worker that has changed its part, though it turned away what was asked of the old one', () => {
-  const f = createWorkerFleet(() => 0);
-  f.updateWorkers([worker('a'), worker('b', { part: 'decode' })]);
-  f.startAttempt('a', 'read', 1, 1000).finish('gone');
-  f.updateWorkers([worker('a', { part: 'decode' }), worker('b', { part: 'decode' })]);
-  expect([names(f), names(f, 'decode')]).toEqual(['', 'a b']);
-  expect(f.isAvailable('a')).toBe(true);
+it('offers a worker that has switched its stage although it rejected requests for the old stage', () => {
+  const fleet = createWorkerFleet(() => 0);
+  fleet.updateWorkers([worker('a'), worker('b', { part: 'decode' })]);
+  fleet.startAttempt('a', 'read', 1, 1000).finish('gone');
+  fleet.updateWorkers([worker('a', { part: 'decode' }), worker('b', { part: 'decode' })]);
+  expect([candidateIds(fleet), candidateIds(fleet, 'decode')]).toEqual(['', 'a b']);
+  expect(fleet.isAvailable('a')).toBe(true);
 });
--- a/packages/pass-through/src/worker-fleet.ts
+++ b/packages/pass-through/src/worker-fleet.ts
@@ -410,6 +410,7 @@
       const row = rows.get(id);
       return row !== undefined && !row.worker.leaving && isHealthy(row);
     },
+    // The names of these fields are written to metrics.
     summaries: (maxCount) =>
       mostNotableFirst()
         .slice(0, maxCount)
