--- a/packages/pass-through/src/assign-worker-pair.test.ts
+++ b/packages/pass-through/src/assign-worker-pair.test.ts
@@ -1,7 +1,7 @@
 /** Placement of requests: affinity of prefixes, local prefill, and the cost of loaded or distant workers. */
 import { expect, it } from 'vitest';
 import { placementDefaults } from '@tansypost/placement';
-import { seeded } from '@tansypost/inner-protocol';
+import { createSeededRandom } from '@tansypost/inner-protocol';
 import { assignWorkerPair, defaultPairCosts, type WorkerPair, type PairCosts } from './assign-worker-pair.js';
 import type { IncomingRequest } from './incoming-request.js';
 import type { WorkerView } from './worker-fleet.js';
@@ -61,7 +61,7 @@
   decodeViews: WorkerView[],
   hits = new Map<string, number>(),
 ): WorkerPair | undefined {
-  return assignWorkerPair(request, prefillViews, decodeViews, hits, undefined, costs, () => 0, seeded(3));
+  return assignWorkerPair(request, prefillViews, decodeViews, hits, undefined, costs, () => 0, createSeededRandom(3));
 }
 const prefillWorkers = ['p1', 'p2', 'p3'].map((id) => view(id, 'prefill'));
 const decodeWorkers = ['d1', 'd2'].map((id) => view(id, 'decode'));
--- a/packages/pass-through/src/request-handler.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -4,7 +4,7 @@
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
-import { createVirtualClock, seeded, type Micros } from '@tansypost/inner-protocol';
+import { createVirtualClock, createSeededRandom, type Micros } from '@tansypost/inner-protocol';
 import type { Route, RouteTable } from '@tansypost/paths';
 import type { defaultPairCosts } from './assign-worker-pair.js';
 import { createRequestHandler, type RequestHandler } from './request-handler.js';
@@ -670,7 +670,7 @@
 });
 
 it('distributes the requests of a route over its services by weight', async () => {
-  const clock = createVirtualClock({ random: seeded(4) });
+  const clock = createVirtualClock({ random: createSeededRandom(4) });
   const counts = new Map<string, number>();
   const workers = ['a', 'b', 'c'].map((service, i) => ({
     ...createWorkers(0, 1)[0]!,
