--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -2,8 +2,8 @@
  * Placement of one request: the worker that prefills its prompt and the one that generates its tokens, or one worker
  * that does both. The prefill worker is assigned by the Lodestar policy (heuristic first, then the learned model where
  * one is in service and covers the range of inputs). The cost of the heuristic is the expected time to the first token
- * plus a cost per byte of KV cache to transfer, which is higher between zones. Missing the target latency adds a step to
- * the cost, so that a prompt which will be late anyway takes no capacity from one that can still be in time.
+ * plus a cost per byte of KV cache to transfer, which is higher between zones. Missing the target latency adds a step
+ * to the cost, so that a prompt which will be late anyway takes no capacity from one that can still be in time.
  */
 import {
   assignPrefill,
@@ -86,7 +86,7 @@
   readonly assignment: Assignment | undefined;
 }
 
-/** Of more prefill workers than this, only the cheapest by the heuristic are scored; this limit is not part of Lodestar. */
+/** Only this many prefill workers, the cheapest by the heuristic, are scored; the limit is not part of Lodestar. */
 const maxScored = 40;
 
 /** The hashes of the prompt's segments, by which cached prefixes are looked up. */
--- a/packages/pass-through/src/ports.ts
+++ b/packages/pass-through/src/ports.ts
@@ -24,8 +24,8 @@
   | { readonly tag: 'unknown'; readonly reason: string };
 
 /**
- * Result of a run. `whole`: the response is complete; `failed`: the worker responded with an error; `unknown`: the worker
- * may have run the request in part. `misdirected` says that another worker has the address (status 421).
+ * Result of a run. `whole`: the response is complete; `failed`: the worker responded with an error; `unknown`: the
+ * worker may have run the request in part. `misdirected` says that another worker has the address (status 421).
  */
 export type RunResult =
   | { readonly tag: 'whole' }
