--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -16,7 +16,7 @@
 import type { IncomingRequest } from './incoming-request.js';
 import type { FleetWorker, WorkerView } from './worker-fleet.js';
 
-/** Costs of a placement, in microseconds of time to the first token unless stated otherwise, and their context. */
+/** Costs of a placement, expressed in microseconds, and the context in which they apply. */
 export interface PairCosts {
   readonly zone: string;
   readonly regionOf: (zone: string) => string;
--- a/packages/pass-through/src/decision.ts
+++ b/packages/pass-through/src/decision.ts
@@ -1,8 +1,9 @@
 /**
  * Decides the next step of one request from its history and the current conditions; a pure function that the attempt
- * loop follows. A request that is not idempotent is retried only while nothing can have run, and only then does a
- * rejection guarantee that nothing ran. A response that has started is resumed at another worker only where its route
- * allows that; where no worker can resume it, it is aborted, never ended as if complete.
+ * loop follows. A request that is neither idempotent nor resumable is retried only while nothing can have run. A
+ * rejection guarantees that nothing ran only where nothing can have run. A response that has started is resumed at
+ * another worker only where its route allows that; where no worker can resume it, it is aborted, never ended as if
+ * complete.
  */
 
 /** What has happened to the request so far. */
--- a/packages/pass-through/src/request-handler.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -524,7 +524,7 @@
   delay: fc.integer({ min: 0, max: 2 * second }),
 });
 
-it('makes attempts without delay, runs non-repeatable requests once, and respects the maximum attempts', async () => {
+it('makes attempts without delay, runs non-resumable requests once, and respects the maximum attempts', async () => {
   const ends = new Map<string, number>();
   await fc.assert(
     fc.asyncProperty(
