--- a/packages/pass-through/src/admission.ts
+++ b/packages/pass-through/src/admission.ts
@@ -1,30 +1,30 @@
 /**
- * Who may have requests run. Where the route table has tenants, a request needs the key of one of them, unless its route
- * is public; its key is withheld from workers, which are told the tenant instead. Where the table has none, credentials
- * are heads like any other.
+ * Authenticates requests. Where the route table has tenants, a request needs an API key of one of them unless its route
+ * is public; the key is removed before the request goes to workers, which receive the tenant's name instead. Where the
+ * table has no tenants, credentials are forwarded like other headers.
  */
 import { createTenantDirectory, type Route, type Tenant, type TenantDirectory } from '@tansypost/paths';
-import type { IncomingRequest } from './incoming.js';
+import type { IncomingRequest } from './incoming-request.js';
 
-/** A request as it is given to workers, and its route with the priority that counts. */
+/** A request as workers receive it, and its route with the effective priority. */
 export interface Admitted {
   readonly request: IncomingRequest;
-  readonly path: Route;
+  readonly route: Route;
 }
 
-/** Admits requests by the newest tenants. */
+/** Admits requests by the tenants of the newest route table. */
 export interface Admission {
-  /** Takes the tenants of a new route table; undefined where it asks for no keys. */
-  readonly replace: (tenants: readonly Tenant[] | undefined) => void;
-  /** The request as workers get it; undefined where it may not be run. */
-  readonly admit: (request: IncomingRequest, path: Route) => Admitted | undefined;
+  /** Takes the tenants of a new route table; undefined where it requires no keys. */
+  readonly updateTenants: (tenants: readonly Tenant[] | undefined) => void;
+  /** The request as workers receive it; undefined where it may not run. */
+  readonly admit: (request: IncomingRequest, route: Route) => Admitted | undefined;
 }
 
-/** An admission that asks for no keys until it is told of tenants. */
+/** Requires no keys until `updateTenants` is called with tenants. */
 export function createAdmission(): Admission {
   let directory: TenantDirectory | undefined;
 
-  function replace(tenants: readonly Tenant[] | undefined): void {
+  function updateTenants(tenants: readonly Tenant[] | undefined): void {
     directory = tenants === undefined ? undefined : createTenantDirectory(tenants);
   }
 
@@ -32,17 +32,17 @@
     return request.keyDigest === undefined ? undefined : directory?.find(request.keyDigest);
   }
 
-  function admit(request: IncomingRequest, path: Route): Admitted | undefined {
-    if (directory === undefined) return { request, path };
+  function admit(request: IncomingRequest, route: Route): Admitted | undefined {
+    if (directory === undefined) return { request, route };
     const tenant = tenantOf(request);
-    if (tenant === undefined && path.public !== true) return undefined;
-    const withheld = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
-    return { request: withheld, path: withRank(path, tenant?.priority) };
+    if (tenant === undefined && route.public !== true) return undefined;
+    const redacted = { ...request, credentialHeaders: undefined, tenant: tenant?.name };
+    return { request: redacted, route: withPriority(route, tenant?.priority) };
   }
 
-  return { replace, admit };
+  return { updateTenants, admit };
 }
 
-function withRank(path: Route, rank: number | undefined): Route {
-  return rank === undefined || rank === path.priority ? path : { ...path, priority: rank };
+function withPriority(route: Route, priority: number | undefined): Route {
+  return priority === undefined || priority === route.priority ? route : { ...route, priority };
 }
