--- a/packages/inner-protocol/src/brands.ts
+++ b/packages/inner-protocol/src/brands.ts
@@ -1,33 +1,33 @@
 /**
- * The branded types that the whole fleet shares. A brand costs nothing at run time; it keeps a time from being taken
- * for a version, or a worker's name for a member's.
+ * Branded types shared by all packages. A brand has no cost at run time; it keeps a time from being passed as a
+ * version, or a worker id as a member id.
  */
 
 declare const brand: unique symbol;
 
-/** A type that no other of the same representation is assigned to. */
+/** A nominal type: `T` values without this brand, or with another one, aren't assignable to it. */
 export type Brand<T, Name extends string> = T & { readonly [brand]: Name };
 
-/** Whole microseconds of a monotonic clock unless a name says otherwise. */
+/** Whole microseconds; a time of a monotonic clock unless the name says otherwise. */
 export type Micros = Brand<number, 'Micros'>;
-/** Host and port. */
+/** `host:port`. */
 export type Address = Brand<string, 'Address'>;
-/** Name of a process in the fleet. */
+/** Id of a process of the fleet. */
 export type MemberId = Brand<string, 'MemberId'>;
-/** Name of a worker. */
+/** Id of a worker. */
 export type WorkerId = Brand<string, 'WorkerId'>;
-/** Name of a request. */
+/** Id of a request. */
 export type RequestId = Brand<string, 'RequestId'>;
-/** Id of a write, under which it takes effect once. */
+/** Id of a write, which makes repeating it idempotent. */
 export type ChangeId = Brand<string, 'ChangeId'>;
-/** Key of the control state. */
+/** Key in the control state. */
 export type Key = Brand<string, 'Key'>;
-/** Term of a key's leader, or epoch of a role's holder. */
+/** Term of a key's leader, or of the leader of a singleton role. */
 export type Epoch = Brand<number, 'Epoch'>;
 /** Version of a key's value. */
 export type Version = Brand<number, 'Version'>;
 
-/** Said by a router that stops: it has applied every version there will be. */
+/** Reported as the applied version by a stopping router, so that nobody waits for it to apply later versions. */
 export const appliedAllVersions = 2 ** 50;
 
 const microsPerMillisecond = 1000;
@@ -48,17 +48,17 @@
   return micros(count * microsPerSecond);
 }
 
-/** Brands a text as an address; it is not checked. */
+/** Brands a string as an address without validating it. */
 export function address(text: string): Address {
   return text as Address;
 }
 
-/** Brands a text as a member's name; it is not checked. */
+/** Brands a string as a member id without validating it. */
 export function memberId(text: string): MemberId {
   return text as MemberId;
 }
 
-/** Brands a text as a key; it is not checked. */
+/** Brands a string as a key without validating it. */
 export function key(text: string): Key {
   return text as Key;
 }
--- a/packages/inner-protocol/src/codec.ts
+++ b/packages/inner-protocol/src/codec.ts
@@ -1,9 +1,9 @@
 /**
- * Turns messages into bytes and back. A link opens with a hello that carries the sender's schemas,
- * so that a reader of another version resolves them (fields gained take their default, fields lost
- * are dropped, kinds it does not know are counted and passed over). A short hello carries only their
- * fingerprint; to a reader of other schemas it decodes nothing, and the whole hello has to follow.
- * Schemas become codecs at the first message of their kind, as making all of them delays a start.
+ * Encodes and decodes messages. A link opens with a hello that carries the sender's schemas, so that a receiver of
+ * another release can resolve them: a field that the sender lacks takes its default, a field that the receiver lacks is
+ * dropped, and a message of an unknown kind is ignored. A short hello carries only the fingerprint of the schemas; a
+ * receiver with other schemas can't decode anything after it and has to request the full hello.
+ * Each schema is compiled when the first message of its kind is handled, as compiling all of them delays the start.
  */
 import avsc from 'avsc';
 import * as E from 'fp-ts/lib/Either.js';
@@ -12,127 +12,144 @@
 import { messageShapes, type MessageKind, type Message } from './messages.js';
 import { toSchema } from './shape.js';
 
+/** Version of the framing and of the hello; peers of different versions can't talk to each other. */
 export const protocolVersion = 1;
+/** All message kinds; a message is sent with the index of its kind in this list. */
 export const messageKinds = Object.keys(messageShapes) as MessageKind[];
-const ordinals = new Map(messageKinds.map((k, i) => [k, i]));
-const types = new Map<MessageKind, avsc.Type>();
-const own: { schemas?: string; schemaFingerprint?: string } = {};
+const kindIndexes = new Map(messageKinds.map((kind, i) => [kind, i]));
+const compiledTypes = new Map<MessageKind, avsc.Type>();
+/** Computed at first use. */
+const ownSchemas: { json?: string; fingerprint?: string } = {};
 
+/** A decoded message, or the notice that its kind is unknown to this release. */
 export type DecodedMessage = { readonly known: true; readonly message: Message } | { readonly known: false };
-export type MessageDecoder = (b: Buffer) => E.Either<Error, DecodedMessage>;
+/** Decodes the body of one frame. */
+export type MessageDecoder = (body: Buffer) => E.Either<Error, DecodedMessage>;
 
-// Without `decode` the hello was short and of other schemas than the reader's.
+/** The contents of a hello. */
 export interface DecodedHello {
   readonly from: string;
+  /** Undefined after a short hello whose fingerprint is not that of the receiver's schemas. */
   readonly decode: MessageDecoder | undefined;
 }
 
-function typeOf(k: MessageKind): avsc.Type {
-  let t = types.get(k);
-  if (t === undefined) {
-    t = avsc.Type.forSchema(toSchema(k, messageShapes[k]));
-    types.set(k, t);
+function typeOf(kind: MessageKind): avsc.Type {
+  let type = compiledTypes.get(kind);
+  if (type === undefined) {
+    type = avsc.Type.forSchema(toSchema(kind, messageShapes[kind]));
+    compiledTypes.set(kind, type);
   }
-  return t;
+  return type;
 }
 
-function schemas(): string {
-  own.schemas ??= JSON.stringify(messageKinds.map((k) => toSchema(k, messageShapes[k])));
-  return own.schemas;
+function schemasJson(): string {
+  ownSchemas.json ??= JSON.stringify(messageKinds.map((kind) => toSchema(kind, messageShapes[kind])));
+  return ownSchemas.json;
 }
 
+/** Identifies the schemas of this release. */
 export function schemaFingerprint(): string {
-  own.schemaFingerprint ??= digest(schemas()).slice(0, 16);
-  return own.schemaFingerprint;
+  ownSchemas.fingerprint ??= digest(schemasJson()).slice(0, 16);
+  return ownSchemas.fingerprint;
 }
 
+/** The full hello, with all schemas. */
 export function encodeHello(from: string): Buffer {
-  return Buffer.from(`{"tansypost":${protocolVersion},"from":${JSON.stringify(from)},"schemas":${schemas()}}`);
+  return Buffer.from(`{"tansypost":${protocolVersion},"from":${JSON.stringify(from)},"schemas":${schemasJson()}}`);
 }
 
+/** The short hello, with the fingerprint of the schemas only. */
 export function encodeShortHello(from: string): Buffer {
   return Buffer.from(JSON.stringify({ tansypost: protocolVersion, from, fingerprint: schemaFingerprint() }));
 }
 
-export function encodeMessage(m: Message): Buffer {
-  const body = typeOf(m.kind).toBuffer(m);
-  const out = Buffer.allocUnsafe(body.length + 2);
-  out.writeUInt16BE(ordinals.get(m.kind)!, 0);
-  body.copy(out, 2);
-  return out;
+/** The body of a frame: two bytes for the index of the kind, then the message in Avro's binary encoding. */
+export function encodeMessage(message: Message): Buffer {
+  const content = typeOf(message.kind).toBuffer(message);
+  const body = Buffer.allocUnsafe(content.length + 2);
+  body.writeUInt16BE(kindIndexes.get(message.kind)!, 0);
+  content.copy(body, 2);
+  return body;
 }
 
-export function readHello(b: Buffer): E.Either<Error, DecodedHello> {
+/** Parses a full or a short hello. */
+export function readHello(body: Buffer): E.Either<Error, DecodedHello> {
   return E.tryCatch(
     () => {
-      const h = JSON.parse(b.toString()) as Record<string, unknown>;
-      if (h['tansypost'] !== protocolVersion) {
+      const hello = JSON.parse(body.toString()) as Record<string, unknown>;
+      if (hello['tansypost'] !== protocolVersion) {
         throw new BadFrameError(
-          `The other side speaks protocol ${String(h['tansypost'])}, this one ${protocolVersion}; bring both to releases that share one.`,
+          `The peer speaks protocol version ${String(hello['tansypost'])}, this process ${protocolVersion}; upgrade both to releases that share a version.`,
         );
       }
-      const from = h['from'];
-      if (typeof from !== 'string') throw lacking();
-      if (typeof h['fingerprint'] === 'string') {
-        return { from, decode: h['fingerprint'] === schemaFingerprint() ? decodeOwn : undefined };
+      const from = hello['from'];
+      if (typeof from !== 'string') throw incompleteHelloError();
+      if (typeof hello['fingerprint'] === 'string') {
+        return { from, decode: hello['fingerprint'] === schemaFingerprint() ? decodeOwn : undefined };
       }
-      const told = h['schemas'];
-      if (!Array.isArray(told) || !told.every(isNamed)) throw lacking();
-      if (JSON.stringify(told) === schemas()) return { from, decode: decodeOwn };
-      const readers = told.map(readerFor);
-      return { from, decode: (x: Buffer) => decodeWith(readers, x) };
+      const schemas = hello['schemas'];
+      if (!Array.isArray(schemas) || !schemas.every(isNamedSchema)) throw incompleteHelloError();
+      if (JSON.stringify(schemas) === schemasJson()) return { from, decode: decodeOwn };
+      const readers = schemas.map(readerFor);
+      return { from, decode: (frameBody: Buffer) => decodeWith(readers, frameBody) };
     },
-    (e) => (e instanceof Error ? e : new BadFrameError(String(e))),
+    (error) => (error instanceof Error ? error : new BadFrameError(String(error))),
   );
 }
 
-function lacking(): Error {
-  return new BadFrameError('The hello lacks from or schemas; point the link at a tansypost process.');
+function incompleteHelloError(): Error {
+  return new BadFrameError('The hello lacks the sender or its schemas; check that the peer is a tansypost process.');
 }
 
-function isNamed(s: unknown): s is avsc.Schema & { name: string } {
-  return typeof s === 'object' && s !== null && typeof (s as { name?: unknown }).name === 'string';
+function isNamedSchema(schema: unknown): schema is avsc.Schema & { name: string } {
+  return typeof schema === 'object' && schema !== null && typeof (schema as { name?: unknown }).name === 'string';
 }
 
-interface Reader {
+/** Decodes messages of one kind. */
+interface KindReader {
   readonly kind: MessageKind;
-  readonly read: (b: Buffer) => unknown;
+  readonly read: (content: Buffer) => unknown;
 }
 
-function readerFor(s: avsc.Schema & { name: string }): Reader | undefined {
-  const kind = s.name as MessageKind;
-  if (!ordinals.has(kind)) return undefined;
+/** A reader of messages written with a sender's schema; undefined for a kind that this release doesn't know. */
+function readerFor(schema: avsc.Schema & { name: string }): KindReader | undefined {
+  const kind = schema.name as MessageKind;
+  if (!kindIndexes.has(kind)) return undefined;
   let resolver: unknown;
-  function read(b: Buffer): unknown {
-    resolver ??= typeOf(kind).createResolver(avsc.Type.forSchema(s));
-    return typeOf(kind).fromBuffer(b, resolver as never);
+  function read(content: Buffer): unknown {
+    resolver ??= typeOf(kind).createResolver(avsc.Type.forSchema(schema));
+    return typeOf(kind).fromBuffer(content, resolver as never);
   }
   return { kind, read };
 }
 
-const ownReaders: readonly Reader[] = messageKinds.map((kind) => ({ kind, read: (b) => typeOf(kind).fromBuffer(b) }));
+const ownReaders: readonly KindReader[] = messageKinds.map((kind) => ({
+  kind,
+  read: (content) => typeOf(kind).fromBuffer(content),
+}));
 
-function decodeOwn(b: Buffer): E.Either<Error, DecodedMessage> {
-  return decodeWith(ownReaders, b);
+function decodeOwn(body: Buffer): E.Either<Error, DecodedMessage> {
+  return decodeWith(ownReaders, body);
 }
 
-function decodeWith(rs: readonly (Reader | undefined)[], b: Buffer): E.Either<Error, DecodedMessage> {
+function decodeWith(readers: readonly (KindReader | undefined)[], body: Buffer): E.Either<Error, DecodedMessage> {
   return E.tryCatch(
     () => {
-      if (b.length < 2)
-        throw new BadFrameError('A frame is shorter than its kind; the link is closed and opened anew.');
-      const i = b.readUInt16BE(0);
-      if (i >= rs.length)
-        throw new BadFrameError(`Kind ${i} is not in the sender's hello; the link is closed and opened anew.`);
-      const r = rs[i];
-      if (r === undefined) return { known: false } as const;
-      const body = r.read(b.subarray(2)) as object;
-      return { known: true, message: { ...body, kind: r.kind } as unknown as Message } as const;
+      if (body.length < 2)
+        throw new BadFrameError('Frame body of less than 2 bytes, too short for a message kind; closing the link.');
+      const index = body.readUInt16BE(0);
+      if (index >= readers.length)
+        throw new BadFrameError(`Message kind ${index} is not in the sender's hello; closing the link.`);
+      const reader = readers[index];
+      if (reader === undefined) return { known: false } as const;
+      const fields = reader.read(body.subarray(2)) as object;
+      return { known: true, message: { ...fields, kind: reader.kind } as unknown as Message } as const;
     },
-    (e) => (e instanceof Error ? e : new BadFrameError(String(e))),
+    (error) => (error instanceof Error ? error : new BadFrameError(String(error))),
   );
 }
 
+/** The decoder of messages from a sender with the same schemas. */
 export function decoderForOwnSchemas(): MessageDecoder {
   return decodeOwn;
 }
--- a/packages/inner-protocol/src/errors.ts
+++ b/packages/inner-protocol/src/errors.ts
@@ -1,21 +1,21 @@
-/** Typed kinds of error. A message names what is wrong and then the remedy; the kind is what programs look at. */
+/** Error classes. A message states what is wrong and then the remedy; programs distinguish errors by class. */
 import ModernError from 'modern-errors';
 
-/** The kind of all errors below. */
+/** Base class of all errors below. */
 export const TansypostError = ModernError.subclass('TansypostError');
-/** Bytes on an inner link that are no frame, hello or message. */
+/** Bytes on a link between processes that aren't a valid frame, hello or message. */
 export const BadFrameError = TansypostError.subclass('BadFrameError');
-/** Settings that a program can't start with. */
+/** Settings with which a program can't start. */
 export const BadSettingsError = TansypostError.subclass('BadBootError');
-/** A configuration that breaks a rule. */
+/** A configuration that violates a rule. */
 export const BadDesiredStateError = TansypostError.subclass('BadDesiredStateError');
-/** A data file with a bad record that whole ones follow. */
+/** A data file in which valid records follow a corrupt one, so that it isn't just cut off at its end. */
 export const DamagedFileError = TansypostError.subclass('DamagedFileError');
-/** A schedule of faults that can't be read. */
+/** A fault schedule that can't be parsed. */
 export const BadScheduleError = TansypostError.subclass('BadScheduleError');
-/** A disk that failed a write. */
+/** A write that the disk failed. */
 export const FailedDiskError = TansypostError.subclass('FailedDiskError');
-/** A membership record that this release cannot read. */
+/** A membership record that this release can't decode. */
 export const UnreadableMembershipError = TansypostError.subclass('UnreadableMembershipError');
-/** A log or a report of a run that cannot be used. */
+/** A log or a report of a run that can't be evaluated. */
 export const UnusableReportError = TansypostError.subclass('UnusableReportError');
--- a/packages/inner-protocol/src/hash.ts
+++ b/packages/inner-protocol/src/hash.ts
@@ -1,10 +1,10 @@
 /**
- * Hashes that spread keys, members and requests. They need to be even and the same everywhere, not secret; prompts
- * and models are digested with SHA-256 instead.
+ * Hash functions and seeded random numbers. `hash32` distributes keys, members and requests: it has to be uniform and
+ * the same in all processes, but not cryptographic. Prompts and models are hashed with SHA-256 instead.
  */
 import { createHash } from 'node:crypto';
 
-/** 32 bits of a text: FNV-1a, then the finalizer of MurmurHash3. */
+/** 32-bit hash of a string: FNV-1a, then the finalizer of MurmurHash3. */
 export function hash32(text: string): number {
   let hash = 0x811c9dc5;
   for (let i = 0; i < text.length; i += 1) hash = Math.imul(hash ^ text.charCodeAt(i), 0x01000193);
@@ -21,8 +21,8 @@
 }
 
 /**
- * Rendezvous hashing: orders the items for a key, the one with the highest weight first. Each key has an order of its
- * own, which stays the same for the others when an item comes or goes.
+ * Rendezvous hashing: orders the items for a key by descending weight. Each key has its own order, and adding or
+ * removing an item doesn't change the order of the others.
  */
 export function rendezvous<T>(key: string, items: readonly T[], nameOf: (item: T) => string): T[] {
   return items
@@ -31,7 +31,7 @@
     .map((weighted) => weighted.item);
 }
 
-/** A seeded generator of numbers from 0 to 1 for the simulator and the tools (mulberry32). */
+/** A seeded generator of numbers from 0 (inclusive) to 1 (exclusive), for the simulator and tools (mulberry32). */
 export function createSeededRandom(seed: number): () => number {
   let state = seed >>> 0;
   return function next() {
--- a/packages/inner-protocol/src/link-reply.ts
+++ b/packages/inner-protocol/src/link-reply.ts
@@ -1,36 +1,37 @@
 /**
- * What the receiver of a link writes back on it: how much has reached it, or that it needs the sender's schemas. A reply
- * is one byte of kind and six of the bytes received so far.
+ * What the receiver of a link writes back on it: an acknowledgement of the bytes received so far, or a request for the
+ * sender's schemas. A reply is one byte for its kind and six for the count of bytes received.
  */
 
 /** Kinds of replies. */
 export const replyKind = { received: 1, wantSchemas: 2 } as const;
 
-/** One reply, as read. */
+/** A decoded reply. */
 export interface LinkReply {
   readonly kind: number;
+  /** Bytes received on the link so far. */
   readonly received: number;
 }
 
-const countSize = 6;
-const replySize = 1 + countSize;
+const countBytes = 6;
+const replyBytes = 1 + countBytes;
 
-/** The bytes of a reply. */
+/** Encodes a reply. */
 export function encodeReply(kind: number, received: number): Buffer {
-  const bytes = Buffer.alloc(replySize);
+  const bytes = Buffer.alloc(replyBytes);
   bytes.writeUInt8(kind, 0);
-  bytes.writeUIntBE(received, 1, countSize);
+  bytes.writeUIntBE(received, 1, countBytes);
   return bytes;
 }
 
-/** Makes a reader of one link's replies: it takes chunks and gives the replies that they complete. */
+/** Creates a decoder for one link; it returns the replies that a chunk completes. */
 export function createReplyReader(): (chunk: Buffer) => LinkReply[] {
-  let held: Buffer = Buffer.alloc(0);
+  let buffered: Buffer = Buffer.alloc(0);
   return function read(chunk) {
-    held = held.length === 0 ? chunk : Buffer.concat([held, chunk]);
+    buffered = buffered.length === 0 ? chunk : Buffer.concat([buffered, chunk]);
     const replies: LinkReply[] = [];
-    for (; held.length >= replySize; held = held.subarray(replySize)) {
-      replies.push({ kind: held[0]!, received: held.readUIntBE(1, countSize) });
+    for (; buffered.length >= replyBytes; buffered = buffered.subarray(replyBytes)) {
+      replies.push({ kind: buffered[0]!, received: buffered.readUIntBE(1, countBytes) });
     }
     return replies;
   };
--- a/packages/inner-protocol/src/link.test.ts
+++ b/packages/inner-protocol/src/link.test.ts
@@ -1,4 +1,4 @@
-/** Links between processes: bad peers, other schemas, paths on which nothing gets through. */
+/** Links between processes: invalid peers, peers with other schemas, and network paths without progress. */
 import net from 'node:net';
 import { expect, it } from 'vitest';
 import type { Address } from './brands.js';
@@ -8,75 +8,75 @@
 import type { Message } from './messages.js';
 import { splitAddress } from './socket-address.js';
 
-// Processes of other test files run beside this one; each has a loopback address of its own.
+// Test files run in parallel processes; each process uses a loopback address of its own.
 const host = `127.${1 + ((process.pid >> 8) & 127)}.${process.pid & 255}.1`;
 const port = 20_000;
-it('closes a link on garbage, an oversized or cut frame or another protocol, logs it, and goes on with others', async () => {
+it('closes and logs a link with garbage, an oversized or truncated frame or another protocol, and serves other links', async () => {
   const logged: string[] = [];
-  const got: Message[] = [];
-  let more: (() => void) | undefined;
-  const at = `${host}:${port}` as Address;
-  const c = await createTransport({
-    listen: at,
-    log: (n, f) => {
-      logged.push(`${n} ${String(f['why'])}`);
+  const received: Message[] = [];
+  let onReceived: (() => void) | undefined;
+  const address = `${host}:${port}` as Address;
+  const receiver = await createTransport({
+    listen: address,
+    log: (event, fields) => {
+      logged.push(`${event} ${String(fields['why'])}`);
     },
-    receive: (m) => {
-      got.push(m);
-      more?.();
+    receive: (message) => {
+      received.push(message);
+      onReceived?.();
     },
   });
-  const other = await createTransport({
+  const sender = await createTransport({
     listen: `${host}:${port + 1}` as Address,
     log: () => undefined,
     receive: () => undefined,
   });
-  function closed(...bs: Buffer[]): Promise<void> {
-    return new Promise((ok) => {
-      const s = net.connect(splitAddress(at));
-      s.on('error', () => undefined);
-      s.on('close', () => ok());
-      for (const b of bs) s.write(b);
+  function sendUntilClosed(...chunks: Buffer[]): Promise<void> {
+    return new Promise((resolve) => {
+      const socket = net.connect(splitAddress(address));
+      socket.on('error', () => undefined);
+      socket.on('close', () => resolve());
+      for (const chunk of chunks) socket.write(chunk);
     });
   }
-  const hi = encodeFrame(encodeHello('127.0.0.1:9'));
-  const old = Buffer.from(encodeHello('x').toString().replace('"tansypost":1', '"tansypost":99'));
-  await closed(Buffer.from('GET / HTTP/1.1\r\n\r\n'));
-  await closed(Buffer.from([0x7f, 0, 0, 0]));
-  await closed(encodeFrame(old));
-  await closed(hi, encodeFrame(Buffer.from([0, 0, 1])));
-  await closed(hi, encodeFrame(Buffer.from([255, 255, 1])));
+  const validHello = encodeFrame(encodeHello('127.0.0.1:9'));
+  const otherProtocol = Buffer.from(encodeHello('x').toString().replace('"tansypost":1', '"tansypost":99'));
+  await sendUntilClosed(Buffer.from('GET / HTTP/1.1\r\n\r\n'));
+  await sendUntilClosed(Buffer.from([0x7f, 0, 0, 0]));
+  await sendUntilClosed(encodeFrame(otherProtocol));
+  await sendUntilClosed(validHello, encodeFrame(Buffer.from([0, 0, 1])));
+  await sendUntilClosed(validHello, encodeFrame(Buffer.from([255, 255, 1])));
   expect(logged.length).toBe(5);
-  expect(logged.every((l) => l.startsWith('1101 '))).toBe(true);
-  const told = new Promise<void>((ok) => {
-    more = ok;
+  expect(logged.every((line) => line.startsWith('1101 '))).toBe(true);
+  const arrived = new Promise<void>((resolve) => {
+    onReceived = resolve;
   });
-  other.send(at, { kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false });
-  await told;
-  expect(got).toEqual([{ kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false }]);
-  await c.close();
-  await other.close();
+  sender.send(address, { kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false });
+  await arrived;
+  expect(received).toEqual([{ kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false }]);
+  await receiver.close();
+  await sender.close();
 });
 
-it('asks a sender of other schemas for them and then reads what came before', async () => {
-  const at = `${host}:${port + 2}` as Address;
-  const got: Message[] = [];
-  let more: (() => void) | undefined;
-  const c = await createTransport({
-    listen: at,
+it('requests the schemas of a sender that has others, and then decodes the messages that arrived before them', async () => {
+  const address = `${host}:${port + 2}` as Address;
+  const received: Message[] = [];
+  let onReceived: (() => void) | undefined;
+  const receiver = await createTransport({
+    listen: address,
     log: () => undefined,
-    receive: (m) => {
-      got.push(m);
-      more?.();
+    receive: (message) => {
+      received.push(message);
+      onReceived?.();
     },
   });
-  const all = JSON.parse(encodeHello('127.0.0.1:9').toString()) as { schemas: { name: string }[] };
-  const i = all.schemas.findIndex((x) => x.name === 'Check');
-  const told = new Promise<void>((ok) => {
-    more = ok;
+  const fullHello = JSON.parse(encodeHello('127.0.0.1:9').toString()) as { schemas: { name: string }[] };
+  const index = fullHello.schemas.findIndex((schema) => schema.name === 'Check');
+  const arrived = new Promise<void>((resolve) => {
+    onReceived = resolve;
   });
-  const s = net.connect(splitAddress(at));
-  s.write(
+  const socket = net.connect(splitAddress(address));
+  socket.write(
     encodeFrame(
       Buffer.from(
         encodeShortHello('127.0.0.1:9')
@@ -85,79 +85,81 @@
       ),
     ),
   );
-  s.write(encodeFrame(Buffer.concat([Buffer.from([0, 0]), Buffer.from([2, 97, 2, 98, 2, 99, 4, 6])])));
-  s.once('data', () => s.write(encodeFrame(Buffer.from(JSON.stringify({ ...all, schemas: [all.schemas[i]] })))));
-  await told;
-  expect(got).toEqual([{ kind: 'Check', id: 'a', from: 'b', key: 'c', epoch: 2, membershipEpoch: 3 }]);
-  s.destroy();
-  await c.close();
+  socket.write(encodeFrame(Buffer.concat([Buffer.from([0, 0]), Buffer.from([2, 97, 2, 98, 2, 99, 4, 6])])));
+  socket.once('data', () =>
+    socket.write(encodeFrame(Buffer.from(JSON.stringify({ ...fullHello, schemas: [fullHello.schemas[index]] })))),
+  );
+  await arrived;
+  expect(received).toEqual([{ kind: 'Check', id: 'a', from: 'b', key: 'c', epoch: 2, membershipEpoch: 3 }]);
+  socket.destroy();
+  await receiver.close();
 });
 
-it('drops a link on which nothing gets through, and uses a new one as soon as the path is well', async () => {
-  const held: net.Socket[] = [];
-  const swallow = net.createServer((s) => {
-    s.on('error', () => undefined);
-    held.push(s);
+it('closes a link without progress, and opens a new one for the next message', async () => {
+  const sockets: net.Socket[] = [];
+  const unresponsiveServer = net.createServer((socket) => {
+    socket.on('error', () => undefined);
+    sockets.push(socket);
   });
-  const at = `${host}:${port + 3}` as Address;
-  await new Promise<void>((ok) => swallow.listen(splitAddress(at), ok));
-  const c = await createTransport({
+  const address = `${host}:${port + 3}` as Address;
+  await new Promise<void>((resolve) => unresponsiveServer.listen(splitAddress(address), resolve));
+  const sender = await createTransport({
     listen: `${host}:${port + 4}` as Address,
     stuckMs: 60,
     log: () => undefined,
     receive: () => undefined,
   });
-  const m: Message = { kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false };
-  const ended = new Promise<void>((ok) => {
-    swallow.once('connection', (s: net.Socket) => {
-      s.resume();
-      s.once('close', () => ok());
+  const message: Message = { kind: 'MarksDigest', from: 'a', digest: 'b', answer: false, warm: false };
+  const closed = new Promise<void>((resolve) => {
+    unresponsiveServer.once('connection', (socket: net.Socket) => {
+      socket.resume();
+      socket.once('close', () => resolve());
     });
   });
-  c.send(at, m);
-  await ended;
-  const again = new Promise<void>((ok) => {
-    swallow.once('connection', () => ok());
+  sender.send(address, message);
+  await closed;
+  const reconnected = new Promise<void>((resolve) => {
+    unresponsiveServer.once('connection', () => resolve());
   });
-  c.send(at, m);
-  await again;
-  for (const s of held) s.destroy();
-  await c.close();
-  await new Promise<void>((ok) => swallow.close(() => ok()));
+  sender.send(address, message);
+  await reconnected;
+  for (const socket of sockets) socket.destroy();
+  await sender.close();
+  await new Promise<void>((resolve) => unresponsiveServer.close(() => resolve()));
 });
 
-it('connects anew, with all that waited, when the other side shows that it is there', async () => {
-  const [a, b] = [6, 7].map((n) => `${host}:${port + n}` as Address);
-  const got: Message[] = [];
-  let more: (() => void) | undefined;
-  const told = new Promise<void>((ok) => {
-    more = ok;
+it('replaces a link that is still connecting, with all its messages, when the peer connects to this process', async () => {
+  const [earlyAddress, lateAddress] = [6, 7].map((offset) => `${host}:${port + offset}` as Address);
+  const received: Message[] = [];
+  let onReceived: (() => void) | undefined;
+  const arrived = new Promise<void>((resolve) => {
+    onReceived = resolve;
   });
-  let tries = 0;
+  let connects = 0;
   const early = await createTransport({
-    listen: a!,
+    listen: earlyAddress!,
     log: () => undefined,
     receive: () => undefined,
     connectMs: 60_000,
-    // The first opening packet is lost for good.
-    connect: (x) => {
-      tries += 1;
-      return tries === 1 ? Object.assign(new net.Socket(), { connecting: true }) : net.connect(x);
+    // The SYN of the first connection is lost and never retransmitted.
+    connect: (options) => {
+      connects += 1;
+      return connects === 1 ? Object.assign(new net.Socket(), { connecting: true }) : net.connect(options);
     },
   });
-  early.send(b!, { kind: 'MarksDigest', from: 'a', digest: 'waited', answer: false, warm: false });
+  early.send(lateAddress!, { kind: 'MarksDigest', from: 'a', digest: 'waited', answer: false, warm: false });
   const late = await createTransport({
-    listen: b!,
+    listen: lateAddress!,
     log: () => undefined,
-    receive: (m) => {
-      got.push(m);
-      more?.();
+    receive: (message) => {
+      received.push(message);
+      onReceived?.();
     },
   });
-  late.send(a!, { kind: 'MarksDigest', from: 'b', digest: 'here', answer: false, warm: false });
-  await told;
-  expect(got).toMatchObject([{ digest: 'waited' }]);
-  expect(tries).toBe(2);
+  late.send(earlyAddress!, { kind: 'MarksDigest', from: 'b', digest: 'here', answer: false, warm: false });
+  await arrived;
+  expect(received).toMatchObject([{ digest: 'waited' }]);
+  expect(connects).toBe(2);
   await early.close();
   await late.close();
 });
--- a/packages/inner-protocol/src/link.ts
+++ b/packages/inner-protocol/src/link.ts
@@ -1,7 +1,8 @@
 /**
- * Carries messages over TCP. A process listens on one address and keeps at most one outgoing link to each other address;
- * every message names none but its receiver, and a link that fails drops what waited on it. The hello tells the receiver
- * the sender's listening address and the fingerprint of its schemas; a receiver with others asks for the schemas.
+ * Message transport over TCP. A process listens on one address and keeps at most one outgoing link to each other
+ * address. Delivery is best effort: when a link fails, the messages buffered on it are lost. The hello gives the
+ * receiver the sender's listening address and the fingerprint of its schemas; a receiver with other schemas requests
+ * the sender's.
  */
 import net from 'node:net';
 import type { Address } from './brands.js';
@@ -12,30 +13,30 @@
 import { openLink, writeRetained, type OutgoingLink, type OutgoingOptions } from './outgoing-link.js';
 import { splitAddress } from './socket-address.js';
 
-/** Sends messages, and passes those that come to its receiver. */
+/** Sends messages and passes incoming ones to `TransportOptions.receive`. */
 export interface Transport {
   readonly send: (to: Address, message: Message) => void;
   readonly close: () => Promise<void>;
-  /** How many messages were dropped because their link held too much. */
+  /** Number of messages dropped because their link had too many bytes buffered. */
   readonly droppedCount: () => number;
 }
 
-/** What a carrier is told when it is made. */
+/** Options of a transport. */
 export interface TransportOptions {
   readonly listen: Address;
-  /** Address under which others reach it, where that differs. */
+  /** Address at which other processes reach this one, if it differs. */
   readonly advertise?: Address;
   readonly receive: (message: Message, from: Address) => void;
   readonly log: (event: number, fields: Record<string, unknown>) => void;
-  /** Bytes that a link may hold before messages are dropped. */
+  /** Bytes that may be buffered on a link; above that, messages to it are dropped. */
   readonly maxBufferedBytes?: number;
-  /** How long a connection may take to come about. */
+  /** Timeout of connecting, in milliseconds. */
   readonly connectMs?: number;
-  /** How long a link may hold bytes without any of them getting through. */
+  /** How long a link may have unacknowledged bytes without any progress before it is closed, in milliseconds. */
   readonly stuckMs?: number;
-  /** How long an incoming link may be silent. */
+  /** Idle timeout of incoming links, in milliseconds. */
   readonly idleMs?: number;
-  /** How a connection is begun; `net.connect` unless a test says otherwise. */
+  /** Opens a connection; `net.connect` by default. */
   readonly connect?: (options: net.TcpNetConnectOpts) => net.Socket;
 }
 
@@ -48,11 +49,11 @@
   readonly incoming: Set<net.Socket>;
   dropped: number;
   closed: boolean;
-  /** What was sent last, as it often goes to many one after the other. */
+  /** The last message and its encoding: the same message is often sent to many receivers in a row. */
   lastSent: { readonly message: Message; readonly bytes: Buffer } | undefined;
 }
 
-/** Listens on the address given; rejects when that is not possible. */
+/** Creates a transport that listens on the given address; rejects if it can't. */
 export async function createTransport(options: TransportOptions): Promise<Transport> {
   const state: TransportState = {
     options,
@@ -80,12 +81,12 @@
   };
 }
 
-function open(state: TransportState, to: Address, held: readonly Buffer[] = []): OutgoingLink {
-  const link = openLink(to, state.outgoing, (ended) => {
-    if (state.links.get(to) === ended) state.links.delete(to);
+function open(state: TransportState, to: Address, retained: readonly Buffer[] = []): OutgoingLink {
+  const link = openLink(to, state.outgoing, (closed) => {
+    if (state.links.get(to) === closed) state.links.delete(to);
   });
   state.links.set(to, link);
-  for (const bytes of held) writeRetained(link, bytes, state.outgoing.stuckMs);
+  for (const bytes of retained) writeRetained(link, bytes, state.outgoing.stuckMs);
   return link;
 }
 
@@ -100,20 +101,23 @@
   writeRetained(link, bytesOf(state, message), state.outgoing.stuckMs);
 }
 
-/** A message is never changed after it was sent, so the same object has the same bytes. */
+/** Messages aren't modified once they have been sent, so the same object always has the same encoding. */
 function bytesOf(state: TransportState, message: Message): Buffer {
   if (state.lastSent?.message !== message) state.lastSent = { message, bytes: encodeFrame(encodeMessage(message)) };
   return state.lastSent.bytes;
 }
 
-/** The other side is there, so an opening packet that went out before it was is not waited for. */
-function reopen(state: TransportState, to: Address): void {
+/**
+ * Replaces a link that is still connecting. The peer has just connected to this process, so it is up; the SYN may have
+ * been lost before that, and its retransmission would only come later.
+ */
+function reconnect(state: TransportState, to: Address): void {
   const link = state.links.get(to);
-  if (link?.held === undefined || link.socket.destroyed) return;
-  const { held } = link;
+  if (link?.retained === undefined || link.socket.destroyed) return;
+  const { retained } = link;
   state.links.delete(to);
   link.socket.destroy();
-  open(state, to, held);
+  open(state, to, retained);
 }
 
 function accept(state: TransportState, socket: net.Socket): void {
@@ -124,11 +128,11 @@
   socket.on('error', () => undefined);
   socket.on('close', () => incoming.delete(socket));
   readIncoming(socket, {
-    greeted: (from) => {
-      if (!state.closed) reopen(state, from);
+    onHello: (from) => {
+      if (!state.closed) reconnect(state, from);
     },
-    receive: options.receive,
-    failed: (from, error) => options.log(1101, { from, why: error.message }),
+    onMessage: options.receive,
+    onError: (from, error) => options.log(1101, { from, why: error.message }),
   });
 }
 
--- a/packages/inner-protocol/src/messages.ts
+++ b/packages/inner-protocol/src/messages.ts
@@ -1,10 +1,15 @@
 /**
- * Every message that the fleet's own processes exchange. Links lose and delay messages as they
- * like: each conversation carries ids, epochs or versions, and is repeated by the one who needs it.
+ * All messages between the processes of the fleet. Links may lose and delay messages: every exchange carries ids, terms
+ * or versions, and the process that needs the result repeats its message.
+ * Kinds and field names are part of the protocol. An `epoch` is the term of the leader of a key or of a singleton role.
  */
 import type { TypeOfShape, Shape } from './shape.js';
 
-const entry = {
+/**
+ * A member in the gossip. `born` is its incarnation, which grows with each start, `beat` its heartbeat counter, `http`
+ * the address at which its router accepts requests, and `tenured` whether that router holds a feed lease.
+ */
+const memberEntry = {
   member: 'string',
   address: 'string',
   zone: 'string',
@@ -13,11 +18,15 @@
   http: 'string',
   tenured: 'boolean',
 } as const;
+/** A replica of the control cluster. `disk` is the id of its disk. */
 const replica = { slot: 'long', address: 'string', disk: 'string' } as const;
-const candidate = { address: 'string', disk: 'string' } as const;
-const mark = { worker: 'string', incarnation: 'long', state: 'long', address: 'string' } as const;
-const duty = { duty: 'string', holder: 'string', address: 'string', epoch: 'long' } as const;
-const report = {
+const bootstrapCandidate = { address: 'string', disk: 'string' } as const;
+/** The lifecycle state of one incarnation of a worker; `state` is an index into `workerStates` of the membership package. */
+const workerState = { worker: 'string', incarnation: 'long', state: 'long', address: 'string' } as const;
+/** The current leader (`holder`) of a singleton role (`duty`), with its term. */
+const singletonRole = { duty: 'string', holder: 'string', address: 'string', epoch: 'long' } as const;
+/** What a worker reports of its load. `part` is its stage, `age` the age of the report in microseconds. */
+const workerReport = {
   worker: 'string',
   incarnation: 'long',
   queued: 'long',
@@ -27,19 +36,24 @@
   age: 'long',
   fence: 'long',
 } as const;
-const change = { id: 'string', version: 'long', epoch: 'long' } as const;
-const copied = {
+/** The id of a write that has taken effect, and the version that it wrote; used to recognize a repeated write. */
+const appliedChange = { id: 'string', version: 'long', epoch: 'long' } as const;
+/** A record copied to a replica that catches up. `promised` is the highest term promised for the key. */
+const copiedRecord = {
   key: 'string',
   sequence: 'long',
   promised: 'long',
   epoch: 'long',
   version: 'long',
   value: 'bytes',
-  changes: [change],
+  changes: [appliedChange],
 } as const;
-const news = { key: 'string', epoch: 'long', version: 'long', value: 'bytes' } as const;
+/** A committed value of a key. */
+const keyUpdate = { key: 'string', epoch: 'long', version: 'long', value: 'bytes' } as const;
+/** A step of a patch: the literal bytes, then `length` bytes of the base version from `offset` on. */
 const patchStep = { literal: 'bytes', offset: 'long', length: 'long' } as const;
-const listed = {
+/** A worker in the platform's worker list. `part` is its stage, `coldMs` how long it still takes to warm up. */
+const workerListEntry = {
   id: 'string',
   service: 'string',
   address: 'string',
@@ -49,7 +63,8 @@
   coldMs: 'long',
   part: 'string',
 } as const;
-const load = {
+/** The load of a worker. `age` is in milliseconds; `silent` means that the worker did not answer. */
+const workerLoad = {
   id: 'string',
   queued: 'long',
   active: 'long',
@@ -59,9 +74,14 @@
   age: 'long',
   silent: 'boolean',
 } as const;
+/** The count of a tenant in one window. */
 const usageCount = { tenant: 'string', count: 'long' } as const;
 const usageTable = { window: 'long', counts: [usageCount] } as const;
-const arm = {
+/**
+ * Statistics of a cohort (`arm`) of a rehearsal in one stratum. `sum` and `squares` are the sums of the logarithm of the
+ * time to first token and of its square; the `token` fields are the same of the time per token.
+ */
+const cohortStatistics = {
   rehearsal: 'string',
   arm: 'string',
   stratum: 'string',
@@ -74,16 +94,17 @@
   tokenSquares: 'double',
 } as const;
 
+/** The shape of each kind of message. The order of the kinds is part of a sender's hello. */
 export const messageShapes = {
   Shuffle: {
     answer: 'boolean',
     from: 'string',
-    entries: [entry],
+    entries: [memberEntry],
     membershipEpoch: 'long',
     replicas: [replica],
-    duties: [duty],
+    duties: [singletonRole],
   },
-  Marks: { marks: [mark], whole: 'boolean', warm: 'boolean' },
+  Marks: { marks: [workerState], whole: 'boolean', warm: 'boolean' },
   MarksDigest: { from: 'string', digest: 'string', answer: 'boolean', warm: 'boolean' },
 
   Ask: {
@@ -101,7 +122,7 @@
   Claim: { id: 'string', op: 'string', key: 'string', holder: 'string', request: 'string', ended: 'string' },
   ClaimAnswer: { id: 'string', status: 'string', known: 'string' },
 
-  // `replacedDisk` and `successor` are given where the round is to agree on a replacement, and empty otherwise.
+  // `replacedDisk` and `successor` are set if the round is to agree on the replacement of a replica, otherwise empty.
   Prepare: {
     id: 'string',
     from: 'string',
@@ -119,7 +140,7 @@
     membershipEpoch: 'long',
     version: 'long',
     value: 'bytes',
-    changes: [change],
+    changes: [appliedChange],
   },
   Check: { id: 'string', from: 'string', key: 'string', epoch: 'long', membershipEpoch: 'long' },
   Vote: {
@@ -133,7 +154,7 @@
     epoch: 'long',
     version: 'long',
     value: 'bytes',
-    changes: [change],
+    changes: [appliedChange],
   },
   ReplicaHello: {
     from: 'string',
@@ -142,15 +163,16 @@
     state: 'string',
     founders: ['string'],
     membershipEpoch: 'long',
-    // The cluster that it belongs to; empty as long as it knows none.
+    // Id of the cluster that the replica belongs to; empty while it knows none.
     cluster: 'string',
     replicas: [replica],
     leaving: 'boolean',
     ill: 'boolean',
-    // A blank replica has copied all that a member needs before it may vote.
+    // An empty replica has copied everything that it needs before it may vote.
     caughtUp: 'boolean',
   },
-  // Asks for what the source has taken in after a sequence number; `source` names the opening of its disk that it holds for.
+  // Requests the records that the source has written after sequence number `after`. The number is valid for one opening of
+  // the source's disk, which `source` identifies.
   CopyAsk: {
     from: 'string',
     disk: 'string',
@@ -165,7 +187,7 @@
     ok: 'boolean',
     source: 'string',
     after: 'long',
-    records: [copied],
+    records: [copiedRecord],
     last: 'boolean',
   },
 
@@ -175,7 +197,7 @@
     tenures: [{ router: 'string', asked: 'long', applied: 'long' }],
     relay: 'boolean',
   },
-  News: { news: [news], membershipEpoch: 'long', replicas: [replica] },
+  News: { news: [keyUpdate], membershipEpoch: 'long', replicas: [replica] },
   Leases: { grants: [{ router: 'string', asked: 'long', version: 'long' }] },
 
   Ballot: { id: 'string', from: 'string', duty: 'string', candidate: 'string', epoch: 'long', membershipEpoch: 'long' },
@@ -190,10 +212,10 @@
     address: 'string',
   },
 
-  Reports: { reports: [report], relay: 'boolean' },
+  Reports: { reports: [workerReport], relay: 'boolean' },
   Demand: { from: 'string', first: 'long', extra: 'long', allowance: 'double' },
   Samples: { from: 'string', count: 'long', width: 'long', rows: 'bytes' },
-  Arms: { from: 'string', arms: [arm] },
+  Arms: { from: 'string', arms: [cohortStatistics] },
 
   RouterState: {
     router: 'string',
@@ -203,32 +225,34 @@
     first: 'long',
     extra: 'long',
     allowance: 'double',
-    arms: [arm],
+    arms: [cohortStatistics],
     have: [{ key: 'string', epoch: 'long', version: 'long' }],
   },
   Feed: {
-    workers: [mark],
-    reports: [report],
-    news: [news],
+    workers: [workerState],
+    reports: [workerReport],
+    news: [keyUpdate],
     grants: [{ asked: 'long', version: 'long' }],
     others: ['string'],
     contact: 'boolean',
   },
 
-  // A machine without a replica asks to be written into the membership record.
+  // A machine without a replica asks to be added to the membership record.
   Join: { from: 'string', disk: 'string', first: 'boolean', caughtUp: 'boolean' },
-  // A machine that serves control without a disk answers a replica that looks for others to found a cluster with.
+  // Reply of a control gateway, which has no replica, to a replica that is looking for others to bootstrap a cluster with.
   HoldsNoState: { from: 'string' },
-  // The same machine, as long as it knows no replica, answers those that ask to join with all that have asked it so far.
-  // `firstStart` says that its process has run since the first start of the whole system, so has forgotten none of them.
-  FoundingRoster: { from: 'string', firstStart: 'boolean', candidates: [candidate] },
-  // A blank machine tells the others that it knows of which machines it would found a cluster with.
-  FoundingView: { from: 'string', disk: 'string', candidates: [candidate] },
-  // The owner tells the other places up to which version a key is on a majority.
+  // Reply of a control gateway to `Join` while it knows no replica: all machines that have asked it so far. `firstStart`
+  // means that its process has been running since the first start of the whole system, so that the list is complete.
+  FoundingRoster: { from: 'string', firstStart: 'boolean', candidates: [bootstrapCandidate] },
+  // A machine with an empty disk tells the others that it knows which machines it would bootstrap a cluster with.
+  FoundingView: { from: 'string', disk: 'string', candidates: [bootstrapCandidate] },
+  // The leader of a key tells the other replicas up to which version the key is committed, that is, on a majority.
   Committed: { key: 'string', epoch: 'long', version: 'long' },
-  // A router asks each control node with all that it has, and each answers with a beat as small. `confirmOnly` says that
-  // another node sends the router the configuration itself; `asked` is a number of the router's clock, which the beat
-  // echoes, 0 in a beat that nobody asked for. `wall` is the node's time of day in milliseconds since 1970, 0 if not told.
+  // A follower polls each control node with the versions that it has, and the node replies with a `Beat`. `confirmOnly`
+  // means that another node sends the configuration to this follower. `list` and `peers` are the digests of the worker
+  // list and of the peers that the follower has. `asked` is a time of the follower's clock, which the beat echoes; it is 0
+  // in an unsolicited beat. `age` is the age of the worker list in milliseconds. `wall` is the node's time of day in
+  // milliseconds since 1970, or 0 if it isn't given.
   Follow: {
     key: 'string',
     version: 'long',
@@ -251,20 +275,22 @@
     asked: 'long',
     wall: 'long',
   },
-  // The configuration as a difference from an older version: each step is a literal, then bytes copied from the older one.
+  // The configuration as a patch to an older version, `base`.
   ConfigurationPatch: { version: 'long', base: 'long', digest: 'string', steps: [patchStep] },
-  // A list of workers: whole where `base` is 0, else what is other than in the list with that digest.
-  WorkerList: { base: 'long', digest: 'long', age: 'long', workers: [listed], gone: ['string'] },
-  WorkerLoads: { loads: [load] },
-  // Other routers, for one that asked with another digest; and what one of them has just sent to be read, in time to read.
-  // Where these are not all, what they tell each other goes through the keeper. `bad` says that a send failed there.
+  // The worker list: complete if `base` is 0, otherwise the changes to the list with the digest `base`.
+  WorkerList: { base: 'long', digest: 'long', age: 'long', workers: [workerListEntry], gone: ['string'] },
+  WorkerLoads: { loads: [workerLoad] },
+  // The other routers, sent to a router whose digest of them is out of date. If there are too many of them to list (`all`
+  // is false), routers send `Reading` through a control node instead of directly.
+  // `Reading` announces prefills that a router has just sent to workers, with their expected duration in microseconds as
+  // `service`; `bad` means that an attempt at the worker has failed.
   Peers: { digest: 'long', addresses: ['string'], all: 'boolean' },
   Reading: { reads: [{ worker: 'string', service: 'long', bad: 'boolean', by: 'long' }] },
-  // Whoever reports usage asks each router for what it has counted. `process` and `after` say up to which change of which
-  // process of that router it knows all; `closedThrough` is the last window whose content is fixed, 0 for none.
+  // The usage reporter asks each router for its counts. It has all changes of the router's process `process` up to
+  // sequence number `after`; `closedThrough` is the last window whose content is final, 0 for none.
   UsageAsk: { from: 'string', process: 'string', after: 'long', closedThrough: 'long' },
-  // All counts that have changed after `after`, each in full, so that a repeat adds nothing. `now` is the true time as the
-  // router estimates it, in milliseconds since 1970: it will count nothing more in a window that ended before.
+  // All counts that have changed after `after`, as totals, so that a repeated message adds nothing. `now` is the router's
+  // estimate of the true time in milliseconds since 1970; it counts nothing more in windows that ended before.
   UsageTold: {
     router: 'string',
     process: 'string',
@@ -275,20 +301,36 @@
   },
 } as const satisfies { [k: string]: Shape };
 
+/** Kind of a message, its name on the wire. */
 export type MessageKind = keyof typeof messageShapes;
+/** A message of any kind. */
 export type Message = { [K in MessageKind]: { kind: K } & TypeOfShape<(typeof messageShapes)[K]> }[MessageKind];
+/** A message of the given kind. */
 export type MessageOf<K extends MessageKind> = Extract<Message, { kind: K }>;
 
-export type MemberEntry = TypeOfShape<typeof entry>;
+/** A member in the gossip. */
+export type MemberEntry = TypeOfShape<typeof memberEntry>;
+/** A replica in the membership record of the control cluster. */
 export type ReplicaEntry = TypeOfShape<typeof replica>;
-export type BootstrapCandidate = TypeOfShape<typeof candidate>;
-export type WorkerStateEntry = TypeOfShape<typeof mark>;
-export type SingletonRoleEntry = TypeOfShape<typeof duty>;
-export type WorkerReport = TypeOfShape<typeof report>;
-export type CopiedRecord = TypeOfShape<typeof copied>;
-export type KeyUpdate = TypeOfShape<typeof news>;
-export type WorkerListEntry = TypeOfShape<typeof listed>;
-export type WorkerLoadEntry = TypeOfShape<typeof load>;
-export type CohortStatistics = TypeOfShape<typeof arm>;
+/** A machine that may take part in bootstrapping the control cluster. */
+export type BootstrapCandidate = TypeOfShape<typeof bootstrapCandidate>;
+/** The lifecycle state of one incarnation of a worker. */
+export type WorkerStateEntry = TypeOfShape<typeof workerState>;
+/** The current leader of a singleton role. */
+export type SingletonRoleEntry = TypeOfShape<typeof singletonRole>;
+/** What a worker reports of its load. */
+export type WorkerReport = TypeOfShape<typeof workerReport>;
+/** A record copied to a replica that catches up. */
+export type CopiedRecord = TypeOfShape<typeof copiedRecord>;
+/** A committed value of a key. */
+export type KeyUpdate = TypeOfShape<typeof keyUpdate>;
+/** A worker in the platform's worker list. */
+export type WorkerListEntry = TypeOfShape<typeof workerListEntry>;
+/** The load of a worker as control nodes distribute it. */
+export type WorkerLoadEntry = TypeOfShape<typeof workerLoad>;
+/** Statistics of a cohort of a rehearsal in one stratum. */
+export type CohortStatistics = TypeOfShape<typeof cohortStatistics>;
+/** The count of a tenant in one window. */
 export type UsageCount = TypeOfShape<typeof usageCount>;
+/** The counts of one window. */
 export type UsageTable = TypeOfShape<typeof usageTable>;
--- a/packages/inner-protocol/src/outgoing-link.ts
+++ b/packages/inner-protocol/src/outgoing-link.ts
@@ -1,6 +1,7 @@
 /**
- * The sending side of one link. Its receiver says every so often how much has reached it; a link on which nothing more
- * gets through for a while is dropped, so that a healed path is used at once by a new one.
+ * The sending side of one link. The receiver regularly acknowledges the bytes that it has received. A link without
+ * progress for a while is closed, so that once the network path has recovered a new link uses it at once instead of
+ * waiting for TCP's retransmission.
  */
 import net from 'node:net';
 import type { Address } from './brands.js';
@@ -9,63 +10,64 @@
 import { createReplyReader, replyKind } from './link-reply.js';
 import { splitAddress } from './socket-address.js';
 
-/** How links of one process are opened. */
+/** Options of all outgoing links of a process. */
 export interface OutgoingOptions {
-  /** The address that this process listens on, as told in the hello. */
+  /** The address at which other processes reach this one, sent in the hello. */
   readonly self: Address;
-  /** How long a connection may take to come about. */
+  /** Timeout of connecting, in milliseconds. */
   readonly connectMs: number;
-  /** How long a link may hold bytes without any of them getting through. */
+  /** How long a link may have unacknowledged bytes without any progress before it is closed, in milliseconds. */
   readonly stuckMs: number;
   readonly connect: (options: net.TcpNetConnectOpts) => net.Socket;
 }
 
-/** A link to one address. */
+/** An outgoing link. */
 export interface OutgoingLink {
   readonly socket: net.Socket;
+  /** Bytes written. */
   sent: number;
-  /** As far as the receiver has said. */
-  received: number;
+  /** Bytes that the receiver has acknowledged. */
+  acknowledged: number;
   stuckTimer: NodeJS.Timeout | undefined;
-  /** What waits for the connection; none once it has come about. */
-  held: Buffer[] | undefined;
+  /** What was written before the connection was established, for a link that replaces this one; undefined after that. */
+  retained: Buffer[] | undefined;
 }
 
 /**
- * Begins a connection and writes the hello.
+ * Starts connecting and writes the hello.
  * @param to address of the receiver
- * @param options how links are opened
- * @param closed called when the link has ended
+ * @param options options of all links
+ * @param onClose called when the link has been closed
  */
-export function openLink(to: Address, options: OutgoingOptions, closed: (link: OutgoingLink) => void): OutgoingLink {
+export function openLink(to: Address, options: OutgoingOptions, onClose: (link: OutgoingLink) => void): OutgoingLink {
   const socket = options.connect({ ...splitAddress(to), noDelay: true });
-  const link: OutgoingLink = { socket, sent: 0, received: 0, stuckTimer: undefined, held: [] };
+  const link: OutgoingLink = { socket, sent: 0, acknowledged: 0, stuckTimer: undefined, retained: [] };
   const connectTimer = setTimeout(() => socket.destroy(), options.connectMs);
   const readReplies = createReplyReader();
   socket.on('connect', () => {
     clearTimeout(connectTimer);
-    link.held = undefined;
+    link.retained = undefined;
   });
   socket.on('error', () => undefined);
   socket.on('close', () => {
     clearTimeout(connectTimer);
     clearTimeout(link.stuckTimer);
-    closed(link);
+    onClose(link);
   });
   socket.on('data', (chunk: Buffer) => {
     for (const reply of readReplies(chunk)) {
       if (reply.kind === replyKind.wantSchemas)
         writeRetained(link, encodeFrame(encodeHello(options.self)), options.stuckMs);
-      else takeReceived(link, reply.received, options.stuckMs);
+      else acknowledge(link, reply.received, options.stuckMs);
     }
   });
   write(link, encodeFrame(encodeShortHello(options.self)), options.stuckMs);
   return link;
 }
 
-/** Writes bytes that are written again by whoever replaces the link before its connection came about. */
+/** Writes bytes, and retains them for a link that replaces this one before the connection is established. */
 export function writeRetained(link: OutgoingLink, bytes: Buffer, stuckMs: number): void {
-  link.held?.push(bytes);
+  link.retained?.push(bytes);
   write(link, bytes, stuckMs);
 }
 
@@ -75,12 +77,12 @@
   if (link.stuckTimer === undefined) startStuckTimer(link, stuckMs);
 }
 
-function takeReceived(link: OutgoingLink, received: number, stuckMs: number): void {
-  if (received <= link.received) return;
-  link.received = received;
+function acknowledge(link: OutgoingLink, received: number, stuckMs: number): void {
+  if (received <= link.acknowledged) return;
+  link.acknowledged = received;
   clearTimeout(link.stuckTimer);
   link.stuckTimer = undefined;
-  if (link.received < link.sent) startStuckTimer(link, stuckMs);
+  if (link.acknowledged < link.sent) startStuckTimer(link, stuckMs);
 }
 
 function startStuckTimer(link: OutgoingLink, stuckMs: number): void {
--- a/packages/inner-protocol/src/queue.ts
+++ b/packages/inner-protocol/src/queue.ts
@@ -1,25 +1,25 @@
 /**
- * The command queue of a table's one owner. Commands are handled one after the other and each runs to its end; a
- * command posted from inside a handler waits for its turn.
+ * A command queue for state with a single owner. Commands are handled one at a time and run to completion; a command
+ * posted from inside a handler is handled after the current one.
  */
 
-/** Takes commands. */
+/** Accepts commands. */
 export interface Queue<Command> {
   readonly post: (command: Command) => void;
 }
 
-/** Makes a queue whose commands go to `handle`. An error thrown by it reaches whoever posted. */
+/** Creates a queue that passes commands to `handle`. An error that it throws propagates to the caller of `post`. */
 export function createQueue<Command>(handle: (command: Command) => void): Queue<Command> {
-  const waiting: Command[] = [];
-  let busy = false;
+  const pending: Command[] = [];
+  let handling = false;
   function post(command: Command): void {
-    waiting.push(command);
-    if (busy) return;
-    busy = true;
+    pending.push(command);
+    if (handling) return;
+    handling = true;
     try {
-      for (let next = waiting.shift(); next !== undefined; next = waiting.shift()) handle(next);
+      for (let next = pending.shift(); next !== undefined; next = pending.shift()) handle(next);
     } finally {
-      busy = false;
+      handling = false;
     }
   }
   return { post };
@@ -27,13 +27,13 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('handles a command posted from inside a handler after the one that posted it', () => {
-    const seen: string[] = [];
+  it('handles a command posted by a handler after the command that posted it', () => {
+    const handled: string[] = [];
     const queue = createQueue<string>((command) => {
       if (command === 'a') queue.post('b');
-      seen.push(command);
+      handled.push(command);
     });
     queue.post('a');
-    expect(seen).toEqual(['a', 'b']);
+    expect(handled).toEqual(['a', 'b']);
   });
 }
--- a/packages/inner-protocol/src/real-world.ts
+++ b/packages/inner-protocol/src/real-world.ts
@@ -1,6 +1,6 @@
 /**
- * The world of a real process: the monotonic clock, timers that don't keep the process alive, and the links. A
- * machine that was suspended counts the time only as far as its clock does.
+ * The `World` of a real process: the monotonic clock, timers that don't keep the process alive, and TCP links. Whether
+ * time passes while the machine is suspended depends on its monotonic clock.
  */
 import { randomInt } from 'node:crypto';
 import { micros, type Address, type Micros } from './brands.js';
@@ -11,58 +11,58 @@
 
 const nanosPerMicro = 1000n;
 const microsPerMillisecond = 1000;
-const randomSteps = 2 ** 32;
+const seedRange = 2 ** 32;
 
-/** The clock of this machine since some moment before its processes began. */
+/** Time of the machine's monotonic clock; its origin is before the start of any process. */
 export function monotonicNow(): Micros {
   return micros(Number(process.hrtime.bigint() / nanosPerMicro));
 }
 
-/** A timer that doesn't keep the process alive. */
+/** Starts a timer that doesn't keep the process alive. */
 export function startTimer(delay: Micros, run: () => void): Cancel {
   const timer = setTimeout(run, Math.max(0, delay / microsPerMillisecond));
   timer.unref();
   return () => clearTimeout(timer);
 }
 
-/** At least 0 and below 1; its seed is from the system's generator. For spreading only: secrets are drawn elsewhere. */
-export const systemRandom = createSeededRandom(randomInt(0, randomSteps));
+/** Random numbers from 0 (inclusive) to 1 (exclusive), seeded by the system's generator. Not fit for secrets. */
+export const systemRandom = createSeededRandom(randomInt(0, seedRange));
 
-/** Takes a message and the address of its sender. */
+/** Handles a message from the given sender. */
 export type MessageHandler = (message: Message, from: Address) => void;
 
-/** A world with the links behind it. */
+/** A `World` and the transport that it sends through. */
 export interface RealWorld {
   readonly world: World;
   readonly transport: Transport;
-  /** Sets who takes messages; until then they are dropped. */
+  /** Sets the handler of incoming messages; until it is set they are dropped. */
   readonly onMessage: (handler: MessageHandler) => void;
 }
 
 /**
- * Listens for links and makes the world of this process. Rejects when the address can't be listened on.
+ * Listens for links and creates the world of this process. Rejects if it can't listen on the address.
  * @param listen address of the listening socket
  * @param log writes events
- * @param advertise address under which others reach it, where that differs
+ * @param advertise address at which other processes reach this one, if it differs
  */
 export async function createRealWorld(
   listen: Address,
   log: World['log'],
   advertise: Address = listen,
 ): Promise<RealWorld> {
-  let handle: MessageHandler | undefined;
+  let handler: MessageHandler | undefined;
   const carrier = await createTransport({
     listen,
     advertise,
     log,
-    receive: (message, from) => handle?.(message, from),
+    receive: (message, from) => handler?.(message, from),
   });
   const world: World = { now: monotonicNow, random: systemRandom, after: startTimer, send: carrier.send, log };
   return {
     world,
     transport: carrier,
-    onMessage: (handler) => {
-      handle = handler;
+    onMessage: (newHandler) => {
+      handler = newHandler;
     },
   };
 }
--- a/packages/inner-protocol/src/shape.ts
+++ b/packages/inner-protocol/src/shape.ts
@@ -1,17 +1,17 @@
 /**
- * A small notation for message shapes. One literal gives both the TypeScript type and the avsc schema, so the two
- * can't drift. Every field has a default: a reader that knows a newer field takes the default from an older writer,
- * and drops a field that it does not know.
+ * A small notation for message shapes. Both the TypeScript type and the avsc schema are derived from one literal, so
+ * they can't diverge. Every field has a default: a reader uses it for a field that an older writer doesn't send, and it
+ * ignores fields that it doesn't know.
  */
 import avsc from 'avsc';
 
-/** The types of single values. */
+/** Types of scalar values. */
 export type PrimitiveShape = 'long' | 'double' | 'string' | 'boolean' | 'bytes';
 
-/** A value, a list of one shape, or a record. */
+/** A scalar, a list whose items have one shape, or a record. */
 export type Shape = PrimitiveShape | readonly [Shape] | { readonly [field: string]: Shape };
 
-/** The TypeScript type of a shape. */
+/** The TypeScript type that a shape describes. */
 export type TypeOfShape<S> = S extends 'long' | 'double'
   ? number
   : S extends 'string'
@@ -34,7 +34,7 @@
   return Object.fromEntries(Object.entries(shape).map(([field, inner]) => [field, defaultOf(inner)]));
 }
 
-/** The avsc schema of a shape; names of inner records are made from the name and the field. */
+/** The avsc schema of a shape. A nested record is named after its parent and its field. */
 export function toSchema(name: string, shape: Shape): avsc.Schema {
   if (typeof shape === 'string') return shape as avsc.Schema;
   if (Array.isArray(shape)) {
--- a/packages/inner-protocol/src/socket-address.ts
+++ b/packages/inner-protocol/src/socket-address.ts
@@ -1,6 +1,6 @@
-/** Reads socket addresses. */
+/** Parses socket addresses. */
 
-/** Host and port, as `node:net` takes them. */
+/** Host and port, in the form of the options of `node:net`. */
 export interface HostAndPort {
   readonly host: string;
   readonly port: number;
--- a/packages/inner-protocol/src/stop-signal.ts
+++ b/packages/inner-protocol/src/stop-signal.ts
@@ -1,6 +1,6 @@
-/** How a process is told to stop: by a signal that may come again while it stops. */
+/** Graceful stop on SIGTERM, which may arrive again while the process is stopping. */
 
-/** Calls `stop` at the first SIGTERM; further ones change nothing, and none ends the process by itself. */
+/** Calls `stop` on the first SIGTERM. Later ones are ignored, and none terminates the process by itself. */
 export function onStopSignal(stop: () => void): void {
   let stopping = false;
   process.on('SIGTERM', () => {
--- a/packages/inner-protocol/src/virtual-clock.ts
+++ b/packages/inner-protocol/src/virtual-clock.ts
@@ -1,34 +1,34 @@
-/** A world in virtual time for tests of one core: its clock jumps from timer to timer, and nothing is sent. */
+/** A `World` in virtual time for tests of one component: the clock jumps from timer to timer, and nothing is sent. */
 import type { Micros } from './brands.js';
 import type { World } from './world.js';
 
-/** An event that the core under test has logged. */
+/** An event logged by the component under test. */
 export interface LoggedEvent {
   readonly event: number;
   readonly fields: Record<string, unknown>;
 }
 
-/** The world, and the ways to let its time pass. */
+/** The world, and ways to advance its time. */
 export interface VirtualClock {
   readonly world: World;
   readonly logged: readonly LoggedEvent[];
-  /** Lets time pass until `done` holds; throws when nothing is left to happen before. */
+  /** Advances the time until `done` returns true; throws if no timer is left before that. */
   readonly runUntil: (done: () => boolean) => Promise<void>;
-  /** Lets time pass until the clock shows `time`. */
+  /** Advances the time to `time`. */
   readonly runTo: (time: number) => Promise<void>;
 }
 
 interface Timer {
-  readonly at: number;
+  readonly dueAt: number;
   readonly run: () => void;
 }
 
-/** Turns of the promise queue that what follows from one timer may take. */
-const turnsPerTimer = 50;
-const defaultDraw = 0.5;
+/** Turns of the microtask queue that are awaited after each timer, for the promises that it resolves. */
+const microtaskTurnsPerTimer = 50;
+const defaultRandom = 0.5;
 
-/** A clock that stands at 0. */
-export function createVirtualClock(over: Partial<World> = {}): VirtualClock {
+/** Creates a clock at time 0. `overrides` replaces parts of its world. */
+export function createVirtualClock(overrides: Partial<World> = {}): VirtualClock {
   const timers = new Map<number, Timer>();
   const logged: LoggedEvent[] = [];
   let now = 0;
@@ -36,48 +36,48 @@
 
   function after(delay: number, run: () => void): () => void {
     const id = (lastId += 1);
-    timers.set(id, { at: now + delay, run });
+    timers.set(id, { dueAt: now + delay, run });
     return () => void timers.delete(id);
   }
 
   const world: World = {
     now: () => now as Micros,
-    random: () => defaultDraw,
+    random: () => defaultRandom,
     after,
     send: () => undefined,
     log: (event, fields) => logged.push({ event, fields }),
-    ...over,
+    ...overrides,
   };
 
-  async function settle(): Promise<void> {
-    for (let turn = 0; turn < turnsPerTimer; turn += 1) await Promise.resolve();
+  async function runMicrotasks(): Promise<void> {
+    for (let turn = 0; turn < microtaskTurnsPerTimer; turn += 1) await Promise.resolve();
   }
 
-  function next(): [number, Timer] | undefined {
-    return [...timers].sort(([a, first], [b, second]) => first.at - second.at || a - b)[0];
+  function earliest(): [number, Timer] | undefined {
+    return [...timers].sort(([a, first], [b, second]) => first.dueAt - second.dueAt || a - b)[0];
   }
 
   function fire([id, timer]: [number, Timer]): void {
     timers.delete(id);
-    now = timer.at;
+    now = timer.dueAt;
     timer.run();
   }
 
   async function runUntil(done: () => boolean): Promise<void> {
     for (;;) {
-      await settle();
+      await runMicrotasks();
       if (done()) return;
-      const timer = next();
-      if (timer === undefined) throw new Error('nothing is left to happen');
+      const timer = earliest();
+      if (timer === undefined) throw new Error('runUntil: no timer is left and the condition does not hold');
       fire(timer);
     }
   }
 
   async function runTo(time: number): Promise<void> {
     for (;;) {
-      await settle();
-      const timer = next();
-      if (timer === undefined || timer[1].at > time) break;
+      await runMicrotasks();
+      const timer = earliest();
+      if (timer === undefined || timer[1].dueAt > time) break;
       fire(timer);
     }
     now = Math.max(now, time);
--- a/packages/inner-protocol/src/world.ts
+++ b/packages/inner-protocol/src/world.ts
@@ -1,27 +1,28 @@
 /**
- * What a core may ask of the outside. Programs pass the real clock, sockets and disk; the simulator passes its own.
- * No core reads a clock or draws a number by itself.
+ * The environment of deterministic code. Programs pass the real clock, timers and links, the simulator virtual ones.
+ * Code that is given a `World` doesn't read a clock or draw random numbers in any other way.
  */
 import type { Address, Micros } from './brands.js';
 import type { Message } from './messages.js';
 
-/** Takes back what was arranged; harmless when it has happened already. */
+/** Cancels what was scheduled; does nothing if that has already happened. */
 export type Cancel = () => void;
 
 /** Clock, randomness, timers, links and log. */
 export interface World {
   /** The monotonic clock. */
   readonly now: () => Micros;
-  /** At least 0 and below 1. */
+  /** From 0 (inclusive) to 1 (exclusive). */
   readonly random: () => number;
+  /** Runs the callback once after the delay. */
   readonly after: (delay: Micros, run: () => void) => Cancel;
-  /** May lose, delay and reorder; tells nothing about it. */
+  /** Best effort: messages may be lost, delayed and reordered without notice. */
   readonly send: (to: Address, message: Message) => void;
-  /** Writes an event of the catalogue. */
+  /** Logs an event; its number is listed in the catalogue of the event-log package. */
   readonly log: (event: number, fields: Record<string, unknown>) => void;
 }
 
-/** Runs `task` again and again, each time after the delay that `nextDelay` gives. */
+/** Runs `task` repeatedly; `nextDelay` gives the delay before each run. */
 export function every(world: Pick<World, 'after'>, nextDelay: () => Micros, task: () => void): Cancel {
   let stopped = false;
   let cancel: Cancel = world.after(nextDelay(), tick);
