--- a/packages/control-feed/src/asker.ts
+++ b/packages/control-feed/src/asker.ts
@@ -50,7 +50,7 @@
   const open = new Map<string, (message: MessageOf<'Answer'>) => void>();
   let lastId = Math.floor(world.random() * idRange);
 
-  function ask(question: ControlRequest, done: (answer: ControlResponse) => void): void {
+  function request(question: ControlRequest, done: (answer: ControlResponse) => void): void {
     let tries = 0;
 
     function timeLeft(): number {
@@ -111,7 +111,7 @@
     tryOnce();
   }
 
-  return { request: ask, handleAnswer: (message) => open.get(message.id)?.(message) };
+  return { request, handleAnswer: (message) => open.get(message.id)?.(message) };
 }
 
 /** Where to ask: this machine's replica first if it votes, then the live ones, else those last known, else the seeds. */
--- a/packages/control-feed/src/configuration-follower.ts
+++ b/packages/control-feed/src/configuration-follower.ts
@@ -76,11 +76,11 @@
     return gate.newest()?.version ?? 0;
   }
 
-  function take(configuration: Configuration): void {
+  function handleConfiguration(configuration: Configuration): void {
     offer(configuration, 'whole');
   }
 
-  function takePatch(patch: MessageOf<'ConfigurationPatch'>, from: Address): void {
+  function handlePatch(patch: MessageOf<'ConfigurationPatch'>, from: Address): void {
     if (patch.version <= newestVersion()) return;
     const base = gate.newest();
     const value = base?.version === patch.base ? applyPatch(base.value, patch.steps, patch.digest) : undefined;
@@ -88,7 +88,7 @@
     offer({ version: patch.version, value }, 'difference');
   }
 
-  function heard(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
+  function handleBeat(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
     if (beat.version > (gate.current()?.version ?? 0)) toldAt ??= world.now();
     if (fresh && beat.leased && beat.voting) gate.confirmCurrent(beat.version);
     if (nodes.source() === undefined) chooseSourceNow();
@@ -127,9 +127,9 @@
     current: gate.current,
     adoption: () => adoption,
     newestVersion,
-    handleConfiguration: take,
-    handlePatch: takePatch,
-    handleBeat: heard,
+    handleConfiguration,
+    handlePatch,
+    handleBeat,
     stop: gate.stop,
   };
 }
--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -80,7 +80,7 @@
     return pace;
   }
 
-  function asked(question: MessageOf<'Follow'>, from: Address): Following | undefined {
+  function handleFollow(question: MessageOf<'Follow'>, from: Address): Following | undefined {
     if (question.key !== configurationKey) return void askedForOther(question, from);
     const following = refresh();
     const pace = paceOf(from);
@@ -150,7 +150,7 @@
     pace.sentAt = world.now();
   }
 
-  function take(told: MessageOf<'News'>): void {
+  function handleNews(told: MessageOf<'News'>): void {
     for (const item of told.news) {
       if (item.key !== configurationKey) takeOther(item);
       else if (history.add({ version: item.version, value: item.value })) pushToAll();
@@ -173,7 +173,7 @@
     for (const address of receivers) sendNews(address, [item]);
   }
 
-  function committed(version: number): void {
+  function handleCommitted(version: number): void {
     committedVersion = Math.max(committedVersion, version);
     world.after(micros(0), () => catchUp(catchUpTries));
   }
@@ -193,5 +193,5 @@
     () => refreshEvery,
     () => void refresh(),
   );
-  return { handleFollow: asked, handleNews: take, handleCommitted: committed, stop };
+  return { handleFollow, handleNews, handleCommitted, stop };
 }
--- a/packages/control-feed/src/control-node-table.ts
+++ b/packages/control-feed/src/control-node-table.ts
@@ -78,7 +78,7 @@
     return known;
   }
 
-  function heard(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
+  function recordBeat(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
     const node = state(from);
     const now = world.now();
     node.lastBeatAt = now;
@@ -89,7 +89,7 @@
     if (fresh) node.leasedUntil = beat.leased ? now + leasedFor : -Infinity;
   }
 
-  function keepOnly(addresses: ReadonlySet<Address>): void {
+  function retainOnly(addresses: ReadonlySet<Address>): void {
     for (const address of nodes.keys()) if (!addresses.has(address)) nodes.delete(address);
   }
 
@@ -101,7 +101,7 @@
       .sort();
   }
 
-  function followers(): number {
+  function followerCount(): number {
     const now = world.now();
     const counts = [...nodes.values()]
       .filter((n) => now - n.lastBeatAt < followersCountFor)
@@ -151,11 +151,11 @@
 
   return {
     state,
-    recordBeat: heard,
-    retainOnly: keepOnly,
+    recordBeat,
+    retainOnly,
     isInContact: () => voting().length > 0,
     voting,
-    followerCount: followers,
+    followerCount,
     source: () => source,
     chooseSource,
     markSourceLate,
--- a/packages/control-feed/src/follower-registry.ts
+++ b/packages/control-feed/src/follower-registry.ts
@@ -28,7 +28,7 @@
   let present: Address[] = [];
   let lookedAt = -Infinity;
 
-  function heard(address: Address): void {
+  function recordFollow(address: Address): void {
     const isNew = !heardAt.has(address) || silence(address) > keptFor;
     heardAt.set(address, world.now());
     if (isNew) lookedAt = -Infinity;
@@ -48,7 +48,7 @@
     return present;
   }
 
-  function silent(): Address[] {
+  function unresponsive(): Address[] {
     for (const address of heardAt.keys()) if (silence(address) > soughtFor) heardAt.delete(address);
     return [...heardAt.keys()].filter((address) => silence(address) > silentAfter);
   }
@@ -70,5 +70,5 @@
     return peers.digest === knownDigest ? undefined : peers;
   }
 
-  return { recordFollow: heard, addresses, unresponsive: silent, peersFor };
+  return { recordFollow, addresses, unresponsive, peersFor };
 }
--- a/packages/control-feed/src/read-exchange.ts
+++ b/packages/control-feed/src/read-exchange.ts
@@ -32,7 +32,7 @@
   let knowsAllPeers = true;
   let pending: MessageOf<'Reading'>['reads'] = [];
 
-  function tell(worker: string, service: number, bad: boolean): void {
+  function announce(worker: string, service: number, bad: boolean): void {
     const least = knowsAllPeers ? leastTold : leastRelayed;
     if (peers.length === 0 || (!bad && service < least)) return;
     pending.push({ worker, service: Math.round(service), bad, by: self });
@@ -47,15 +47,15 @@
     for (const address of knowsAllPeers ? peers : relays) world.send(address, told);
   }
 
-  function take(told: MessageOf<'Reading'>): void {
+  function handlePrefills(told: MessageOf<'Reading'>): void {
     for (const read of told.reads) if (read.by !== self) options.onPeerPrefill?.(read.worker, read.service, read.bad);
   }
 
-  function takePeers(told: MessageOf<'Peers'>): void {
+  function handlePeers(told: MessageOf<'Peers'>): void {
     peersDigest = told.digest;
     peers = told.addresses as Address[];
     knowsAllPeers = told.all;
   }
 
-  return { announce: tell, handlePrefills: take, handlePeers: takePeers, peersDigest: () => peersDigest };
+  return { announce, handlePrefills, handlePeers, peersDigest: () => peersDigest };
 }
--- a/packages/control-feed/src/worker-list-follower.ts
+++ b/packages/control-feed/src/worker-list-follower.ts
@@ -35,7 +35,7 @@
   // A control node that is up tells within moments; only then is it worth a look of its own.
   let nextLookAt = world.now() + firstLook * (1 + 2 * world.random());
 
-  function take(told: MessageOf<'WorkerList'>, from: Address): void {
+  function handleList(told: MessageOf<'WorkerList'>, from: Address): void {
     const node = nodes.state(from);
     if (told.base !== 0 && told.base !== node.list) return options.requestWholeList(from);
     const before = told.base === 0 ? [] : (book.snapshotOf(from)?.workers ?? []);
@@ -48,12 +48,12 @@
     if (isWhole && book.addSnapshot(from, { at: world.now() - told.age * 1000, workers })) options.onChange();
   }
 
-  function confirm(digest: number, ageMs: number, from: Address): void {
+  function confirmList(digest: number, ageMs: number, from: Address): void {
     const isKnown = digest !== 0 && digest === nodes.state(from).list;
     if (isKnown && book.confirmSnapshot(from, world.now() - ageMs * 1000)) options.onChange();
   }
 
-  function lookIfStale(): void {
+  function fetchIfStale(): void {
     const now = world.now();
     if (looking || now < nextLookAt || now - book.newestSnapshotAt() < options.maxListAge) return;
     looking = true;
@@ -66,9 +66,9 @@
   }
 
   return {
-    handleList: take,
-    confirmList: confirm,
-    fetchIfStale: lookIfStale,
+    handleList,
+    confirmList,
+    fetchIfStale,
     workers: () => book.workers(world.now()),
   };
 }
--- a/packages/control-feed/src/worker-loads.ts
+++ b/packages/control-feed/src/worker-loads.ts
@@ -27,7 +27,7 @@
   const loads = new Map<string, WorkerLoad>();
   let forgottenAt: number = world.now();
 
-  function take(told: MessageOf<'WorkerLoads'>): readonly WorkerLoad[] {
+  function merge(told: MessageOf<'WorkerLoads'>): readonly WorkerLoad[] {
     const now = world.now();
     const newer: WorkerLoad[] = [];
     for (const { age, ...load } of told.loads) {
@@ -46,5 +46,5 @@
     for (const [id, load] of loads) if (now - load.at > keptFor) loads.delete(id);
   }
 
-  return { merge: take, loads: () => loads };
+  return { merge, loads: () => loads };
 }
--- a/packages/membership/src/gossip-membership.test.ts
+++ b/packages/membership/src/gossip-membership.test.ts
@@ -1,17 +1,17 @@
-/** Members forgotten and heard of again. */
+/** Members that fail and come back. */
 import { expect, it } from 'vitest';
 import { micros, type Address, type MemberEntry } from '@tansypost/inner-protocol';
 import { createGossipMembership } from './gossip-membership.js';
 
-it('takes a member that it forgot back only on a beat that has risen since, whatever others still tell of it', () => {
-  let t = 0;
-  const ticks: (() => void)[] = [];
-  const views = createGossipMembership(
+it('takes a failed member back only once its heartbeat has risen, not on its old entry from other members', () => {
+  let now = 0;
+  const timers: (() => void)[] = [];
+  const membership = createGossipMembership(
     {
-      now: () => micros(t),
+      now: () => micros(now),
       random: () => 0.5,
-      after: (_d, f) => {
-        ticks.push(f);
+      after: (_delay, run) => {
+        timers.push(run);
         return () => undefined;
       },
       send: () => undefined,
@@ -36,7 +36,7 @@
       save: () => undefined,
     },
   );
-  function tell(beats: Record<string, number>): void {
+  function receiveBeats(beats: Record<string, number>): void {
     const entries = Object.entries(beats).map(([member, beat]): MemberEntry => ({
       member,
       address: `${member}:1`,
@@ -46,7 +46,7 @@
       http: member,
       tenured: true,
     }));
-    views.receive({
+    membership.receive({
       kind: 'Shuffle',
       answer: false,
       from: 'b:1',
@@ -56,17 +56,17 @@
       duties: [],
     });
   }
-  tell({ b: 1, c: 5, d: 5, e: 5 });
-  expect(views.isInContact()).toBe(true);
-  for (let n = 2; n < 12; n += 1) {
-    t += 300_000;
-    tell({ b: n, c: 5, d: 5, e: 5 });
-    for (const f of ticks.splice(0)) f();
+  receiveBeats({ b: 1, c: 5, d: 5, e: 5 });
+  expect(membership.isInContact()).toBe(true);
+  for (let beat = 2; beat < 12; beat += 1) {
+    now += 300_000;
+    receiveBeats({ b: beat, c: 5, d: 5, e: 5 });
+    for (const run of timers.splice(0)) run();
   }
-  expect(views.liveMembers().map((e) => e.member)).toEqual(['b']);
-  expect(views.isInContact()).toBe(false);
-  expect(views.recentCount()).toBe(5);
-  tell({ c: 6 });
-  expect(views.liveMembers().map((e) => e.member)).toEqual(['b', 'c']);
-  expect(views.isInContact()).toBe(true);
+  expect(membership.liveMembers().map((entry) => entry.member)).toEqual(['b']);
+  expect(membership.isInContact()).toBe(false);
+  expect(membership.recentCount()).toBe(5);
+  receiveBeats({ c: 6 });
+  expect(membership.liveMembers().map((entry) => entry.member)).toEqual(['b', 'c']);
+  expect(membership.isInContact()).toBe(true);
 });
--- a/packages/membership/src/gossip-membership.ts
+++ b/packages/membership/src/gossip-membership.ts
@@ -1,8 +1,8 @@
 /**
- * Membership by gossip. A member keeps a partial view of the others, exchanged with neighbours, and a view of its own
- * zone that takes in every member of it heard of. Each entry carries its member's own heartbeat counter; an entry
- * whose counter stops rising is forgotten by all. Views are kept on disk where there is one, so a restart needs no
- * seed; the three seeds serve only the first meeting and a lonely member.
+ * Membership by gossip. A member exchanges samples of the members that it knows with random others, and keeps all
+ * members of its own zone in view. Each entry carries the member's own heartbeat counter; every member drops an entry
+ * whose counter stops rising. The known members are persisted if there is a disk, so that a restart doesn't need the
+ * seeds; these serve the first contact and a member that knows few others.
  */
 import {
   every,
@@ -17,76 +17,81 @@
 import { createMemberTable, type MemberTable } from './member-table.js';
 import { sample } from './sample.js';
 
-/** What a member is told when its views are made. Times are microseconds. */
+/** Options of a member's gossip. Times are in microseconds. */
 export interface GossipOptions {
   readonly member: string;
   readonly self: Address;
   readonly zone: string;
-  /** Address at which its router takes requests. */
+  /** Address at which the member's router accepts requests. */
   readonly routerHttpAddress: string;
-  /** Grows with each start of this member, so that a restarted one outranks what is told of it. */
+  /** Grows with each start of this member, so that its entry after a restart supersedes earlier ones. */
   readonly incarnation: number;
   readonly seeds: readonly Address[];
-  /** The view that was saved before the last stop. */
+  /** The members that were saved before the last stop. */
   readonly persisted: readonly MemberEntry[];
-  /** How many entries a message carries, and how many neighbours there are. */
+  /** Number of sampled entries in a message, and of neighbours. */
   readonly viewSize: number;
-  /** Mean time between two exchanges. */
+  /** Mean time between exchanges. */
   readonly exchangeInterval: number;
-  /** How long a heartbeat counter may stand still. */
+  /** A member is considered failed if its heartbeat counter hasn't risen for this long. */
   readonly failureTimeout: number;
-  /** Whether this member's router holds a feed lease. */
+  /** Whether this member's router holds a feed lease, sent in its entry. */
   readonly holdsFeedLease: () => boolean;
+  /** The membership of the control cluster known here, sent with each exchange. */
   readonly controlMembership: () => { membershipEpoch: number; replicas: readonly ReplicaEntry[] };
+  /** The singleton roles that this member leads, sent with each exchange. */
   readonly heldSingletonRoles: () => SingletonRoleEntry[];
+  /** Another member has sent the membership of the control cluster. */
   readonly onControlMembership: (membershipEpoch: number, replicas: ReplicaEntry[]) => void;
-  readonly onSingletonRole: (duty: SingletonRoleEntry) => void;
+  /** Another member has sent that it leads a singleton role. */
+  readonly onSingletonRole: (role: SingletonRoleEntry) => void;
+  /** Persists the known members. */
   readonly save: (entries: readonly MemberEntry[]) => void;
 }
 
-/** What a member knows of the others. */
+/** The members known to one of them. */
 export interface GossipMembership {
   readonly receive: (message: MessageOf<'Shuffle'>) => void;
   /** A fresh random sample of live members. */
   readonly neighbours: () => Address[];
-  /** All members that are alive as far as is known, without itself. */
+  /** All members believed to be alive, without this one. */
   readonly liveMembers: () => MemberEntry[];
-  /** Itself and the live members of its zone. */
+  /** This member and the live members of its zone. */
   readonly zoneMembers: () => MemberEntry[];
-  /** Whether at least half of the members heard of in the last minute are still heard of. */
+  /** Whether the heartbeats of at least half of the members known in the last minute are still rising. */
   readonly isInContact: () => boolean;
-  /** How many members there are, itself among them, with those no longer heard of for a minute. */
+  /** Number of members, including this one and those that failed in the last minute. */
   readonly recentCount: () => number;
   readonly stop: () => void;
 }
 
-/** How many live members an exchange goes to. */
+/** Number of live members that an exchange goes to. */
 const fanout = 2;
-/** With fewer live members than this, seeds and earlier members are asked at every exchange. */
-const fewMembers = 3;
-/** The chance that they are asked although there are enough. */
-const seedChance = 0.1;
-/** How many of them are asked when nobody is known. */
-const seedsWhenAlone = 3;
-/** The view is saved once in so many exchanges. */
+/** With fewer live members than this, every exchange also goes to seeds or failed members. */
+const minLiveMembers = 3;
+/** Probability that an exchange goes to them although there are enough live members. */
+const seedProbability = 0.1;
+/** Number of seeds or failed members that an exchange goes to if no live member is known. */
+const seedsWithoutLiveMembers = 3;
+/** The known members are saved once in this many exchanges. */
 const exchangesPerSave = 10;
-/** The first exchange, in microseconds after the start. */
-const firstExchangeAfter = 1000;
-/** The period is spread evenly over this range of itself, so that members don't fall into step. */
-const jitter = { least: 0.8, spread: 0.4 } as const;
+/** Delay of the first exchange after the start. */
+const firstExchangeDelayUs = 1000;
+/** Each interval is between 0.8 and 1.2 times the mean, so that members don't synchronize. */
+const jitter = { min: 0.8, range: 0.4 } as const;
 
 interface GossipState {
   readonly members: MemberTable;
-  /** Addresses at which a member was once; asked when few are known. */
-  readonly earlierAddresses: Set<string>;
+  /** Addresses of persisted and failed members, contacted like seeds. */
+  readonly formerAddresses: Set<string>;
   heartbeat: number;
 }
 
-/** Makes the views of a member and begins to exchange them. */
+/** Creates the gossip membership of a member and starts the exchanges. */
 export function createGossipMembership(world: World, options: GossipOptions): GossipMembership {
   const state: GossipState = {
     members: createMemberTable(world, options),
-    earlierAddresses: new Set(
+    formerAddresses: new Set(
       options.persisted.map((entry) => entry.address).filter((address) => address !== options.self),
     ),
     heartbeat: 0,
@@ -95,10 +100,10 @@
   function tick(): void {
     exchange(state, world, options);
   }
-  world.after(micros(firstExchangeAfter), tick);
+  world.after(micros(firstExchangeDelayUs), tick);
   const stop = every(
     world,
-    () => micros(options.exchangeInterval * (jitter.least + jitter.spread * world.random())),
+    () => micros(options.exchangeInterval * (jitter.min + jitter.range * world.random())),
     tick,
   );
   return {
@@ -118,28 +123,28 @@
 }
 
 function exchange(state: GossipState, world: World, options: GossipOptions): void {
-  const { members, earlierAddresses } = state;
+  const { members, formerAddresses } = state;
   state.heartbeat += 1;
-  for (const forgotten of members.expire()) earlierAddresses.add(forgotten.address);
+  for (const failed of members.expire()) formerAddresses.add(failed.address);
   const targets = new Set(sample(members.live(), fanout, world.random).map((entry) => entry.address as Address));
-  if (members.liveCount() < fewMembers || world.random() < seedChance) {
-    const others = [...options.seeds, ...earlierAddresses].filter((address) => address !== options.self);
-    const wanted = members.liveCount() === 0 ? seedsWhenAlone : 1;
-    for (const address of sample(others, wanted, world.random)) targets.add(address as Address);
+  if (members.liveCount() < minLiveMembers || world.random() < seedProbability) {
+    const others = [...options.seeds, ...formerAddresses].filter((address) => address !== options.self);
+    const count = members.liveCount() === 0 ? seedsWithoutLiveMembers : 1;
+    for (const address of sample(others, count, world.random)) targets.add(address as Address);
   }
-  for (const target of targets) world.send(target, shuffleMessage(state, world, options, true));
+  for (const target of targets) world.send(target, exchangeMessage(state, world, options, true));
   if (state.heartbeat % exchangesPerSave === 1) options.save(members.live());
 }
 
 function receive(state: GossipState, world: World, options: GossipOptions, message: MessageOf<'Shuffle'>): void {
   state.members.merge(message.entries);
   if (message.membershipEpoch > 0) options.onControlMembership(message.membershipEpoch, message.replicas);
-  for (const duty of message.duties) options.onSingletonRole(duty);
-  if (message.answer) world.send(message.from as Address, shuffleMessage(state, world, options, false));
+  for (const role of message.duties) options.onSingletonRole(role);
+  if (message.answer) world.send(message.from as Address, exchangeMessage(state, world, options, false));
 }
 
-/** What one member tells another; `answer` asks the receiver for its own entries. */
-function shuffleMessage(
+/** The message of an exchange; `answer` requests the receiver's entries in return. */
+function exchangeMessage(
   state: GossipState,
   world: World,
   options: GossipOptions,
--- a/packages/membership/src/member-table.ts
+++ b/packages/membership/src/member-table.ts
@@ -1,93 +1,96 @@
-/** Which members are alive: each by the last time its own heartbeat counter rose. */
+/** Tracks which members are alive, by the time at which each member's own heartbeat counter last rose. */
 import type { MemberEntry, Micros, World } from '@tansypost/inner-protocol';
 
-/** What the table is told when it is made. */
+/** Options of the table. */
 export interface MemberTableOptions {
-  /** The member that keeps the table; it is not in it. */
+  /** The member that owns the table; it isn't in it. */
   readonly member: string;
-  /** How long a heartbeat counter may stand still, in microseconds. */
+  /** A member is considered failed if its heartbeat counter hasn't risen for this long, in microseconds. */
   readonly failureTimeout: number;
 }
 
-/** The other members of the fleet as far as one of them knows. */
+/** The other members of the fleet known to one of them. */
 export interface MemberTable {
-  /** Merges what was heard in. */
+  /** Merges received entries. */
   readonly merge: (entries: readonly MemberEntry[]) => void;
-  /** Takes out whose heartbeat stands still, and returns them. */
+  /** Removes the members whose heartbeat has stopped, and returns them. */
   readonly expire: () => MemberEntry[];
   readonly live: () => MemberEntry[];
   readonly liveCount: () => number;
-  /** Whether at least half of the members heard of in the last minute are still heard of. */
+  /** Whether the heartbeats of at least half of the members known in the last minute are still rising. */
   readonly isInContact: () => boolean;
-  /** How many live members there are, with those forgotten in the last minute. */
+  /** Number of live members and of those that failed in the last minute. */
   readonly recentCount: () => number;
 }
 
-/** A forgotten member counts for contact for so long, in microseconds. */
-const rememberGoneFor = 60_000_000;
-/** Within this time of its last heartbeat a member counts as heard of now, in microseconds. */
-const heardWithin = 1_500_000;
+/** How long a failed member still counts in `isInContact` and `recentCount`. */
+const failedRetentionUs = 60_000_000;
+/** A member counts as in contact for this long after its last heartbeat. */
+const contactTimeoutUs = 1_500_000;
 
 interface LiveMember {
   readonly entry: MemberEntry;
-  readonly rosenAt: Micros;
+  /** When the heartbeat counter last rose. */
+  readonly lastHeartbeatAt: Micros;
 }
 
-interface GoneMember {
+interface FailedMember {
   readonly entry: MemberEntry;
-  readonly forgottenAt: Micros;
+  readonly failedAt: Micros;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createMemberTable(world: Pick<World, 'now' | 'log'>, options: MemberTableOptions): MemberTable {
   const live = new Map<string, LiveMember>();
-  const gone = new Map<string, GoneMember>();
+  const failed = new Map<string, FailedMember>();
 
-  function take(entries: readonly MemberEntry[]): void {
+  function merge(entries: readonly MemberEntry[]): void {
     for (const entry of entries) {
       if (entry.member === options.member || entry.member === '') continue;
       const known = live.get(entry.member);
-      // Others may not have forgotten it yet: what they tell of it is no sign of life unless its counter rose since.
-      const last = known ?? gone.get(entry.member);
-      if (last !== undefined && !isLater(entry, last.entry)) continue;
+      // Other members may still send the entry of a failed member; it is alive only if its counter has risen since.
+      const latest = known ?? failed.get(entry.member);
+      if (latest !== undefined && !isNewer(entry, latest.entry)) continue;
       if (known === undefined) {
         world.log(3001, { member: entry.member, address: entry.address, zone: entry.zone });
       }
-      gone.delete(entry.member);
-      live.set(entry.member, { entry, rosenAt: world.now() });
+      failed.delete(entry.member);
+      live.set(entry.member, { entry, lastHeartbeatAt: world.now() });
     }
   }
 
-  function forget(): MemberEntry[] {
-    const forgotten = [...live.values()].filter((known) => world.now() - known.rosenAt > options.failureTimeout);
-    for (const { entry } of forgotten) {
+  function expire(): MemberEntry[] {
+    const expired = [...live.values()].filter((known) => world.now() - known.lastHeartbeatAt > options.failureTimeout);
+    for (const { entry } of expired) {
       live.delete(entry.member);
-      gone.set(entry.member, { entry, forgottenAt: world.now() });
+      failed.set(entry.member, { entry, failedAt: world.now() });
       world.log(3002, { member: entry.member });
     }
-    return forgotten.map((known) => known.entry);
+    return expired.map((known) => known.entry);
   }
 
-  function contact(): boolean {
-    for (const [member, { forgottenAt }] of gone) {
-      if (world.now() - forgottenAt > rememberGoneFor) gone.delete(member);
+  function isInContact(): boolean {
+    for (const [member, { failedAt }] of failed) {
+      if (world.now() - failedAt > failedRetentionUs) failed.delete(member);
     }
-    const heard = [...live.values()].filter((known) => world.now() - known.rosenAt < heardWithin).length;
-    const total = live.size + gone.size;
-    return 2 * heard >= total && (heard > 0 || total === 0);
+    const inContact = [...live.values()].filter(
+      (known) => world.now() - known.lastHeartbeatAt < contactTimeoutUs,
+    ).length;
+    const total = live.size + failed.size;
+    return 2 * inContact >= total && (inContact > 0 || total === 0);
   }
 
   return {
-    merge: take,
-    expire: forget,
+    merge,
+    expire,
     live: () => [...live.values()].map((known) => known.entry),
     liveCount: () => live.size,
-    isInContact: contact,
-    recentCount: () => live.size + gone.size,
+    isInContact,
+    recentCount: () => live.size + failed.size,
   };
 }
 
-/** Whether an entry is newer than another of the same member. */
-function isLater(entry: MemberEntry, other: MemberEntry): boolean {
+/** Whether an entry is newer than another one of the same member. */
+function isNewer(entry: MemberEntry, other: MemberEntry): boolean {
   return entry.born > other.born || (entry.born === other.born && entry.beat > other.beat);
 }
--- a/packages/membership/src/sample.ts
+++ b/packages/membership/src/sample.ts
@@ -1,6 +1,6 @@
-/** Random samples without repetition. */
+/** Random sampling without replacement. */
 
-/** Up to `count` of the items in random order (Fisher and Yates over a copy). */
+/** Up to `count` of the items in random order (Fisher-Yates shuffle of a copy). */
 export function sample<T>(items: readonly T[], count: number, random: () => number): T[] {
   const shuffled = [...items];
   for (let i = shuffled.length - 1; i > 0; i -= 1) {
--- a/packages/membership/src/worker-state-table.ts
+++ b/packages/membership/src/worker-state-table.ts
@@ -1,51 +1,51 @@
 /**
- * The table of worker states (marks). They merge by a rule that gives the same table in whatever order they
- * come: the higher incarnation wins, and within one the later state. So a leaving worker is spread without a
- * majority, and nothing brings that incarnation back.
+ * The lifecycle states of workers, replicated without a leader. The merge is commutative, associative and idempotent:
+ * the higher incarnation wins, and within an incarnation the later state. So the state of a leaving worker spreads
+ * without a majority, and no late message makes that incarnation ready again.
  */
 import { digest, type WorkerStateEntry } from '@tansypost/inner-protocol';
 
-/** States of a worker in the order in which they follow each other; a mark carries the index. */
+/** States of a worker in the order of its lifecycle; entries on the wire carry the index. */
 export const workerStates = ['added', 'ready', 'leaving', 'gone'] as const;
 
-/** One state of a worker. */
+/** A state in the lifecycle of a worker. */
 export type WorkerState = (typeof workerStates)[number];
 
 /** The merged states of all workers. */
 export interface WorkerStateTable {
-  /** Merges marks in, and returns those that changed the table. */
-  readonly merge: (marks: readonly WorkerStateEntry[]) => WorkerStateEntry[];
-  /** Ordered by worker. */
+  /** Merges entries, and returns those that changed the table. */
+  readonly merge: (entries: readonly WorkerStateEntry[]) => WorkerStateEntry[];
+  /** All entries, ordered by worker. */
   readonly all: () => WorkerStateEntry[];
-  /** The same for two tables exactly if they hold the same. */
+  /** Equal for two tables if and only if they have the same entries. */
   readonly digest: () => string;
 }
 
 const digestLength = 16;
 
-/** Whether a mark replaces the one that is known of its worker. */
-export function supersedes(mark: WorkerStateEntry, known: WorkerStateEntry | undefined): boolean {
-  if (known === undefined || mark.incarnation > known.incarnation) return true;
-  return mark.incarnation === known.incarnation && mark.state > known.state;
+/** Whether an entry replaces the known one of its worker. */
+export function supersedes(entry: WorkerStateEntry, known: WorkerStateEntry | undefined): boolean {
+  if (known === undefined || entry.incarnation > known.incarnation) return true;
+  return entry.incarnation === known.incarnation && entry.state > known.state;
 }
 
-/** Makes an empty table. */
+/** Creates an empty table. */
 export function createWorkerStateTable(): WorkerStateTable {
-  const marksByWorker = new Map<string, WorkerStateEntry>();
+  const entriesByWorker = new Map<string, WorkerStateEntry>();
   let currentDigest: string | undefined;
 
-  function take(marks: readonly WorkerStateEntry[]): WorkerStateEntry[] {
-    const fresh = marks.filter((mark) => {
-      if (!isValid(mark) || !supersedes(mark, marksByWorker.get(mark.worker))) return false;
-      marksByWorker.set(mark.worker, mark);
+  function merge(entries: readonly WorkerStateEntry[]): WorkerStateEntry[] {
+    const applied = entries.filter((entry) => {
+      if (!isValid(entry) || !supersedes(entry, entriesByWorker.get(entry.worker))) return false;
+      entriesByWorker.set(entry.worker, entry);
       return true;
     });
-    if (fresh.length > 0) currentDigest = undefined;
-    return fresh;
+    if (applied.length > 0) currentDigest = undefined;
+    return applied;
   }
 
   function all(): WorkerStateEntry[] {
-    return [...marksByWorker.values()].sort((a, b) => (a.worker < b.worker ? -1 : 1));
+    return [...entriesByWorker.values()].sort((a, b) => (a.worker < b.worker ? -1 : 1));
   }
 
   function tableDigest(): string {
@@ -53,14 +53,14 @@
     return currentDigest;
   }
 
-  return { merge: take, all, digest: tableDigest };
+  return { merge, all, digest: tableDigest };
 }
 
-function isValid(mark: WorkerStateEntry): boolean {
-  return mark.worker !== '' && mark.state >= 0 && mark.state < workerStates.length;
+function isValid(entry: WorkerStateEntry): boolean {
+  return entry.worker !== '' && entry.state >= 0 && entry.state < workerStates.length;
 }
 
-function digestOf(marks: readonly WorkerStateEntry[]): string {
-  const rows = marks.map((mark) => [mark.worker, mark.incarnation, mark.state, mark.address]);
+function digestOf(entries: readonly WorkerStateEntry[]): string {
+  const rows = entries.map((entry) => [entry.worker, entry.incarnation, entry.state, entry.address]);
   return digest(JSON.stringify(rows)).slice(0, digestLength);
 }
