--- a/packages/control-feed/src/control-watch.ts
+++ b/packages/control-feed/src/contact-monitors.ts
@@ -1,7 +1,7 @@
 /** Watches over the contact of control nodes and those that follow them, from both sides. */
 import type { ControlNode } from '@tansypost/control-state';
 import type { World } from '@tansypost/inner-protocol';
-import { startContactMonitor } from './silence-watch.js';
+import { startContactMonitor } from './contact-monitor.js';
 
 export interface ControlContactMonitorOptions {
   /** Whether a control node has been heard lately. */
--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -8,7 +8,7 @@
   type ControlCluster,
   type Network,
 } from '@tansypost/simulator';
-import type { ControlResponse } from './asker.js';
+import type { ControlResponse } from './control-client.js';
 import { configurationKey } from './configuration.js';
 import type { ControlFeed } from './control-feed.js';
 
--- a/packages/control-feed/src/control-feed.ts
+++ b/packages/control-feed/src/control-feed.ts
@@ -20,7 +20,7 @@
 import { createConfigurationFollower, type Adoption, type FollowOptions } from './configuration-follower.js';
 import { createControlNodeTable } from './control-node-table.js';
 import type { ListedWorker } from './listed-worker.js';
-import { createPrefillExchange } from './read-exchange.js';
+import { createPrefillExchange } from './prefill-exchange.js';
 import { createWorkerListFollower } from './worker-list-follower.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
--- a/packages/control-feed/src/control-guide.test.ts
+++ b/packages/control-feed/src/control-gateway.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import type { Address, Message, MessageOf } from '@tansypost/inner-protocol';
-import { createControlGateway } from './control-guide.js';
+import { createControlGateway } from './control-gateway.js';
 
 const self = 'gateway:1' as Address;
 const stranger = 'stranger:1' as Address;
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -7,7 +7,7 @@
 import { encodeMembership, leaseLength, membershipKey, readJournal } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { foundControlCluster, seedNames, type ClusterMachine, type ControlCluster } from '@tansypost/simulator';
-import type { ControlResponse } from './asker.js';
+import type { ControlResponse } from './control-client.js';
 import { configurationKey } from './configuration.js';
 
 const router = 'r:1' as Address;
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -9,8 +9,8 @@
 import { createFollowerRegistry } from './follower-registry.js';
 import { startMembershipAnnouncer } from './membership-announcer.js';
 import type { ListedWorker } from './listed-worker.js';
-import { createWorkerListPoller } from './worker-list-watch.js';
-import { startWorkerLoadPoll, type ReportedLoad } from './worker-load-poll.js';
+import { createWorkerListPoller } from './worker-list-poller.js';
+import { startWorkerLoadPoll, type ReportedLoad } from './worker-load-poller.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
 export interface FeedServerOptions {
--- a/packages/control-feed/src/index.ts
+++ b/packages/control-feed/src/index.ts
@@ -1,13 +1,13 @@
-export * from './asker.js';
+export * from './control-client.js';
 export * from './configuration.js';
 export * from './configuration-packing.js';
 export * from './control-feed.js';
-export * from './control-guide.js';
-export * from './control-watch.js';
+export * from './control-gateway.js';
+export * from './contact-monitors.js';
 export * from './feed-server.js';
 export * from './listed-worker.js';
 export * from './membership-relay.js';
 export * from './stored-value.js';
-export * from './worker-book.js';
+export * from './worker-list-view.js';
 export type { WorkerLoad } from './worker-loads.js';
-export type { ReportedLoad } from './worker-load-poll.js';
+export type { ReportedLoad } from './worker-load-poller.js';
--- a/packages/control-feed/src/stored-value.ts
+++ b/packages/control-feed/src/stored-value.ts
@@ -1,6 +1,6 @@
 /** One key of the control state as a value that is read, and written on top of what was read. */
 import type { World } from '@tansypost/inner-protocol';
-import type { ControlResponse, ControlRequest } from './asker.js';
+import type { ControlResponse, ControlRequest } from './control-client.js';
 
 /** What a majority holds. */
 export interface StoredVersion {
--- a/packages/control-feed/src/worker-list-follower.ts
+++ b/packages/control-feed/src/worker-list-follower.ts
@@ -5,7 +5,7 @@
 import type { Address, MessageOf, World } from '@tansypost/inner-protocol';
 import type { ControlNodeTable } from './control-node-table.js';
 import { decodeListedWorker, workerListDigest, type ListedWorker } from './listed-worker.js';
-import { createWorkerListView } from './worker-book.js';
+import { createWorkerListView } from './worker-list-view.js';
 
 export interface WorkerListFollowerOptions {
   readonly nodes: ControlNodeTable;
--- a/packages/control-feed/src/worker-book.test.ts
+++ b/packages/control-feed/src/worker-list-view.test.ts
@@ -1,6 +1,6 @@
 import { expect, it } from 'vitest';
 import type { ListedWorker } from './listed-worker.js';
-import { createWorkerListView } from './worker-book.js';
+import { createWorkerListView } from './worker-list-view.js';
 
 function worker(id: string, o: Partial<ListedWorker> = {}): ListedWorker {
   return {
