--- a/packages/control-feed/src/contact-monitor.ts
+++ b/packages/control-feed/src/contact-monitor.ts
@@ -1,39 +1,40 @@
-/** Tells the operator's log when somebody has not been heard for long, and again when they are heard. */
+/** Logs when contact with other processes has been lost for long, and when it is restored. */
 import { every, micros, type World } from '@tansypost/inner-protocol';
 
-/** Who is listened for, and what is logged. */
+/** What is monitored, and the events to log. */
 export interface ContactMonitorOptions {
-  /** Whether they are heard at this moment, or need not be. */
+  /** Whether there is contact at this moment, or none is needed. */
   readonly isInContact: () => boolean;
-  /** The event of a long silence, and what it says beside the length of the silence. */
+  /** The event of a long loss of contact; its fields are `details` and the length of the loss. */
   readonly lostEvent: number;
   readonly details: () => Readonly<Record<string, unknown>>;
-  /** The event of the end of a silence that was logged. */
+  /** The event that ends a loss that was logged. */
   readonly restoredEvent: number;
 }
 
-const lookEvery = micros(1_000_000);
-/** A start of the whole system takes less. */
-const silentFor = 8_000_000;
-/** The log is told again after so long. */
-const tellEvery = 30_000_000;
+const checkInterval = micros(1_000_000);
+/** How long contact must be lost before it is logged. Longer than a start of the whole system takes. */
+const lossThresholdUs = 8_000_000;
+/** How often a loss that lasts is logged again. */
+const repeatIntervalUs = 30_000_000;
 
-/** Looks each second until it is stopped. */
+/** Checks the contact every second until the returned function is called. */
 export function startContactMonitor(world: World, options: ContactMonitorOptions): () => void {
-  let heardAt = world.now();
-  let toldAt = -Infinity;
+  let lastContactAt = world.now();
+  let lastLoggedAt = -Infinity;
 
-  function look(): void {
+  function check(): void {
     const now = world.now();
     if (options.isInContact()) {
-      if (toldAt > heardAt) world.log(options.restoredEvent, { afterMs: Math.round((now - heardAt) / 1000) });
-      heardAt = now;
+      if (lastLoggedAt > lastContactAt)
+        world.log(options.restoredEvent, { afterMs: Math.round((now - lastContactAt) / 1000) });
+      lastContactAt = now;
       return;
     }
-    if (now - heardAt < silentFor || now - toldAt < tellEvery) return;
-    toldAt = now;
-    world.log(options.lostEvent, { ...options.details(), silentMs: Math.round((now - heardAt) / 1000) });
+    if (now - lastContactAt < lossThresholdUs || now - lastLoggedAt < repeatIntervalUs) return;
+    lastLoggedAt = now;
+    world.log(options.lostEvent, { ...options.details(), silentMs: Math.round((now - lastContactAt) / 1000) });
   }
 
-  return every(world, () => lookEvery, look);
+  return every(world, () => checkInterval, check);
 }
--- a/packages/control-feed/src/contact-monitors.ts
+++ b/packages/control-feed/src/control-contact-monitors.ts
@@ -1,16 +1,17 @@
-/** Watches over the contact of control nodes and those that follow them, from both sides. */
+/** Monitors the contact between control nodes and their followers, from both sides. */
 import type { ControlNode } from '@tansypost/control-state';
 import type { World } from '@tansypost/inner-protocol';
 import { startContactMonitor } from './contact-monitor.js';
 
+/** Options of a follower's monitor. */
 export interface ControlContactMonitorOptions {
-  /** Whether a control node has been heard lately. */
+  /** Whether a beat of a control node has been received lately. */
   readonly isInContact: () => boolean;
-  /** Where control nodes were looked for. */
+  /** The seeds that were contacted, for the log. */
   readonly seeds: () => readonly string[];
 }
 
-/** Logs when a follower has heard no control node for long (2014), and when it hears one again (2016). */
+/** Logs when a follower has had no contact with any control node for long (2014), and when it is restored (2016). */
 export function startControlContactMonitor(world: World, options: ControlContactMonitorOptions): () => void {
   return startContactMonitor(world, {
     isInContact: options.isInContact,
@@ -20,21 +21,22 @@
   });
 }
 
+/** Options of a control node's monitor. */
 export interface FollowerContactMonitorOptions {
   readonly controlNode: () => ControlNode | undefined;
-  /** How many follow this control node. */
+  /** Number of followers of this control node. */
   readonly followerCount: () => number;
-  /** The seeds that the control node knows. */
+  /** The seeds in the settings of this control node, for the log. */
   readonly seeds: () => readonly string[];
 }
 
-/** Logs when a control node votes and nobody follows it for long (2017), and when it is followed again (2018). */
+/** Logs when a voting control node has had no follower for long (2017), and when it has one again (2018). */
 export function startFollowerContactMonitor(world: World, options: FollowerContactMonitorOptions): () => void {
-  function votes(): boolean {
+  function isVoting(): boolean {
     return options.controlNode()?.replica.state() === 'voting';
   }
   return startContactMonitor(world, {
-    isInContact: () => !votes() || options.followerCount() > 0,
+    isInContact: () => !isVoting() || options.followerCount() > 0,
     lostEvent: 2017,
     details: () => ({ seeds: options.seeds() }),
     restoredEvent: 2018,
--- a/packages/control-feed/src/index.ts
+++ b/packages/control-feed/src/index.ts
@@ -3,7 +3,7 @@
 export * from './configuration-packing.js';
 export * from './control-feed.js';
 export * from './control-gateway.js';
-export * from './contact-monitors.js';
+export * from './control-contact-monitors.js';
 export * from './feed-server.js';
 export * from './listed-worker.js';
 export * from './membership-relay.js';
--- a/packages/control-feed/src/listed-worker.ts
+++ b/packages/control-feed/src/listed-worker.ts
@@ -1,9 +1,10 @@
 /**
- * A worker as the list of workers shows it, and the digest by which two copies of a list are compared. How
- * long a worker stays cold is left out of the digest, as it changes with every look.
+ * A worker in the platform's worker list, and the digest by which two copies of the list are compared. The digest leaves
+ * out how long a worker still takes to warm up, as that differs at every poll.
  */
 import { hash32, type WorkerListEntry } from '@tansypost/inner-protocol';
 
+/** A worker in the platform's worker list. */
 export interface ListedWorker {
   readonly id: string;
   readonly service: string;
@@ -11,23 +12,28 @@
   readonly zone: string;
   readonly slots: number;
   readonly leaving: boolean;
+  /** How long the worker still takes to warm up. */
   readonly coldMs: number;
+  /** The stage that it serves. */
   readonly part: 'prefill' | 'decode';
 }
 
-export function decodeListedWorker(x: WorkerListEntry): ListedWorker {
-  return { ...x, part: x.part === 'prefill' ? 'prefill' : 'decode' };
+/** Converts a worker from its form on the wire. */
+export function decodeListedWorker(entry: WorkerListEntry): ListedWorker {
+  return { ...entry, part: entry.part === 'prefill' ? 'prefill' : 'decode' };
 }
 
-function line(x: ListedWorker): string {
-  return `${x.id} ${x.service} ${x.address} ${x.zone} ${x.slots} ${x.leaving ? 1 : 0} ${x.part}`;
+/** The fields that the digest covers. */
+function digestLine(worker: ListedWorker): string {
+  return `${worker.id} ${worker.service} ${worker.address} ${worker.zone} ${worker.slots} ${worker.leaving ? 1 : 0} ${worker.part}`;
 }
 
+/** Whether two entries are equal in the fields that the digest covers. */
 export function isSameListing(a: ListedWorker | undefined, b: ListedWorker): boolean {
-  return a !== undefined && line(a) === line(b);
+  return a !== undefined && digestLine(a) === digestLine(b);
 }
 
-// Never 0, which stands for no list.
-export function workerListDigest(xs: readonly ListedWorker[]): number {
-  return hash32(xs.map(line).sort().join('\n')) || 1;
+/** The digest of a list, in any order; never 0, which stands for no list. */
+export function workerListDigest(workers: readonly ListedWorker[]): number {
+  return hash32(workers.map(digestLine).sort().join('\n')) || 1;
 }
--- a/packages/control-feed/src/worker-list-view.test.ts
+++ b/packages/control-feed/src/worker-list-view.test.ts
@@ -1,8 +1,9 @@
+/** Merging of worker lists from sources whose snapshots differ in age. */
 import { expect, it } from 'vitest';
 import type { ListedWorker } from './listed-worker.js';
 import { createWorkerListView } from './worker-list-view.js';
 
-function worker(id: string, o: Partial<ListedWorker> = {}): ListedWorker {
+function worker(id: string, overrides: Partial<ListedWorker> = {}): ListedWorker {
   return {
     id,
     service: 's',
@@ -12,37 +13,39 @@
     leaving: false,
     coldMs: 0,
     part: 'decode',
-    ...o,
+    ...overrides,
   };
 }
-const s = 1_000_000;
+const second = 1_000_000;
 
-it('shows a worker as leaving for good once any look did, however old the look', () => {
-  const b = createWorkerListView();
-  b.addSnapshot('k0', { at: 10 * s, workers: [worker('a'), worker('b')] });
-  expect(b.addSnapshot('k1', { at: 9 * s, workers: [worker('a', { leaving: true })] })).toBe(true);
-  b.addSnapshot('k0', { at: 11 * s, workers: [worker('a'), worker('b')] });
-  expect(b.workers(11 * s).map((x) => [x.id, x.leaving])).toEqual([
+it('shows a worker as leaving for good once any snapshot did, however old', () => {
+  const view = createWorkerListView();
+  view.addSnapshot('k0', { at: 10 * second, workers: [worker('a'), worker('b')] });
+  expect(view.addSnapshot('k1', { at: 9 * second, workers: [worker('a', { leaving: true })] })).toBe(true);
+  view.addSnapshot('k0', { at: 11 * second, workers: [worker('a'), worker('b')] });
+  expect(view.workers(11 * second).map((listed) => [listed.id, listed.leaving])).toEqual([
     ['a', true],
     ['b', false],
   ]);
 });
 
-it('lets the newest look say who exists, and holds out who vanished while older looks still show it', () => {
-  const b = createWorkerListView();
-  b.addSnapshot('k0', { at: 10 * s, workers: [worker('a'), worker('b')] });
-  expect(b.addSnapshot('k1', { at: 11 * s, workers: [worker('b')] })).toBe(true);
-  expect(b.addSnapshot('k0', { at: 10.9 * s, workers: [worker('a'), worker('b')] })).toBe(false);
-  expect(b.confirmSnapshot('k0', 11.5 * s)).toBe(false);
-  expect(b.workers(11.5 * s).map((x) => x.id)).toEqual(['b']);
-  expect(b.confirmSnapshot('k0', 13 * s)).toBe(true);
-  expect(b.workers(13 * s).map((x) => x.id)).toEqual(['a', 'b']);
+it('lets the newest snapshot decide which workers exist, and hides a vanished one while older snapshots show it', () => {
+  const view = createWorkerListView();
+  view.addSnapshot('k0', { at: 10 * second, workers: [worker('a'), worker('b')] });
+  expect(view.addSnapshot('k1', { at: 11 * second, workers: [worker('b')] })).toBe(true);
+  expect(view.addSnapshot('k0', { at: 10.9 * second, workers: [worker('a'), worker('b')] })).toBe(false);
+  expect(view.confirmSnapshot('k0', 11.5 * second)).toBe(false);
+  expect(view.workers(11.5 * second).map((listed) => listed.id)).toEqual(['b']);
+  expect(view.confirmSnapshot('k0', 13 * second)).toBe(true);
+  expect(view.workers(13 * second).map((listed) => listed.id)).toEqual(['a', 'b']);
 });
 
-it('lets workers warm up between looks, and calls nothing changed that is not', () => {
-  const b = createWorkerListView();
-  b.addSnapshot('k0', { at: 10 * s, workers: [worker('a', { coldMs: 3000 }), worker('b')] });
-  expect(b.addSnapshot('k1', { at: 10.5 * s, workers: [worker('b'), worker('a', { coldMs: 2500 })] })).toBe(false);
-  expect(b.workers(11.5 * s)[0]!.coldMs).toBe(1500);
-  expect(b.workers(20 * s)[0]!.coldMs).toBe(0);
+it('lets workers warm up between snapshots, and reports no change for an equal list', () => {
+  const view = createWorkerListView();
+  view.addSnapshot('k0', { at: 10 * second, workers: [worker('a', { coldMs: 3000 }), worker('b')] });
+  expect(view.addSnapshot('k1', { at: 10.5 * second, workers: [worker('b'), worker('a', { coldMs: 2500 })] })).toBe(
+    false,
+  );
+  expect(view.workers(11.5 * second)[0]!.coldMs).toBe(1500);
+  expect(view.workers(20 * second)[0]!.coldMs).toBe(0);
 });
--- a/packages/control-feed/src/worker-list-view.ts
+++ b/packages/control-feed/src/worker-list-view.ts
@@ -1,63 +1,75 @@
 /**
- * Which workers there are, told by several sources whose looks at the list are of different ages. The newest
- * look decides who exists. A worker once seen leaving stays leaving under that id, and one that a newer look
- * no longer showed is held out until a look well after that shows it again, as older looks still may.
+ * The workers that exist, merged from several sources whose snapshots of the platform's list differ in age. The newest
+ * snapshot decides which workers exist. A worker that any snapshot has shown as leaving stays leaving under its id. A
+ * worker that the newest snapshot no longer showed is hidden until a snapshot well after that one shows it again, since
+ * older snapshots may still contain it.
  */
 import type { ListedWorker } from './listed-worker.js';
 
+/** The worker list as fetched by one source. */
 export interface WorkerListSnapshot {
-  // When the list was fetched, on the reader's own clock.
+  /** When the list was fetched, on the local clock, in microseconds. */
   readonly at: number;
   readonly workers: readonly ListedWorker[];
 }
+
+/** The merged worker list. Times are in microseconds of the local clock. */
 export interface WorkerListView {
-  // Gives whether anything changed.
-  readonly addSnapshot: (source: string, l: WorkerListSnapshot) => boolean;
-  // The same list was seen again at that time.
+  /** Adds a source's snapshot; returns whether the merged list changed. */
+  readonly addSnapshot: (source: string, snapshot: WorkerListSnapshot) => boolean;
+  /** The source has fetched the same list again at that time; returns whether the merged list changed. */
   readonly confirmSnapshot: (source: string, at: number) => boolean;
   readonly snapshotOf: (source: string) => WorkerListSnapshot | undefined;
+  /** When the newest snapshot was fetched. */
   readonly newestSnapshotAt: () => number;
   readonly workers: (now: number) => readonly ListedWorker[];
 }
-const heldOut = 1_500_000;
-const rememberedFor = 120_000_000;
-const coldEvery = 500_000;
 
+/** How long after a worker has vanished a snapshot must be fetched to show it again. */
+const reappearanceDelayUs = 1_500_000;
+const retentionUs = 120_000_000;
+/** How often the remaining warm-up times of workers are recomputed. */
+const coldUpdateIntervalUs = 500_000;
+
+/** Creates an empty view. */
 export function createWorkerListView(): WorkerListView {
-  const looks = new Map<string, WorkerListSnapshot>();
-  const leaving = new Map<string, number>();
-  const vanished = new Map<string, number>();
-  let shown: readonly ListedWorker[] = [];
-  let shownAt = -Infinity;
-  let told: readonly ListedWorker[] = [];
-  let toldAt = -Infinity;
-  let cold = false;
+  const snapshots = new Map<string, WorkerListSnapshot>();
+  const leavingAt = new Map<string, number>();
+  const vanishedAt = new Map<string, number>();
+  let list: readonly ListedWorker[] = [];
+  let listAt = -Infinity;
+  let current: readonly ListedWorker[] = [];
+  let currentAt = -Infinity;
+  let hasColdWorkers = false;
 
-  function settle(): boolean {
-    let top: WorkerListSnapshot | undefined;
-    for (const l of looks.values()) {
-      if (top === undefined || l.at > top.at) top = l;
-      for (const x of l.workers) if (x.leaving) leaving.set(x.id, l.at);
+  /** Recomputes the merged list and returns whether it changed. */
+  function merge(): boolean {
+    let newest: WorkerListSnapshot | undefined;
+    for (const snapshot of snapshots.values()) {
+      if (newest === undefined || snapshot.at > newest.at) newest = snapshot;
+      for (const worker of snapshot.workers) if (worker.leaving) leavingAt.set(worker.id, snapshot.at);
     }
-    if (top === undefined) return false;
-    const at = top.at;
-    for (const [s, l] of looks) if (at - l.at > rememberedFor) looks.delete(s);
-    const there = new Set(top.workers.map((x) => x.id));
-    for (const x of shown) if (!there.has(x.id)) vanished.set(x.id, at);
-    for (const m of [leaving, vanished]) for (const [id, t] of m) if (at - t > rememberedFor) m.delete(id);
-    const next = top.workers
-      .filter((x) => at > (vanished.get(x.id) ?? -Infinity) + heldOut)
-      .map((x) => (leaving.has(x.id) && !x.leaving ? { ...x, leaving: true } : x))
+    if (newest === undefined) return false;
+    const at = newest.at;
+    for (const [source, snapshot] of snapshots) if (at - snapshot.at > retentionUs) snapshots.delete(source);
+    const present = new Set(newest.workers.map((worker) => worker.id));
+    for (const worker of list) if (!present.has(worker.id)) vanishedAt.set(worker.id, at);
+    for (const times of [leavingAt, vanishedAt])
+      for (const [id, time] of times) if (at - time > retentionUs) times.delete(id);
+    const next = newest.workers
+      .filter((worker) => at > (vanishedAt.get(worker.id) ?? -Infinity) + reappearanceDelayUs)
+      .map((worker) => (leavingAt.has(worker.id) && !worker.leaving ? { ...worker, leaving: true } : worker))
       .sort((a, b) => (a.id < b.id ? -1 : 1));
-    const changed = next.length !== shown.length || next.some((x, i) => !same(x, shown[i]!));
-    shown = next;
-    shownAt = at;
-    cold = next.some((x) => x.coldMs > 0);
-    if (changed || cold) toldAt = -Infinity;
+    const changed = next.length !== list.length || next.some((worker, i) => !isSame(worker, list[i]!));
+    list = next;
+    listAt = at;
+    hasColdWorkers = next.some((worker) => worker.coldMs > 0);
+    if (changed || hasColdWorkers) currentAt = -Infinity;
     return changed;
   }
 
-  function same(a: ListedWorker, b: ListedWorker): boolean {
+  /** Compares all fields but the remaining warm-up time. */
+  function isSame(a: ListedWorker, b: ListedWorker): boolean {
     return (
       a.id === b.id &&
       a.leaving === b.leaving &&
@@ -70,28 +82,28 @@
   }
 
   return {
-    addSnapshot: (source, l) => {
-      const had = looks.get(source);
-      if (had !== undefined && had.at > l.at) return false;
-      looks.set(source, l);
-      return settle();
+    addSnapshot: (source, snapshot) => {
+      const known = snapshots.get(source);
+      if (known !== undefined && known.at > snapshot.at) return false;
+      snapshots.set(source, snapshot);
+      return merge();
     },
     confirmSnapshot: (source, at) => {
-      const had = looks.get(source);
-      if (had === undefined || had.at >= at) return false;
-      looks.set(source, { at, workers: had.workers });
-      return settle();
+      const known = snapshots.get(source);
+      if (known === undefined || known.at >= at) return false;
+      snapshots.set(source, { at, workers: known.workers });
+      return merge();
     },
-    snapshotOf: (source) => looks.get(source),
-    newestSnapshotAt: () => shownAt,
+    snapshotOf: (source) => snapshots.get(source),
+    newestSnapshotAt: () => listAt,
     workers: (now) => {
-      if (toldAt === -Infinity || (cold && now - toldAt > coldEvery)) {
-        toldAt = now;
-        told = cold
-          ? shown.map((x) => (x.coldMs > 0 ? { ...x, coldMs: Math.max(0, x.coldMs - (now - shownAt) / 1000) } : x))
-          : shown;
+      if (currentAt === -Infinity || (hasColdWorkers && now - currentAt > coldUpdateIntervalUs)) {
+        currentAt = now;
+        current = hasColdWorkers
+          ? list.map((it) => (it.coldMs > 0 ? { ...it, coldMs: Math.max(0, it.coldMs - (now - listAt) / 1000) } : it))
+          : list;
       }
-      return told;
+      return current;
     },
   };
 }
