--- a/packages/control-feed/src/control-client.ts
+++ b/packages/control-feed/src/control-client.ts
@@ -1,97 +1,109 @@
 /**
- * How a machine reads and writes keys of the control state: it asks one control node after the other, beginning with the
- * nearest, and each sends the question on to the leader of the key. A write is repeated under its change id, which
- * leaders remember, so that repeating it does no harm.
+ * Client for reads and writes of keys in the control state. It tries one control node after the other, the nearest
+ * first; each forwards the request to the leader of the key. Leaders remember the change ids of writes, so retrying a
+ * write is idempotent.
  */
 import type { ControlNode } from '@tansypost/control-state';
 import { micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
+/** The outcome of a request; the statuses are those of the `Answer` message. */
 export interface ControlResponse {
   readonly status: string;
+  /** Term of the leader that wrote the value. */
   readonly epoch: number;
   readonly version: number;
   readonly value: Buffer;
 }
 
+/** A read or a write of a key. The fields are those of the `Ask` message. */
 export interface ControlRequest {
   readonly op: 'read' | 'write' | 'lookup';
   readonly key: string;
+  /** Id of the change, of a write or of the write that is looked up. */
   readonly change?: string;
+  /** The version that a write expects to replace. */
   readonly base?: number;
   readonly value?: Buffer;
-  /** The time by which it must be answered; what is still open then is `unknown`. */
+  /** Time by which a response is needed; without one by then, the status is `unknown`. */
   readonly deadline: number;
 }
 
+/** Sends requests to control nodes. */
 export interface ControlClient {
-  readonly request: (question: ControlRequest, done: (answer: ControlResponse) => void) => void;
+  readonly request: (request: ControlRequest, done: (response: ControlResponse) => void) => void;
   readonly handleAnswer: (message: MessageOf<'Answer'>) => void;
 }
 
 const noBytes = Buffer.alloc(0);
-const unanswered: ControlResponse = { status: 'unknown', epoch: 0, version: 0, value: noBytes };
-const defaultPerTry = 350_000;
-/** How long to wait where no control node is known. */
-const noNodePause = 50_000;
-/** A node that could not answer is followed by the next after so long, and up to so much longer. */
-const retryPause = 20_000;
-const retrySpread = 40_000;
+const timedOut: ControlResponse = { status: 'unknown', epoch: 0, version: 0, value: noBytes };
+const defaultAttemptTimeoutUs = 350_000;
+/** Delay before the next look for a control node if none is known. */
+const noNodeDelayUs = 50_000;
+/** After a node that couldn't answer, the next one is tried after this delay plus up to `retryJitterUs`. */
+const retryDelayUs = 20_000;
+const retryJitterUs = 40_000;
 const idRange = 1e9;
-/** From the second try on the node that is asked takes the key over if need be, and sends the question on to nobody. */
-const hopsUsedUp = 2;
+/** From the second attempt on, the node becomes the leader of the key if need be, and doesn't forward the request. */
+const hopsExhausted = 2;
 
-/** `replicas` gives where to ask, the best first. */
+/**
+ * Creates a client.
+ * @param world its environment
+ * @param self address of this process
+ * @param replicas gives the control nodes to try, the best first
+ * @param attemptTimeout how long to wait for each control node, in microseconds
+ */
 export function createControlClient(
   world: World,
   self: Address,
   replicas: () => readonly Address[],
-  perTry = defaultPerTry,
+  attemptTimeout = defaultAttemptTimeoutUs,
 ): ControlClient {
-  const open = new Map<string, (message: MessageOf<'Answer'>) => void>();
+  const pending = new Map<string, (message: MessageOf<'Answer'>) => void>();
   let lastId = Math.floor(world.random() * idRange);
 
-  function request(question: ControlRequest, done: (answer: ControlResponse) => void): void {
-    let tries = 0;
+  function request(controlRequest: ControlRequest, done: (response: ControlResponse) => void): void {
+    let attempts = 0;
 
     function timeLeft(): number {
-      return Math.max(0, question.deadline - world.now());
+      return Math.max(0, controlRequest.deadline - world.now());
     }
 
-    function tryOnce(): void {
+    function attempt(): void {
       const addresses = replicas();
-      if (timeLeft() === 0) return done(unanswered);
-      if (addresses.length === 0) return void world.after(micros(Math.min(timeLeft(), noNodePause)), tryOnce);
+      if (timeLeft() === 0) return done(timedOut);
+      if (addresses.length === 0) return void world.after(micros(Math.min(timeLeft(), noNodeDelayUs)), attempt);
       const address = addressFor(addresses);
-      tries += 1;
+      attempts += 1;
       lastId += 1;
       const id = `${self}/${lastId}`;
-      expectAnswer(id);
+      awaitAnswer(id);
       send(address, id);
     }
 
-    /** This machine's own replica is asked twice: first to send the question on, then to answer it. */
+    /** This machine's own replica is tried twice: first so that it forwards the request, then so that it answers itself. */
     function addressFor(addresses: readonly Address[]): Address {
-      const index = addresses[0] === self ? Math.max(0, tries - 1) : tries;
+      const index = addresses[0] === self ? Math.max(0, attempts - 1) : attempts;
       return addresses[index % addresses.length]!;
     }
 
-    function expectAnswer(id: string): void {
-      const cancel = world.after(micros(Math.min(timeLeft(), perTry)), () => {
-        open.delete(id);
-        tryOnce();
+    function awaitAnswer(id: string): void {
+      const cancel = world.after(micros(Math.min(timeLeft(), attemptTimeout)), () => {
+        pending.delete(id);
+        attempt();
       });
-      open.set(id, (message) => {
+      pending.set(id, (message) => {
         cancel();
-        open.delete(id);
-        if (message.status === 'retry' || message.status === 'unknown') return tryLater();
+        pending.delete(id);
+        if (message.status === 'retry' || message.status === 'unknown') return retryLater();
         const { status, epoch, version, value } = message;
         done({ status, epoch, version, value });
       });
     }
 
-    function tryLater(): void {
-      const pause = retryPause + world.random() * retrySpread;
-      world.after(micros(Math.min(timeLeft(), pause)), tryOnce);
+    function retryLater(): void {
+      const delay = retryDelayUs + world.random() * retryJitterUs;
+      world.after(micros(Math.min(timeLeft(), delay)), attempt);
     }
 
     function send(address: Address, id: string): void {
@@ -99,22 +111,25 @@
         kind: 'Ask',
         id,
         origin: self,
-        key: question.key,
-        op: question.op,
-        change: question.change ?? '',
-        base: question.base ?? 0,
-        value: question.value ?? noBytes,
-        hops: tries === 1 ? 0 : hopsUsedUp,
+        key: controlRequest.key,
+        op: controlRequest.op,
+        change: controlRequest.change ?? '',
+        base: controlRequest.base ?? 0,
+        value: controlRequest.value ?? noBytes,
+        hops: attempts === 1 ? 0 : hopsExhausted,
       });
     }
 
-    tryOnce();
+    attempt();
   }
 
-  return { request, handleAnswer: (message) => open.get(message.id)?.(message) };
+  return { request, handleAnswer: (message) => pending.get(message.id)?.(message) };
 }
 
-/** Where to ask: this machine's replica first if it votes, then the live ones, else those last known, else the seeds. */
+/**
+ * Creates the list of control nodes to try on a machine that may hold a replica: its own replica first if it votes, then
+ * the live replicas; if no other is live, the replicas last known, and without any the seeds.
+ */
 export function createReplicaAddressList(
   controlNode: () => ControlNode | undefined,
   self: Address,
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -10,7 +10,7 @@
 import { startMembershipAnnouncer } from './membership-announcer.js';
 import type { ListedWorker } from './listed-worker.js';
 import { createWorkerListPoller } from './worker-list-poller.js';
-import { startWorkerLoadPoll, type ReportedLoad } from './worker-load-poller.js';
+import { startWorkerLoadPoller, type ReportedLoad } from './worker-load-poller.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
 export interface FeedServerOptions {
@@ -98,8 +98,8 @@
     const following = configuration.handleFollow(question, from);
     if (question.key !== configurationKey) return;
     last = following ?? noReplica;
-    if (workerList.digest() !== 0 && question.list !== workerList.digest()) world.send(from, workerList.whole());
-    const peers = question.peers >= 0 ? followers.peersFor(from, question.peers) : undefined;
+    if (workerList.digest() !== 0 && question.list !== workerList.digest()) world.send(from, workerList.fullList());
+    const peers = question.peers >= 0 ? followers.stalePeersOf(from, question.peers) : undefined;
     if (peers !== undefined) world.send(from, peers);
     sendBeat(from, last, question.asked);
   }
@@ -161,9 +161,9 @@
   const { fetchWorkerLoad: fetchLoad, loadPollInterval: loadEvery } = options;
   if (fetchLoad !== undefined && loadEvery !== undefined && loadEvery > 0)
     stops.push(
-      startWorkerLoadPoll(world, {
+      startWorkerLoadPoller(world, {
         fetchWorkerLoad: fetchLoad,
-        period: loadEvery,
+        pollInterval: loadEvery,
         workers: workerList.workers,
         share: shareOfWorkers,
         followers: toldOfLoads,
--- a/packages/control-feed/src/follower-registry.ts
+++ b/packages/control-feed/src/follower-registry.ts
@@ -1,74 +1,79 @@
-/** Which routers follow a control node, which of them have gone silent, and what is told to a router of the others. */
+/** The routers that follow a control node, those that have stopped responding, and the peers that each is sent. */
 import { hash32, rendezvous, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
 type Peers = MessageOf<'Peers'>;
 
+/** The followers of one control node. */
 export interface FollowerRegistry {
+  /** Records a `Follow` message from this address. */
   readonly recordFollow: (address: Address) => void;
-  /** Those that have asked lately. */
+  /** The current followers. */
   readonly addresses: () => Address[];
-  /** Those that asked often and have missed their time; a process without a memory may have begun there. */
+  /** Followers whose next `Follow` is overdue; the process at that address may have restarted without its state. */
   readonly unresponsive: () => Address[];
-  /** The other followers, for one that knows them by that digest; undefined if it is right. */
-  readonly peersFor: (address: Address, knownDigest: number) => MessageOf<'Peers'> | undefined;
+  /** The peers of a follower that has those with this digest; undefined if the digest is up to date. */
+  readonly stalePeersOf: (address: Address, knownDigest: number) => MessageOf<'Peers'> | undefined;
 }
 
-const keptFor = 3_000_000;
-/** Followers ask at least twice in this time. */
-const silentAfter = 2_200_000;
-/** Who has gone silent is looked for so often; who is new is known at once. */
-const lookEvery = 200_000;
-/** After so long a silent follower is taken for gone. */
-const soughtFor = 60_000_000;
-const mostPeers = 16;
+/** A follower counts as current for this long after its last `Follow`. */
+const followTimeoutUs = 3_000_000;
+/** Followers send at least two `Follow` messages in this time. */
+const unresponsiveAfterUs = 2_200_000;
+/** How often the list is checked for expired followers; a new follower is added at once. */
+const checkIntervalUs = 200_000;
+/** An unresponsive follower is removed after this time. */
+const removeAfterUs = 60_000_000;
+const maxPeers = 16;
 
+/** Creates an empty registry. */
 export function createFollowerRegistry(world: Pick<World, 'now'>): FollowerRegistry {
-  const heardAt = new Map<Address, number>();
+  const lastFollowAt = new Map<Address, number>();
   const peersByAddress = new Map<Address, Peers>();
-  let present: Address[] = [];
-  let lookedAt = -Infinity;
+  let current: Address[] = [];
+  let lastCheckAt = -Infinity;
 
   function recordFollow(address: Address): void {
-    const isNew = !heardAt.has(address) || silence(address) > keptFor;
-    heardAt.set(address, world.now());
-    if (isNew) lookedAt = -Infinity;
+    const isNew = !lastFollowAt.has(address) || timeSinceFollow(address) > followTimeoutUs;
+    lastFollowAt.set(address, world.now());
+    if (isNew) lastCheckAt = -Infinity;
   }
 
-  function silence(address: Address): number {
-    return world.now() - heardAt.get(address)!;
+  function timeSinceFollow(address: Address): number {
+    return world.now() - lastFollowAt.get(address)!;
   }
 
   function addresses(): Address[] {
-    if (world.now() - lookedAt < lookEvery) return present;
-    lookedAt = world.now();
-    const found = [...heardAt.keys()].filter((address) => silence(address) <= keptFor);
-    if (found.length !== present.length || found.some((address, index) => address !== present[index]))
+    if (world.now() - lastCheckAt < checkIntervalUs) return current;
+    lastCheckAt = world.now();
+    const found = [...lastFollowAt.keys()].filter((address) => timeSinceFollow(address) <= followTimeoutUs);
+    if (found.length !== current.length || found.some((address, index) => address !== current[index]))
       peersByAddress.clear();
-    present = found;
-    return present;
+    current = found;
+    return current;
   }
 
   function unresponsive(): Address[] {
-    for (const address of heardAt.keys()) if (silence(address) > soughtFor) heardAt.delete(address);
-    return [...heardAt.keys()].filter((address) => silence(address) > silentAfter);
+    for (const address of lastFollowAt.keys())
+      if (timeSinceFollow(address) > removeAfterUs) lastFollowAt.delete(address);
+    return [...lastFollowAt.keys()].filter((address) => timeSinceFollow(address) > unresponsiveAfterUs);
   }
 
-  /** A follower's part of the others: all of them while they are few. */
-  function findPeers(address: Address): Peers {
+  /** A subset of the other followers, or all of them while they are few. */
+  function selectPeers(address: Address): Peers {
     const others = addresses().filter((other) => other !== address);
     const peers = rendezvous(address, others, (other) => other)
-      .slice(0, mostPeers)
+      .slice(0, maxPeers)
       .sort();
     return { kind: 'Peers', digest: hash32(peers.join()), addresses: peers, all: others.length <= peers.length };
   }
 
-  /** Worked out once for each follower until another set of followers is there. */
-  function peersFor(address: Address, knownDigest: number): Peers | undefined {
+  /** The peers of a follower are cached until the set of followers changes. */
+  function stalePeersOf(address: Address, knownDigest: number): Peers | undefined {
     addresses();
     let peers = peersByAddress.get(address);
-    if (peers === undefined) peersByAddress.set(address, (peers = findPeers(address)));
+    if (peers === undefined) peersByAddress.set(address, (peers = selectPeers(address)));
     return peers.digest === knownDigest ? undefined : peers;
   }
 
-  return { recordFollow, addresses, unresponsive, peersFor };
+  return { recordFollow, addresses, unresponsive, stalePeersOf };
 }
--- a/packages/control-feed/src/prefill-exchange.ts
+++ b/packages/control-feed/src/prefill-exchange.ts
@@ -1,30 +1,39 @@
 /**
- * What routers tell each other of the prompts that they send to workers, so that all of them know of a busy worker
- * at once. Few routers tell each other directly; many send it to one control node, which relays it to all.
+ * Announcements between routers of the prompts that they send to workers for prefill, so that all routers know at once
+ * which workers are busy. While there are few routers they send to each other directly; otherwise they send to one
+ * control node, which relays to all.
  */
 import { hash32, micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
+/** Options of the exchange. */
 export interface PrefillExchangeOptions {
   readonly self: Address;
-  /** The control node that relays. */
+  /** The control node that relays announcements. */
   readonly relay: () => Address | undefined;
-  /** Another router has sent a worker a prompt that takes so long to read, in microseconds. */
+  /**
+   * Another router has sent a worker a prompt whose prefill takes `service` microseconds; `bad` means that an attempt at
+   * the worker has failed there.
+   */
   readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
 }
 
+/** Announces this router's prefills and receives those of others. */
 export interface PrefillExchange {
-  /** Tells the others of a read; those within a moment go out together. */
+  /** Announces a prefill to the other routers; announcements within a few milliseconds are sent together. */
   readonly announce: (worker: string, service: number, bad: boolean) => void;
-  readonly handlePrefills: (told: MessageOf<'Reading'>) => void;
-  readonly handlePeers: (told: MessageOf<'Peers'>) => void;
-  /** The digest of the other routers as they were last told. */
+  readonly handlePrefills: (message: MessageOf<'Reading'>) => void;
+  readonly handlePeers: (message: MessageOf<'Peers'>) => void;
+  /** The digest of the other routers as last received from a control node. */
   readonly peersDigest: () => number;
 }
 
-const leastTold = 20_000;
-const leastRelayed = 40_000;
-const tellWithin = micros(5_000);
+/** Shorter prefills aren't announced to routers directly. */
+const minDirectUs = 20_000;
+/** Shorter prefills aren't announced through a control node. */
+const minRelayedUs = 40_000;
+const batchDelay = micros(5_000);
 
+/** Creates the exchange of one router. */
 export function createPrefillExchange(world: World, options: PrefillExchangeOptions): PrefillExchange {
   const self = hash32(options.self);
   let peers: readonly Address[] = [];
@@ -33,28 +42,29 @@
   let pending: MessageOf<'Reading'>['reads'] = [];
 
   function announce(worker: string, service: number, bad: boolean): void {
-    const least = knowsAllPeers ? leastTold : leastRelayed;
-    if (peers.length === 0 || (!bad && service < least)) return;
+    const minService = knowsAllPeers ? minDirectUs : minRelayedUs;
+    if (peers.length === 0 || (!bad && service < minService)) return;
     pending.push({ worker, service: Math.round(service), bad, by: self });
-    if (pending.length === 1) world.after(tellWithin, flush);
+    if (pending.length === 1) world.after(batchDelay, flush);
   }
 
   function flush(): void {
-    const told: MessageOf<'Reading'> = { kind: 'Reading', reads: pending };
+    const message: MessageOf<'Reading'> = { kind: 'Reading', reads: pending };
     pending = [];
     const relay = options.relay();
     const relays = relay === undefined ? [] : [relay];
-    for (const address of knowsAllPeers ? peers : relays) world.send(address, told);
+    for (const address of knowsAllPeers ? peers : relays) world.send(address, message);
   }
 
-  function handlePrefills(told: MessageOf<'Reading'>): void {
-    for (const read of told.reads) if (read.by !== self) options.onPeerPrefill?.(read.worker, read.service, read.bad);
+  function handlePrefills(message: MessageOf<'Reading'>): void {
+    for (const prefill of message.reads)
+      if (prefill.by !== self) options.onPeerPrefill?.(prefill.worker, prefill.service, prefill.bad);
   }
 
-  function handlePeers(told: MessageOf<'Peers'>): void {
-    peersDigest = told.digest;
-    peers = told.addresses as Address[];
-    knowsAllPeers = told.all;
+  function handlePeers(message: MessageOf<'Peers'>): void {
+    peersDigest = message.digest;
+    peers = message.addresses as Address[];
+    knowsAllPeers = message.all;
   }
 
   return { announce, handlePrefills, handlePeers, peersDigest: () => peersDigest };
--- a/packages/control-feed/src/worker-list-poller.ts
+++ b/packages/control-feed/src/worker-list-poller.ts
@@ -1,80 +1,86 @@
 /**
- * The control node's looks at the list of workers. One node looks often, the others now and then, as each look is
- * priced; a node that the first one's rank falls to looks often from then on. What has changed is told at once.
+ * Polls the platform's worker list on a control node. Each poll has a cost, so one node polls often and the others
+ * seldom; when the first node fails, the node that takes over its rank polls often. Changes are sent to followers at
+ * once.
  */
 import { every, micros, type Address, type Cancel, type MessageOf, type World } from '@tansypost/inner-protocol';
 import { workerListDigest, isSameListing, type ListedWorker } from './listed-worker.js';
 
 type WorkerList = MessageOf<'WorkerList'>;
 
+/** Options of the poller; intervals are in microseconds. */
 export interface WorkerListPollerOptions {
   readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
-  /** This node's place among the live ones; the first looks often. */
+  /** This node's index among the live ones; the first, 0, polls often. */
   readonly rank: () => number;
   readonly listPollInterval?: number;
+  /** Interval of all nodes but the first. */
   readonly standbyListPollInterval?: number;
   readonly followers: () => readonly Address[];
 }
 
+/** The worker list as last polled. */
 export interface WorkerListPoller {
   readonly workers: () => readonly ListedWorker[];
   readonly digest: () => number;
   readonly ageMs: () => number;
-  readonly whole: () => WorkerList;
+  /** The message with the complete list. */
+  readonly fullList: () => WorkerList;
   readonly stop: Cancel;
 }
 
-const defaultLookEvery = 1_000_000;
-const seldomFactor = 3;
-const tickEvery = micros(250_000);
-/** A look that is due so soon is made at once, so that ticks do not put it off by a whole period. */
-const lookAhead = 50_000;
+const defaultPollIntervalUs = 1_000_000;
+const standbyFactor = 3;
+const tickInterval = micros(250_000);
+/** A poll due within this time is made at once, since the next tick would come up to a tick interval too late. */
+const pollToleranceUs = 50_000;
 
+/** Starts to poll. */
 export function createWorkerListPoller(world: World, options: WorkerListPollerOptions): WorkerListPoller {
   let list: readonly ListedWorker[] = [];
   let digest = 0;
-  let lookedAt = 0;
-  let looking = false;
-  let askedAt = -Infinity;
+  let listedAt = 0;
+  let polling = false;
+  let lastPollAt = -Infinity;
 
   function ageMs(): number {
-    return Math.round((world.now() - lookedAt) / 1000);
+    return Math.round((world.now() - listedAt) / 1000);
   }
 
-  function period(): number {
-    const often = options.listPollInterval ?? defaultLookEvery;
-    return options.rank() === 0 ? often : (options.standbyListPollInterval ?? seldomFactor * often);
+  function pollInterval(): number {
+    const interval = options.listPollInterval ?? defaultPollIntervalUs;
+    return options.rank() === 0 ? interval : (options.standbyListPollInterval ?? standbyFactor * interval);
   }
 
   function tick(): void {
     const now = world.now();
-    if (looking || now < askedAt + period() - lookAhead) return;
-    looking = true;
-    askedAt = now;
-    options.fetchWorkerList().then(looked, () => looked(undefined));
-    function looked(workers: readonly ListedWorker[] | undefined): void {
-      looking = false;
-      if (workers !== undefined) take(workers, now);
+    if (polling || now < lastPollAt + pollInterval() - pollToleranceUs) return;
+    polling = true;
+    lastPollAt = now;
+    options.fetchWorkerList().then(onFetched, () => onFetched(undefined));
+    function onFetched(workers: readonly ListedWorker[] | undefined): void {
+      polling = false;
+      if (workers !== undefined) update(workers, now);
     }
   }
 
-  function take(workers: readonly ListedWorker[], at: number): void {
-    const before = list;
+  function update(workers: readonly ListedWorker[], at: number): void {
+    const previous = list;
     const base = digest;
     list = workers;
     digest = workerListDigest(workers);
-    lookedAt = at;
+    listedAt = at;
     if (digest === base) return;
-    const told = base === 0 ? whole() : difference(before, base);
-    for (const address of options.followers()) world.send(address, told);
+    const message = base === 0 ? fullList() : difference(previous, base);
+    for (const address of options.followers()) world.send(address, message);
   }
 
-  function whole(): WorkerList {
+  function fullList(): WorkerList {
     return { kind: 'WorkerList', base: 0, digest, age: ageMs(), workers: [...list], gone: [] };
   }
 
-  function difference(before: readonly ListedWorker[], base: number): WorkerList {
-    const known = new Map(before.map((worker) => [worker.id, worker]));
+  function difference(previous: readonly ListedWorker[], base: number): WorkerList {
+    const known = new Map(previous.map((worker) => [worker.id, worker]));
     const present = new Set(list.map((worker) => worker.id));
     return {
       kind: 'WorkerList',
@@ -87,6 +93,6 @@
   }
 
   tick();
-  const stop = every(world, () => tickEvery, tick);
-  return { workers: () => list, digest: () => digest, ageMs, whole, stop };
+  const stop = every(world, () => tickInterval, tick);
+  return { workers: () => list, digest: () => digest, ageMs, fullList, stop };
 }
--- a/packages/control-feed/src/worker-load-poller.ts
+++ b/packages/control-feed/src/worker-load-poller.ts
@@ -1,53 +1,56 @@
-/** The control node's questions to workers for their loads: each worker is asked by one of the live nodes. */
+/** Polls the loads of workers on a control node; the workers are divided among the live control nodes. */
 import { every, micros, type Address, type Cancel, type MessageOf, type World } from '@tansypost/inner-protocol';
 import type { ListedWorker } from './listed-worker.js';
 import type { WorkerLoad } from './worker-loads.js';
 
-/** What a worker says of itself. */
+/** The load that a worker reports of itself. */
 export type ReportedLoad = Omit<WorkerLoad, 'at' | 'silent'>;
 
-export interface WorkerLoadPollOptions {
+/** Options of the poller. */
+export interface WorkerLoadPollerOptions {
   readonly fetchWorkerLoad: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
-  readonly period: number;
+  /** In microseconds. */
+  readonly pollInterval: number;
   readonly workers: () => readonly ListedWorker[];
-  /** This node's place among the live ones, and how many these are; undefined while it is none of them. */
+  /** This node's index among the live ones, and their number; undefined while this node isn't one of them. */
   readonly share: () => { readonly rank: number; readonly nodes: number } | undefined;
   readonly followers: () => readonly Address[];
 }
 
 type TimedLoad = Omit<WorkerLoad, 'at'> & { readonly at: number };
 
-export function startWorkerLoadPoll(world: World, options: WorkerLoadPollOptions): Cancel {
+/** Polls until the returned function is called. A round starts only after the answers of the last one. */
+export function startWorkerLoadPoller(world: World, options: WorkerLoadPollerOptions): Cancel {
   let outstanding = 0;
-  let answers: TimedLoad[] = [];
+  let results: TimedLoad[] = [];
 
   function poll(): void {
     const share = options.share();
     if (share === undefined || outstanding > 0) return;
-    const mine = options.workers().filter((_, index) => index % Math.max(1, share.nodes) === share.rank);
-    outstanding = mine.length;
-    for (const worker of mine) ask(worker);
+    const workers = options.workers().filter((_, index) => index % Math.max(1, share.nodes) === share.rank);
+    outstanding = workers.length;
+    for (const worker of workers) pollWorker(worker);
   }
 
-  function ask(worker: ListedWorker): void {
+  function pollWorker(worker: ListedWorker): void {
     const at = world.now();
     options.fetchWorkerLoad(worker).then(
-      (load) => answered(load === undefined ? noAnswer(worker.id, at) : { ...load, silent: false, at }),
-      () => answered(noAnswer(worker.id, at)),
+      (load) => addResult(load === undefined ? noAnswer(worker.id, at) : { ...load, silent: false, at }),
+      () => addResult(noAnswer(worker.id, at)),
     );
   }
 
-  function answered(load: TimedLoad): void {
-    answers.push(load);
+  function addResult(load: TimedLoad): void {
+    results.push(load);
     outstanding -= 1;
     if (outstanding > 0) return;
-    const loads = answers.map(({ at, ...rest }) => ({ ...rest, age: Math.round((world.now() - at) / 1000) }));
-    answers = [];
-    const told: MessageOf<'WorkerLoads'> = { kind: 'WorkerLoads', loads };
-    for (const address of options.followers()) world.send(address, told);
+    const loads = results.map(({ at, ...rest }) => ({ ...rest, age: Math.round((world.now() - at) / 1000) }));
+    results = [];
+    const message: MessageOf<'WorkerLoads'> = { kind: 'WorkerLoads', loads };
+    for (const address of options.followers()) world.send(address, message);
   }
 
-  return every(world, () => micros(options.period), poll);
+  return every(world, () => micros(options.pollInterval), poll);
 }
 
 function noAnswer(id: string, at: number): TimedLoad {
