--- a/packages/control-feed/src/configuration-feed.test.ts
+++ b/packages/control-feed/src/configuration-feed.test.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration on its way from control nodes to routers, over the simulated network. The control nodes' replicas are
- * stood in for: what each knows to be on a majority, and whether it holds a lease, is set by the test.
+ * The configuration on its way from control nodes to routers, over the simulated network. The control nodes' replicas
+ * are stood in for: what each knows to be on a majority, and whether it holds a lease, is set by the test.
  */
 import { expect, it } from 'vitest';
 import type { ControlNode } from '@tansypost/control-state';
--- a/packages/control-feed/src/configuration-follower.ts
+++ b/packages/control-feed/src/configuration-follower.ts
@@ -1,7 +1,7 @@
 /**
- * The router's side of the configuration: it asks every control node, has the configuration sent by one of them, its
- * source, and lets the others confirm versions. When another node tells a newer version and the source does not follow
- * within moments, the router fetches from that other node and passes the source over for a while.
+ * The router's side of the configuration. The router polls every control node; one of them, its source, sends the
+ * configuration, the others only confirm versions. If another node has a newer version that the source doesn't send
+ * soon after, the router fetches it from that node and avoids the source for a while.
  */
 import { micros, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 import type { Configuration } from './configuration.js';
@@ -9,66 +9,75 @@
 import { applyPatch } from './configuration-patch.js';
 import type { ControlNodeTable } from './control-node-table.js';
 
-/** How a control node is asked. */
+/** How a control node is polled. */
 export interface FollowOptions {
-  /** The node is to send the configuration itself where it has a newer one, not only to confirm its version. */
+  /** Whether the node is to send the configuration if it has a newer one, instead of only confirming its version. */
   readonly wantsConfiguration: boolean;
-  /** Whether differences are taken; false after one that did not fit. */
+  /** Whether the configuration may be sent as a patch; false after a patch that didn't apply. */
   readonly acceptsPatches: boolean;
 }
 
-/** How the version in force came to be it, for the log. */
+/** How the current configuration was adopted. The fields are logged under these names. */
 export interface Adoption {
   readonly reason: AdoptionReason;
-  /** Whether it was sent whole or as a difference. */
+  /** Whether it was sent whole or as a patch. */
   readonly form: 'whole' | 'difference';
-  /** How long before it was in force some control node first told of it or of a newer one, in microseconds. */
+  /** Time from the first heartbeat with this version or a newer one to the adoption, in microseconds. */
   readonly toldBefore: number;
 }
 
+/** Options of the follower. */
 export interface ConfigurationFollowerOptions {
   readonly nodes: ControlNodeTable;
+  /** How long to wait for a confirmation before an unconfirmed configuration is adopted, in microseconds. */
   readonly unconfirmedTimeout: number;
+  /** Sends a `Follow` to a control node. */
   readonly follow: (address: Address, asking: FollowOptions) => void;
   readonly onAdopted: () => void;
 }
 
+/** The configuration of one router. */
 export interface ConfigurationFollower {
+  /** The adopted configuration. */
   readonly current: () => Configuration | undefined;
-  /** Of the version in force. */
+  /** How the current configuration was adopted. */
   readonly adoption: () => Adoption | undefined;
-  /** The newest version known, in force or held aside; 0 if there is none. */
+  /** The newest known version, adopted or candidate; 0 if there is none. */
   readonly newestVersion: () => number;
   readonly handleConfiguration: (configuration: Configuration) => void;
   readonly handlePatch: (patch: MessageOf<'ConfigurationPatch'>, from: Address) => void;
-  /** A beat has come, and the table of nodes has taken it in. */
-  readonly handleBeat: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
+  /** Handles a heartbeat that has been recorded in the table of nodes. */
+  readonly handleHeartbeat: (heartbeat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
   readonly stop: () => void;
 }
 
-/** How long the source may take to send what another node has told of. */
-const sourcePatience = micros(100_000);
+/** How long the source may take to send a version that another node has. */
+const sourceDelayTolerance = micros(100_000);
 
+/** Creates the follower of a starting router. */
 export function createConfigurationFollower(
   world: World,
   options: ConfigurationFollowerOptions,
 ): ConfigurationFollower {
-  const { nodes, follow: ask } = options;
-  const gate = createConfigurationGate(world, { unconfirmedTimeout: options.unconfirmedTimeout, onAdopted: adopted });
-  let awaiting = false;
+  const { nodes, follow } = options;
+  const gate = createConfigurationGate(world, {
+    unconfirmedTimeout: options.unconfirmedTimeout,
+    onAdopted: recordAdoption,
+  });
+  let awaitingSource = false;
   let adoption: Adoption | undefined;
   let form: Adoption['form'] = 'whole';
-  /** Since when some control node has told of a version that is not in force here. */
-  let toldAt: number | undefined;
+  /** When a heartbeat first had a version newer than the adopted one. */
+  let newerSeenAt: number | undefined;
 
-  function adopted(reason: AdoptionReason): void {
-    adoption = { reason, form, toldBefore: toldAt === undefined ? 0 : world.now() - toldAt };
-    toldAt = undefined;
+  function recordAdoption(reason: AdoptionReason): void {
+    adoption = { reason, form, toldBefore: newerSeenAt === undefined ? 0 : world.now() - newerSeenAt };
+    newerSeenAt = undefined;
     options.onAdopted();
   }
 
-  function offer(configuration: Configuration, sentAs: Adoption['form']): void {
-    form = sentAs;
+  function offer(configuration: Configuration, receivedAs: Adoption['form']): void {
+    form = receivedAs;
     gate.offer(configuration);
   }
 
@@ -84,43 +93,46 @@
     if (patch.version <= newestVersion()) return;
     const base = gate.newest();
     const value = base?.version === patch.base ? applyPatch(base.value, patch.steps, patch.digest) : undefined;
-    if (value === undefined) return ask(from, { wantsConfiguration: true, acceptsPatches: false });
+    if (value === undefined) return follow(from, { wantsConfiguration: true, acceptsPatches: false });
     offer({ version: patch.version, value }, 'difference');
   }
 
-  function handleBeat(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
-    if (beat.version > (gate.current()?.version ?? 0)) toldAt ??= world.now();
-    if (fresh && beat.leased && beat.voting) gate.confirmCurrent(beat.version);
+  function handleHeartbeat(heartbeat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
+    if (heartbeat.version > (gate.current()?.version ?? 0)) newerSeenAt ??= world.now();
+    if (fresh && heartbeat.leased && heartbeat.voting) gate.confirmCurrent(heartbeat.version);
     if (nodes.source() === undefined) chooseSourceNow();
-    if (beat.version > newestVersion() && from !== nodes.source()) awaitSource(beat.version);
+    if (heartbeat.version > newestVersion() && from !== nodes.source()) awaitSource(heartbeat.version);
   }
 
-  /** A router without a source takes the first node with a lease, without waiting for its next round of questions. */
+  /** A router without a source chooses the first node with a lease, without waiting for its next polling round. */
   function chooseSourceNow(): void {
     if (!nodes.anyLeased()) return;
     nodes.chooseSource();
     const source = nodes.source();
-    if (source !== undefined) ask(source, { wantsConfiguration: true, acceptsPatches: true });
+    if (source !== undefined) follow(source, { wantsConfiguration: true, acceptsPatches: true });
   }
 
-  /** In a storm there is always something newer; the source is late when it has not sent what was told back then. */
+  /**
+   * Waits for the source to send this version. During a burst of changes another node always has something newer, so
+   * the source is only late if it hasn't sent the version that the wait began with.
+   */
   function awaitSource(version: number): void {
-    if (awaiting) return;
-    awaiting = true;
-    world.after(sourcePatience, () => {
-      awaiting = false;
-      if (newestVersion() < version) fetchFromNewest();
+    if (awaitingSource) return;
+    awaitingSource = true;
+    world.after(sourceDelayTolerance, () => {
+      awaitingSource = false;
+      if (newestVersion() < version) fetchFromNewestNode();
     });
   }
 
-  function fetchFromNewest(): void {
+  function fetchFromNewestNode(): void {
     const [newest] = nodes
       .voting()
       .map(nodes.state)
       .sort((a, b) => b.version - a.version);
     if (newest === undefined || newest.version <= newestVersion()) return;
     if (newest.address !== nodes.source()) nodes.markSourceLate();
-    ask(newest.address, { wantsConfiguration: true, acceptsPatches: true });
+    follow(newest.address, { wantsConfiguration: true, acceptsPatches: true });
   }
 
   return {
@@ -129,7 +141,7 @@
     newestVersion,
     handleConfiguration,
     handlePatch,
-    handleBeat,
+    handleHeartbeat,
     stop: gate.stop,
   };
 }
--- a/packages/control-feed/src/configuration-history.ts
+++ b/packages/control-feed/src/configuration-history.ts
@@ -1,27 +1,29 @@
 /**
- * The versions of the configuration that a control node has told lately, and how each follower is brought from the
- * version it has to the newest one: by a difference where that is known and clearly smaller than the packed whole, else
- * by that.
+ * The latest versions of the configuration on a control node. A follower is brought from its version to the newest one
+ * by a patch, if its version is still known and the patch is clearly smaller than the packed configuration; otherwise
+ * the whole configuration is sent.
  */
 import type { MessageOf } from '@tansypost/inner-protocol';
 import type { Configuration } from './configuration.js';
 import { unpackConfiguration } from './configuration-packing.js';
 import { createPatch, digestOf, patchBytes } from './configuration-patch.js';
 
+/** The latest versions of the configuration. */
 export interface ConfigurationHistory {
   /** The newest version, packed. */
   readonly newest: () => Configuration | undefined;
-  /** Takes in a version, packed, and says whether it is newer than all before. */
+  /** Adds a packed version; returns whether it is newer than all others. */
   readonly add: (packed: Configuration) => boolean;
-  /** The difference from that version to the newest, where one is worth sending. */
+  /** The patch from that version to the newest; undefined if the whole configuration is to be sent instead. */
   readonly patchFrom: (version: number) => MessageOf<'ConfigurationPatch'> | undefined;
 }
 
-const mostVersions = 32;
-const mostBytes = 4 * 1024 * 1024;
-/** A difference is sent where it is smaller than this part of the whole. */
-const worthwhileShare = 0.7;
+const maxVersions = 32;
+const maxBytes = 4 * 1024 * 1024;
+/** A patch is sent if its size is at most this fraction of the packed configuration's. */
+const maxPatchRatio = 0.7;
 
+/** Creates an empty history. */
 export function createConfigurationHistory(): ConfigurationHistory {
   const versions = new Map<number, Buffer>();
   const patches = new Map<number, MessageOf<'ConfigurationPatch'> | undefined>();
@@ -41,7 +43,7 @@
 
   function dropOldest(): void {
     for (const [version, value] of versions) {
-      const fits = versions.size <= mostVersions && bytes <= mostBytes;
+      const fits = versions.size <= maxVersions && bytes <= maxBytes;
       if (fits || version === newest?.version) return;
       versions.delete(version);
       bytes -= value.length;
@@ -59,7 +61,7 @@
     if (base === undefined || newest === undefined || next === undefined || version === newest.version)
       return undefined;
     const steps = createPatch(base, next);
-    if (patchBytes(steps) > worthwhileShare * newest.value.length) return undefined;
+    if (patchBytes(steps) > maxPatchRatio * newest.value.length) return undefined;
     return {
       kind: 'ConfigurationPatch',
       version: newest.version,
--- a/packages/control-feed/src/configuration-patch.ts
+++ b/packages/control-feed/src/configuration-patch.ts
@@ -1,17 +1,17 @@
 /**
- * Differences between two versions of the configuration, as bytes. Both are cut into chunks after each closing brace,
- * so that a chunk is about one entry of a list in JSON; chunks that the older version holds are copied from it, the
- * others are sent. Nothing here understands the content: any two byte strings can be told apart and rebuilt.
+ * Binary patches between two versions of the configuration. Both versions are split into chunks after each closing
+ * brace, so that a chunk is about one entry of a list in JSON. Chunks that the older version contains are copied from
+ * it, the others are sent as literals. The content isn't interpreted: this works for any two byte strings.
  */
 import { digest, type MessageOf } from '@tansypost/inner-protocol';
 
-/** One step: `literal` bytes, then `length` bytes of the older version from `offset` on. */
+/** One step: the `literal` bytes, then `length` bytes of the older version from `offset` on. */
 export type PatchStep = MessageOf<'ConfigurationPatch'>['steps'][number];
 
 const closingBrace = 0x7d;
-const longestChunk = 1024;
-/** About what a step costs in its encoding beside its literal. */
-const stepBytes = 8;
+const maxChunkBytes = 1024;
+/** Approximate size of an encoded step without its literal. */
+const stepOverheadBytes = 8;
 const digestLength = 16;
 
 interface Chunk {
@@ -19,17 +19,17 @@
   readonly text: string;
 }
 
-/** A digest that tells a wrongly rebuilt version from the right one. */
+/** The digest by which a patched version is verified. */
 export function digestOf(value: Uint8Array): string {
   return digest(value).slice(0, digestLength);
 }
 
-function chunksOf(value: Buffer): Chunk[] {
+function splitChunks(value: Buffer): Chunk[] {
   const chunks: Chunk[] = [];
   let offset = 0;
   for (let i = 0; i < value.length; i += 1) {
-    const ends = value[i] === closingBrace || i - offset + 1 >= longestChunk || i === value.length - 1;
-    if (!ends) continue;
+    const isChunkEnd = value[i] === closingBrace || i - offset + 1 >= maxChunkBytes || i === value.length - 1;
+    if (!isChunkEnd) continue;
     chunks.push({ offset, text: value.toString('latin1', offset, i + 1) });
     offset = i + 1;
   }
@@ -39,48 +39,48 @@
 function offsetsByText(chunks: readonly Chunk[]): Map<string, number[]> {
   const offsets = new Map<string, number[]>();
   for (const { offset, text } of chunks) {
-    const known = offsets.get(text);
-    if (known === undefined) offsets.set(text, [offset]);
-    else known.push(offset);
+    const earlier = offsets.get(text);
+    if (earlier === undefined) offsets.set(text, [offset]);
+    else earlier.push(offset);
   }
   return offsets;
 }
 
-/** The steps that make `next` out of `base`. */
+/** Computes the steps that turn `base` into `next`. */
 export function createPatch(base: Buffer, next: Buffer): PatchStep[] {
-  const known = offsetsByText(chunksOf(base));
+  const baseOffsets = offsetsByText(splitChunks(base));
   const steps: PatchStep[] = [];
-  let literalFrom = 0;
-  let copyFrom = 0;
-  let copied = 0;
+  let literalStart = 0;
+  let copyStart = 0;
+  let copyLength = 0;
 
   function endCopy(at: number): void {
-    if (copied === 0) return;
-    const literal = next.subarray(literalFrom, at - copied);
-    steps.push({ literal, offset: copyFrom, length: copied });
-    literalFrom = at;
-    copied = 0;
+    if (copyLength === 0) return;
+    const literal = next.subarray(literalStart, at - copyLength);
+    steps.push({ literal, offset: copyStart, length: copyLength });
+    literalStart = at;
+    copyLength = 0;
   }
 
-  for (const { offset, text } of chunksOf(next)) {
-    const offsets = known.get(text);
-    const follows = copied > 0 && offsets?.includes(copyFrom + copied) === true;
-    if (!follows) endCopy(offset);
+  for (const { offset, text } of splitChunks(next)) {
+    const offsets = baseOffsets.get(text);
+    const continuesCopy = copyLength > 0 && offsets?.includes(copyStart + copyLength) === true;
+    if (!continuesCopy) endCopy(offset);
     if (offsets === undefined) continue;
-    if (!follows) copyFrom = offsets[0]!;
-    copied += text.length;
+    if (!continuesCopy) copyStart = offsets[0]!;
+    copyLength += text.length;
   }
   endCopy(next.length);
-  if (literalFrom < next.length) steps.push({ literal: next.subarray(literalFrom), offset: 0, length: 0 });
+  if (literalStart < next.length) steps.push({ literal: next.subarray(literalStart), offset: 0, length: 0 });
   return steps;
 }
 
-/** How many bytes the steps take to send, roughly. */
+/** Approximate size of the encoded steps. */
 export function patchBytes(steps: readonly PatchStep[]): number {
-  return steps.reduce((sum, step) => sum + step.literal.length + stepBytes, 0);
+  return steps.reduce((sum, step) => sum + step.literal.length + stepOverheadBytes, 0);
 }
 
-/** What the steps make out of `base`, or undefined if that is not what the digest stands for. */
+/** Applies the steps to `base`; undefined if they don't fit it or the result doesn't have the digest. */
 export function applyPatch(base: Buffer, steps: readonly PatchStep[], expectedDigest: string): Buffer | undefined {
   const parts: Buffer[] = [];
   for (const step of steps) {
--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -1,63 +1,70 @@
 /**
- * The control node's side of the configuration. The node is a follower of its own replica: it is told what is on a
- * majority, and nothing else, and tells it on. Followers that have this node as their source are sent each new version
- * itself; the others are sent a beat with the version, so that one whose source is behind can fetch it here. What goes
- * to one follower is paced, and the last thing sent is always the newest.
+ * The control node's side of the configuration. The node follows its own replica, from which it receives committed
+ * versions only, and sends them on to its followers. Followers that have this node as their source are sent each new
+ * version itself; the others are sent a heartbeat with its number, so that one whose source is behind can fetch it
+ * here. Sending to each follower is rate limited, and the last version sent is always the newest.
  */
 import { every, micros, type Address, type MessageOf, type KeyUpdate, type World } from '@tansypost/inner-protocol';
 import type { ControlNode, Following } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationHistory } from './configuration-history.js';
 
+/** Options of the publisher. */
 export interface ConfigurationPublisherOptions {
   readonly self: Address;
   readonly controlNode: () => ControlNode | undefined;
-  /** The followers that have asked lately. */
+  /** The current followers. */
   readonly followers: () => readonly Address[];
-  /** Sends a follower an unasked beat. */
-  readonly sendBeat: (to: Address, version: number) => void;
+  /** Sends a follower an unsolicited heartbeat. */
+  readonly sendHeartbeat: (to: Address, version: number) => void;
 }
 
+/** Sends the configuration to the followers of one control node. */
 export interface ConfigurationPublisher {
-  /** Sends a follower that asks what it lacks, and gives what is to be said in the beat. */
-  readonly handleFollow: (question: MessageOf<'Follow'>, from: Address) => Following | undefined;
-  /** What this node's own replica tells it as a follower. */
-  readonly handleNews: (told: MessageOf<'News'>) => void;
-  /** Another control node has told that a version is on a majority. */
+  /** Sends a follower what it lacks, and returns what the heartbeat in reply is to contain. */
+  readonly handleFollow: (request: MessageOf<'Follow'>, from: Address) => Following | undefined;
+  /** Handles committed values from this node's own replica. */
+  readonly handleNews: (message: MessageOf<'News'>) => void;
+  /** Another control node has sent that a version is committed. */
   readonly handleCommitted: (version: number) => void;
   readonly stop: () => void;
 }
 
-interface Pace {
-  wanted: boolean;
-  takesPatches: boolean;
+/** The state of sending to one follower. */
+interface FollowerState {
+  wantsConfiguration: boolean;
+  acceptsPatches: boolean;
   /** The version that the follower has or is being sent. */
   version: number;
-  sentAt: number;
-  pending: boolean;
+  lastSentAt: number;
+  /** Whether a timer is set to send. */
+  scheduled: boolean;
 }
 
-/** Two versions go to one follower at least so far apart. */
-const pushApart = 50_000;
-/** Two unasked beats go to one follower at least so far apart. */
-const beatsApart = 200_000;
-/** What was sent so lately is not sent again to a follower that asks, as the two may have crossed. */
-const crossing = 200_000;
-const refreshEvery = micros(250_000);
-/** A row told to be on a majority may still be on its way to this node's own disk. */
-const catchUpEvery = micros(10_000);
-const catchUpTries = 50;
-const anyMembership = Number.MAX_SAFE_INTEGER;
-
+/** Minimum time between two versions sent to one follower. */
+const minPushIntervalUs = 50_000;
+/** Minimum time between two unsolicited heartbeats sent to one follower. */
+const minHeartbeatIntervalUs = 200_000;
+/** A version sent within this time isn't sent again in reply to a `Follow`, as the two may have crossed on the way. */
+const crossingTimeUs = 200_000;
+const refreshInterval = micros(250_000);
+/** A committed row may not have reached this node's own disk yet. */
+const catchUpInterval = micros(10_000);
+const maxCatchUpAttempts = 50;
+/** As the known epoch of the membership, so that the replica sends no membership. */
+const newestMembershipEpoch = Number.MAX_SAFE_INTEGER;
+
+/** Starts to publish. */
 export function createConfigurationPublisher(
   world: World,
   options: ConfigurationPublisherOptions,
 ): ConfigurationPublisher {
   const history = createConfigurationHistory();
-  const others = new Map<string, KeyUpdate>();
-  /** Followers that wait for this node's replica to tell a key. */
-  const askers = new Map<string, Set<Address>>();
-  const paces = new Map<Address, Pace>();
+  /** The newest values of keys other than the configuration. */
+  const otherKeys = new Map<string, KeyUpdate>();
+  /** Followers that wait for a value from this node's replica, by key. */
+  const waitingFollowers = new Map<string, Set<Address>>();
+  const followerStates = new Map<Address, FollowerState>();
   let committedVersion = 0;
   let catchingUp = false;
 
@@ -65,132 +72,142 @@
     return history.newest()?.version ?? 0;
   }
 
-  /** Renews what this node follows at its own replica; what is newer comes back as news to this address. */
+  /** Follows this node's own replica again; a newer value arrives as a `News` message to this address. */
   function refresh(key = configurationKey): Following | undefined {
-    const version = key === configurationKey ? newestVersion() : (others.get(key)?.version ?? 0);
-    return options.controlNode()?.follow(key, version, anyMembership, options.self);
-  }
-
-  function paceOf(address: Address): Pace {
-    let pace = paces.get(address);
-    if (pace === undefined) {
-      pace = { wanted: false, takesPatches: false, version: 0, sentAt: -Infinity, pending: false };
-      paces.set(address, pace);
+    const version = key === configurationKey ? newestVersion() : (otherKeys.get(key)?.version ?? 0);
+    return options.controlNode()?.follow(key, version, newestMembershipEpoch, options.self);
+  }
+
+  function stateOf(address: Address): FollowerState {
+    let state = followerStates.get(address);
+    if (state === undefined) {
+      state = {
+        wantsConfiguration: false,
+        acceptsPatches: false,
+        version: 0,
+        lastSentAt: -Infinity,
+        scheduled: false,
+      };
+      followerStates.set(address, state);
     }
-    return pace;
+    return state;
   }
 
-  function handleFollow(question: MessageOf<'Follow'>, from: Address): Following | undefined {
-    if (question.key !== configurationKey) return void askedForOther(question, from);
+  function handleFollow(request: MessageOf<'Follow'>, from: Address): Following | undefined {
+    if (request.key !== configurationKey) return void followOtherKey(request, from);
     const following = refresh();
-    const pace = paceOf(from);
-    pace.wanted = !question.confirmOnly;
-    pace.takesPatches = question.takesPatches;
-    const mayCross = pace.version > question.version && world.now() - pace.sentAt < crossing && question.takesPatches;
-    if (!mayCross) pace.version = question.version;
-    if (pace.wanted && pace.version < newestVersion()) push(from);
-    else tellMembership(question, from);
+    const state = stateOf(from);
+    state.wantsConfiguration = !request.confirmOnly;
+    state.acceptsPatches = request.takesPatches;
+    const mayHaveCrossed =
+      state.version > request.version && world.now() - state.lastSentAt < crossingTimeUs && request.takesPatches;
+    if (!mayHaveCrossed) state.version = request.version;
+    if (state.wantsConfiguration && state.version < newestVersion()) push(from);
+    else sendNewerMembership(request, from);
     return following;
   }
 
-  /** Of any other key only what is newer is told, without a beat. */
-  function askedForOther(question: MessageOf<'Follow'>, from: Address): void {
-    const { key, version } = question;
+  /** For any other key only a newer value is sent, without a heartbeat. */
+  function followOtherKey(request: MessageOf<'Follow'>, from: Address): void {
+    const { key, version } = request;
     const node = options.controlNode();
     if (node === undefined || node.replica.row(key).version === 0) return;
-    const known = others.get(key);
+    const known = otherKeys.get(key);
     const newest = refresh(key)?.version ?? 0;
-    if (newest > (known?.version ?? 0)) waitFor(key, from);
-    else if (known !== undefined && known.version > version) sendNews(from, [known]);
+    if (newest > (known?.version ?? 0)) addWaitingFollower(key, from);
+    else if (known !== undefined && known.version > version) sendUpdates(from, [known]);
   }
 
-  function waitFor(key: string, follower: Address): void {
-    const waiting = askers.get(key) ?? new Set();
-    askers.set(key, waiting.add(follower));
+  function addWaitingFollower(key: string, follower: Address): void {
+    const waiting = waitingFollowers.get(key) ?? new Set();
+    waitingFollowers.set(key, waiting.add(follower));
   }
 
-  function tellMembership(question: MessageOf<'Follow'>, from: Address): void {
+  function sendNewerMembership(request: MessageOf<'Follow'>, from: Address): void {
     const membership = options.controlNode()?.replica.membership();
-    if (membership !== undefined && membership.membershipEpoch > question.membershipEpoch) sendNews(from, []);
+    if (membership !== undefined && membership.membershipEpoch > request.membershipEpoch) sendUpdates(from, []);
   }
 
-  function sendNews(to: Address, news: KeyUpdate[]): void {
+  /** Sends values of keys, with the membership of the control cluster. */
+  function sendUpdates(to: Address, updates: KeyUpdate[]): void {
     const membership = options.controlNode()?.replica.membership();
     const { membershipEpoch, replicas } = membership ?? { membershipEpoch: 0, replicas: [] };
-    world.send(to, { kind: 'News', news, membershipEpoch, replicas: [...replicas] });
+    world.send(to, { kind: 'News', news: updates, membershipEpoch, replicas: [...replicas] });
   }
 
-  function send(to: Address, pace: Pace): void {
+  function sendConfiguration(to: Address, state: FollowerState): void {
     const newest = history.newest();
     if (newest === undefined) return;
-    const patch = pace.takesPatches ? history.patchFrom(pace.version) : undefined;
+    const patch = state.acceptsPatches ? history.patchFrom(state.version) : undefined;
     if (patch !== undefined) world.send(to, patch);
-    else sendNews(to, [{ key: configurationKey, epoch: 0, ...newest }]);
-    pace.version = newest.version;
-    pace.sentAt = world.now();
+    else sendUpdates(to, [{ key: configurationKey, epoch: 0, ...newest }]);
+    state.version = newest.version;
+    state.lastSentAt = world.now();
   }
 
-  /** Sends the newest version, or a beat with it, now or as soon as the pace allows. */
+  /** Sends the newest version, or a heartbeat with its number, as soon as the rate limit allows. */
   function push(to: Address): void {
-    const pace = paceOf(to);
-    if (pace.pending) return;
-    const due = pace.sentAt + (pace.wanted ? pushApart : beatsApart);
-    if (due <= world.now()) return pushNow(to, pace);
-    pace.pending = true;
-    world.after(micros(due - world.now()), () => {
-      pace.pending = false;
-      pushNow(to, pace);
+    const state = stateOf(to);
+    if (state.scheduled) return;
+    const dueAt = state.lastSentAt + (state.wantsConfiguration ? minPushIntervalUs : minHeartbeatIntervalUs);
+    if (dueAt <= world.now()) return pushNow(to, state);
+    state.scheduled = true;
+    world.after(micros(dueAt - world.now()), () => {
+      state.scheduled = false;
+      pushNow(to, state);
     });
   }
 
-  function pushNow(to: Address, pace: Pace): void {
-    if (pace.version >= newestVersion()) return;
-    if (pace.wanted) return send(to, pace);
-    options.sendBeat(to, newestVersion());
-    pace.sentAt = world.now();
+  function pushNow(to: Address, state: FollowerState): void {
+    if (state.version >= newestVersion()) return;
+    if (state.wantsConfiguration) return sendConfiguration(to, state);
+    options.sendHeartbeat(to, newestVersion());
+    state.lastSentAt = world.now();
   }
 
-  function handleNews(told: MessageOf<'News'>): void {
-    for (const item of told.news) {
-      if (item.key !== configurationKey) takeOther(item);
-      else if (history.add({ version: item.version, value: item.value })) pushToAll();
+  function handleNews(message: MessageOf<'News'>): void {
+    for (const update of message.news) {
+      if (update.key !== configurationKey) handleOtherKey(update);
+      else if (history.add({ version: update.version, value: update.value })) pushToAll();
     }
   }
 
   function pushToAll(): void {
     const followers = new Set(options.followers());
-    for (const address of paces.keys()) if (!followers.has(address)) paces.delete(address);
+    for (const address of followerStates.keys()) if (!followers.has(address)) followerStates.delete(address);
     for (const address of followers) push(address);
   }
 
-  /** What this node's leader has just written goes to all; what it was asked for goes to those who asked. */
-  function takeOther(item: KeyUpdate): void {
-    const isNewer = item.version > (others.get(item.key)?.version ?? 0);
-    const receivers = askers.get(item.key) ?? options.followers();
-    askers.delete(item.key);
+  /**
+   * A value requested from the replica goes to the followers that wait for it, one just written by this node to all.
+   */
+  function handleOtherKey(update: KeyUpdate): void {
+    const isNewer = update.version > (otherKeys.get(update.key)?.version ?? 0);
+    const receivers = waitingFollowers.get(update.key) ?? options.followers();
+    waitingFollowers.delete(update.key);
     if (!isNewer) return;
-    others.set(item.key, item);
-    for (const address of receivers) sendNews(address, [item]);
+    otherKeys.set(update.key, update);
+    for (const address of receivers) sendUpdates(address, [update]);
   }
 
   function handleCommitted(version: number): void {
     committedVersion = Math.max(committedVersion, version);
-    world.after(micros(0), () => catchUp(catchUpTries));
+    world.after(micros(0), () => catchUp(maxCatchUpAttempts));
   }
 
-  function catchUp(tries: number): void {
-    if (catchingUp || tries === 0 || newestVersion() >= committedVersion) return;
+  function catchUp(attemptsLeft: number): void {
+    if (catchingUp || attemptsLeft === 0 || newestVersion() >= committedVersion) return;
     refresh();
     catchingUp = true;
-    world.after(catchUpEvery, () => {
+    world.after(catchUpInterval, () => {
       catchingUp = false;
-      catchUp(tries - 1);
+      catchUp(attemptsLeft - 1);
     });
   }
 
   const stop = every(
     world,
-    () => refreshEvery,
+    () => refreshInterval,
     () => void refresh(),
   );
   return { handleFollow, handleNews, handleCommitted, stop };
--- a/packages/control-feed/src/control-client.ts
+++ b/packages/control-feed/src/control-client.ts
@@ -81,7 +81,10 @@
       send(address, id);
     }
 
-    /** This machine's own replica is tried twice: first so that it forwards the request, then so that it answers itself. */
+    /**
+     * This machine's own replica is tried twice: first so that it forwards the request, then so that it answers
+     * itself.
+     */
     function addressFor(addresses: readonly Address[]): Address {
       const index = addresses[0] === self ? Math.max(0, attempts - 1) : attempts;
       return addresses[index % addresses.length]!;
@@ -127,8 +130,8 @@
 }
 
 /**
- * Creates the list of control nodes to try on a machine that may hold a replica: its own replica first if it votes, then
- * the live replicas; if no other is live, the replicas last known, and without any the seeds.
+ * Creates the list of control nodes to try on a machine that may hold a replica: its own replica first if it votes,
+ * then the live replicas; if no other is live, the replicas last known, and without any the seeds.
  */
 export function createReplicaAddressList(
   controlNode: () => ControlNode | undefined,
--- a/packages/control-feed/src/control-contact-monitors.ts
+++ b/packages/control-feed/src/control-contact-monitors.ts
@@ -5,7 +5,7 @@
 
 /** Options of a follower's monitor. */
 export interface ControlContactMonitorOptions {
-  /** Whether a beat of a control node has been received lately. */
+  /** Whether a heartbeat of a control node has been received lately. */
   readonly isInContact: () => boolean;
   /** The seeds that were contacted, for the log. */
   readonly seeds: () => readonly string[];
--- a/packages/control-feed/src/control-gateway.ts
+++ b/packages/control-feed/src/control-gateway.ts
@@ -1,39 +1,44 @@
 /**
- * What a machine says that serves control and holds none of its state. A router or a replica that knows it from its
- * seeds is shown to the replicas that this machine follows; a replica that would found a cluster with it is told not to
- * wait for it; machines with disks that ask to join while no replica is known are told of each other. It confirms nothing
- * and refuses nothing by itself.
+ * The answers of a control gateway: a machine that serves control but has no replica. Processes contact it because they
+ * have it among their seeds. A follower is sent the replicas that the gateway knows, and a request to join is forwarded
+ * to them. A replica that is bootstrapping a cluster is told not to wait for the gateway. While the gateway knows no
+ * replica, the machines with disks that ask to join are sent the list of all of them. It neither grants nor refuses
+ * anything itself.
  */
 import type { Address, BootstrapCandidate, Message, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
 
+/** Options of a control gateway. */
 export interface ControlGatewayOptions {
   readonly self: Address;
-  /** The replicas of the control cluster as this machine last heard of them. */
+  /** The replicas of the control cluster as last received by this machine. */
   readonly membership: () => { readonly membershipEpoch: number; readonly replicas: readonly ReplicaEntry[] };
-  /** Whether this process was started by the first start of the whole system, so that it has forgotten nobody. */
+  /**
+   * Whether this process has run since the first start of the whole system, so that its list of candidates is
+   * complete.
+   */
   readonly firstStart: boolean;
 }
 
-/** A machine that is not listed cannot found a cluster, so a full list is safe. */
-const mostCandidates = 256;
+/** A machine that isn't on the list can't bootstrap a cluster, so it is safe to list no more than this. */
+const maxCandidates = 256;
 
-/** Takes in a message and says whether it was meant for a control node. */
+/** Handles a message; returns whether it was for a control node. */
 export type ControlGateway = (message: Message, from: Address) => boolean;
 
-/** A guide that answers with what `membership` gives at that moment. */
+/** Creates a gateway that answers with the current result of `membership`. */
 export function createControlGateway(world: Pick<World, 'send'>, options: ControlGatewayOptions): ControlGateway {
   const candidates = new Map<string, BootstrapCandidate>();
 
-  function showMembers(question: MessageOf<'Follow'>, from: Address): void {
+  function sendMembership(request: MessageOf<'Follow'>, from: Address): void {
     const { membershipEpoch, replicas } = options.membership();
-    if (membershipEpoch <= question.membershipEpoch) return;
+    if (membershipEpoch <= request.membershipEpoch) return;
     world.send(from, { kind: 'News', news: [], membershipEpoch, replicas: [...replicas] });
   }
 
-  /** A machine of the first start is listed for as long as this process runs, whatever becomes of it. */
-  function tellOfCandidates(request: MessageOf<'Join'>): void {
+  /** A machine of the first start stays on the list for as long as this process runs, even if the machine fails. */
+  function sendCandidates(request: MessageOf<'Join'>): void {
     const { from: address, disk } = request;
-    if (request.first && candidates.size < mostCandidates) candidates.set(`${address} ${disk}`, { address, disk });
+    if (request.first && candidates.size < maxCandidates) candidates.set(`${address} ${disk}`, { address, disk });
     world.send(address as Address, {
       kind: 'FoundingRoster',
       from: options.self,
@@ -42,9 +47,9 @@
     });
   }
 
-  /** The replicas answer the machine that asks to join, as it would have asked them. */
-  function passOnJoin(request: MessageOf<'Join'>): void {
-    if (options.membership().membershipEpoch === 0) return tellOfCandidates(request);
+  /** Forwards the request; the replicas answer the machine that asks to join directly. */
+  function forwardJoin(request: MessageOf<'Join'>): void {
+    if (options.membership().membershipEpoch === 0) return sendCandidates(request);
     for (const { address } of options.membership().replicas)
       if (address !== request.from) world.send(address as Address, request);
   }
@@ -52,10 +57,10 @@
   return function receive(message, from) {
     switch (message.kind) {
       case 'Follow':
-        showMembers(message, from);
+        sendMembership(message, from);
         return true;
       case 'Join':
-        passOnJoin(message);
+        forwardJoin(message);
         return true;
       case 'ReplicaHello':
         world.send(message.from as Address, { kind: 'HoldsNoState', from: options.self });
--- a/packages/control-feed/src/control-node-table.test.ts
+++ b/packages/control-feed/src/control-node-table.test.ts
@@ -19,7 +19,7 @@
   function beat(from: Address, fields: Partial<MessageOf<'Beat'>> = {}, fresh = true): void {
     const usual = { version: 1, membershipEpoch: 1, list: 0, age: 0, followers: 1, asked: 1, wall: 0 };
     const zone = from === near ? 'home' : 'abroad';
-    nodes.recordBeat({ kind: 'Beat', ...usual, voting: true, leased: true, zone, ...fields }, from, fresh);
+    nodes.recordHeartbeat({ kind: 'Beat', ...usual, voting: true, leased: true, zone, ...fields }, from, fresh);
   }
   function source(): Address | undefined {
     nodes.chooseSource();
--- a/packages/control-feed/src/control-node-table.ts
+++ b/packages/control-feed/src/control-node-table.ts
@@ -1,60 +1,70 @@
 /**
- * The control nodes that a router follows, what their last beats said, and which of them is its source: the one that
- * sends the configuration itself, while the others only confirm versions. The source is a node that votes and answers;
- * one with a serving lease before one without, one that has not been late before one that has, one of the router's
- * own zone before one of its region before others. It is kept as long as no other is better in these terms.
+ * The control nodes that a router follows, the state from their last heartbeats, and the router's source: the node
+ * that sends the configuration itself, while the others only confirm versions. The source is a node that votes and
+ * responds. A node with a serving lease is preferred to one without, then one that hasn't been late to one that has,
+ * then one in the router's zone to one in its region to others. The source is kept as long as no other node is better
+ * by these criteria.
  */
 import { hash32, type Address, type MessageOf, type World } from '@tansypost/inner-protocol';
 
-/** What a router knows of one control node. */
+/** What a router knows about one control node. */
 export interface ControlNodeState {
   readonly address: Address;
-  lastBeatAt: number;
+  lastHeartbeatAt: number;
   voting: boolean;
-  /** Until when its last fresh beat with a serving lease counts. */
+  /** Until when the lease in its last fresh heartbeat counts. */
   leasedUntil: number;
-  /** Until when it is passed over, as it was behind the others. */
+  /** Until when other nodes are preferred as the source, since this one was behind them. */
   lateUntil: number;
   zone: string;
   version: number;
   followerCount: number;
-  /** The digest of the worker list as this node last told it. */
+  /** The digest of the worker list last received from this node. */
   list: number;
 }
 
+/** Options of the table. */
 export interface ControlNodeTableOptions {
   readonly self: Address;
   readonly zone: string;
-  /** The region of a zone; without it each zone is a region of its own. */
+  /** The region of a zone; without this function each zone is its own region. */
   readonly regionOf?: (zone: string) => string;
-  /** How long a source may be silent, in microseconds. */
+  /** How long after its last heartbeat a node can be the source, in microseconds. */
   readonly sourceTimeout: number;
 }
 
+/** The control nodes of one router. */
 export interface ControlNodeTable {
   readonly state: (address: Address) => ControlNodeState;
-  /** Takes in a beat. `fresh` says that it answers a question asked a short time ago. */
-  readonly recordBeat: (beat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
-  /** Drops all but these. */
+  /** Records a heartbeat. `fresh` means that it answers a `Follow` that was sent a short time ago. */
+  readonly recordHeartbeat: (heartbeat: MessageOf<'Beat'>, from: Address, fresh: boolean) => void;
+  /** Removes all nodes but these. */
   readonly retainOnly: (addresses: ReadonlySet<Address>) => void;
+  /** Whether any voting node has sent a heartbeat lately. */
   readonly isInContact: () => boolean;
-  /** The voting nodes heard lately, in an order that is the same for all routers. */
+  /** The voting nodes with a recent heartbeat, in an order that is the same for all routers. */
   readonly voting: () => Address[];
+  /** Number of routers as counted by control nodes. */
   readonly followerCount: () => number;
   readonly source: () => Address | undefined;
-  /** Chooses the source anew and says whether it is another one than before. */
+  /** Chooses the source anew; returns whether it changed. */
   readonly chooseSource: () => boolean;
-  /** The source was behind another node for too long. */
+  /** Records that the source was behind another node for too long. */
   readonly markSourceLate: () => void;
-  /** Whether some node with a serving lease has been heard lately. */
+  /** Whether any node holds a serving lease according to its last fresh heartbeat. */
   readonly anyLeased: () => boolean;
 }
 
-const silence = 2_000_000;
-const followersCountFor = 3_000_000;
-const leasedFor = 1_500_000;
-const lateFor = 5_000_000;
+/** How long after its last heartbeat a node counts as voting. */
+const contactTimeoutUs = 2_000_000;
+/** How long a node's count of followers is used. */
+const followerCountValidityUs = 3_000_000;
+/** How long a lease counts after the heartbeat. */
+const leaseValidityUs = 1_500_000;
+/** How long other nodes are preferred to a late source. */
+const latePenaltyUs = 5_000_000;
 
+/** Creates an empty table. */
 export function createControlNodeTable(world: Pick<World, 'now'>, options: ControlNodeTableOptions): ControlNodeTable {
   const nodes = new Map<Address, ControlNodeState>();
   let source: Address | undefined;
@@ -64,7 +74,7 @@
     if (known === undefined) {
       known = {
         address,
-        lastBeatAt: -Infinity,
+        lastHeartbeatAt: -Infinity,
         voting: false,
         leasedUntil: -Infinity,
         lateUntil: -Infinity,
@@ -78,15 +88,15 @@
     return known;
   }
 
-  function recordBeat(beat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
+  function recordHeartbeat(heartbeat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
     const node = state(from);
     const now = world.now();
-    node.lastBeatAt = now;
-    node.voting = beat.voting;
-    node.zone = beat.zone;
-    node.version = beat.version;
-    node.followerCount = beat.followers;
-    if (fresh) node.leasedUntil = beat.leased ? now + leasedFor : -Infinity;
+    node.lastHeartbeatAt = now;
+    node.voting = heartbeat.voting;
+    node.zone = heartbeat.zone;
+    node.version = heartbeat.version;
+    node.followerCount = heartbeat.followers;
+    if (fresh) node.leasedUntil = heartbeat.leased ? now + leaseValidityUs : -Infinity;
   }
 
   function retainOnly(addresses: ReadonlySet<Address>): void {
@@ -96,7 +106,7 @@
   function voting(): Address[] {
     const now = world.now();
     return [...nodes.values()]
-      .filter((node) => node.voting && now - node.lastBeatAt < silence)
+      .filter((node) => node.voting && now - node.lastHeartbeatAt < contactTimeoutUs)
       .map((node) => node.address)
       .sort();
   }
@@ -104,35 +114,35 @@
   function followerCount(): number {
     const now = world.now();
     const counts = [...nodes.values()]
-      .filter((n) => now - n.lastBeatAt < followersCountFor)
-      .map((n) => n.followerCount);
+      .filter((node) => now - node.lastHeartbeatAt < followerCountValidityUs)
+      .map((node) => node.followerCount);
     return Math.max(0, ...counts);
   }
 
-  /** Higher is better; undefined where the node cannot be the source. */
-  function grade(node: ControlNodeState): number | undefined {
+  /** Higher is better; undefined if the node can't be the source. */
+  function score(node: ControlNodeState): number | undefined {
     const now = world.now();
-    if (!node.voting || now - node.lastBeatAt > options.sourceTimeout) return undefined;
+    if (!node.voting || now - node.lastHeartbeatAt > options.sourceTimeout) return undefined;
     const leased = node.leasedUntil > now ? 8 : 0;
-    const punctual = node.lateUntil <= now ? 4 : 0;
-    return leased + punctual + nearness(node);
+    const onTime = node.lateUntil <= now ? 4 : 0;
+    return leased + onTime + proximity(node);
   }
 
-  function nearness(node: ControlNodeState): number {
+  function proximity(node: ControlNodeState): number {
     if (node.zone === options.zone) return 2;
     const region = options.regionOf?.(options.zone);
     return region !== undefined && node.zone !== '' && options.regionOf?.(node.zone) === region ? 1 : 0;
   }
 
-  /** Spreads routers evenly over nodes of the same grade. */
+  /** Distributes routers evenly over nodes with the same score. */
   function weight(node: ControlNodeState): number {
     return hash32(`${options.self}\u0000${node.address}`);
   }
 
   function isBetter(node: ControlNodeState, other: ControlNodeState | undefined): boolean {
-    const [mine, theirs] = [grade(node), other === undefined ? undefined : grade(other)];
-    if (mine === undefined || theirs === undefined) return mine !== undefined;
-    if (mine !== theirs) return mine > theirs;
+    const [nodeScore, otherScore] = [score(node), other === undefined ? undefined : score(other)];
+    if (nodeScore === undefined || otherScore === undefined) return nodeScore !== undefined;
+    if (nodeScore !== otherScore) return nodeScore > otherScore;
     if (other!.address === source) return false;
     return node.address === source || weight(node) > weight(other!);
   }
@@ -146,12 +156,12 @@
   }
 
   function markSourceLate(): void {
-    if (source !== undefined) state(source).lateUntil = world.now() + lateFor;
+    if (source !== undefined) state(source).lateUntil = world.now() + latePenaltyUs;
   }
 
   return {
     state,
-    recordBeat,
+    recordHeartbeat,
     retainOnly,
     isInContact: () => voting().length > 0,
     voting,
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -1,6 +1,6 @@
 /**
- * The control node's side of the feed. It answers whoever follows it with a beat, and tells followers of the
- * configuration, the replicas, the workers and their loads.
+ * The control node's side of the feed. It answers each follower with a heartbeat, and sends followers the
+ * configuration, the membership of the control cluster, the worker list and the loads of workers.
  */
 import { micros, type Address, type Message, type MessageOf, type World } from '@tansypost/inner-protocol';
 import type { ControlNode, Following } from '@tansypost/control-state';
@@ -13,48 +13,53 @@
 import { startWorkerLoadPoller, type ReportedLoad } from './worker-load-poller.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
+/** Options of a feed server; intervals are in microseconds. */
 export interface FeedServerOptions {
   readonly self: Address;
-  /** The zone of this machine; routers of the same zone prefer it. */
+  /** The zone of this machine; routers in the same zone prefer it as their source. */
   readonly zone?: string;
   readonly controlNode: () => ControlNode | undefined;
-  /** Where routers that know nobody begin; these are told of the replicas without asking. */
+  /** The addresses that a starting router contacts first; they are sent the replicas unsolicited. */
   readonly seeds?: () => readonly Address[];
   readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
-  /** Asks one worker for its load; without it, or with a period of 0, no worker is asked. */
+  /** Fetches the load of one worker; without it, or with an interval of 0, no loads are polled. */
   readonly fetchWorkerLoad?: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
   readonly loadPollInterval?: number;
-  /** Control nodes tell each other the loads too, so that each knows those of all workers. */
+  /** Whether control nodes also send the loads to each other, so that each has those of all workers. */
   readonly sharesLoadsBetweenNodes?: boolean;
   readonly listPollInterval?: number;
+  /** Interval of all control nodes but the first. */
   readonly standbyListPollInterval?: number;
-  /** This machine's time of day in milliseconds since 1970, told in each beat; without it none is told. */
+  /** This machine's time of day in milliseconds since 1970, sent in each heartbeat; without it none is sent. */
   readonly wallClock?: () => number;
 }
 
+/** The feed of one control node. */
 export interface FeedServer {
-  /** Takes in a message and says whether it was meant for the feed alone. */
+  /** Handles a message; returns whether it was for the feed only. */
   readonly receive: (message: Message, from: Address) => boolean;
   readonly followerCount: () => number;
-  /** The routers that have asked lately, and whoever else follows this node. */
+  /** The routers and other processes that currently follow this node. */
   readonly followerAddresses: () => readonly Address[];
   readonly workers: () => readonly ListedWorker[];
-  /** How old the list of workers is, in microseconds. */
+  /** Age of the worker list, in microseconds. */
   readonly workerListAge: () => number;
-  /** The loads known here; of all workers only where control nodes share them. */
+  /** The known loads; those of all workers only if control nodes share them. */
   readonly loads: () => ReadonlyMap<string, WorkerLoad>;
   readonly stop: () => void;
 }
 
-/** What a control node says of itself before it has a replica. */
+/** The state that a control node reports before it has a replica. */
 const noReplica: Following = { version: 0, membershipEpoch: 0, voting: false, leased: false };
 function noSeeds(): readonly Address[] {
   return [];
 }
 
-const relayWithin = micros(40_000);
+/** Prefill announcements that arrive within this time are relayed together. */
+const relayDelay = micros(40_000);
 const microsPerMillisecond = 1000;
 
+/** Starts the feed of a control node. */
 export function createFeedServer(world: World, options: FeedServerOptions): FeedServer {
   const followers = createFollowerRegistry(world);
   const workerList = createWorkerListPoller(world, {
@@ -66,13 +71,13 @@
     self: options.self,
     controlNode: options.controlNode,
     followers: followers.addresses,
-    sendBeat: (to, version) => sendUnaskedBeat(to, version),
+    sendHeartbeat: (to, version) => sendUnsolicitedHeartbeat(to, version),
   });
   const loads = createWorkerLoadTable(world);
-  let relayed: MessageOf<'Reading'>['reads'] = [];
-  let last: Following = noReplica;
+  let pendingPrefills: MessageOf<'Reading'>['reads'] = [];
+  let lastFollowing: Following = noReplica;
 
-  function sendBeat(to: Address, following: Following, asked: number): void {
+  function sendHeartbeat(to: Address, following: Following, asked: number): void {
     world.send(to, {
       kind: 'Beat',
       version: following.version,
@@ -88,33 +93,33 @@
     });
   }
 
-  /** It answers no question, so nobody counts it as leased. */
-  function sendUnaskedBeat(to: Address, version: number): void {
-    sendBeat(to, { ...last, version, leased: false }, 0);
+  /** A lease only counts in the reply to a `Follow`, so an unsolicited heartbeat never claims one. */
+  function sendUnsolicitedHeartbeat(to: Address, version: number): void {
+    sendHeartbeat(to, { ...lastFollowing, version, leased: false }, 0);
   }
 
-  function onFollow(question: MessageOf<'Follow'>, from: Address): void {
+  function onFollow(request: MessageOf<'Follow'>, from: Address): void {
     followers.recordFollow(from);
-    const following = configuration.handleFollow(question, from);
-    if (question.key !== configurationKey) return;
-    last = following ?? noReplica;
-    if (workerList.digest() !== 0 && question.list !== workerList.digest()) world.send(from, workerList.fullList());
-    const peers = question.peers >= 0 ? followers.stalePeersOf(from, question.peers) : undefined;
+    const following = configuration.handleFollow(request, from);
+    if (request.key !== configurationKey) return;
+    lastFollowing = following ?? noReplica;
+    if (workerList.digest() !== 0 && request.list !== workerList.digest()) world.send(from, workerList.fullList());
+    const peers = request.peers >= 0 ? followers.stalePeersOf(from, request.peers) : undefined;
     if (peers !== undefined) world.send(from, peers);
-    sendBeat(from, last, question.asked);
+    sendHeartbeat(from, lastFollowing, request.asked);
   }
 
-  /** What routers that are too many to tell each other say goes out to all of them together. */
-  function relay(told: MessageOf<'Reading'>): void {
-    const isFirst = relayed.length === 0;
-    relayed.push(...told.reads);
-    if (isFirst) world.after(relayWithin, flushRelayed);
+  /** Collects prefill announcements of routers that are too many to send to each other directly. */
+  function relayPrefills(message: MessageOf<'Reading'>): void {
+    const isFirst = pendingPrefills.length === 0;
+    pendingPrefills.push(...message.reads);
+    if (isFirst) world.after(relayDelay, flushPrefills);
   }
 
-  function flushRelayed(): void {
-    const told: MessageOf<'Reading'> = { kind: 'Reading', reads: relayed };
-    relayed = [];
-    for (const address of followers.addresses()) world.send(address, told);
+  function flushPrefills(): void {
+    const message: MessageOf<'Reading'> = { kind: 'Reading', reads: pendingPrefills };
+    pendingPrefills = [];
+    for (const address of followers.addresses()) world.send(address, message);
   }
 
   function receive(message: Message, from: Address): boolean {
@@ -123,17 +128,17 @@
         onFollow(message, from);
         return true;
       case 'Reading':
-        relay(message);
+        relayPrefills(message);
         return true;
       case 'WorkerLoads':
         loads.merge(message);
         return true;
       case 'News':
-        // Only this node's own replica is told to be on a majority here.
+        // Only this node's own replica is trusted to send committed values.
         if (from === options.self) configuration.handleNews(message);
         return from === options.self;
       case 'Committed':
-        // Also for the replica, which is to take it in first.
+        // The replica needs this message too, and has to handle it first.
         if (message.key === configurationKey) configuration.handleCommitted(message.version);
         return false;
       default:
@@ -141,12 +146,13 @@
     }
   }
 
+  /** This node's share in polling the loads of workers. */
   function shareOfWorkers(): { rank: number; nodes: number } | undefined {
     const node = options.controlNode();
     return node === undefined ? undefined : { rank: node.rank(), nodes: node.liveReplicas().length };
   }
 
-  function toldOfLoads(): readonly Address[] {
+  function loadReceivers(): readonly Address[] {
     if (options.sharesLoadsBetweenNodes !== true) return followers.addresses();
     const nodes = options.controlNode()?.liveReplicas() ?? [];
     return [...new Set([...followers.addresses(), ...nodes, options.self])];
@@ -166,7 +172,7 @@
         pollInterval: loadEvery,
         workers: workerList.workers,
         share: shareOfWorkers,
-        followers: toldOfLoads,
+        followers: loadReceivers,
       }),
     );
   return {
--- a/packages/control-feed/src/listed-worker.ts
+++ b/packages/control-feed/src/listed-worker.ts
@@ -1,6 +1,6 @@
 /**
- * A worker in the platform's worker list, and the digest by which two copies of the list are compared. The digest leaves
- * out how long a worker still takes to warm up, as that differs at every poll.
+ * A worker in the platform's worker list, and the digest by which two copies of the list are compared. The digest
+ * leaves out how long a worker still takes to warm up, as that differs at every poll.
  */
 import { hash32, type WorkerListEntry } from '@tansypost/inner-protocol';
 
--- a/packages/control-feed/src/membership-announcer.ts
+++ b/packages/control-feed/src/membership-announcer.ts
@@ -1,23 +1,24 @@
 /**
- * How those who have lost their memory hear of the control nodes: a control node has the other replicas on its disk and
- * the seeds in its settings, so it tells the seeds, and followers that have gone silent, where the replicas are. A seed
- * that is told shows the replicas to whoever begins there. Who follows this node, or is a replica, is not told.
+ * Announces the replicas of the control cluster to processes that may have restarted without their state. A control
+ * node has the replicas on its disk and the seeds in its settings, so it sends the replicas to the seeds and to
+ * unresponsive followers. A seed passes them on to the processes that contact it when they start. Current followers
+ * and replicas aren't sent announcements.
  */
 import { every, micros, type Address, type World } from '@tansypost/inner-protocol';
 import type { ControlNode } from '@tansypost/control-state';
 import type { FollowerRegistry } from './follower-registry.js';
 
-/** Whom a control node may have to tell. */
+/** Options of the announcer. */
 export interface MembershipAnnouncerOptions {
   readonly controlNode: () => ControlNode | undefined;
   readonly followers: Pick<FollowerRegistry, 'addresses' | 'unresponsive'>;
-  /** The seeds that the settings of this machine name now. */
+  /** The seeds in the current settings of this machine. */
   readonly seeds: () => readonly Address[];
 }
 
-const announceEvery = micros(1_000_000);
+const announceInterval = micros(1_000_000);
 
-/** Tells them each second until it is stopped. */
+/** Announces every second until the returned function is called. */
 export function startMembershipAnnouncer(world: World, options: MembershipAnnouncerOptions): () => void {
   const { followers } = options;
 
@@ -25,13 +26,13 @@
     const replica = options.controlNode()?.replica;
     if (replica?.state() !== 'voting') return;
     const { membershipEpoch, replicas } = replica.membership();
-    const silent = followers.unresponsive();
+    const unresponsive = followers.unresponsive();
     const informed = new Set<string>(replicas.map((entry) => entry.address));
-    for (const address of followers.addresses()) if (!silent.includes(address)) informed.add(address);
-    for (const address of new Set([...options.seeds(), ...silent]))
+    for (const address of followers.addresses()) if (!unresponsive.includes(address)) informed.add(address);
+    for (const address of new Set([...options.seeds(), ...unresponsive]))
       if (!informed.has(address))
         world.send(address, { kind: 'News', news: [], membershipEpoch, replicas: [...replicas] });
   }
 
-  return every(world, () => announceEvery, announce);
+  return every(world, () => announceInterval, announce);
 }
--- a/packages/control-feed/src/membership-relay.ts
+++ b/packages/control-feed/src/membership-relay.ts
@@ -1,52 +1,55 @@
 /**
- * Passes on where the replicas of the control cluster are, from a machine that serves control without holding its state
- * to the seeds that it knows. A seed of that kind which was restarted knows nobody but its own seeds; control nodes may
- * have been given others. What this machine knows is told soon, and then more and more seldom.
+ * Relays the replicas of the control cluster from a control gateway to its seeds. A seed that is itself a gateway knows
+ * only its own seeds after a restart, and control nodes may be configured with other seeds, so that they don't announce
+ * themselves to it. News is relayed soon, and repeated with an exponentially growing interval.
  */
 import { every, micros, type Address, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
 
-/** Whom the relay tells, and what. */
+/** Options of the relay. */
 export interface MembershipRelayOptions {
   readonly self: Address;
   readonly seeds: () => readonly Address[];
-  /** The replicas as this machine last heard of them; the epoch is 0 as long as it knows of none. */
+  /** The replicas as last received by this machine; the epoch is 0 while it knows none. */
   readonly membership: () => { readonly membershipEpoch: number; readonly replicas: readonly ReplicaEntry[] };
 }
 
-const lookEvery = 500_000;
-const firstPause = 1_000_000;
-const longestPause = 120_000_000;
-/** Each look comes after 0.5 to 1.5 of its period, so that machines that start together do not tell at once. */
-const lookSpread = 0.5;
+const checkIntervalUs = 500_000;
+const minRelayIntervalUs = 1_000_000;
+const maxRelayIntervalUs = 120_000_000;
+/**
+ * A check comes after 0.5 to 1.5 times the interval, so that machines that start together don't send at the same time.
+ */
+const checkJitter = 0.5;
 
-/** Tells the seeds until it is stopped. */
+/** Relays to the seeds until the returned function is called. */
 export function startMembershipRelay(world: World, options: MembershipRelayOptions): () => void {
-  let told = '';
-  let tellAt = 0;
-  let pause = firstPause;
+  let lastState = '';
+  let nextRelayAt = 0;
+  let relayInterval = minRelayIntervalUs;
 
-  function look(): void {
+  function check(): void {
     const { membershipEpoch, replicas } = options.membership();
     if (membershipEpoch === 0) return;
     const members = new Set<string>(replicas.map((replica) => replica.address));
     const seeds = options.seeds().filter((seed) => seed !== options.self && !members.has(seed));
-    startAnewIfChanged(`${membershipEpoch} ${seeds.join(' ')}`);
-    if (world.now() < tellAt) return;
-    tellAt = world.now() + pause;
-    pause = Math.min(2 * pause, longestPause);
+    restartIfChanged(`${membershipEpoch} ${seeds.join(' ')}`);
+    if (world.now() < nextRelayAt) return;
+    nextRelayAt = world.now() + relayInterval;
+    relayInterval = Math.min(2 * relayInterval, maxRelayIntervalUs);
     for (const seed of seeds) world.send(seed, { kind: 'News', news: [], membershipEpoch, replicas: [...replicas] });
   }
 
-  function startAnewIfChanged(current: string): void {
-    if (current === told) return;
-    told = current;
-    tellAt = world.now();
-    pause = firstPause;
+  /** Relays at once, and often again, if the replicas or the seeds have changed. */
+  function restartIfChanged(state: string): void {
+    if (state === lastState) return;
+    lastState = state;
+    nextRelayAt = world.now();
+    relayInterval = minRelayIntervalUs;
   }
 
-  function nextLook(): number {
-    return lookEvery * (1 - lookSpread + 2 * lookSpread * world.random());
+  function nextCheckDelay(): number {
+    return checkIntervalUs * (1 - checkJitter + 2 * checkJitter * world.random());
   }
 
-  return every(world, () => micros(nextLook()), look);
+  return every(world, () => micros(nextCheckDelay()), check);
 }
--- a/packages/control-feed/src/prefill-exchange.ts
+++ b/packages/control-feed/src/prefill-exchange.ts
@@ -11,8 +11,8 @@
   /** The control node that relays announcements. */
   readonly relay: () => Address | undefined;
   /**
-   * Another router has sent a worker a prompt whose prefill takes `service` microseconds; `bad` means that an attempt at
-   * the worker has failed there.
+   * Another router has sent a worker a prompt whose prefill takes `service` microseconds; `bad` means that an attempt
+   * at the worker has failed there.
    */
   readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
 }
--- a/packages/control-feed/src/stored-value.ts
+++ b/packages/control-feed/src/stored-value.ts
@@ -1,47 +1,47 @@
-/** One key of the control state as a value that is read, and written on top of what was read. */
+/** One key of the control state, read and written with optimistic concurrency control. */
 import type { World } from '@tansypost/inner-protocol';
 import type { ControlResponse, ControlRequest } from './control-client.js';
 
-/** What a majority holds. */
+/** The committed value of a key. */
 export interface StoredVersion {
   /** 0 before the first write. */
   readonly version: number;
   readonly value: Buffer;
 }
 
-/** Reads and writes one key; both are undefined where no majority answered in time. */
+/** Reads and writes one key; both return undefined if no majority answered in time. */
 export interface StoredValue {
   readonly read: () => Promise<StoredVersion | undefined>;
-  /** Gives the version written; undefined too where another write came first. */
+  /** Returns the version written; also undefined if `base` is no longer the current version. */
   readonly write: (base: number, value: Buffer) => Promise<number | undefined>;
 }
 
-const patience = 1_500_000;
+const requestTimeoutUs = 1_500_000;
 const changeIdRange = 2 ** 48;
 const base36 = 36;
 
-/** The value of `key`, asked for through `ask`. */
+/** Accesses the value of `key` by requests through `ask`. */
 export function createStoredValue(
   world: Pick<World, 'now' | 'random'>,
   key: string,
-  ask: (question: ControlRequest) => Promise<ControlResponse>,
+  ask: (request: ControlRequest) => Promise<ControlResponse>,
 ): StoredValue {
   async function read(): Promise<StoredVersion | undefined> {
-    const answer = await ask({ op: 'read', key, deadline: world.now() + patience });
-    return answer.status === 'value' ? { version: answer.version, value: answer.value } : undefined;
+    const response = await ask({ op: 'read', key, deadline: world.now() + requestTimeoutUs });
+    return response.status === 'value' ? { version: response.version, value: response.value } : undefined;
   }
 
   async function write(base: number, value: Buffer): Promise<number | undefined> {
     const change = `${key}/${Math.floor(world.random() * changeIdRange).toString(base36)}`;
-    const answer = await ask({
+    const response = await ask({
       op: 'write',
       key,
       change,
       base,
       value,
-      deadline: world.now() + patience,
+      deadline: world.now() + requestTimeoutUs,
     });
-    return answer.status === 'done' ? answer.version : undefined;
+    return response.status === 'done' ? response.version : undefined;
   }
 
   return { read, write };
--- a/packages/control-feed/src/worker-list-follower.ts
+++ b/packages/control-feed/src/worker-list-follower.ts
@@ -1,67 +1,72 @@
 /**
- * The list of workers at a router: told by control nodes, whole or as a difference, and looked at by the router itself
- * when nobody has told of it for a while.
+ * A router's list of workers. Control nodes send it, complete or as changes; if none has sent or confirmed it for a
+ * while, the router fetches the list from the platform itself.
  */
 import type { Address, MessageOf, World } from '@tansypost/inner-protocol';
 import type { ControlNodeTable } from './control-node-table.js';
 import { decodeListedWorker, workerListDigest, type ListedWorker } from './listed-worker.js';
 import { createWorkerListView } from './worker-list-view.js';
 
+/** Options of the follower. */
 export interface WorkerListFollowerOptions {
   readonly nodes: ControlNodeTable;
   readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
   readonly onChange: () => void;
-  /** Asks a control node for its whole list. */
+  /** Requests the complete list from a control node. */
   readonly requestWholeList: (address: Address) => void;
-  /** How old the newest look at the list may get before the router looks itself. */
+  /** Age of the newest list above which the router fetches the list itself, in microseconds. */
   readonly maxListAge: number;
 }
 
+/** The list of workers at one router. */
 export interface WorkerListFollower {
-  readonly handleList: (told: MessageOf<'WorkerList'>, from: Address) => void;
-  /** A control node says that its list is as old as that, and the same as before if the digest is. */
+  readonly handleList: (message: MessageOf<'WorkerList'>, from: Address) => void;
+  /** Handles the digest and the age of a control node's list, from its heartbeat. */
   readonly confirmList: (digest: number, ageMs: number, from: Address) => void;
   readonly fetchIfStale: () => void;
   readonly workers: () => readonly ListedWorker[];
 }
 
-const firstLook = 200_000;
-const ownLookAgain = 700_000;
+/** The router first fetches the list itself after one to three times this delay. */
+const firstFetchDelayUs = 200_000;
+/** Own fetches are one to two times this delay apart. */
+const fetchDelayUs = 700_000;
 
+/** Creates the follower of a starting router. */
 export function createWorkerListFollower(world: World, options: WorkerListFollowerOptions): WorkerListFollower {
-  const book = createWorkerListView();
+  const view = createWorkerListView();
   const { nodes } = options;
-  let looking = false;
-  // A control node that is up tells within moments; only then is it worth a look of its own.
-  let nextLookAt = world.now() + firstLook * (1 + 2 * world.random());
+  let fetching = false;
+  // A control node that is up sends its list within moments, which makes a fetch of the router's own unnecessary.
+  let nextFetchAt = world.now() + firstFetchDelayUs * (1 + 2 * world.random());
 
-  function handleList(told: MessageOf<'WorkerList'>, from: Address): void {
+  function handleList(message: MessageOf<'WorkerList'>, from: Address): void {
     const node = nodes.state(from);
-    if (told.base !== 0 && told.base !== node.list) return options.requestWholeList(from);
-    const before = told.base === 0 ? [] : (book.snapshotOf(from)?.workers ?? []);
-    const byId = new Map(before.map((worker) => [worker.id, worker]));
-    for (const id of told.gone) byId.delete(id);
-    for (const worker of told.workers) byId.set(worker.id, decodeListedWorker(worker));
+    if (message.base !== 0 && message.base !== node.list) return options.requestWholeList(from);
+    const previous = message.base === 0 ? [] : (view.snapshotOf(from)?.workers ?? []);
+    const byId = new Map(previous.map((worker) => [worker.id, worker]));
+    for (const id of message.gone) byId.delete(id);
+    for (const worker of message.workers) byId.set(worker.id, decodeListedWorker(worker));
     const workers = [...byId.values()];
-    const isWhole = workerListDigest(workers) === told.digest;
-    node.list = isWhole ? told.digest : 0;
-    if (isWhole && book.addSnapshot(from, { at: world.now() - told.age * 1000, workers })) options.onChange();
+    const isComplete = workerListDigest(workers) === message.digest;
+    node.list = isComplete ? message.digest : 0;
+    if (isComplete && view.addSnapshot(from, { at: world.now() - message.age * 1000, workers })) options.onChange();
   }
 
   function confirmList(digest: number, ageMs: number, from: Address): void {
     const isKnown = digest !== 0 && digest === nodes.state(from).list;
-    if (isKnown && book.confirmSnapshot(from, world.now() - ageMs * 1000)) options.onChange();
+    if (isKnown && view.confirmSnapshot(from, world.now() - ageMs * 1000)) options.onChange();
   }
 
   function fetchIfStale(): void {
     const now = world.now();
-    if (looking || now < nextLookAt || now - book.newestSnapshotAt() < options.maxListAge) return;
-    looking = true;
-    nextLookAt = now + ownLookAgain + world.random() * ownLookAgain;
-    options.fetchWorkerList().then(looked, () => looked(undefined));
-    function looked(workers: readonly ListedWorker[] | undefined): void {
-      looking = false;
-      if (workers !== undefined && book.addSnapshot('', { at: now, workers })) options.onChange();
+    if (fetching || now < nextFetchAt || now - view.newestSnapshotAt() < options.maxListAge) return;
+    fetching = true;
+    nextFetchAt = now + fetchDelayUs + world.random() * fetchDelayUs;
+    options.fetchWorkerList().then(onFetched, () => onFetched(undefined));
+    function onFetched(workers: readonly ListedWorker[] | undefined): void {
+      fetching = false;
+      if (workers !== undefined && view.addSnapshot('', { at: now, workers })) options.onChange();
     }
   }
 
@@ -69,6 +74,6 @@
     handleList,
     confirmList,
     fetchIfStale,
-    workers: () => book.workers(world.now()),
+    workers: () => view.workers(world.now()),
   };
 }
--- a/packages/inner-protocol/src/messages.ts
+++ b/packages/inner-protocol/src/messages.ts
@@ -21,7 +21,10 @@
 /** A replica of the control cluster. `disk` is the id of its disk. */
 const replica = { slot: 'long', address: 'string', disk: 'string' } as const;
 const bootstrapCandidate = { address: 'string', disk: 'string' } as const;
-/** The lifecycle state of one incarnation of a worker; `state` is an index into `workerStates` of the membership package. */
+/**
+ * The lifecycle state of one incarnation of a worker; `state` is an index into `workerStates` of the membership
+ * package.
+ */
 const workerState = { worker: 'string', incarnation: 'long', state: 'long', address: 'string' } as const;
 /** The current leader (`holder`) of a singleton role (`duty`), with its term. */
 const singletonRole = { duty: 'string', holder: 'string', address: 'string', epoch: 'long' } as const;
@@ -78,8 +81,8 @@
 const usageCount = { tenant: 'string', count: 'long' } as const;
 const usageTable = { window: 'long', counts: [usageCount] } as const;
 /**
- * Statistics of a cohort (`arm`) of a rehearsal in one stratum. `sum` and `squares` are the sums of the logarithm of the
- * time to first token and of its square; the `token` fields are the same of the time per token.
+ * Statistics of a cohort (`arm`) of a rehearsal in one stratum. `sum` and `squares` are the sums of the logarithm of
+ * the time to first token and of its square; the `token` fields are the same of the time per token.
  */
 const cohortStatistics = {
   rehearsal: 'string',
@@ -171,8 +174,8 @@
     // An empty replica has copied everything that it needs before it may vote.
     caughtUp: 'boolean',
   },
-  // Requests the records that the source has written after sequence number `after`. The number is valid for one opening of
-  // the source's disk, which `source` identifies.
+  // Requests the records that the source has written after sequence number `after`. The number is valid for one
+  // opening of the source's disk, which `source` identifies.
   CopyAsk: {
     from: 'string',
     disk: 'string',
@@ -239,20 +242,22 @@
 
   // A machine without a replica asks to be added to the membership record.
   Join: { from: 'string', disk: 'string', first: 'boolean', caughtUp: 'boolean' },
-  // Reply of a control gateway, which has no replica, to a replica that is looking for others to bootstrap a cluster with.
+  // Reply of a control gateway, which has no replica, to a replica that is looking for others to bootstrap a cluster
+  // with.
   HoldsNoState: { from: 'string' },
-  // Reply of a control gateway to `Join` while it knows no replica: all machines that have asked it so far. `firstStart`
-  // means that its process has been running since the first start of the whole system, so that the list is complete.
+  // Reply of a control gateway to `Join` while it knows no replica: the machines of the first start (`first`) that have
+  // asked it so far. `firstStart` means that its process has been running since the first start of the whole system, so
+  // that the list is complete.
   FoundingRoster: { from: 'string', firstStart: 'boolean', candidates: [bootstrapCandidate] },
   // A machine with an empty disk tells the others that it knows which machines it would bootstrap a cluster with.
   FoundingView: { from: 'string', disk: 'string', candidates: [bootstrapCandidate] },
   // The leader of a key tells the other replicas up to which version the key is committed, that is, on a majority.
   Committed: { key: 'string', epoch: 'long', version: 'long' },
-  // A follower polls each control node with the versions that it has, and the node replies with a `Beat`. `confirmOnly`
-  // means that another node sends the configuration to this follower. `list` and `peers` are the digests of the worker
-  // list and of the peers that the follower has. `asked` is a time of the follower's clock, which the beat echoes; it is 0
-  // in an unsolicited beat. `age` is the age of the worker list in milliseconds. `wall` is the node's time of day in
-  // milliseconds since 1970, or 0 if it isn't given.
+  // A follower polls each control node with the versions that it has, and the node replies with a heartbeat, `Beat`.
+  // `confirmOnly` means that another node sends the configuration to this follower. `list` and `peers` are the digests
+  // of the worker list and of the peers that the follower has. `asked` is a time of the follower's clock, which the
+  // heartbeat echoes; it is 0 in an unsolicited heartbeat. `age` is the age of the worker list in milliseconds. `wall`
+  // is the node's time of day in milliseconds since 1970, or 0 if it isn't given.
   Follow: {
     key: 'string',
     version: 'long',
@@ -280,17 +285,18 @@
   // The worker list: complete if `base` is 0, otherwise the changes to the list with the digest `base`.
   WorkerList: { base: 'long', digest: 'long', age: 'long', workers: [workerListEntry], gone: ['string'] },
   WorkerLoads: { loads: [workerLoad] },
-  // The other routers, sent to a router whose digest of them is out of date. If there are too many of them to list (`all`
-  // is false), routers send `Reading` through a control node instead of directly.
-  // `Reading` announces prefills that a router has just sent to workers, with their expected duration in microseconds as
-  // `service`; `bad` means that an attempt at the worker has failed.
+  // The other routers, sent to a router whose digest of them is out of date. If there are too many of them to list
+  // (`all` is false), routers send `Reading` through a control node instead of directly. `Reading` announces prefills
+  // that a router has just sent to workers, with their expected duration in microseconds as `service`; `bad` means
+  // that an attempt at the worker has failed.
   Peers: { digest: 'long', addresses: ['string'], all: 'boolean' },
   Reading: { reads: [{ worker: 'string', service: 'long', bad: 'boolean', by: 'long' }] },
   // The usage reporter asks each router for its counts. It has all changes of the router's process `process` up to
   // sequence number `after`; `closedThrough` is the last window whose content is final, 0 for none.
   UsageAsk: { from: 'string', process: 'string', after: 'long', closedThrough: 'long' },
-  // All counts that have changed after `after`, as totals, so that a repeated message adds nothing. `now` is the router's
-  // estimate of the true time in milliseconds since 1970; it counts nothing more in windows that ended before.
+  // All counts that have changed after `after`, as totals, so that a repeated message adds nothing. `now` is the
+  // router's estimate of the true time in milliseconds since 1970; it counts nothing more in windows that ended
+  // before.
   UsageTold: {
     router: 'string',
     process: 'string',
--- a/packages/inner-protocol/src/outgoing-link.ts
+++ b/packages/inner-protocol/src/outgoing-link.ts
@@ -29,7 +29,9 @@
   /** Bytes that the receiver has acknowledged. */
   acknowledged: number;
   stuckTimer: NodeJS.Timeout | undefined;
-  /** What was written before the connection was established, for a link that replaces this one; undefined after that. */
+  /**
+   * What was written before the connection was established, for a link that replaces this one; undefined after that.
+   */
   retained: Buffer[] | undefined;
 }
 
