--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -5,7 +5,7 @@
  * here. Sending to each follower is rate limited, and the last version sent is always the newest.
  */
 import { every, micros, type Address, type MessageOf, type KeyUpdate, type World } from '@tansypost/inner-protocol';
-import type { ControlNode, Following } from '@tansypost/control-state';
+import type { ControlNode, FollowStatus } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationHistory } from './configuration-history.js';
 
@@ -22,7 +22,7 @@
 /** Sends the configuration to the followers of one control node. */
 export interface ConfigurationPublisher {
   /** Sends a follower what it lacks, and returns what the heartbeat in reply is to contain. */
-  readonly handleFollow: (request: MessageOf<'Follow'>, from: Address) => Following | undefined;
+  readonly handleFollow: (request: MessageOf<'Follow'>, from: Address) => FollowStatus | undefined;
   /** Handles committed values from this node's own replica. */
   readonly handleNews: (message: MessageOf<'News'>) => void;
   /** Another control node has sent that a version is committed. */
@@ -73,7 +73,7 @@
   }
 
   /** Follows this node's own replica again; a newer value arrives as a `News` message to this address. */
-  function refresh(key = configurationKey): Following | undefined {
+  function refresh(key = configurationKey): FollowStatus | undefined {
     const version = key === configurationKey ? newestVersion() : (otherKeys.get(key)?.version ?? 0);
     return options.controlNode()?.follow(key, version, newestMembershipEpoch, options.self);
   }
@@ -93,7 +93,7 @@
     return state;
   }
 
-  function handleFollow(request: MessageOf<'Follow'>, from: Address): Following | undefined {
+  function handleFollow(request: MessageOf<'Follow'>, from: Address): FollowStatus | undefined {
     if (request.key !== configurationKey) return void followOtherKey(request, from);
     const following = refresh();
     const state = stateOf(from);
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -3,7 +3,7 @@
  * configuration, the membership of the control cluster, the worker list and the loads of workers.
  */
 import { micros, type Address, type Message, type MessageOf, type World } from '@tansypost/inner-protocol';
-import type { ControlNode, Following } from '@tansypost/control-state';
+import type { ControlNode, FollowStatus } from '@tansypost/control-state';
 import { configurationKey } from './configuration.js';
 import { createConfigurationPublisher } from './configuration-publisher.js';
 import { createFollowerRegistry } from './follower-registry.js';
@@ -50,7 +50,7 @@
 }
 
 /** The state that a control node reports before it has a replica. */
-const noReplica: Following = { version: 0, membershipEpoch: 0, voting: false, leased: false };
+const noReplica: FollowStatus = { version: 0, membershipEpoch: 0, voting: false, leased: false };
 function noSeeds(): readonly Address[] {
   return [];
 }
@@ -64,7 +64,7 @@
   const followers = createFollowerRegistry(world);
   const workerList = createWorkerListPoller(world, {
     ...options,
-    rank: () => options.controlNode()?.rank() ?? 0,
+    rank: () => options.controlNode()?.rankAmongLive() ?? 0,
     followers: followers.addresses,
   });
   const configuration = createConfigurationPublisher(world, {
@@ -75,9 +75,9 @@
   });
   const loads = createWorkerLoadTable(world);
   let pendingPrefills: MessageOf<'Reading'>['reads'] = [];
-  let lastFollowing: Following = noReplica;
+  let lastFollowing: FollowStatus = noReplica;
 
-  function sendHeartbeat(to: Address, following: Following, asked: number): void {
+  function sendHeartbeat(to: Address, following: FollowStatus, asked: number): void {
     world.send(to, {
       kind: 'Beat',
       version: following.version,
@@ -149,7 +149,7 @@
   /** This node's share in polling the loads of workers. */
   function shareOfWorkers(): { rank: number; nodes: number } | undefined {
     const node = options.controlNode();
-    return node === undefined ? undefined : { rank: node.rank(), nodes: node.liveReplicas().length };
+    return node === undefined ? undefined : { rank: node.rankAmongLive(), nodes: node.liveReplicas().length };
   }
 
   function loadReceivers(): readonly Address[] {
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -28,15 +28,15 @@
   /** Those whose votes count now. */
   readonly replicas: () => VoterGroup;
   /** Whether this node stands for the role now. */
-  readonly willing: () => boolean;
+  readonly isEligible: () => boolean;
   /** The lease of the role; the same for all candidates and voters. */
   readonly leaseDuration: number;
   /** What must lie between calls of two holders. */
-  readonly betweenHolders: number;
+  readonly minTakeoverGap: number;
   /** Over all duties of this holder. */
   readonly callsPerSecond: number;
   /** How long an answer of the platform is waited for. */
-  readonly callPatience: number;
+  readonly callTimeout: number;
   readonly duties: readonly Duty[];
   /** The value of a key of the control state. */
   readonly record: (key: string) => StoredValue;
@@ -53,7 +53,7 @@
 /** The duties at one control node. */
 export interface DutyRunner {
   /** Takes in a voter's answer. */
-  readonly vote: (answer: MessageOf<'BallotVote'>) => void;
+  readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly status: () => DutiesStatus;
   readonly stop: () => void;
 }
@@ -69,7 +69,7 @@
   let stopped = false;
   const pacer = createCallPacer(world, options.callsPerSecond, look);
   const candidate = createCandidate(world, {
-    duty: role,
+    role,
     member: options.member,
     self: options.self,
     get slot() {
@@ -77,9 +77,9 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: options.replicas,
-    willing: options.willing,
-    won: endTerms,
-    lost: endTerms,
+    isWilling: options.isEligible,
+    onElected: endTerms,
+    onLeaseLost: endTerms,
   });
   for (const duty of options.duties) tasks.push(createTask(world, options, duty, candidate, pacer, look));
 
@@ -88,15 +88,15 @@
   }
 
   function look(): void {
-    if (stopped || candidate.holds() === undefined) return;
+    if (stopped || candidate.heldEpoch() === undefined) return;
     const longestWaitFirst = [...tasks].sort((a, b) => a.lastCallAt() - b.lastCallAt());
     for (const task of longestWaitFirst) task.look();
   }
 
   const stopLooking = every(world, () => lookEvery, look);
   return {
-    vote: candidate.vote,
-    status: () => ({ holder: candidate.holder(), duties: tasks.map((task) => task.status()) }),
+    handleVote: candidate.receiveVote,
+    status: () => ({ holder: candidate.leader(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
       stopLooking();
@@ -115,18 +115,18 @@
   pacer: CallPacer,
   progressed: () => void,
 ): DutyTask {
-  const least = options.betweenHolders + callOnItsWay;
+  const least = options.minTakeoverGap + callOnItsWay;
   return createDutyTask(world, {
     duty,
     member: options.member,
     record: options.record(dutyRecordKey(duty.name)),
     port: options.port,
     pacer,
-    holds: () => candidate.holds() !== undefined,
-    mayCall: () => candidate.holdsFor(least) !== undefined,
-    standBack: least,
-    callOnItsWay,
-    callPatience: options.callPatience,
-    progressed,
+    isLeader: () => candidate.heldEpoch() !== undefined,
+    canCall: () => candidate.heldEpochFor(least) !== undefined,
+    backOffDuration: least,
+    maxCallTransit: callOnItsWay,
+    callTimeout: options.callTimeout,
+    onProgress: progressed,
   });
 }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -16,7 +16,7 @@
   createSlicedTrainer,
   type ControlNodeLearning,
 } from '@tansypost/learning';
-import type { FounderCount } from '@tansypost/control-state';
+import type { BootstrapSize } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { createDecodeRecovery, orderRecordKey, type ServedService } from '@tansypost/worker-stages';
 import { addMachine, startControlNode, type SimulatedMachine } from '../core-machine.js';
@@ -55,7 +55,7 @@
   /** The machines that all are told of at the first start. */
   readonly seeds: readonly string[];
   readonly wantedReplicas: number;
-  readonly founderCount: FounderCount;
+  readonly founderCount: BootstrapSize;
 }
 const patience = 850_000;
 const betweenHolders = 3_000_000;
@@ -71,7 +71,7 @@
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
   const table = configuration === undefined ? undefined : tableOf(configuration.toString());
-  return (table?.services ?? []).map((service) => ({ name: service.name, switchTime }));
+  return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: switchTime }));
 }
 
 export function createVirtualCore(g: Ground, workers: VirtualWorkers, options: VirtualCoreOptions): VirtualCore {
@@ -164,12 +164,12 @@
           workers: listed,
           services: () => servicesOf(host.core()?.replica.row(configurationKey).value),
           record: createStoredValue(w, orderRecordKey, (question) => answerTo(coreAsker, question)),
-          workerOrders: createVirtualOrders(g, workers, m.proc),
+          workerClient: createVirtualOrders(g, workers, m.proc),
           leaseDuration: dutyTenure,
-          betweenHolders,
+          minTakeoverGap: betweenHolders,
         });
         return (message, from) => {
-          if (message.kind === 'BallotVote') recovery.vote(message);
+          if (message.kind === 'BallotVote') recovery.handleVote(message);
           return learning.receive(message, from);
         };
       },
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -102,8 +102,8 @@
       clock.world.after(1000 as never, () => {
         if (!alive.has(target)) return;
         if (message.kind === 'Ballot')
-          voters[target]!.ballot(message, (vote) => send(target)(message.from as Address, vote));
-        if (message.kind === 'BallotVote') recoveries[target]!.vote(message);
+          voters[target]!.requestVote(message, (vote) => send(target)(message.from as Address, vote));
+        if (message.kind === 'BallotVote') recoveries[target]!.handleVote(message);
       });
     };
   }
@@ -117,14 +117,14 @@
     const votingSince = clock.world.now() === 0 ? -leaseDuration : clock.world.now();
     voters[node] = createVoter(world, {
       slot: () => node,
-      disk: () => `disk${node}`,
-      voting: () => true,
+      diskId: () => `disk${node}`,
+      isVoting: () => true,
       votingSince: () => votingSince,
       membershipEpoch: () => 1,
       leaseDuration,
       store: {
         epoch: (duty) => epochs.get(duty) ?? 0,
-        keep: (duty, epoch, done) => {
+        save: (duty, epoch, done) => {
           epochs.set(duty, epoch);
           done(true);
         },
@@ -142,15 +142,15 @@
       row: (key: string) => ({ version: 0, value: Buffer.alloc(0), ...(key === orderRecordKey ? stored : {}) }),
     };
     const rank = [...alive].sort().indexOf(node);
-    const controlNode = { replica, rank: () => rank } as unknown as ControlNode;
+    const controlNode = { replica, rankAmongLive: () => rank } as unknown as ControlNode;
     recoveries[node] = createDecodeRecovery(world, {
       self: `${name}:1` as Address,
       member: name,
       controlNode: () => (alive.has(node) ? controlNode : undefined),
       workers: listed,
-      services: () => scene.served.map((service) => ({ name: service, switchTime })),
+      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime: switchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
-      workerOrders: {
+      workerClient: {
         report: async ({ id }) => {
           const entry = workers.get(id);
           if (entry === undefined || !scene.reachable() || scene.silent.has(id)) return undefined;
@@ -160,7 +160,7 @@
           alive.has(node) ? take({ at: clock.world.now(), worker: to.id, holder, fence, stage }) : 'unknown',
       },
       leaseDuration,
-      betweenHolders,
+      minTakeoverGap: betweenHolders,
     });
   }
   function readStored(): StoredVersion {
