--- a/packages/control-feed/src/configuration-packing.test.ts
+++ b/packages/control-feed/src/configuration-packing.test.ts
@@ -1,10 +1,11 @@
+/** Compression of configurations. */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
 import { packConfiguration, unpackConfiguration } from './configuration-packing.js';
 
-function configuration(routes: number): Buffer {
-  const names = Array.from({ length: routes }, (_, n) => (n * 2_654_435_761).toString(36).slice(0, 7));
-  const list = names.map((name) => ({
+function configurationWith(routeCount: number): Buffer {
+  const names = Array.from({ length: routeCount }, (_, index) => (index * 2_654_435_761).toString(36).slice(0, 7));
+  const routes = names.map((name) => ({
     name: `r-${name}`,
     hostname: `${name}.example`,
     path_prefix: `/${name}/`,
@@ -16,29 +17,29 @@
     max_tries: 1,
     sticky: true,
   }));
-  return Buffer.from(JSON.stringify({ revision: 7, routes: list }));
+  return Buffer.from(JSON.stringify({ revision: 7, routes }));
 }
 
-it('makes a list of routes several times smaller, and leaves a short one as it is', () => {
-  const long = configuration(1360);
+it('compresses a list of routes to less than a fifth, and leaves a short one as it is', () => {
+  const long = configurationWith(1360);
   expect(packConfiguration(long).length).toBeLessThan(long.length / 5);
-  const short = configuration(1);
+  const short = configurationWith(1);
   expect(packConfiguration(short)).toBe(short);
 });
 
-it('gives back any JSON text byte for byte', () => {
+it('restores any JSON text byte for byte', () => {
   fc.assert(
-    fc.property(fc.json(), fc.nat(400), (json, times) => {
-      const whole = Buffer.from(JSON.stringify(Array(times).fill(json)));
+    fc.property(fc.json(), fc.nat(400), (json, count) => {
+      const whole = Buffer.from(JSON.stringify(Array(count).fill(json)));
       expect(unpackConfiguration(packConfiguration(whole))).toEqual(whole);
     }),
   );
 });
 
-it('takes what an earlier release wrote, and what is damaged, as it is', () => {
-  const plain = configuration(30);
+it('returns uncompressed bytes of an earlier release, and corrupt ones, as they are', () => {
+  const plain = configurationWith(30);
   expect(unpackConfiguration(plain)).toBe(plain);
-  const damaged = packConfiguration(configuration(1360)).subarray(0, 500);
-  expect(unpackConfiguration(damaged)).toBe(damaged);
+  const corrupt = packConfiguration(configurationWith(1360)).subarray(0, 500);
+  expect(unpackConfiguration(corrupt)).toBe(corrupt);
   expect(unpackConfiguration(Buffer.alloc(0))).toEqual(Buffer.alloc(0));
 });
--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -95,7 +95,7 @@
 
   function handleFollow(request: MessageOf<'Follow'>, from: Address): FollowStatus | undefined {
     if (request.key !== configurationKey) return void followOtherKey(request, from);
-    const following = refresh();
+    const status = refresh();
     const state = stateOf(from);
     state.wantsConfiguration = !request.confirmOnly;
     state.acceptsPatches = request.takesPatches;
@@ -104,7 +104,7 @@
     if (!mayHaveCrossed) state.version = request.version;
     if (state.wantsConfiguration && state.version < newestVersion()) push(from);
     else sendNewerMembership(request, from);
-    return following;
+    return status;
   }
 
   /** For any other key only a newer value is sent, without a heartbeat. */
--- a/packages/control-feed/src/control-feed.test.ts
+++ b/packages/control-feed/src/control-feed.test.ts
@@ -1,3 +1,4 @@
+/** The feed between two control nodes without replicas and one router, over the simulated network. */
 import { expect, it } from 'vitest';
 import { micros, createSeededRandom, type Address, type Message } from '@tansypost/inner-protocol';
 import { createEngine, createNetwork, createProc, die, procWorld } from '@tansypost/simulator';
@@ -10,41 +11,41 @@
   return { id, service: 's', address: `${id}:1`, zone: 'z', slots: 1, leaving, coldMs: 0, part: 'decode' };
 }
 
-const startOfClocks = 1_790_000_000_000;
+const clockStartMs = 1_790_000_000_000;
 
-// Two keepers without a core behind them, and one router.
-function world(seed: number) {
-  const r = createSeededRandom(seed);
-  const e = createEngine();
-  const net = createNetwork(e, r);
+/** Two control nodes without replicas, and one router. */
+function createFleet(seed: number) {
+  const random = createSeededRandom(seed);
+  const engine = createEngine();
+  const net = createNetwork(engine, random);
   const list: { now: readonly ListedWorker[] | undefined } = { now: [worker('a'), worker('b')] };
-  const looks = { keepers: 0, router: 0 };
-  const times: { source: string; wall: number; askedAt: number; heardAt: number }[] = [];
-  const changed: string[] = [];
-  const ks = ['k0', 'k1'].map((name) => {
+  const fetches = { controlNodes: 0, router: 0 };
+  const clockReadings: { source: string; wall: number; requestedAt: number; receivedAt: number }[] = [];
+  const changes: string[] = [];
+  const controlNodes = ['k0', 'k1'].map((name) => {
     const proc = createProc(name, name);
     net.add(`${name}:1`, proc);
     proc.alive = true;
-    const k = createFeedServer(
+    const server = createFeedServer(
       procWorld(
-        e,
+        engine,
         proc,
-        r,
-        (to, m) => net.send(proc, `${name}:1`, to, m),
+        random,
+        (to, message) => net.send(proc, `${name}:1`, to, message),
         () => undefined,
       ),
       {
         self: `${name}:1` as Address,
         controlNode: () => undefined,
         fetchWorkerList: async () => {
-          looks.keepers += 1;
+          fetches.controlNodes += 1;
           return list.now;
         },
-        // The second one tells no time.
-        ...(name === 'k0' ? { wallClock: () => startOfClocks + e.now() / 1000 } : {}),
+        // The second one sends no time of day.
+        ...(name === 'k0' ? { wallClock: () => clockStartMs + engine.now() / 1000 } : {}),
       },
     );
-    proc.receive = (m, from) => void k.receive(m, from);
+    proc.receive = (message, from) => void server.receive(message, from);
     return proc;
   });
   const proc = createProc('r', 'r');
@@ -52,10 +53,10 @@
   proc.alive = true;
   const feed = createControlFeed(
     procWorld(
-      e,
+      engine,
       proc,
-      r,
-      (to, m) => net.send(proc, 'r:1', to, m),
+      random,
+      (to, message) => net.send(proc, 'r:1', to, message),
       () => undefined,
     ),
     {
@@ -64,101 +65,115 @@
       zone: 'z',
       seeds: ['k0:1', 'k1:1'] as Address[],
       fetchWorkerList: async () => {
-        looks.router += 1;
+        fetches.router += 1;
         return list.now;
       },
-      onChange: (what) => changed.push(what),
-      onClockReading: (source, wall, askedAt, heardAt) => times.push({ source, wall, askedAt, heardAt }),
+      onChange: (what) => changes.push(what),
+      onClockReading: (source, wall, requestedAt, receivedAt) =>
+        clockReadings.push({ source, wall, requestedAt, receivedAt }),
     },
   );
   proc.receive = feed.receive;
-  function shown(): string[] {
-    return feed.workers().map((x) => `${x.id}${x.leaving ? ' leaving' : ''}`);
+  function workers(): string[] {
+    return feed.workers().map((listed) => `${listed.id}${listed.leaving ? ' leaving' : ''}`);
   }
-  return { e, net, ks, feed, list, looks, times, changed, shown, run: (ms: number) => e.run(e.now() + ms * 1000) };
+  return {
+    engine,
+    net,
+    controlNodes,
+    feed,
+    list,
+    fetches,
+    clockReadings,
+    changes,
+    workers,
+    run: (ms: number) => engine.run(engine.now() + ms * 1000),
+  };
 }
 
-it('shows a router within a second and a half what the list shows, and never a leaving worker as ready again', async () => {
-  const x = world(1);
-  await x.run(2000);
-  expect(x.shown()).toEqual(['a', 'b']);
-  expect(x.feed.routerCount()).toBe(1);
-  x.list.now = [worker('a', true), worker('b'), worker('c')];
-  await x.run(1500);
-  expect(x.shown()).toEqual(['a leaving', 'b', 'c']);
-  x.list.now = [worker('a'), worker('b')];
-  await x.run(1500);
-  expect(x.shown()).toEqual(['a leaving', 'b']);
-  expect(x.looks.router).toBeLessThan(2);
+it('brings the worker list to a router within 1.5 s, and never shows a leaving worker as ready again', async () => {
+  const fleet = createFleet(1);
+  await fleet.run(2000);
+  expect(fleet.workers()).toEqual(['a', 'b']);
+  expect(fleet.feed.routerCount()).toBe(1);
+  fleet.list.now = [worker('a', true), worker('b'), worker('c')];
+  await fleet.run(1500);
+  expect(fleet.workers()).toEqual(['a leaving', 'b', 'c']);
+  fleet.list.now = [worker('a'), worker('b')];
+  await fleet.run(1500);
+  expect(fleet.workers()).toEqual(['a leaving', 'b']);
+  expect(fleet.fetches.router).toBeLessThan(2);
 });
 
-it('sends what changed alone, and the whole to who has another list', async () => {
-  const x = world(2);
+it('sends only the changes to a router with the previous list, and the complete list to others', async () => {
+  const fleet = createFleet(2);
   const sent: Message[] = [];
-  x.net.tamper((m) => {
-    if (m.kind === 'WorkerList') sent.push(m);
+  fleet.net.tamper((message) => {
+    if (message.kind === 'WorkerList') sent.push(message);
     return undefined;
   });
-  await x.run(3000);
-  const whole = sent.length;
-  expect(sent.every((m) => m.kind === 'WorkerList' && m.base === 0)).toBe(true);
-  x.list.now = [worker('a'), worker('b', true)];
-  await x.run(2000);
-  const part = sent.slice(whole);
-  expect(part.length).toBe(2);
-  expect(part.every((m) => m.kind === 'WorkerList' && m.base !== 0 && m.workers.length === 1)).toBe(true);
-  x.net.tamper((m) => (m.kind === 'WorkerList' && m.base !== 0 ? [] : undefined));
-  x.list.now = [worker('a')];
-  await x.run(2500);
-  expect(x.shown()).toEqual(['a']);
+  await fleet.run(3000);
+  const initialCount = sent.length;
+  expect(sent.every((message) => message.kind === 'WorkerList' && message.base === 0)).toBe(true);
+  fleet.list.now = [worker('a'), worker('b', true)];
+  await fleet.run(2000);
+  const changes = sent.slice(initialCount);
+  expect(changes.length).toBe(2);
+  expect(
+    changes.every((message) => message.kind === 'WorkerList' && message.base !== 0 && message.workers.length === 1),
+  ).toBe(true);
+  fleet.net.tamper((message) => (message.kind === 'WorkerList' && message.base !== 0 ? [] : undefined));
+  fleet.list.now = [worker('a')];
+  await fleet.run(2500);
+  expect(fleet.workers()).toEqual(['a']);
 });
 
-it('looks at the list itself, not too often, while no keeper tells of it, and keeps what it knows when it cannot', async () => {
-  const x = world(3);
-  await x.run(2000);
-  for (const k of x.ks) die(k);
-  x.looks.router = 0;
-  x.list.now = [worker('a', true)];
-  await x.run(3000);
-  expect(x.shown()).toEqual(['a leaving']);
-  expect(x.looks.router).toBeLessThan(4);
-  x.list.now = undefined;
-  await x.run(10_000);
-  expect(x.shown()).toEqual(['a leaving']);
-  expect(x.looks.router).toBeLessThan(16);
+it('fetches the list itself, not too often, while no control node sends it, and keeps its list if that fails', async () => {
+  const fleet = createFleet(3);
+  await fleet.run(2000);
+  for (const proc of fleet.controlNodes) die(proc);
+  fleet.fetches.router = 0;
+  fleet.list.now = [worker('a', true)];
+  await fleet.run(3000);
+  expect(fleet.workers()).toEqual(['a leaving']);
+  expect(fleet.fetches.router).toBeLessThan(4);
+  fleet.list.now = undefined;
+  await fleet.run(10_000);
+  expect(fleet.workers()).toEqual(['a leaving']);
+  expect(fleet.fetches.router).toBeLessThan(16);
 });
 
-it('says what time control nodes tell, and between which moments each has read it', async () => {
-  const x = world(4);
-  x.net.tamper((m) => (m.kind === 'Beat' ? [{ m }, { m, after: 700_000 }] : undefined));
-  await x.run(5000);
-  expect(x.times.length).toBeGreaterThan(8);
-  for (const { source, wall, askedAt, heardAt } of x.times) {
+it('reports the time of day of control nodes, and between which local times each was read', async () => {
+  const fleet = createFleet(4);
+  fleet.net.tamper((m) => (m.kind === 'Beat' ? [{ m }, { m, after: 700_000 }] : undefined));
+  await fleet.run(5000);
+  expect(fleet.clockReadings.length).toBeGreaterThan(8);
+  for (const { source, wall, requestedAt, receivedAt } of fleet.clockReadings) {
     expect(source).toBe('k0:1');
-    expect(askedAt).toBeGreaterThanOrEqual(0);
-    expect(wall - startOfClocks).toBeGreaterThanOrEqual(askedAt / 1000 - 1);
-    expect(wall - startOfClocks).toBeLessThanOrEqual(heardAt / 1000 + 1);
-    expect(heardAt - askedAt).toBeLessThan(10_000);
+    expect(requestedAt).toBeGreaterThanOrEqual(0);
+    expect(wall - clockStartMs).toBeGreaterThanOrEqual(requestedAt / 1000 - 1);
+    expect(wall - clockStartMs).toBeLessThanOrEqual(receivedAt / 1000 + 1);
+    expect(receivedAt - requestedAt).toBeLessThan(10_000);
   }
 });
 
-it('never goes back to an older configuration or an older membership', () => {
-  const got: string[] = [];
-  const to: string[] = [];
+it('never returns to an older configuration or membership', () => {
+  const changes: string[] = [];
+  const receivers: string[] = [];
   let asked = 0;
   const timers: (() => void)[] = [];
   let now = 0;
-  const f = createControlFeed(
+  const feed = createControlFeed(
     {
       now: () => micros(now),
       random: () => 0.5,
-      after: (_d, g) => {
-        timers.push(g);
+      after: (_delay, run) => {
+        timers.push(run);
         return () => undefined;
       },
-      send: (a, m) => {
-        to.push(a);
-        if (m.kind === 'Follow') asked = m.asked;
+      send: (to, message) => {
+        receivers.push(to);
+        if (message.kind === 'Follow') asked = message.asked;
       },
       log: () => undefined,
     },
@@ -168,7 +183,7 @@
       zone: 'z',
       seeds: ['k0:1' as Address],
       fetchWorkerList: async () => undefined,
-      onChange: (what) => got.push(what),
+      onChange: (what) => changes.push(what),
     },
   );
   function news(version: number, membershipEpoch: number): Message {
@@ -180,7 +195,7 @@
       replicas,
     };
   }
-  f.receive(
+  feed.receive(
     {
       kind: 'Beat',
       version: 2,
@@ -196,18 +211,18 @@
     },
     'k0:1' as Address,
   );
-  for (const [v, g] of [
+  for (const [version, membershipEpoch] of [
     [2, 5],
     [1, 4],
     [2, 5],
     [4, 6],
     [3, 5],
   ] as const)
-    f.receive(news(v, g), 'k0:1' as Address);
-  expect(f.configuration()).toEqual({ version: 4, value: Buffer.from('v4') });
-  expect(got).toEqual(['configuration', 'configuration']);
-  to.length = 0;
+    feed.receive(news(version, membershipEpoch), 'k0:1' as Address);
+  expect(feed.configuration()).toEqual({ version: 4, value: Buffer.from('v4') });
+  expect(changes).toEqual(['configuration', 'configuration']);
+  receivers.length = 0;
   now = 3_000_000;
   timers[0]!();
-  expect(to).toEqual(['g6:1', 'k0:1']);
+  expect(receivers).toEqual(['g6:1', 'k0:1']);
 });
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -75,18 +75,18 @@
   });
   const loads = createWorkerLoadTable(world);
   let pendingPrefills: MessageOf<'Reading'>['reads'] = [];
-  let lastFollowing: FollowStatus = noReplica;
+  let lastStatus: FollowStatus = noReplica;
 
-  function sendHeartbeat(to: Address, following: FollowStatus, asked: number): void {
+  function sendHeartbeat(to: Address, status: FollowStatus, asked: number): void {
     world.send(to, {
       kind: 'Beat',
-      version: following.version,
-      membershipEpoch: following.membershipEpoch,
+      version: status.version,
+      membershipEpoch: status.membershipEpoch,
       list: workerList.digest(),
       age: workerList.ageMs(),
       followers: followers.addresses().length,
-      voting: following.voting,
-      leased: following.leased,
+      voting: status.voting,
+      leased: status.leased,
       zone: options.zone ?? '',
       asked,
       wall: Math.round(options.wallClock?.() ?? 0),
@@ -95,18 +95,18 @@
 
   /** A lease only counts in the reply to a `Follow`, so an unsolicited heartbeat never claims one. */
   function sendUnsolicitedHeartbeat(to: Address, version: number): void {
-    sendHeartbeat(to, { ...lastFollowing, version, leased: false }, 0);
+    sendHeartbeat(to, { ...lastStatus, version, leased: false }, 0);
   }
 
   function onFollow(request: MessageOf<'Follow'>, from: Address): void {
     followers.recordFollow(from);
-    const following = configuration.handleFollow(request, from);
+    const status = configuration.handleFollow(request, from);
     if (request.key !== configurationKey) return;
-    lastFollowing = following ?? noReplica;
+    lastStatus = status ?? noReplica;
     if (workerList.digest() !== 0 && request.list !== workerList.digest()) world.send(from, workerList.fullList());
     const peers = request.peers >= 0 ? followers.stalePeersOf(from, request.peers) : undefined;
     if (peers !== undefined) world.send(from, peers);
-    sendHeartbeat(from, lastFollowing, request.asked);
+    sendHeartbeat(from, lastStatus, request.asked);
   }
 
   /** Collects prefill announcements of routers that are too many to send to each other directly. */
