--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -81,13 +81,7 @@
   function stateOf(address: Address): FollowerState {
     let state = followerStates.get(address);
     if (state === undefined) {
-      state = {
-        wantsConfiguration: false,
-        acceptsPatches: false,
-        version: 0,
-        lastSentAt: -Infinity,
-        scheduled: false,
-      };
+      state = { wantsConfiguration: false, acceptsPatches: false, version: 0, lastSentAt: -Infinity, scheduled: false };
       followerStates.set(address, state);
     }
     return state;
--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -32,13 +32,7 @@
   }
   function write(via: string, base: number, text: string): Promise<ControlResponse> {
     return responseOf(
-      cluster.ask(via, {
-        op: 'write',
-        key: configurationKey,
-        change: text,
-        base,
-        value: Buffer.from(text),
-      }),
+      cluster.ask(via, { op: 'write', key: configurationKey, change: text, base, value: Buffer.from(text) }),
     );
   }
   function read(via: string): Promise<ControlResponse> {
--- a/packages/control-feed/src/stored-value.ts
+++ b/packages/control-feed/src/stored-value.ts
@@ -33,14 +33,7 @@
 
   async function write(base: number, value: Buffer): Promise<number | undefined> {
     const change = `${key}/${Math.floor(world.random() * changeIdRange).toString(base36)}`;
-    const response = await ask({
-      op: 'write',
-      key,
-      change,
-      base,
-      value,
-      deadline: world.now() + requestTimeoutUs,
-    });
+    const response = await ask({ op: 'write', key, change, base, value, deadline: world.now() + requestTimeoutUs });
     return response.status === 'done' ? response.version : undefined;
   }
 
--- a/packages/model-checker/src/register-calls.ts
+++ b/packages/model-checker/src/register-calls.ts
@@ -21,12 +21,7 @@
 export const directCalls: RegisterCalls = {
   write: async (access, order) => {
     const { change, base } = order;
-    const answer = await access.ask({
-      ...question(access, 'write'),
-      change,
-      base,
-      value: Buffer.from(change),
-    });
+    const answer = await access.ask({ ...question(access, 'write'), change, base, value: Buffer.from(change) });
     if (answer.status === 'done') return 'done';
     return answer.status === 'lost' || answer.status === 'reused' ? 'refused' : 'unknown';
   },
--- a/packages/simulator/src/pass-through/submit.ts
+++ b/packages/simulator/src/pass-through/submit.ts
@@ -40,14 +40,7 @@
       if (had.status !== 'none') return 'not now';
     }
     if (base !== revision || t.revision <= revision) return 'refused';
-    const a = await o.ask({
-      op: 'write',
-      key,
-      change,
-      base: was.version,
-      value: Buffer.from(text),
-      deadline: limit,
-    });
+    const a = await o.ask({ op: 'write', key, change, base: was.version, value: Buffer.from(text), deadline: limit });
     if (a.status === 'done') return 'taken';
     if (a.status !== 'lost') return 'not now';
   }
