--- a/packages/control-feed/src/configuration-feed.test.ts
+++ b/packages/control-feed/src/configuration-feed.test.ts
@@ -144,7 +144,7 @@
       additionalKey: {
         key: additionalKey,
         version: () => additionalVersions.at(-1) ?? 0,
-        take: ({ version }) => additionalVersions.push(version),
+        onUpdate: ({ version }) => additionalVersions.push(version),
       },
       fetchWorkerList: async () => undefined,
       onChange: (what) => {
--- a/packages/control-feed/src/configuration-follower.ts
+++ b/packages/control-feed/src/configuration-follower.ts
@@ -32,7 +32,7 @@
   /** How long to wait for a confirmation before an unconfirmed configuration is adopted, in microseconds. */
   readonly unconfirmedTimeout: number;
   /** Sends a `Follow` to a control node. */
-  readonly follow: (address: Address, asking: FollowOptions) => void;
+  readonly follow: (address: Address, options: FollowOptions) => void;
   readonly onAdopted: () => void;
 }
 
--- a/packages/control-feed/src/configuration-gate.ts
+++ b/packages/control-feed/src/configuration-gate.ts
@@ -5,8 +5,10 @@
  * lease has just confirmed to be current. Until then, configurations received without a lease are only candidates. If
  * no confirmation arrives for `unconfirmedTimeout` after the first candidate, the newest candidate is adopted: serving
  * with a configuration that may be old is better than not serving, and by then a router that reaches no majority is
- * out of contact by the platform's own definition. A running router keeps its configuration and adopts only newer
- * versions, with or without a lease: every version that is sent is on a majority and stays part of the history.
+ * out of contact by the platform's own definition.
+ *
+ * A running router keeps its configuration and adopts only newer versions, with or without a lease: every version that
+ * is sent is on a majority and stays part of the history.
  */
 import { micros, type Cancel, type World } from '@tansypost/inner-protocol';
 import type { Configuration } from './configuration.js';
--- a/packages/control-feed/src/control-feed.ts
+++ b/packages/control-feed/src/control-feed.ts
@@ -30,7 +30,7 @@
   readonly key: string;
   /** The version known to the router. */
   readonly version: () => number;
-  readonly take: (update: KeyUpdate) => void;
+  readonly onUpdate: (update: KeyUpdate) => void;
 }
 
 /** Options of a router's feed; times are in microseconds. */
@@ -45,8 +45,8 @@
   readonly onChange: (what: 'configuration' | 'workers') => void;
   /** Loads of workers that are newer than the known ones have arrived. */
   readonly onWorkerLoads?: (loads: readonly WorkerLoad[]) => void;
-  /** Another router has sent a worker a prompt whose prefill takes `service`; `bad` if an attempt there has failed. */
-  readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
+  /** Another router has sent a worker a prompt whose prefill takes `duration`, or an attempt there has `failed`. */
+  readonly onPeerPrefill?: (worker: string, duration: number, failed: boolean) => void;
   readonly additionalKey?: AdditionalKey;
   /**
    * A control node has sent its time of day, `wall`, in milliseconds since 1970. It was read between `requestedAt` and
@@ -80,7 +80,7 @@
   /** The control node that sends the configuration to this router. */
   readonly source: () => Address | undefined;
   /** Announces a prefill to the other routers; announcements within a few milliseconds are sent together. */
-  readonly announcePrefill: (worker: string, service: number, bad?: boolean) => void;
+  readonly announcePrefill: (worker: string, duration: number, failed?: boolean) => void;
   /** Replaces the seeds, after a change of the settings. */
   readonly setSeeds: (seeds: readonly Address[]) => void;
   readonly stop: () => void;
@@ -116,7 +116,7 @@
     nodes,
     fetchWorkerList: options.fetchWorkerList,
     onChange: () => options.onChange('workers'),
-    requestWholeList: (address) => follow(address, defaultFollowOptions(address)),
+    requestFullList: (address) => follow(address, defaultFollowOptions(address)),
     maxListAge: options.maxWorkerListAge ?? defaultMaxWorkerListAgeUs,
   });
   const configuration = createConfigurationFollower(world, {
@@ -218,7 +218,7 @@
       replicas = message.replicas;
     }
     for (const update of message.news) {
-      if (update.key !== configurationKey) options.additionalKey?.take(update);
+      if (update.key !== configurationKey) options.additionalKey?.onUpdate(update);
       else
         configuration.handleConfiguration({
           version: update.version,
@@ -271,7 +271,7 @@
     votingNodes: nodes.voting,
     membership: () => ({ membershipEpoch, replicas }),
     source: nodes.source,
-    announcePrefill: (worker, service, bad = false) => prefills.announce(worker, service, bad),
+    announcePrefill: (worker, duration, failed = false) => prefills.announce(worker, duration, failed),
     setSeeds: (addresses) => {
       seeds = addresses;
     },
--- a/packages/control-feed/src/membership-relay.ts
+++ b/packages/control-feed/src/membership-relay.ts
@@ -1,7 +1,7 @@
 /**
  * Relays the replicas of the control cluster from a control gateway to its seeds. A seed that is itself a gateway knows
  * only its own seeds after a restart, and control nodes may be configured with other seeds, so that they don't announce
- * themselves to it. News is relayed soon, and repeated with an exponentially growing interval.
+ * themselves to it. A change is relayed soon, and repeated with an exponentially growing interval.
  */
 import { every, micros, type Address, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
 
@@ -39,7 +39,9 @@
     for (const seed of seeds) world.send(seed, { kind: 'News', news: [], membershipEpoch, replicas: [...replicas] });
   }
 
-  /** Relays at once, and often again, if the replicas or the seeds have changed. */
+  /**
+   * If the replicas or the seeds have changed, the next relay is due now and the interval starts again at its minimum.
+   */
   function restartIfChanged(state: string): void {
     if (state === lastState) return;
     lastState = state;
--- a/packages/control-feed/src/prefill-exchange.ts
+++ b/packages/control-feed/src/prefill-exchange.ts
@@ -11,16 +11,16 @@
   /** The control node that relays announcements. */
   readonly relay: () => Address | undefined;
   /**
-   * Another router has sent a worker a prompt whose prefill takes `service` microseconds; `bad` means that an attempt
-   * at the worker has failed there.
+   * Another router has sent a worker a prompt whose prefill takes `duration` microseconds, or an attempt of it at the
+   * worker has `failed`.
    */
-  readonly onPeerPrefill?: (worker: string, service: number, bad: boolean) => void;
+  readonly onPeerPrefill?: (worker: string, duration: number, failed: boolean) => void;
 }
 
 /** Announces this router's prefills and receives those of others. */
 export interface PrefillExchange {
   /** Announces a prefill to the other routers; announcements within a few milliseconds are sent together. */
-  readonly announce: (worker: string, service: number, bad: boolean) => void;
+  readonly announce: (worker: string, duration: number, failed: boolean) => void;
   readonly handlePrefills: (message: MessageOf<'Reading'>) => void;
   readonly handlePeers: (message: MessageOf<'Peers'>) => void;
   /** The digest of the other routers as last received from a control node. */
@@ -41,10 +41,10 @@
   let knowsAllPeers = true;
   let pending: MessageOf<'Reading'>['reads'] = [];
 
-  function announce(worker: string, service: number, bad: boolean): void {
-    const minService = knowsAllPeers ? minDirectUs : minRelayedUs;
-    if (peers.length === 0 || (!bad && service < minService)) return;
-    pending.push({ worker, service: Math.round(service), bad, by: self });
+  function announce(worker: string, duration: number, failed: boolean): void {
+    const minDuration = knowsAllPeers ? minDirectUs : minRelayedUs;
+    if (peers.length === 0 || (!failed && duration < minDuration)) return;
+    pending.push({ worker, service: Math.round(duration), bad: failed, by: self });
     if (pending.length === 1) world.after(batchDelay, flush);
   }
 
--- a/packages/control-feed/src/worker-list-follower.ts
+++ b/packages/control-feed/src/worker-list-follower.ts
@@ -13,7 +13,7 @@
   readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
   readonly onChange: () => void;
   /** Requests the complete list from a control node. */
-  readonly requestWholeList: (address: Address) => void;
+  readonly requestFullList: (address: Address) => void;
   /** Age of the newest list above which the router fetches the list itself, in microseconds. */
   readonly maxListAge: number;
 }
@@ -42,15 +42,15 @@
 
   function handleList(message: MessageOf<'WorkerList'>, from: Address): void {
     const node = nodes.state(from);
-    if (message.base !== 0 && message.base !== node.list) return options.requestWholeList(from);
+    if (message.base !== 0 && message.base !== node.list) return options.requestFullList(from);
     const previous = message.base === 0 ? [] : (view.snapshotOf(from)?.workers ?? []);
     const byId = new Map(previous.map((worker) => [worker.id, worker]));
     for (const id of message.gone) byId.delete(id);
     for (const worker of message.workers) byId.set(worker.id, decodeListedWorker(worker));
     const workers = [...byId.values()];
-    const isComplete = workerListDigest(workers) === message.digest;
-    node.list = isComplete ? message.digest : 0;
-    if (isComplete && view.addSnapshot(from, { at: world.now() - message.age * 1000, workers })) options.onChange();
+    const matchesDigest = workerListDigest(workers) === message.digest;
+    node.list = matchesDigest ? message.digest : 0;
+    if (matchesDigest && view.addSnapshot(from, { at: world.now() - message.age * 1000, workers })) options.onChange();
   }
 
   function confirmList(digest: number, ageMs: number, from: Address): void {
--- a/packages/inner-protocol/src/messages.ts
+++ b/packages/inner-protocol/src/messages.ts
@@ -99,6 +99,8 @@
 
 /** The shape of each kind of message. The order of the kinds is part of a sender's hello. */
 export const messageShapes = {
+  // A gossip exchange: a sample of the members that the sender knows, the membership of the control cluster and the
+  // singleton roles that the sender leads. `answer` requests the receiver's entries in return.
   Shuffle: {
     answer: 'boolean',
     from: 'string',
@@ -107,9 +109,12 @@
     replicas: [replica],
     duties: [singletonRole],
   },
+  // Worker states: changes, or all that the sender has (`whole`). `warm` means that the sender's states are current.
   Marks: { marks: [workerState], whole: 'boolean', warm: 'boolean' },
+  // Digest of all worker states that the sender has; `answer` requests the receiver's digest in return.
   MarksDigest: { from: 'string', digest: 'string', answer: 'boolean', warm: 'boolean' },
 
+  // A request to read or write a key. A node that isn't the leader of the key forwards it; `hops` counts that.
   Ask: {
     id: 'string',
     origin: 'string',
@@ -120,11 +125,14 @@
     value: 'bytes',
     hops: 'long',
   },
+  // The reply to `Ask`.
   Answer: { id: 'string', key: 'string', status: 'string', epoch: 'long', version: 'long', value: 'bytes' },
 
+  // A router claims an idempotency key for a request, through its agent.
   Claim: { id: 'string', op: 'string', key: 'string', holder: 'string', request: 'string', ended: 'string' },
   ClaimAnswer: { id: 'string', status: 'string', known: 'string' },
 
+  // A candidate for leader of a key asks a replica to promise its term and to send its row.
   // `replacedDisk` and `successor` are set if the round is to agree on the replacement of a replica, otherwise empty.
   Prepare: {
     id: 'string',
@@ -135,6 +143,7 @@
     replacedDisk: 'string',
     successor: 'string',
   },
+  // The leader of a key asks a replica to write a row.
   Accept: {
     id: 'string',
     from: 'string',
@@ -145,7 +154,9 @@
     value: 'bytes',
     changes: [appliedChange],
   },
+  // Asks a replica whether it has promised no higher term for the key, and for the version of its row without the value.
   Check: { id: 'string', from: 'string', key: 'string', epoch: 'long', membershipEpoch: 'long' },
+  // A replica's reply to `Prepare`, `Accept` or `Check`.
   Vote: {
     id: 'string',
     slot: 'long',
@@ -159,6 +170,7 @@
     value: 'bytes',
     changes: [appliedChange],
   },
+  // Periodic heartbeat between the replicas of the control cluster.
   ReplicaHello: {
     from: 'string',
     slot: 'long',
@@ -183,6 +195,7 @@
     source: 'string',
     after: 'long',
   },
+  // The reply to `CopyAsk`.
   CopyPage: {
     slot: 'long',
     disk: 'string',
@@ -194,15 +207,20 @@
     last: 'boolean',
   },
 
+  // An agent subscribes to key updates, and requests feed leases for routers (`tenures`). `relay` means that it does so
+  // for other agents too.
   Subscribe: {
     from: 'string',
     have: [{ key: 'string', epoch: 'long', version: 'long' }],
     tenures: [{ router: 'string', asked: 'long', applied: 'long' }],
     relay: 'boolean',
   },
+  // Updates of keys, and the membership of the control cluster.
   News: { news: [keyUpdate], membershipEpoch: 'long', replicas: [replica] },
+  // Feed leases granted to routers.
   Leases: { grants: [{ router: 'string', asked: 'long', version: 'long' }] },
 
+  // A candidate for leader of a singleton role asks a replica for its vote; `BallotVote` is the reply.
   Ballot: { id: 'string', from: 'string', duty: 'string', candidate: 'string', epoch: 'long', membershipEpoch: 'long' },
   BallotVote: {
     id: 'string',
@@ -215,11 +233,16 @@
     address: 'string',
   },
 
+  // Load reports of workers. `relay` asks the receiver to pass them on to its subscribers.
   Reports: { reports: [workerReport], relay: 'boolean' },
+  // Totals of a router's first attempts and retries, and what of its retry budget may be spent on fetching reports.
   Demand: { from: 'string', first: 'long', extra: 'long', allowance: 'double' },
+  // Training samples of a router: `count` rows of `width` numbers.
   Samples: { from: 'string', count: 'long', width: 'long', rows: 'bytes' },
+  // A router's statistics of the cohorts of a rehearsal.
   Arms: { from: 'string', arms: [cohortStatistics] },
 
+  // A router's state for the agent on its machine.
   RouterState: {
     router: 'string',
     http: 'string',
@@ -231,6 +254,7 @@
     arms: [cohortStatistics],
     have: [{ key: 'string', epoch: 'long', version: 'long' }],
   },
+  // What the agent sends to the router on its machine.
   Feed: {
     workers: [workerState],
     reports: [workerReport],
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -226,7 +226,7 @@
       seeds,
       fetchWorkerList: core.fetchList(name, proc),
       onPeerPrefill: c.recordPeerActivity,
-      additionalKey: { key: recordKey, version: l.version, take: l.take },
+      additionalKey: { key: recordKey, version: l.version, onUpdate: l.take },
       onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
