--- a/packages/control-feed/src/control-client.ts
+++ b/packages/control-feed/src/control-client.ts
@@ -37,7 +37,7 @@
 const noBytes = Buffer.alloc(0);
 const timedOut: ControlResponse = { status: 'unknown', epoch: 0, version: 0, value: noBytes };
 const defaultAttemptTimeoutUs = 350_000;
-/** Delay before the next look for a control node if none is known. */
+/** How long to wait if no control node is known. */
 const noNodeDelayUs = 50_000;
 /** After a node that couldn't answer, the next one is tried after this delay plus up to `retryJitterUs`. */
 const retryDelayUs = 20_000;
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -107,7 +107,7 @@
   it('acknowledges a write that is repeated after hundreds of others, at any node and also after leadership changes', async () => {
     const cluster = await foundControlCluster(24);
     for (let n = 0; n < 600; n += 1)
-      expect((await write(cluster, seedNames[n % 3]!, n, `order ${n}`)).status).toBe('done');
+      expect((await write(cluster, seedNames[n % 3]!, n, `write ${n}`)).status).toBe('done');
     for (const [stopped, contacted] of [
       ['c0', 'c1'],
       ['c1', 'c2'],
@@ -116,7 +116,7 @@
       cluster.kill(stopped);
       await cluster.run(1500);
       for (const n of [0, 1, 2, 300, 599])
-        expect(await write(cluster, contacted, n, `order ${n}`)).toMatchObject({ status: 'done', version: n + 1 });
+        expect(await write(cluster, contacted, n, `write ${n}`)).toMatchObject({ status: 'done', version: n + 1 });
       expect((await write(cluster, contacted, 3, 'another')).status).toBe('lost');
       cluster.start(stopped);
       await cluster.run(1500);
@@ -128,7 +128,7 @@
     const bytesWritten: number[] = [];
     for (let n = 0; n < 600; n += 1) {
       const sizeBefore = cluster.machine('c1').disk.bytes().length;
-      await write(cluster, 'c1', n, `order ${1000 + n}`);
+      await write(cluster, 'c1', n, `write ${1000 + n}`);
       bytesWritten.push(cluster.machine('c1').disk.bytes().length - sizeBefore);
     }
     const early = bytesWritten.slice(10, 60).reduce((sum, size) => sum + size, 0);
