--- a/packages/duty-log/src/duty-runner.test.ts
+++ b/packages/duty-log/src/duty-runner.test.ts
@@ -1,6 +1,6 @@
 /**
- * One runner in virtual time with a granted lease: what it writes and calls, in which order and pace, and what it does
- * with each kind of answer. What must hold of several nodes under faults is in the model checker's duties.
+ * One runner in virtual time that always gets the lease: what it writes and calls, in which order and at which rate, and
+ * how it handles each kind of answer. The model checker's duties cover several nodes with faults.
  */
 import { expect, it } from 'vitest';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
@@ -12,25 +12,25 @@
 
 const second = 1_000_000;
 const leaseDuration = 4.5 * second;
-const answerTime = 10_000;
+const answerDelay = 10_000;
 
-interface SeenCall extends DutyCall {
+interface RecordedCall extends DutyCall {
   readonly at: number;
 }
 
 interface Scene {
-  /** What is owed, by duty. */
-  readonly owed: Map<string, PlannedCall[]>;
-  /** `never` is no answer at all. */
+  /** The calls to make, by duty. */
+  readonly wanted: Map<string, PlannedCall[]>;
+  /** How the platform answers; `never` stands for no answer at all. */
   answer: (call: DutyCall) => CallOutcome | 'never';
   writable: boolean;
 }
 
-/** What is owed of each subject beyond the newest that the record knows of; contents are rising numbers. */
-function planOf(owed: readonly PlannedCall[]): (record: DutyRecord) => PlannedCall[] {
+/** Plans the wanted calls that are newer than those in the record for their subject; contents are increasing numbers. */
+function planOf(wanted: readonly PlannedCall[]): (record: DutyRecord) => PlannedCall[] {
   return function plan(record) {
     const known = [...record.open, ...record.outcomes];
-    return owed.filter(
+    return wanted.filter(
       (call) => !known.some((entry) => entry.subject === call.subject && Number(entry.content) >= Number(call.content)),
     );
   };
@@ -39,12 +39,12 @@
 function createScene(duties: readonly Pick<Duty, 'name' | 'maySupersede'>[], callsPerSecond = 4) {
   const clock = createVirtualClock();
   const scene: Scene = {
-    owed: new Map(duties.map(({ name }) => [name, []])),
+    wanted: new Map(duties.map(({ name }) => [name, []])),
     answer: () => 'accepted',
     writable: true,
   };
   const stored = new Map<string, StoredVersion>();
-  const calls: SeenCall[] = [];
+  const calls: RecordedCall[] = [];
   const voter = createVoter(clock.world, {
     slot: () => 0,
     disk: () => 'disk',
@@ -55,22 +55,22 @@
     store: { epoch: () => 0, keep: (_duty, _epoch, done) => done(true) },
   });
 
-  function newest(key: string): StoredVersion {
+  function newestVersion(key: string): StoredVersion {
     return stored.get(key) ?? { version: 0, value: Buffer.alloc(0) };
   }
   function recordOf(key: string): StoredValue {
     async function write(base: number, value: Buffer): Promise<number | undefined> {
-      if (!scene.writable || newest(key).version !== base) return undefined;
+      if (!scene.writable || newestVersion(key).version !== base) return undefined;
       stored.set(key, { version: base + 1, value });
       return base + 1;
     }
-    return { read: async () => newest(key), write };
+    return { read: async () => newestVersion(key), write };
   }
-  function call(made: DutyCall): Promise<CallOutcome> {
-    calls.push({ ...made, at: clock.world.now() });
-    const outcome = scene.answer(made);
-    return new Promise((done) => {
-      if (outcome !== 'never') clock.world.after(micros(answerTime), () => done(outcome));
+  function call(request: DutyCall): Promise<CallOutcome> {
+    calls.push({ ...request, at: clock.world.now() });
+    const outcome = scene.answer(request);
+    return new Promise((resolve) => {
+      if (outcome !== 'never') clock.world.after(micros(answerDelay), () => resolve(outcome));
     });
   }
   function send(_to: Address, message: Message): void {
@@ -88,20 +88,20 @@
       minTakeoverGap: 3 * second,
       callsPerSecond,
       callTimeout: 2 * second,
-      duties: duties.map((duty) => ({ ...duty, plan: (record) => planOf(scene.owed.get(duty.name)!)(record) })),
+      duties: duties.map((duty) => ({ ...duty, plan: (record) => planOf(scene.wanted.get(duty.name)!)(record) })),
       record: recordOf,
       port: { call },
     },
   );
   function recordNow(duty: string): DutyRecord {
-    const read = decodeDutyRecord(newest(dutyRecordKey(duty)).value);
-    if (read._tag === 'Left') throw new Error(read.left);
-    return read.right;
+    const decoded = decodeDutyRecord(newestVersion(dutyRecordKey(duty)).value);
+    if (decoded._tag === 'Left') throw new Error(decoded.left);
+    return decoded.right;
   }
-  function events(event: number): number {
+  function countEvents(event: number): number {
     return clock.logged.filter((entry) => entry.event === event).length;
   }
-  return { clock, scene, calls, stored, runner, recordNow, events };
+  return { clock, scene, calls, stored, runner, recordNow, countEvents };
 }
 
 function windows(first: number, last: number): PlannedCall[] {
@@ -113,9 +113,9 @@
 const usage = { name: 'usage', maySupersede: false };
 const scale = { name: 'scale', maySupersede: true };
 
-it('makes calls in order under the fence of its term, and notes each outcome', async () => {
-  const { clock, scene, calls, recordNow, events } = createScene([usage]);
-  scene.owed.set('usage', [
+it('makes calls in order with the fence of its term, and records each outcome', async () => {
+  const { clock, scene, calls, recordNow, countEvents } = createScene([usage]);
+  scene.wanted.set('usage', [
     { subject: 'a', content: '1' },
     { subject: 'b', content: '2' },
   ]);
@@ -132,12 +132,12 @@
       ['2', 'accepted'],
     ],
   ]);
-  expect(events(3103)).toBe(1);
+  expect(countEvents(3103)).toBe(1);
 });
 
-it('repeats a call without an answer to the letter, after pauses that grow, and reports it', async () => {
-  const { clock, scene, calls, events, runner } = createScene([usage]);
-  scene.owed.set('usage', windows(1, 2));
+it('retries a call without an answer unchanged, with increasing backoff, and logs it as overdue', async () => {
+  const { clock, scene, calls, countEvents, runner } = createScene([usage]);
+  scene.wanted.set('usage', windows(1, 2));
   scene.answer = () => 'never';
   await clock.runTo(40 * second);
   expect(new Set(calls.map(({ content, fence }) => `${content} ${fence}`))).toEqual(new Set(['1 1']));
@@ -145,7 +145,7 @@
   expect(gaps.length).toBeGreaterThan(4);
   expect(gaps.length).toBeLessThan(12);
   expect(gaps.at(-1)).toBeGreaterThan(2 * gaps[0]!);
-  expect(events(3104)).toBe(2);
+  expect(countEvents(3104)).toBe(2);
   const { fence, open } = runner.status().duties[0]!;
   expect([fence, open.length, open[0]!.failures >= 5, open[0]!.age > 30 * second]).toEqual([1, 2, true, true]);
   scene.answer = () => 'accepted';
@@ -153,9 +153,9 @@
   expect(calls.slice(-2).map((call) => call.content)).toEqual(['1', '2']);
 });
 
-it('catches up in order within its pace, also beyond what the record holds', async () => {
+it('catches up in order within the rate limit, including calls that did not fit into the record', async () => {
   const { clock, scene, calls, recordNow, runner } = createScene([usage]);
-  scene.owed.set('usage', windows(1, 40));
+  scene.wanted.set('usage', windows(1, 40));
   scene.answer = () => 'busy';
   await clock.runTo(10 * second);
   scene.answer = () => 'accepted';
@@ -172,22 +172,22 @@
   }
 });
 
-it('lets a duty whose calls are dark or refused for now hold up no other', async () => {
+it('does not let a duty whose calls are unanswered or rejected for now block another duty', async () => {
   for (const outcome of ['never', 'busy', 'unknown'] as const) {
     const { clock, scene, calls } = createScene([usage, scale]);
-    scene.owed.set('usage', windows(1, 3));
+    scene.wanted.set('usage', windows(1, 3));
     scene.answer = ({ duty }) => (duty === 'usage' ? outcome : 'accepted');
     await clock.runTo(10 * second);
-    scene.owed.set('scale', [{ subject: 'a', content: '5' }]);
+    scene.wanted.set('scale', [{ subject: 'a', content: '5' }]);
     await clock.runTo(11 * second);
     expect([outcome, calls.filter(({ duty }) => duty === 'scale').length]).toEqual([outcome, 1]);
   }
 });
 
-it('gives each of two duties its share of the pace', async () => {
+it('shares the rate limit evenly between two duties', async () => {
   const { clock, scene, calls } = createScene([usage, scale]);
-  scene.owed.set('usage', windows(1, 16));
-  scene.owed.set(
+  scene.wanted.set('usage', windows(1, 16));
+  scene.wanted.set(
     'scale',
     windows(1, 16).map(({ content }) => ({ subject: `s${content}`, content })),
   );
@@ -197,12 +197,12 @@
   expect(counts[0]).toBeGreaterThan(5);
 });
 
-it('ends its term at once when a higher fence was seen, and takes a higher one only later, after reading', async () => {
-  const { clock, scene, calls, events, runner } = createScene([usage]);
-  scene.owed.set('usage', windows(1, 1));
+it('ends its term at once when the platform has seen a higher fence, and acquires a new term only after the hold-off', async () => {
+  const { clock, scene, calls, countEvents, runner } = createScene([usage]);
+  scene.wanted.set('usage', windows(1, 1));
   scene.answer = ({ fence }) => (fence === 1 ? 'fenced' : 'accepted');
   await clock.runTo(2 * second);
-  expect([calls.length, events(3105), runner.status().duties[0]!.fence]).toEqual([1, 1, undefined]);
+  expect([calls.length, countEvents(3105), runner.status().duties[0]!.fence]).toEqual([1, 1, undefined]);
   await clock.runTo(10 * second);
   expect(calls.map(({ content, fence }) => [content, fence > 1])).toEqual([
     ['1', false],
@@ -211,18 +211,18 @@
   expect(calls[1]!.at - calls[0]!.at).toBeGreaterThan(3 * second);
 });
 
-it('closes a call that is refused for good, and says so', async () => {
-  const { clock, scene, calls, events, recordNow } = createScene([usage]);
-  scene.owed.set('usage', windows(1, 2));
+it('closes a call that is permanently refused, and logs it', async () => {
+  const { clock, scene, calls, countEvents, recordNow } = createScene([usage]);
+  scene.wanted.set('usage', windows(1, 2));
   scene.answer = ({ content }) => (content === '1' ? 'refused' : 'accepted');
   await clock.runTo(5 * second);
   expect(calls.map(({ content }) => content)).toEqual(['1', '2']);
-  expect([events(3106), recordNow('usage').open]).toEqual([1, []]);
+  expect([countEvents(3106), recordNow('usage').open]).toEqual([1, []]);
 });
 
-it('makes no call that is not written down, and none by a record that cannot be read', async () => {
+it('makes no call that is not recorded, and none based on a record that cannot be decoded', async () => {
   const unwritten = createScene([usage]);
-  unwritten.scene.owed.set('usage', windows(1, 1));
+  unwritten.scene.wanted.set('usage', windows(1, 1));
   unwritten.scene.writable = false;
   await unwritten.clock.runTo(10 * second);
   expect(unwritten.calls).toEqual([]);
@@ -232,22 +232,22 @@
 
   const unreadable = createScene([usage, scale]);
   unreadable.stored.set(dutyRecordKey('usage'), { version: 3, value: Buffer.from('{') });
-  for (const name of ['usage', 'scale']) unreadable.scene.owed.set(name, windows(1, 1));
+  for (const name of ['usage', 'scale']) unreadable.scene.wanted.set(name, windows(1, 1));
   await unreadable.clock.runTo(10 * second);
   expect(unreadable.calls.map(({ duty }) => duty)).toEqual(['scale']);
-  expect(unreadable.events(3107)).toBe(1);
+  expect(unreadable.countEvents(3107)).toBe(1);
 });
 
-it('finishes what its predecessor left open, under a higher fence', async () => {
+it('finishes the calls that its predecessor left open, with a higher fence', async () => {
   const { clock, stored, calls, scene } = createScene([usage]);
-  const left: DutyRecord = {
+  const predecessorRecord: DutyRecord = {
     term: { holder: 'c1', id: 'x' },
     lastIntent: 4,
     open: [{ id: 4, subject: 'all', content: 'as it was' }],
     outcomes: [],
   };
-  stored.set(dutyRecordKey('usage'), { version: 9, value: encodeDutyRecord(left) });
-  scene.owed.set('usage', windows(1, 1));
+  stored.set(dutyRecordKey('usage'), { version: 9, value: encodeDutyRecord(predecessorRecord) });
+  scene.wanted.set('usage', windows(1, 1));
   await clock.runTo(5 * second);
   expect(calls.map(({ content, fence }) => [content, fence])).toEqual([
     ['as it was', 10],
@@ -255,22 +255,22 @@
   ]);
 });
 
-it('lets a newer order overtake an open one, under a higher fence if that got no answer', async () => {
-  const { clock, scene, calls, events } = createScene([scale]);
-  scene.owed.set('scale', [{ subject: 'a', content: '5' }]);
+it('lets a newer order supersede an open one, with a higher fence if that one got no answer', async () => {
+  const { clock, scene, calls, countEvents } = createScene([scale]);
+  scene.wanted.set('scale', [{ subject: 'a', content: '5' }]);
   scene.answer = () => 'never';
   await clock.runTo(3.5 * second);
-  scene.owed.set('scale', [{ subject: 'a', content: '6' }]);
+  scene.wanted.set('scale', [{ subject: 'a', content: '6' }]);
   scene.answer = () => 'accepted';
   await clock.runTo(10 * second);
   const [first, last] = [calls[0]!, calls.at(-1)!];
-  expect([first.content, last.content, last.fence > first.fence, events(3108)]).toEqual(['5', '6', true, 1]);
+  expect([first.content, last.content, last.fence > first.fence, countEvents(3108)]).toEqual(['5', '6', true, 1]);
   expect(calls.filter(({ content }) => content === '6')).toHaveLength(1);
 });
 
-it('does nothing more once it is stopped', async () => {
+it('does nothing after it is stopped', async () => {
   const { clock, scene, calls, runner, stored } = createScene([usage]);
-  scene.owed.set('usage', windows(1, 5));
+  scene.wanted.set('usage', windows(1, 5));
   scene.answer = () => 'unknown';
   await clock.runTo(2 * second);
   runner.stop();
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -1,66 +1,67 @@
 /**
- * The duties of which one control node at a time makes the calls. All control nodes stand for one role; its holder looks
- * at each duty again and again. Each duty has its own record and goes on by itself, so a slow or dark call of one holds
- * up no other; they share the pace of calls, where the duty that has waited longest comes first.
+ * Runs the duties on the control node that is the leader for them. All control nodes are candidates for one leader role,
+ * and the leader polls each duty at a fixed interval. Each duty has its own record and proceeds independently, so a slow
+ * or unanswered call of one duty does not block another. All duties share one rate limit, under which the duty that has
+ * waited longest goes first.
  */
 import type { StoredValue } from '@tansypost/control-feed';
 import { createCandidate, type Candidate, type VoterGroup } from '@tansypost/duty';
 import { every, micros, type Address, type DutyMark, type MessageOf, type World } from '@tansypost/inner-protocol';
-import { createCallPacer, type CallPacer } from './call-pacer.js';
+import { createCallRateLimiter, type CallRateLimiter } from './call-rate-limiter.js';
 import { dutyRecordKey } from './duty-record.js';
 import type { DutyStatus } from './duty-status.js';
 import { createDutyTask, type DutyTask } from './duty-task.js';
 import type { Duty, DutyPort } from './ports.js';
 
-/** What the runner is told when it is made. Times are microseconds. */
+/** Dependencies and settings of a runner. Times are in microseconds. */
 export interface DutyRunnerOptions {
   readonly member: string;
   readonly self: Address;
   /** This node's slot among the replicas of the control state. */
   readonly slot: () => number;
-  /** Those whose votes count now. */
+  /** The current voters. */
   readonly replicas: () => VoterGroup;
-  /** Whether this node stands for the role now. */
+  /** Whether this node may be elected now. */
   readonly isEligible: () => boolean;
-  /** The lease of the role; the same for all candidates and voters. */
+  /** Duration of the leader's lease; the same for all candidates and voters. */
   readonly leaseDuration: number;
-  /** What must lie between calls of two holders. */
+  /** Minimum time between the last call of one leader and the first call of its successor. */
   readonly minTakeoverGap: number;
-  /** Over all duties of this holder. */
+  /** Rate limit over all duties of this node. */
   readonly callsPerSecond: number;
-  /** How long an answer of the platform is waited for. */
+  /** How long to wait for the platform's answer to a call. */
   readonly callTimeout: number;
   readonly duties: readonly Duty[];
-  /** The value of a key of the control state. */
+  /** The stored value at a key of the control state. */
   readonly record: (key: string) => StoredValue;
   readonly port: DutyPort;
 }
 
-/** What operators see of the duties at this node. */
+/** The status of the duties at this node, for operators. */
 export interface DutiesStatus {
-  /** Who holds the role, as far as this node knows. */
+  /** The current leader, as far as this node knows. */
   readonly holder: DutyMark | undefined;
   readonly duties: readonly DutyStatus[];
 }
 
 /** The duties at one control node. */
 export interface DutyRunner {
-  /** Takes in a voter's answer. */
+  /** Handles a voter's answer to a vote request of this node. */
   readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly status: () => DutiesStatus;
   readonly stop: () => void;
 }
 
 const role = 'platform duties';
-const lookEvery = micros(250_000);
-/** The longest that a call is on its way to the platform, in microseconds. */
-const callOnItsWay = 600_000;
+const pollInterval = micros(250_000);
+/** Longest time that a call may spend in transit to the platform. */
+const maxCallTransitUs = 600_000;
 
-/** Starts the duties at this node. */
+/** Starts the candidacy and the duties at this node. */
 export function createDutyRunner(world: World, options: DutyRunnerOptions): DutyRunner {
   const tasks: DutyTask[] = [];
   let stopped = false;
-  const pacer = createCallPacer(world, options.callsPerSecond, look);
+  const rateLimiter = createCallRateLimiter(world, options.callsPerSecond, pollDuties);
   const candidate = createCandidate(world, {
     duty: role,
     member: options.member,
@@ -71,31 +72,31 @@
     leaseDuration: options.leaseDuration,
     replicas: options.replicas,
     willing: options.isEligible,
-    won: endTerms,
-    lost: endTerms,
+    won: endAllTerms,
+    lost: endAllTerms,
   });
-  for (const duty of options.duties) tasks.push(createTask(world, options, duty, candidate, pacer, look));
+  for (const duty of options.duties) tasks.push(createTask(world, options, duty, candidate, rateLimiter, pollDuties));
 
-  function endTerms(): void {
+  function endAllTerms(): void {
     for (const task of tasks) task.endTerm();
   }
 
-  function look(): void {
+  function pollDuties(): void {
     if (stopped || candidate.holds() === undefined) return;
     const longestWaitFirst = [...tasks].sort((a, b) => a.lastCallAt() - b.lastCallAt());
-    for (const task of longestWaitFirst) task.look();
+    for (const task of longestWaitFirst) task.poll();
   }
 
-  const stopLooking = every(world, () => lookEvery, look);
+  const stopPolling = every(world, () => pollInterval, pollDuties);
   return {
     handleVote: candidate.vote,
     status: () => ({ holder: candidate.holder(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
-      stopLooking();
-      pacer.stop();
+      stopPolling();
+      rateLimiter.stop();
       candidate.stop();
-      endTerms();
+      endAllTerms();
     },
   };
 }
@@ -105,21 +106,21 @@
   options: DutyRunnerOptions,
   duty: Duty,
   candidate: Candidate,
-  pacer: CallPacer,
-  progressed: () => void,
+  rateLimiter: CallRateLimiter,
+  onProgress: () => void,
 ): DutyTask {
-  const least = options.minTakeoverGap + callOnItsWay;
+  const minLeaseLeft = options.minTakeoverGap + maxCallTransitUs;
   return createDutyTask(world, {
     duty,
     member: options.member,
     record: options.record(dutyRecordKey(duty.name)),
     port: options.port,
-    pacer,
+    rateLimiter,
     isLeader: () => candidate.holds() !== undefined,
-    canCall: () => candidate.holdsFor(least) !== undefined,
-    backOffDuration: least,
-    maxCallTransit: callOnItsWay,
+    canCall: () => candidate.holdsFor(minLeaseLeft) !== undefined,
+    holdOffDuration: minLeaseLeft,
+    maxCallTransit: maxCallTransitUs,
     callTimeout: options.callTimeout,
-    onProgress: progressed,
+    onProgress,
   });
 }
--- a/packages/duty-log/src/duty-status.ts
+++ b/packages/duty-log/src/duty-status.ts
@@ -1,41 +1,41 @@
-/** Where a duty stands at one node, for operators. */
+/** The status of a duty at one node, as reported to operators. */
 import type { Intent } from './duty-record.js';
-import type { OpenSince } from './open-since.js';
+import type { OpenIntentAges } from './open-intent-ages.js';
 import type { OwnTerm } from './own-term.js';
-import type { RetryPauses } from './retry-pauses.js';
+import type { RetryBackoff } from './retry-backoff.js';
 
-/** An open call as operators see it. */
+/** The status of an open call. */
 export interface OpenCall extends Intent {
-  /** How long this node has known of it, in microseconds. */
+  /** How long this node has known that the call is open, in microseconds. */
   readonly age: number;
-  /** Calls without a clear answer. */
+  /** Consecutive attempts without a definite outcome. */
   readonly failures: number;
 }
 
-/** Where a duty stands, as far as this node knows. */
+/** The status of a duty, as far as this node knows it. */
 export interface DutyStatus {
   readonly duty: string;
-  /** Of this node's term, while it has it. */
+  /** The fencing token of this node's term; undefined while it has no term. */
   readonly fence: number | undefined;
-  /** The oldest first; empty where this node has no term. */
+  /** Open calls, oldest first; empty while this node has no term. */
   readonly open: readonly OpenCall[];
-  /** Calls owed that had no place in the record. */
+  /** Number of planned calls that did not fit into the record yet. */
   readonly waiting: number;
 }
 
-/** What a duty knows of its open calls. */
-export interface KnownCalls {
+/** The state of a duty task that its status is derived from. */
+export interface DutyCallState {
   readonly term: OwnTerm | undefined;
-  readonly openSince: OpenSince;
-  readonly pauses: RetryPauses;
+  readonly intentAges: OpenIntentAges;
+  readonly backoff: RetryBackoff;
 }
 
-/** The status of the duty with this name. */
-export function dutyStatus(duty: string, { term, openSince, pauses }: KnownCalls): DutyStatus {
+/** Builds the status of the duty named `duty`. */
+export function dutyStatus(duty: string, { term, intentAges, backoff }: DutyCallState): DutyStatus {
   const open = (term?.record.open ?? []).map((intent) => ({
     ...intent,
-    age: openSince.age(intent.id),
-    failures: pauses.failures(intent.subject),
+    age: intentAges.age(intent.id),
+    failures: backoff.failures(intent.subject),
   }));
   return { duty, fence: term?.fence, open, waiting: term?.waiting ?? 0 };
 }
--- a/packages/duty-log/src/duty-task.ts
+++ b/packages/duty-log/src/duty-task.ts
@@ -1,13 +1,14 @@
 /**
- * One duty at one node. It takes the term, which gives its calls their fence; then, step by step, it writes down what
- * is owed, makes the oldest open call, and writes down how it ended together with what is owed next. Each write is on
- * top of the version it wrote or read last. A write that got no answer may have taken effect, so the record is read
- * again before anything else; if the term in it is another, this node's term is over.
+ * Runs one duty at one node. The task first acquires the term, whose version becomes the fencing token of its calls.
+ * Then each step writes the planned calls to the record as intents, makes the oldest open call, and writes its outcome
+ * together with the next intents. Each write is conditional on the version last written or read. A write without an
+ * answer may have taken effect, so the record is read again before anything else; if it names another term, this
+ * node's term has ended.
  */
 import type { World } from '@tansypost/inner-protocol';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
 import * as E from 'fp-ts/lib/Either.js';
-import type { CallPacer } from './call-pacer.js';
+import type { CallRateLimiter } from './call-rate-limiter.js';
 import {
   encodeDutyRecord,
   decodeDutyRecord,
@@ -17,263 +18,270 @@
   type Intent,
   type PlannedRecord,
 } from './duty-record.js';
-import { createOpenSince, type OpenSince } from './open-since.js';
-import { outcomeOf } from './call-outcome.js';
+import { createOpenIntentAges, type OpenIntentAges } from './open-intent-ages.js';
+import { callWithTimeout } from './timed-call.js';
 import { dutyStatus, type DutyStatus } from './duty-status.js';
 import type { CallOutcome, Duty, DutyPort } from './ports.js';
 import { createOwnTerm, newTermId, type OwnTerm } from './own-term.js';
-import { createRetryPauses, type RetryPauses } from './retry-pauses.js';
+import { createRetryBackoff, type RetryBackoff } from './retry-backoff.js';
 
-/** What one duty is told when it is made. Times are microseconds. */
+/** Dependencies and settings of a task. Times are in microseconds. */
 export interface DutyTaskOptions {
   readonly duty: Duty;
   readonly member: string;
   readonly record: StoredValue;
   readonly port: DutyPort;
-  readonly pacer: CallPacer;
-  /** Whether the role is held. */
+  readonly rateLimiter: CallRateLimiter;
+  /** Whether this node holds the lease of the leader role. */
   readonly isLeader: () => boolean;
-  /** Whether it is held for so long that a call made now is over before a successor's first. */
+  /** Whether the lease lasts long enough for a call made now to end before a successor can make its first call. */
   readonly canCall: () => boolean;
-  /** How long a node that lost its term to another stands back. */
-  readonly backOffDuration: number;
-  /** The longest that a call is on its way. */
+  /** How long a node that lost its term to another node waits before it tries to acquire a new one. */
+  readonly holdOffDuration: number;
+  /** Longest time that a call may spend in transit to the platform. */
   readonly maxCallTransit: number;
-  /** How long an answer is waited for. */
+  /** How long to wait for the answer to a call. */
   readonly callTimeout: number;
-  /** Called when a step has changed something, so that the next may follow at once. */
+  /** Called when a step has changed something, so that the next step can follow at once. */
   readonly onProgress: () => void;
 }
 
 /** One duty at this node. */
 export interface DutyTask {
-  /** Does the next step, unless one is under way. */
-  readonly look: () => void;
+  /** Starts the next step, unless one is in progress. */
+  readonly poll: () => void;
   readonly endTerm: () => void;
   readonly status: () => DutyStatus;
-  /** When its last call was made; before all others if there was none. */
+  /** When its last call was made; -Infinity if there was none. */
   readonly lastCallAt: () => number;
 }
 
 interface TaskState {
   readonly world: World;
   readonly options: DutyTaskOptions;
-  readonly pauses: RetryPauses;
-  readonly openSince: OpenSince;
+  readonly backoff: RetryBackoff;
+  readonly intentAges: OpenIntentAges;
   term: OwnTerm | undefined;
-  /** The own term that the next one takes the place of, where it was not lost. */
-  renews: OwnTerm | undefined;
-  /** Rises when a term ends or may not be begun, so that a term that is just being taken then is not begun. */
-  ends: number;
-  busy: boolean;
-  standBackUntil: number;
+  /** A term that this node ended itself to get a higher fence, until the next term replaces it. */
+  termToRenew: OwnTerm | undefined;
+  /** Incremented by endTerm, also where there was no term, so that an acquisition in progress at that time is discarded. */
+  termGeneration: number;
+  isStepping: boolean;
+  holdOffUntil: number;
   lastCallAt: number;
-  toldUnreadable: boolean;
+  unreadableLogged: boolean;
 }
 
-/** A call that is open for so long is reported, in microseconds. */
-const openForLong = 10_000_000;
+/** A call that is open for longer than this is logged. */
+const overdueAgeUs = 10_000_000;
 
-/** A duty whose term this node does not have yet. */
+/** Creates a task that does not have the term yet. */
 export function createDutyTask(world: World, options: DutyTaskOptions): DutyTask {
   const state: TaskState = {
     world,
     options,
-    pauses: createRetryPauses(world, options.maxCallTransit),
-    openSince: createOpenSince(world),
+    backoff: createRetryBackoff(world, options.maxCallTransit),
+    intentAges: createOpenIntentAges(world),
     term: undefined,
-    renews: undefined,
-    ends: 0,
-    busy: false,
-    standBackUntil: -Infinity,
+    termToRenew: undefined,
+    termGeneration: 0,
+    isStepping: false,
+    holdOffUntil: -Infinity,
     lastCallAt: -Infinity,
-    toldUnreadable: false,
+    unreadableLogged: false,
   };
   return {
-    look: () => look(state),
+    poll: () => poll(state),
     endTerm: () => endTerm(state),
     status: () => dutyStatus(options.duty.name, state),
     lastCallAt: () => state.lastCallAt,
   };
 }
 
-function look(state: TaskState): void {
-  if (state.busy || !state.options.isLeader()) return;
-  reportLate(state);
-  state.busy = true;
+function poll(state: TaskState): void {
+  if (state.isStepping || !state.options.isLeader()) return;
+  logOverdueIntents(state);
+  state.isStepping = true;
   void advance(state).then(
     (changed) => {
-      state.busy = false;
+      state.isStepping = false;
       if (changed) state.options.onProgress();
     },
     (error: unknown) => {
-      state.busy = false;
+      state.isStepping = false;
       state.world.log(3110, { duty: state.options.duty.name, why: String(error) });
     },
   );
 }
 
-/** One step; whether it changed anything. */
+/** Does one step and returns whether it changed anything. */
 async function advance(state: TaskState): Promise<boolean> {
-  const term = await readiedTerm(state);
+  const term = await currentTerm(state);
   if (term === undefined) return false;
   const next = nextRecord(state, term);
   term.waiting = next.waiting;
   if (needsHigherFence(state, term, next.record)) {
     endTerm(state);
-    state.renews = term;
+    state.termToRenew = term;
     return true;
   }
   if (next.record !== term.record && !(await commit(state, term, next))) return false;
   const intent = nextCall(state, term);
-  if (intent === undefined || !state.options.canCall() || !state.options.pacer.take()) return false;
+  if (intent === undefined || !state.options.canCall() || !state.options.rateLimiter.tryAcquire()) return false;
   await makeCall(state, term, intent);
   return true;
 }
 
 /**
- * Whether a new call for a subject could be followed by an older one that got no answer and is still on its way. Under a
- * higher fence the platform tells them apart. Duties that never overtake repeat the older one as it was.
+ * Whether an older call for the same subject, which got no answer and may still be in transit, could arrive after a new
+ * one. With a higher fence on the new call, the platform rejects the older one. Duties whose calls are never superseded
+ * repeat the older call unchanged instead.
  */
 function needsHigherFence({ options }: TaskState, term: OwnTerm, next: DutyRecord): boolean {
   const planned = next.open.filter((intent) => intent.id > term.record.lastIntent);
-  return options.duty.maySupersede && planned.some((intent) => term.unclear.has(intent.subject));
+  return options.duty.maySupersede && planned.some((intent) => term.uncertainSubjects.has(intent.subject));
 }
 
-/** This node's term with the newest record, which is taken or read where that is due. */
-async function readiedTerm(state: TaskState): Promise<OwnTerm | undefined> {
-  if (state.term === undefined) await takeTerm(state);
-  else if (state.term.mustRead) await readAgain(state, state.term);
-  return state.term?.mustRead === false ? state.term : undefined;
+/** Returns this node's term with an up-to-date record, after acquiring the term or rereading the record if needed. */
+async function currentTerm(state: TaskState): Promise<OwnTerm | undefined> {
+  if (state.term === undefined) await acquireTerm(state);
+  else if (state.term.needsReread) await rereadRecord(state, state.term);
+  return state.term?.needsReread === false ? state.term : undefined;
 }
 
-/** The version of the write that names this node is the fence of its term. */
-async function takeTerm(state: TaskState): Promise<void> {
+/** Writes this node's term to the record. The version of that write is the fence of the term. */
+async function acquireTerm(state: TaskState): Promise<void> {
   const { world, options } = state;
-  if (world.now() < state.standBackUntil || !options.canCall()) return;
-  const { ends } = state;
+  if (world.now() < state.holdOffUntil || !options.canCall()) return;
+  const { termGeneration } = state;
   const stored = await options.record.read();
   const record = stored === undefined ? undefined : readRecord(state, stored);
-  if (stored === undefined || record === undefined || state.ends !== ends || !options.canCall()) return;
-  if (state.renews !== undefined && isDeposed(state, state.renews, record)) return;
+  if (stored === undefined || record === undefined || state.termGeneration !== termGeneration || !options.canCall())
+    return;
+  if (state.termToRenew !== undefined && isTermLost(state, state.termToRenew, record)) return;
   const id = newTermId(world);
-  const own: DutyRecord = { ...record, term: { holder: options.member, id } };
-  const fence = await options.record.write(stored.version, encodeDutyRecord(own));
-  if (fence === undefined || state.ends !== ends) return;
-  state.term = createOwnTerm(id, fence, own);
-  state.renews = undefined;
-  state.openSince.note(own.open);
-  world.log(3103, { duty: options.duty.name, fence, open: own.open.length });
+  const ownRecord: DutyRecord = { ...record, term: { holder: options.member, id } };
+  const fence = await options.record.write(stored.version, encodeDutyRecord(ownRecord));
+  if (fence === undefined || state.termGeneration !== termGeneration) return;
+  state.term = createOwnTerm(id, fence, ownRecord);
+  state.termToRenew = undefined;
+  state.intentAges.update(ownRecord.open);
+  world.log(3103, { duty: options.duty.name, fence, open: ownRecord.open.length });
 }
 
-/** Reads the record after a write whose fate is not known. */
-async function readAgain(state: TaskState, term: OwnTerm): Promise<void> {
+/** Reads the record after a write whose outcome is unknown. */
+async function rereadRecord(state: TaskState, term: OwnTerm): Promise<void> {
   const stored = await state.options.record.read();
   if (stored === undefined || state.term !== term) return;
   const record = readRecord(state, stored);
   if (record === undefined) return endTerm(state);
-  if (isDeposed(state, term, record)) return;
-  term.mustRead = false;
-  takeIn(state, term, stored.version, record);
+  if (isTermLost(state, term, record)) return;
+  term.needsReread = false;
+  adoptRecord(state, term, stored.version, record);
 }
 
-/** Whether another node has taken the term from this one, which then stands back. */
-function isDeposed(state: TaskState, { id, fence }: OwnTerm, record: DutyRecord): boolean {
+/** Whether another node has taken over the term; if so, ends this node's term and holds off. */
+function isTermLost(state: TaskState, { id, fence }: OwnTerm, record: DutyRecord): boolean {
   if (record.term?.id === id) return false;
   state.world.log(3109, { duty: state.options.duty.name, fence, holder: record.term?.holder ?? '' });
-  standBack(state);
+  holdOff(state);
   return true;
 }
 
 function readRecord(state: TaskState, stored: StoredVersion): DutyRecord | undefined {
   const record = decodeDutyRecord(stored.value);
   if (E.isRight(record)) {
-    state.toldUnreadable = false;
+    state.unreadableLogged = false;
     return record.right;
   }
-  if (!state.toldUnreadable) state.world.log(3107, { duty: state.options.duty.name, why: record.left });
-  state.toldUnreadable = true;
+  if (!state.unreadableLogged) state.world.log(3107, { duty: state.options.duty.name, why: record.left });
+  state.unreadableLogged = true;
   return undefined;
 }
 
-function takeIn(state: TaskState, term: OwnTerm, version: number, record: DutyRecord): void {
+function adoptRecord(state: TaskState, term: OwnTerm, version: number, record: DutyRecord): void {
   term.version = version;
   term.record = record;
-  state.openSince.note(record.open);
+  state.intentAges.update(record.open);
 }
 
-/** The record with the answers that came, and with what is owed now. */
+/** The record with the outcomes received so far and with intents for the calls that are planned now. */
 function nextRecord({ options }: TaskState, term: OwnTerm): PlannedRecord {
   let { record } = term;
-  for (const [id, outcome] of term.answers) record = closeIntent(record, id, outcome, term.fence);
+  for (const [id, outcome] of term.unrecordedOutcomes) record = closeIntent(record, id, outcome, term.fence);
   return addPlannedIntents(record, options.duty.plan(record), options.duty.maySupersede);
 }
 
-/** Writes the record on top of the version known. False: it may or may not be written, or the term is over. */
+/** Writes the record if its version is unchanged. False if the write's outcome is unknown or the term has ended. */
 async function commit(state: TaskState, term: OwnTerm, next: PlannedRecord): Promise<boolean> {
   const { world, options } = state;
   const version = await options.record.write(term.version, encodeDutyRecord(next.record));
   if (state.term !== term) return false;
   if (version === undefined) {
-    term.mustRead = true;
+    term.needsReread = true;
     return false;
   }
-  takeIn(state, term, version, next.record);
-  term.answers.clear();
+  adoptRecord(state, term, version, next.record);
+  term.unrecordedOutcomes.clear();
   for (const { subject, content } of next.superseded) world.log(3108, { duty: options.duty.name, subject, content });
   return true;
 }
 
-/** The oldest open call whose subject does not pause, so that calls for one subject are made in order. */
-function nextCall({ pauses }: TaskState, term: OwnTerm): Intent | undefined {
-  return term.record.open.find((intent) => pauses.isOver(intent.subject));
+/** The oldest open call whose subject is not backing off, so that calls for one subject are made in order. */
+function nextCall({ backoff }: TaskState, term: OwnTerm): Intent | undefined {
+  return term.record.open.find((intent) => backoff.isElapsed(intent.subject));
 }
 
 async function makeCall(state: TaskState, term: OwnTerm, { id, subject, content }: Intent): Promise<void> {
-  const { world, options, pauses } = state;
+  const { world, options, backoff } = state;
   const duty = options.duty.name;
   state.lastCallAt = world.now();
   const call = { duty, subject, content, holder: options.member, fence: term.fence };
-  const outcome = await outcomeOf(world, options, call, (late) =>
-    noteClear(state, term, { id, subject, content }, late),
+  const outcome = await callWithTimeout(world, options, call, (lateOutcome) =>
+    handleDefiniteOutcome(state, term, { id, subject, content }, lateOutcome),
   );
   if (state.term !== term) return;
-  if (outcome === 'unknown') term.unclear.add(subject);
-  if (outcome === 'busy' || outcome === 'unknown') return pauses.grow(subject);
-  noteClear(state, term, { id, subject, content }, outcome);
+  if (outcome === 'unknown') term.uncertainSubjects.add(subject);
+  if (outcome === 'busy' || outcome === 'unknown') return backoff.recordFailure(subject);
+  handleDefiniteOutcome(state, term, { id, subject, content }, outcome);
 }
 
-/** Takes in an answer that says what became of the call, also one that comes after the call was taken for unclear. */
-function noteClear(state: TaskState, term: OwnTerm, { id, subject, content }: Intent, outcome: CallOutcome): void {
+/** Handles an answer with a definite outcome, including one that arrives after the call timed out. */
+function handleDefiniteOutcome(
+  state: TaskState,
+  term: OwnTerm,
+  { id, subject, content }: Intent,
+  outcome: CallOutcome,
+): void {
   if (state.term !== term || outcome === 'busy' || outcome === 'unknown') return;
-  if (outcome === 'fenced') return endFenced(state, term, subject);
-  state.pauses.end(subject);
-  term.answers.set(id, outcome);
+  if (outcome === 'fenced') return handleFenced(state, term, subject);
+  state.backoff.reset(subject);
+  term.unrecordedOutcomes.set(id, outcome);
   if (outcome === 'refused') state.world.log(3106, { duty: state.options.duty.name, subject, content });
 }
 
-/** A holder with a higher fence has acted. */
-function endFenced(state: TaskState, term: OwnTerm, subject: string): void {
+/** Ends the term: the platform has seen a higher fence, so another leader has made calls. */
+function handleFenced(state: TaskState, term: OwnTerm, subject: string): void {
   if (state.term !== term) return;
   state.world.log(3105, { duty: state.options.duty.name, subject, fence: term.fence });
-  standBack(state);
+  holdOff(state);
 }
 
 function endTerm(state: TaskState): void {
   state.term = undefined;
-  state.renews = undefined;
-  state.ends += 1;
-  state.pauses.clear();
+  state.termToRenew = undefined;
+  state.termGeneration += 1;
+  state.backoff.clear();
 }
 
-/** Ends the term, and leaves the duty to the other node for as long as must lie between two turns of one holder. */
-function standBack(state: TaskState): void {
+/** Ends the term and leaves the duty to the other node for the hold-off time. */
+function holdOff(state: TaskState): void {
   endTerm(state);
-  state.standBackUntil = state.world.now() + state.options.backOffDuration;
+  state.holdOffUntil = state.world.now() + state.options.holdOffDuration;
 }
 
-function reportLate({ world, options, openSince, term }: TaskState): void {
-  for (const { id, subject } of openSince.newlyLate(term?.record.open ?? [], openForLong)) {
-    world.log(3104, { duty: options.duty.name, subject, ageMs: Math.round(openSince.age(id) / 1000) });
+function logOverdueIntents({ world, options, intentAges, term }: TaskState): void {
+  for (const { id, subject } of intentAges.newlyOverdue(term?.record.open ?? [], overdueAgeUs)) {
+    world.log(3104, { duty: options.duty.name, subject, ageMs: Math.round(intentAges.age(id) / 1000) });
   }
 }
--- a/packages/duty-log/src/plan-throws.test.ts
+++ b/packages/duty-log/src/plan-error.test.ts
@@ -1,16 +1,16 @@
-/** A duty whose plan throws once must neither end the process nor be left alone for good. */
+/** A duty whose plan throws once must neither crash the process by an unhandled rejection nor stop for good. */
 import { expect, it } from 'vitest';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
 import { createVirtualClock } from '@tansypost/inner-protocol';
-import { createCallPacer } from './call-pacer.js';
+import { createCallRateLimiter } from './call-rate-limiter.js';
 import { createDutyTask } from './duty-task.js';
 import type { DutyCall, PlannedCall } from './ports.js';
 
-async function settle(): Promise<void> {
+async function flushMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 50; turn += 1) await Promise.resolve();
 }
 
-it('goes on with a duty after its plan threw', async () => {
+it('continues a duty after its plan threw', async () => {
   const clock = createVirtualClock();
   let stored: StoredVersion = { version: 0, value: Buffer.alloc(0) };
   const record: StoredValue = {
@@ -21,16 +21,16 @@
     },
   };
   const calls: DutyCall[] = [];
-  let throwing = true;
+  let planThrows = true;
   function plan(): readonly PlannedCall[] {
-    if (throwing) throw new Error('cannot plan');
+    if (planThrows) throw new Error('cannot plan');
     return calls.length === 0 ? [{ subject: 'a', content: '1' }] : [];
   }
   const rejections: unknown[] = [];
-  function note(reason: unknown): void {
+  function recordRejection(reason: unknown): void {
     rejections.push(reason);
   }
-  process.on('unhandledRejection', note);
+  process.on('unhandledRejection', recordRejection);
   const task = createDutyTask(clock.world, {
     duty: { name: 'usage', maySupersede: false, plan },
     member: 'c0',
@@ -41,20 +41,20 @@
         return 'accepted';
       },
     },
-    pacer: createCallPacer(clock.world, 10, () => undefined),
+    rateLimiter: createCallRateLimiter(clock.world, 10, () => undefined),
     isLeader: () => true,
     canCall: () => true,
-    backOffDuration: 1,
+    holdOffDuration: 1,
     maxCallTransit: 1,
     callTimeout: 1,
     onProgress: () => undefined,
   });
-  task.look();
-  await settle();
-  throwing = false;
-  task.look();
-  await settle();
+  task.poll();
+  await flushMicrotasks();
+  planThrows = false;
+  task.poll();
+  await flushMicrotasks();
   await new Promise((done) => setImmediate(done));
-  process.off('unhandledRejection', note);
+  process.off('unhandledRejection', recordRejection);
   expect([rejections.length, calls.length]).toEqual([0, 1]);
 });
--- a/packages/duty-log/src/ports.ts
+++ b/packages/duty-log/src/ports.ts
@@ -1,43 +1,46 @@
-/** What a duty is, and how its calls reach the platform. */
+/**
+ * The interface of a duty, which is a task that one control node at a time, the leader, performs by calls to the platform
+ * API; and the port through which these calls are made.
+ */
 import type { DutyRecord } from './duty-record.js';
 
-/** A call that a duty owes. */
+/** A call that a duty wants to make. */
 export interface PlannedCall {
-  /** What the call is about. Calls for one subject are made in order. */
+  /** The object that the call is about. Calls for one subject are made in order. */
   readonly subject: string;
-  /** The exact JSON text of what is to be told; it never changes once it is written down. */
+  /** The exact JSON text of the call's body; it never changes once the call is recorded as an intent. */
   readonly content: string;
 }
 
-/** A call as it is made. */
+/** A call as it is sent to the platform. */
 export interface DutyCall extends PlannedCall {
   readonly duty: string;
-  /** The node that makes it. */
+  /** Name of the node that makes the call. */
   readonly holder: string;
-  /** Rises with each term, and no two terms of a duty have the same. */
+  /** Fencing token: higher for each later term of the duty, and never the same for two terms. */
   readonly fence: number;
 }
 
 /**
- * How a call ended. `fenced`: refused, as a higher fence was seen. `refused`: refused for good for another reason.
- * `busy`: refused for now. `unknown`: no clear answer, so it may have been carried out.
+ * How a call ended. `fenced`: rejected because the platform has seen a higher fence. `refused`: rejected permanently for
+ * another reason. `busy`: rejected for now. `unknown`: no definite answer, so the call may have been carried out.
  */
 export type CallOutcome = 'accepted' | 'fenced' | 'refused' | 'busy' | 'unknown';
 
-/** The way to the platform. */
+/** Makes calls to the platform. */
 export interface DutyPort {
   readonly call: (call: DutyCall) => Promise<CallOutcome>;
 }
 
-/** A duty: what it owes follows from its record and from what its owner knows. */
+/** A duty. The calls to make follow from its record and from the state that the implementation holds. */
 export interface Duty {
   readonly name: string;
-  /** Whether a newer call for a subject takes the place of one that is open. */
+  /** Whether a newer call for a subject replaces an open one. */
   readonly maySupersede: boolean;
   /**
-   * What is owed now beyond the open calls of the record, in order. Asked several times a second, only while the role
-   * is held, with the newest record; what the record holds, open or accepted, must not be planned again with another
-   * content where that must not happen.
+   * The calls to make now beyond the open calls of the record, in order. Called with the newest record several times a
+   * second, only while this node is the leader. If a call must never be repeated with another content, the duty must not
+   * plan it again while the record holds it, open or accepted.
    */
   readonly plan: (record: DutyRecord) => readonly PlannedCall[];
 }
--- a/packages/model-checker/src/duties/duty-mutations.ts
+++ b/packages/model-checker/src/duties/duty-mutations.ts
@@ -30,8 +30,8 @@
     fencesChecked,
     'a successor finishes the open intents with their content',
     task,
-    'const own: DutyRecord = { ...record, term:',
-    'const own: DutyRecord = { ...record, open: [], term:',
+    'const ownRecord: DutyRecord = { ...record, term:',
+    'const ownRecord: DutyRecord = { ...record, open: [], term:',
   ),
   removed(
     leasesOverlap,
@@ -51,7 +51,7 @@
     fencesChecked,
     'a call is made only while the lease outlasts the pause between holders',
     runner,
-    'candidate.holdsFor(least) !== undefined',
+    'candidate.holdsFor(minLeaseLeft) !== undefined',
     'candidate.holds() !== undefined',
   ),
   removed(
@@ -67,8 +67,8 @@
     file: task,
     edits: [
       {
-        from: "if (outcome === 'fenced') return endFenced(state, term, subject);",
-        to: "if (outcome === 'fenced') return state.pauses.grow(subject);",
+        from: "if (outcome === 'fenced') return handleFenced(state, term, subject);",
+        to: "if (outcome === 'fenced') return state.backoff.recordFailure(subject);",
       },
     ],
   },
@@ -83,7 +83,7 @@
     fencesChecked,
     'the record is read again after a write without an answer',
     task,
-    'term.mustRead = true;\n    return false;',
+    'term.needsReread = true;\n    return false;',
     'term.version += 1;\n    term.record = next.record;\n    return true;',
   ),
   removed(
@@ -97,14 +97,14 @@
     leasesOverlap,
     'a node that lost its term to another stands back',
     task,
-    'state.standBackUntil = state.world.now() + state.options.backOffDuration;',
-    'state.standBackUntil = state.world.now();',
+    'state.holdOffUntil = state.world.now() + state.options.holdOffDuration;',
+    'state.holdOffUntil = state.world.now();',
   ),
   removed(
     fencesUnchecked,
     'a lost lease ends the terms',
     runner,
-    'won: endTerms,\n    lost: endTerms,',
+    'won: endAllTerms,\n    lost: endAllTerms,',
     'won: () => undefined,\n    lost: () => undefined,',
   ),
   {
@@ -113,26 +113,32 @@
     file: task,
     edits: [
       {
-        from: "if (outcome === 'busy' || outcome === 'unknown') return pauses",
-        to: "if (outcome === 'busy') return pauses",
+        from: "if (outcome === 'busy' || outcome === 'unknown') return backoff",
+        to: "if (outcome === 'busy') return backoff",
       },
       { from: "outcome === 'busy' || outcome === 'unknown') return;", to: "outcome === 'busy') return;" },
-      { from: 'term.answers.set(id, outcome);', to: "term.answers.set(id, 'accepted');" },
+      { from: 'term.unrecordedOutcomes.set(id, outcome);', to: "term.unrecordedOutcomes.set(id, 'accepted');" },
     ],
   },
   removed(
     fencesChecked,
     'calls for one subject are made in order',
     task,
-    'find((intent) => pauses.isOver(intent.subject))',
-    'findLast((intent) => pauses.isOver(intent.subject))',
+    'find((intent) => backoff.isElapsed(intent.subject))',
+    'findLast((intent) => backoff.isElapsed(intent.subject))',
   ),
   removed(
     fencesChecked,
     'a new order after one without an answer gets a higher fence',
     task,
-    "if (outcome === 'unknown') term.unclear.add(subject);",
+    "if (outcome === 'unknown') term.uncertainSubjects.add(subject);",
     '',
   ),
-  removed(fencesChecked, 'calls are paced', task, '|| !state.options.pacer.take()) return false;', ') return false;'),
+  removed(
+    fencesChecked,
+    'calls are paced',
+    task,
+    '|| !state.options.rateLimiter.tryAcquire()) return false;',
+    ') return false;',
+  ),
 ];
