--- a/packages/scaling/src/load-history.ts
+++ b/packages/scaling/src/load-history.ts
@@ -1,97 +1,97 @@
 /**
- * The recent demand of one service in one zone, or in all: how many workers would be without a spare moment under it.
- * Single figures swing with each report, so levels are medians. Times are microseconds.
+ * The recent demand for one service in one zone, or in all zones, measured in fully utilized workers. Single samples
+ * fluctuate with each report, so levels are medians. Times are in microseconds.
  */
 
-/** The highest demand of a time. */
+/** The highest demand within a time window. */
 export interface DemandPeak {
-  /** The highest level. */
+  /** The highest level, which is a median. */
   readonly level: number;
-  /** The mean of the most loaded moment as reported, which lasted for about a second. */
+  /** The highest mean, over about a second, of the demand as reported. */
   readonly burst: number;
 }
 
 /** A history of demand. */
 export interface LoadHistory {
   /**
-   * Takes a figure, smoothed and as it was reported; one that comes too soon after the last is left out, and after a gap
-   * the history begins anew.
+   * Adds a sample: the demand after smoothing, and as reported. A sample that follows the previous one too closely is
+   * ignored, and after a long gap the history starts again from empty.
    */
   readonly add: (now: number, demand: number, reported: number) => void;
-  /** The median of the last `sustain`; undefined where they are not known. */
+  /** The median over the last `sustain` microseconds; undefined if the history does not cover them. */
   readonly level: (now: number) => number | undefined;
-  /** The highest of the last `window`; undefined where not all of it is known. */
+  /** The highest demand in the last `window` microseconds; undefined if the history does not cover all of them. */
   readonly peak: (now: number, window: number) => DemandPeak | undefined;
   /**
-   * By how much demand grows in `ahead` if it goes on as in the last `window`; 0 where no growth is certain. It must have
-   * grown in both halves of the window: a step up is no growth that goes on.
+   * The growth of demand within the next `horizon`, extrapolated from the last `window`; 0 unless the trend is significant.
+   * Demand must have grown in both halves of the window, as a single step up is not a trend that continues.
    */
-  readonly growth: (now: number, window: number, ahead: number) => number;
+  readonly growth: (now: number, window: number, horizon: number) => number;
 }
 
 interface Sample {
   readonly at: number;
   readonly demand: number;
   readonly reported: number;
-  /** The median up to it; undefined where that is not known. */
+  /** The median over the `sustain` time up to this sample; undefined if the history does not cover it. */
   readonly level: number | undefined;
-  /** The mean of what was reported in the moment up to it. */
-  readonly moment: number;
+  /** The mean of the reported demand over the burst window up to this sample. */
+  readonly burst: number;
 }
 
-const sampleEvery = 450_000;
-const longestGap = 3_000_000;
-const momentLength = 1_000_000;
-/** A slope counts when it is as many times its standard error. */
-const certainSlope = 5;
-const leastSamples = 8;
+const minSampleIntervalUs = 450_000;
+const maxGapUs = 3_000_000;
+const burstWindowUs = 1_000_000;
+/** A slope is significant if it is at least this many times its standard error. */
+const minSlopeToError = 5;
+const minSamples = 8;
 
-/** A history that keeps `keptFor`, with levels over `sustain`. */
-export function createLoadHistory(sustain: number, keptFor: number): LoadHistory {
+/** Creates an empty history that keeps samples for `retention`; its levels are medians over `sustain`. */
+export function createLoadHistory(sustain: number, retention: number): LoadHistory {
   let samples: Sample[] = [];
 
-  function since(from: number): Sample[] {
+  function samplesSince(from: number): Sample[] {
     return samples.filter((sample) => sample.at >= from);
   }
 
-  function isKnownSince(from: number, now: number): boolean {
+  function isCoveredSince(from: number, now: number): boolean {
     const [first, last] = [samples[0], samples.at(-1)];
-    return first !== undefined && first.at <= from && now - last!.at <= longestGap;
+    return first !== undefined && first.at <= from && now - last!.at <= maxGapUs;
   }
 
   function add(now: number, demand: number, reported: number): void {
     const last = samples.at(-1);
-    if (last !== undefined && now - last.at < sampleEvery) return;
-    if (last !== undefined && now - last.at > longestGap) samples = [];
-    samples = since(now - keptFor - longestGap);
-    const recent = [...since(now - sustain).map((sample) => sample.demand), demand];
-    const lately = samples.filter(({ at }) => at > now - momentLength).map((sample) => sample.reported);
-    const moment = mean([...lately, reported]);
-    const isCovered = isKnownSince(now - sustain, now);
-    const newLevel = isCovered ? median(recent) : undefined;
-    samples.push({ at: now, demand, reported, level: newLevel, moment });
+    if (last !== undefined && now - last.at < minSampleIntervalUs) return;
+    if (last !== undefined && now - last.at > maxGapUs) samples = [];
+    samples = samplesSince(now - retention - maxGapUs);
+    const recentDemand = [...samplesSince(now - sustain).map((sample) => sample.demand), demand];
+    const recentReports = samples.filter(({ at }) => at > now - burstWindowUs).map((sample) => sample.reported);
+    const burst = mean([...recentReports, reported]);
+    const isCovered = isCoveredSince(now - sustain, now);
+    const sampleLevel = isCovered ? median(recentDemand) : undefined;
+    samples.push({ at: now, demand, reported, level: sampleLevel, burst });
   }
 
   function level(now: number): number | undefined {
     const last = samples.at(-1);
-    return last !== undefined && now - last.at <= longestGap ? last.level : undefined;
+    return last !== undefined && now - last.at <= maxGapUs ? last.level : undefined;
   }
 
   function peak(now: number, window: number): DemandPeak | undefined {
-    if (!isKnownSince(now - window - sustain, now)) return undefined;
-    const all = since(now - window);
+    if (!isCoveredSince(now - window - sustain, now)) return undefined;
+    const all = samplesSince(now - window);
     return {
       level: Math.max(...all.map((sample) => sample.level ?? 0)),
-      burst: Math.max(...all.map((sample) => sample.moment)),
+      burst: Math.max(...all.map((sample) => sample.burst)),
     };
   }
 
-  function growth(now: number, window: number, ahead: number): number {
-    if (!isKnownSince(now - window, now)) return 0;
-    const all = since(now - window);
+  function growth(now: number, window: number, horizon: number): number {
+    if (!isCoveredSince(now - window, now)) return 0;
+    const all = samplesSince(now - window);
     const early = all.filter(({ at }) => at < now - window / 2);
-    const late = since(now - window / 2);
-    return Math.max(0, Math.min(certainSlopeOf(all), slopeOf(early).slope, slopeOf(late).slope) * ahead);
+    const late = samplesSince(now - window / 2);
+    return Math.max(0, Math.min(significantSlope(all), fitSlope(early).slope, fitSlope(late).slope) * horizon);
   }
 
   return { add, level, peak, growth };
@@ -107,20 +107,23 @@
   return (sorted[Math.floor(middle)]! + sorted[Math.ceil(middle)]!) / 2;
 }
 
-/** The least-squares line through the samples: its slope, and what that may be off by. */
-function slopeOf(samples: readonly Sample[]): { readonly slope: number; readonly standardError: number } {
+/** The slope of the least-squares line through the samples, and the slope's standard error. */
+function fitSlope(samples: readonly Sample[]): { readonly slope: number; readonly standardError: number } {
   const count = samples.length;
-  if (count < leastSamples / 2) return { slope: 0, standardError: 0 };
+  if (count < minSamples / 2) return { slope: 0, standardError: 0 };
   const meanAt = mean(samples.map(({ at }) => at));
   const meanDemand = mean(samples.map(({ demand }) => demand));
   const spread = samples.reduce((sum, { at }) => sum + (at - meanAt) ** 2, 0);
   const slope = samples.reduce((sum, { at, demand }) => sum + (at - meanAt) * (demand - meanDemand), 0) / spread;
-  const left = samples.reduce((sum, { at, demand }) => sum + (demand - meanDemand - slope * (at - meanAt)) ** 2, 0);
-  return { slope, standardError: Math.sqrt(left / (count - 2) / spread) };
+  const residuals = samples.reduce(
+    (sum, { at, demand }) => sum + (demand - meanDemand - slope * (at - meanAt)) ** 2,
+    0,
+  );
+  return { slope, standardError: Math.sqrt(residuals / (count - 2) / spread) };
 }
 
-/** The slope; 0 where it does not stand out from what the figures vary by. */
-function certainSlopeOf(samples: readonly Sample[]): number {
-  const { slope, standardError } = slopeOf(samples);
-  return samples.length >= leastSamples && slope >= certainSlope * standardError ? slope : 0;
+/** The slope; 0 if it is not significant given the variance of the samples. */
+function significantSlope(samples: readonly Sample[]): number {
+  const { slope, standardError } = fitSlope(samples);
+  return samples.length >= minSamples && slope >= minSlopeToError * standardError ? slope : 0;
 }
--- a/packages/scaling/src/scale-duty.test.ts
+++ b/packages/scaling/src/scale-duty.test.ts
@@ -1,4 +1,4 @@
-/** Orders of workers as calls of a duty: what the record holds decides what is owed. */
+/** Scale orders as calls of a duty: the record decides which orders are still to be made. */
 import { expect, it } from 'vitest';
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { DutyRecord } from '@tansypost/duty-log';
@@ -8,12 +8,21 @@
 
 const emptyRecord: DutyRecord = { term: null, lastIntent: 0, open: [], outcomes: [] };
 
-function worker(n: number): ListedWorker {
-  const part = n === 0 ? 'prefill' : 'decode';
-  return { id: `w${n}`, service: 's', address: `w${n}:1`, zone: 'z', slots: 8, leaving: false, coldMs: 0, part };
+function worker(index: number): ListedWorker {
+  const part = index === 0 ? 'prefill' : 'decode';
+  return {
+    id: `w${index}`,
+    service: 's',
+    address: `w${index}:1`,
+    zone: 'z',
+    slots: 8,
+    leaving: false,
+    coldMs: 0,
+    part,
+  };
 }
 
-async function scene() {
+async function createObservingDuty() {
   const clock = createVirtualClock();
   const duty = createScaleDuty(clock.world, {
     services: () => [{ name: 's', scaling: { least: 2, most: 9, bootTime: 8_000_000 } }],
@@ -23,8 +32,8 @@
   return duty;
 }
 
-it('orders the number that is there once, whether that order is open or has ended', async () => {
-  const duty = await scene();
+it('orders the number of workers present once, whether that order is open or has ended', async () => {
+  const duty = await createObservingDuty();
   const order = toPlannedOrder({ service: 's', zone: 'z', workers: 4 });
   expect(duty.plan(emptyRecord)).toEqual([order]);
   expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...order }] })).toEqual([]);
--- a/packages/scaling/src/scale-duty.ts
+++ b/packages/scaling/src/scale-duty.ts
@@ -1,32 +1,32 @@
-/** Orders of workers as a duty. Only the newest number for a service and zone counts, so it overtakes one that is open. */
+/** The duty that orders workers. Only the newest order for a service and zone counts, so it supersedes an open one. */
 import type { Duty, DutyRecord, PlannedCall } from '@tansypost/duty-log';
 import { every, micros, type World } from '@tansypost/inner-protocol';
 import { decodeScaleOrder } from './scale-order.js';
 import { createScalePlanner, type FleetView, type ScaledService } from './scale-planner.js';
 
-/** What the duty is told when it is made. */
+/** Dependencies of the duty. */
 export interface ScaleDutyOptions {
   readonly services: () => readonly ScaledService[];
-  /** What this control node sees now. */
+  /** The fleet as this control node sees it now. */
   readonly view: () => FleetView;
 }
 
-/** The duty, which looks at the fleet also while another node has the term. */
+/** The duty. It observes the fleet even while another node holds the term, so that its load history is ready. */
 export interface ScaleDuty extends Duty {
   readonly stop: () => void;
 }
 
 /** Name of the duty. */
 export const scaleDutyName = 'scale';
-const lookEvery = micros(500_000);
+const pollInterval = micros(500_000);
 
-/** Makes the duty, which begins to look at the fleet. */
+/** Creates the duty and starts to observe the fleet. */
 export function createScaleDuty(world: World, options: ScaleDutyOptions): ScaleDuty {
   let ordered: ReadonlyMap<string, number> = new Map();
   const planner = createScalePlanner({ services: options.services, lastOrdered: (subject) => ordered.get(subject) });
 
   function plan(record: DutyRecord): readonly PlannedCall[] {
-    ordered = orderedNumbers(record);
+    ordered = lastOrderedCounts(record);
     return planner.plan(world.now());
   }
 
@@ -36,18 +36,18 @@
     plan,
     stop: every(
       world,
-      () => lookEvery,
+      () => pollInterval,
       () => planner.observe(world.now(), options.view()),
     ),
   };
 }
 
-/** The newest order of each subject, whether it has ended or not. */
-function orderedNumbers({ open, outcomes }: DutyRecord): ReadonlyMap<string, number> {
-  const numbers = new Map<string, number>();
+/** The number of workers in the newest order for each subject, open or ended. */
+function lastOrderedCounts({ open, outcomes }: DutyRecord): ReadonlyMap<string, number> {
+  const counts = new Map<string, number>();
   for (const { subject, content } of [...outcomes, ...open]) {
     const order = decodeScaleOrder(content);
-    if (order !== undefined) numbers.set(subject, order.workers);
+    if (order !== undefined) counts.set(subject, order.workers);
   }
-  return numbers;
+  return counts;
 }
--- a/packages/scaling/src/scale-order.ts
+++ b/packages/scaling/src/scale-order.ts
@@ -1,30 +1,30 @@
-/** An order of workers as a duty writes it down: what it is about, and its exact content. */
+/** A scale order, which sets the number of workers of a service in a zone, as the subject and content of a duty's call. */
 
-/** How many workers a service is to have in a zone, those of both stages together. */
+/** The number of workers that a service is to have in a zone, prefill and decode workers together. */
 export interface ScaleOrder {
   readonly service: string;
   readonly zone: string;
   readonly workers: number;
 }
 
-/** A call that is owed. */
+/** An order as a planned call of the duty. */
 export interface PlannedOrder {
   readonly subject: string;
-  /** JSON of a ScaleOrder; equal orders give equal texts. */
+  /** JSON of a ScaleOrder; equal orders give equal strings. */
   readonly content: string;
 }
 
-/** What the orders for one service in one zone are about. */
+/** The subject of all orders for one service in one zone. */
 export function scaleSubject(service: string, zone: string): string {
   return `${service} ${zone}`;
 }
 
-/** The order as it is written down. */
+/** Encodes an order as a planned call. */
 export function toPlannedOrder({ service, zone, workers }: ScaleOrder): PlannedOrder {
   return { subject: scaleSubject(service, zone), content: JSON.stringify({ service, zone, workers }) };
 }
 
-/** The order in a content; undefined where that is none. */
+/** Decodes the content of a call; undefined if it is not a scale order. */
 export function decodeScaleOrder(content: string): ScaleOrder | undefined {
   try {
     const { service, zone, workers } = JSON.parse(content) as Record<string, unknown>;
--- a/packages/scaling/src/scale-planner.ts
+++ b/packages/scaling/src/scale-planner.ts
@@ -1,7 +1,7 @@
 /**
- * The orders of workers that are owed, for each service with scaling and each zone in which it runs. Nothing is decided on
- * a list that is empty or old. The number ordered last comes from the duty's record, so a new holder goes on from there;
- * what a planner remembers itself is only the recent load, and it gives up no worker before it has seen enough of that.
+ * Plans the scale orders for each scaled service and each zone in which it runs. Nothing is planned on an empty or outdated
+ * worker list. The number ordered last comes from the duty's record, so a new leader continues from there. The planner's
+ * own state is only the recent load, and it removes no worker before it has observed enough of that.
  */
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import type { ScalingTerms } from '@tansypost/paths';
@@ -25,25 +25,25 @@
   readonly scaling?: ScalingTerms | undefined;
 }
 
-/** What a control node sees at one moment. */
+/** The fleet as a control node sees it at one point in time. */
 export interface FleetView {
   readonly workers: readonly ListedWorker[];
-  /** How old the list is, in microseconds. */
+  /** Age of the worker list, in microseconds. */
   readonly listAge: number;
   readonly loads: ReadonlyMap<string, WorkerLoad>;
 }
 
-/** What the planner is told when it is made. */
+/** Dependencies and settings of the planner. */
 export interface ScalePlannerOptions {
   readonly services: () => readonly ScaledService[];
-  /** The number that was ordered last for a subject, whether the order has ended or not; undefined before the first. */
+  /** The number ordered last for a subject, by an open or ended order; undefined before the first order. */
   readonly lastOrdered: (subject: string) => number | undefined;
   readonly thresholds?: ScalingThresholds;
 }
 
-/** Decides what is owed. Times are microseconds of one clock. */
+/** Plans scale orders. Times are in microseconds of one clock. */
 export interface ScalePlanner {
-  /** Takes in what is seen now; to be called about twice a second, also while the role is another's. */
+  /** Adds an observation; to be called about twice a second, even while another node is the leader. */
   readonly observe: (now: number, view: FleetView) => void;
   /** The orders that differ from what was ordered last. */
   readonly plan: (now: number) => readonly PlannedOrder[];
@@ -53,49 +53,51 @@
   readonly zone: string;
   readonly history: LoadHistory;
   present: ZoneLoad;
-  /** Since when the number on the list has been the same, and the most since the zone was first seen. */
   readonly firstSeenAt: number;
+  /** Since when the number of listed workers has been the same. */
   unchangedSince: number;
-  mostListed: number;
-  /** The number ordered last, as it was last seen, and since when. */
+  /** The highest number of listed workers since the zone was first seen. */
+  maxListed: number;
+  /** The number ordered last as of the latest observation or plan, and since when. */
   ordered: number | undefined;
   orderedSince: number;
 }
 
 interface ServiceState {
   readonly name: string;
-  terms: ScalingTerms;
+  bounds: ScalingTerms;
   windows: ScalingWindows;
-  /** Demand over all zones; higher than real where workers do not report. */
+  /** Demand over all zones. Workers that do not report count with the mean load, so it may be overestimated. */
   total: LoadHistory;
   readonly zones: Map<string, ZoneState>;
-  /** When a zone last had less than half of the workers ordered. */
-  shortAt: number;
+  /** When a zone last had less than `minZoneShare` of the workers ordered. */
+  lastShortageAt: number;
 }
 
 interface PlannerState {
   readonly options: ScalePlannerOptions;
-  readonly loads: ScalingThresholds;
+  readonly thresholds: ScalingThresholds;
   readonly services: Map<string, ServiceState>;
-  /** The last look at a list that was neither empty nor old. */
+  /** When a worker list was last observed that was neither empty nor outdated. */
   observedAt: number;
 }
 
-/** No order is made on a list that is older. */
-const longestListAge = 6_000_000;
-const longestSinceLook = 3_000_000;
-/** The first order waits until the number on the list has been the same for so long, but no longer than that. */
-const settleTime = 3_000_000;
-const longestSettle = 10_000_000;
-const leastShareOfZone = 0.5;
-/** The load of all zones counts in each as that of so many workers. */
-const sharedWeight = 24;
+/** Nothing is planned on a worker list older than this. */
+const maxListAgeUs = 6_000_000;
+/** Nothing is planned if the last valid observation is older than this. */
+const maxObservationAgeUs = 3_000_000;
+/** The first order waits until the number of listed workers has been stable for `settleTimeUs`, at most `maxSettleTimeUs`. */
+const settleTimeUs = 3_000_000;
+const maxSettleTimeUs = 10_000_000;
+const minZoneShare = 0.5;
+/** The mean load of all zones is weighted like this many workers when it is blended into the load of a zone. */
+const serviceLoadWeight = 24;
 
-/** A planner that has seen nothing yet. */
+/** Creates a planner without any observations. */
 export function createScalePlanner(options: ScalePlannerOptions): ScalePlanner {
   const state: PlannerState = {
     options,
-    loads: options.thresholds ?? defaultThresholds,
+    thresholds: options.thresholds ?? defaultThresholds,
     services: new Map(),
     observedAt: -Infinity,
   };
@@ -106,8 +108,8 @@
 }
 
 function observe(state: PlannerState, now: number, view: FleetView): void {
-  followServices(state);
-  if (view.workers.length === 0 || view.listAge > longestListAge) {
+  updateServices(state);
+  if (view.workers.length === 0 || view.listAge > maxListAgeUs) {
     state.observedAt = -Infinity;
     return;
   }
@@ -115,20 +117,20 @@
   for (const service of state.services.values()) observeService(state, service, now, view);
 }
 
-/** Takes up services and terms of a new configuration, and forgets what is no longer scaled. */
-function followServices({ options, services }: PlannerState): void {
+/** Applies the services and bounds of the current configuration, and drops services that are no longer scaled. */
+function updateServices({ options, services }: PlannerState): void {
   const scaled = new Map(options.services().flatMap(({ name, scaling }) => (scaling ? [[name, scaling]] : [])));
   for (const name of services.keys()) if (!scaled.has(name)) services.delete(name);
-  for (const [name, terms] of scaled) {
+  for (const [name, bounds] of scaled) {
     const known = services.get(name);
-    if (known?.terms.bootTime === terms.bootTime) known.terms = terms;
-    else services.set(name, newService(name, terms));
+    if (known?.bounds.bootTime === bounds.bootTime) known.bounds = bounds;
+    else services.set(name, newService(name, bounds));
   }
 }
 
-function newService(name: string, terms: ScalingTerms): ServiceState {
-  const windows = scalingWindows(terms);
-  return { name, terms, windows, total: newHistory(windows), zones: new Map(), shortAt: -Infinity };
+function newService(name: string, bounds: ScalingTerms): ServiceState {
+  const windows = scalingWindows(bounds);
+  return { name, bounds, windows, total: newHistory(windows), zones: new Map(), lastShortageAt: -Infinity };
 }
 
 function newHistory({ sustain, trend, stabilization }: ScalingWindows): LoadHistory {
@@ -140,52 +142,52 @@
   for (const zone of present.keys()) {
     if (!service.zones.has(zone)) service.zones.set(zone, newZone(zone, service.windows, now));
   }
-  const shared = sharedLoad([...present.values()]);
+  const serviceLoad = meanLoad([...present.values()]);
   for (const zone of service.zones.values()) {
-    observeZone(zone, present.get(zone.zone) ?? { listed: 0, reported: 0, load: undefined }, shared, now);
-    noteOrdered(state, service, zone, now);
+    observeZone(zone, present.get(zone.zone) ?? { listed: 0, reported: 0, load: undefined }, serviceLoad, now);
+    updateLastOrdered(state, service, zone, now);
   }
   observeTotal(service, now);
 }
 
-/** The mean load of the zones, by their workers; routers send requests on to other zones where their own is crowded. */
-function sharedLoad(zones: readonly ZoneLoad[]): number {
+/** The mean load of the zones, weighted by workers; routers forward requests to other zones if their own is overloaded. */
+function meanLoad(zones: readonly ZoneLoad[]): number {
   const known = zones.filter(({ load }) => load !== undefined);
   const workers = known.reduce((sum, { reported }) => sum + reported, 0);
   return workers === 0 ? 0 : known.reduce((sum, { load, reported }) => sum + load! * reported, 0) / workers;
 }
 
 function newZone(zone: string, windows: ScalingWindows, now: number): ZoneState {
-  const none: ZoneLoad = { listed: 0, reported: 0, load: undefined };
+  const noLoad: ZoneLoad = { listed: 0, reported: 0, load: undefined };
   return {
     zone,
     history: newHistory(windows),
-    present: none,
+    present: noLoad,
     firstSeenAt: now,
     unchangedSince: now,
-    mostListed: 0,
+    maxListed: 0,
     ordered: undefined,
     orderedSince: now,
   };
 }
 
-function observeZone(zone: ZoneState, present: ZoneLoad, shared: number, now: number): void {
+function observeZone(zone: ZoneState, present: ZoneLoad, serviceLoad: number, now: number): void {
   if (present.listed !== zone.present.listed) zone.unchangedSince = now;
   zone.present = present;
-  zone.mostListed = Math.max(zone.mostListed, present.listed);
+  zone.maxListed = Math.max(zone.maxListed, present.listed);
   const { load, reported } = present;
   if (load === undefined) return;
-  // Reports of few workers swing, so a zone counts for as much as it has.
-  const smoothed = (load * reported + shared * sharedWeight) / (reported + sharedWeight);
-  // Workers that are listed and do not report may be booting: they add no demand that would call for more of them.
+  // Reports of few workers fluctuate, so the load of a zone is weighted by its number of reporting workers.
+  const smoothed = (load * reported + serviceLoad * serviceLoadWeight) / (reported + serviceLoadWeight);
+  // Listed workers that do not report may be booting, so they add no demand, which would order even more workers.
   zone.history.add(now, smoothed * reported, load * reported);
 }
 
-function noteOrdered(state: PlannerState, service: ServiceState, zone: ZoneState, now: number): void {
+function updateLastOrdered(state: PlannerState, service: ServiceState, zone: ZoneState, now: number): void {
   const ordered = state.options.lastOrdered(scaleSubject(service.name, zone.zone));
   if (ordered !== zone.ordered) zone.orderedSince = now;
   zone.ordered = ordered;
-  if (ordered !== undefined && zone.present.listed < leastShareOfZone * ordered) service.shortAt = now;
+  if (ordered !== undefined && zone.present.listed < minZoneShare * ordered) service.lastShortageAt = now;
 }
 
 function observeTotal(service: ServiceState, now: number): void {
@@ -196,72 +198,86 @@
 }
 
 function plan(state: PlannerState, now: number): readonly PlannedOrder[] {
-  if (now - state.observedAt > longestSinceLook) return [];
+  if (now - state.observedAt > maxObservationAgeUs) return [];
   return [...state.services.values()].flatMap((service) => planService(state, service, now));
 }
 
 function planService(state: PlannerState, service: ServiceState, now: number): PlannedOrder[] {
   const zones = [...service.zones.values()];
-  for (const zone of zones) noteOrdered(state, service, zone, now);
-  const wanted = new Map(zones.map((zone) => [zone, wantedAtLeast(state, service, zone, now)]));
-  lower(state, service, zones, wanted, now);
+  for (const zone of zones) updateLastOrdered(state, service, zone, now);
+  const targets = new Map(zones.map((zone) => [zone, targetWithoutScaleDown(state, service, zone, now)]));
+  planScaleDown(state, service, zones, targets, now);
   return zones.flatMap((zone) => {
-    const workers = wanted.get(zone);
+    const workers = targets.get(zone);
     if (workers === undefined || workers === zone.ordered) return [];
     return [toPlannedOrder({ service: service.name, zone: zone.zone, workers })];
   });
 }
 
-/** What is there at the start, and what was ordered or more later; undefined while it is not known what is there. */
-function wantedAtLeast(state: PlannerState, service: ServiceState, zone: ZoneState, now: number): number | undefined {
-  const { terms } = service;
+/**
+ * The target before scaling down: at first the number of workers present, later the number ordered last or more. Undefined
+ * while the number of workers present is not known.
+ */
+function targetWithoutScaleDown(
+  state: PlannerState,
+  service: ServiceState,
+  zone: ZoneState,
+  now: number,
+): number | undefined {
+  const { bounds } = service;
   if (zone.ordered === undefined)
-    return hasSettled(zone, now) ? clampToBounds(firstNumber(zone, now), terms) : undefined;
+    return isReadyForFirstOrder(zone, now) ? clampToBounds(initialCount(zone, now), bounds) : undefined;
   const demand = zone.history.level(now);
-  if (demand === undefined) return clampToBounds(zone.ordered, terms);
-  return clampToBounds(scaledUpCount(zone.ordered, demand, growthAhead(service, zone, now), state.loads), terms);
+  if (demand === undefined) return clampToBounds(zone.ordered, bounds);
+  return clampToBounds(
+    scaledUpCount(zone.ordered, demand, expectedGrowth(service, zone, now), state.thresholds),
+    bounds,
+  );
 }
 
-/** What demand will have grown by when a worker ordered now serves. */
-function growthAhead({ terms, windows }: ServiceState, zone: ZoneState, now: number): number {
-  return zone.history.growth(now, windows.trend, terms.bootTime);
+/** The expected growth of demand until a worker ordered now can serve. */
+function expectedGrowth({ bounds, windows }: ServiceState, zone: ZoneState, now: number): number {
+  return zone.history.growth(now, windows.trend, bounds.bootTime);
 }
 
-/** Whether it is known how many workers there are, or has been waited for long enough. */
-function hasSettled(zone: ZoneState, now: number): boolean {
-  return zone.mostListed > 0 && (isAtRest(zone, now) || now - zone.firstSeenAt >= longestSettle);
+/** Whether the number of workers present is stable, or the longest wait for that is over. */
+function isReadyForFirstOrder(zone: ZoneState, now: number): boolean {
+  return zone.maxListed > 0 && (isStable(zone, now) || now - zone.firstSeenAt >= maxSettleTimeUs);
 }
 
-function isAtRest(zone: ZoneState, now: number): boolean {
-  return zone.present.listed > 0 && now - zone.unchangedSince >= settleTime;
+function isStable(zone: ZoneState, now: number): boolean {
+  return zone.present.listed > 0 && now - zone.unchangedSince >= settleTimeUs;
 }
 
-/** Where the number does not come to rest, or the zone was lost at once, the most that were seen. */
-function firstNumber(zone: ZoneState, now: number): number {
-  return isAtRest(zone, now) ? zone.present.listed : zone.mostListed;
+/** The number of the first order: the number of listed workers if stable, else the highest number seen. */
+function initialCount(zone: ZoneState, now: number): number {
+  return isStable(zone, now) ? zone.present.listed : zone.maxListed;
 }
 
-/** Takes one step down in each zone where that is safe, with those taken before it in mind. */
-function lower(
-  { loads }: PlannerState,
+/** Plans one scale-down step in each zone where that is safe, given the steps planned for the zones before it. */
+function planScaleDown(
+  { thresholds }: PlannerState,
   service: ServiceState,
   zones: readonly ZoneState[],
-  wanted: Map<ZoneState, number | undefined>,
+  targets: Map<ZoneState, number | undefined>,
   now: number,
 ): void {
-  const { windows, terms } = service;
+  const { windows, bounds } = service;
   const total = service.total.peak(now, windows.stabilization);
-  if (total === undefined || now - service.shortAt < windows.stabilization) return;
-  const bearing = new Map(zones.map((zone) => [zone, Math.min(zone.present.listed, zone.ordered ?? 0)]));
+  if (total === undefined || now - service.lastShortageAt < windows.stabilization) return;
+  const remaining = new Map(zones.map((zone) => [zone, Math.min(zone.present.listed, zone.ordered ?? 0)]));
   for (const zone of zones) {
     const { ordered } = zone;
     const peak = zone.history.peak(now, windows.stabilization);
     if (ordered === undefined || peak === undefined || now - zone.orderedSince < windows.cooldown) continue;
-    const workers = clampToBounds(scaledDownCount(ordered, peak, growthAhead(service, zone, now), loads), terms);
+    const workers = clampToBounds(
+      scaledDownCount(ordered, peak, expectedGrowth(service, zone, now), thresholds),
+      bounds,
+    );
     if (workers >= ordered) continue;
-    const left = new Map(bearing).set(zone, Math.min(bearing.get(zone)!, workers));
-    if (!toleratesZoneLoss([...left.values()], total.burst, loads)) continue;
-    bearing.set(zone, left.get(zone)!);
-    wanted.set(zone, workers);
+    const afterStep = new Map(remaining).set(zone, Math.min(remaining.get(zone)!, workers));
+    if (!toleratesZoneLoss([...afterStep.values()], total.burst, thresholds)) continue;
+    remaining.set(zone, afterStep.get(zone)!);
+    targets.set(zone, workers);
   }
 }
--- a/packages/scaling/src/worker-targets.ts
+++ b/packages/scaling/src/worker-targets.ts
@@ -1,80 +1,80 @@
 /**
- * Decides how many workers a zone is to have. Up as soon as demand is above what those ordered bear, as far ahead as a
- * worker takes to boot; down by small steps, after demand has been low for several boot times. The gap between the two
- * loads keeps a number that was just reached from being left again.
+ * Decides the target number of workers of a zone. It scales up as soon as demand, extrapolated by the boot time of a
+ * worker, exceeds the capacity of the workers ordered. It scales down in small steps after demand has been low for several
+ * boot times. The gap between the two thresholds (hysteresis) keeps the target from oscillating.
  */
 import type { ScalingTerms } from '@tansypost/paths';
 import type { DemandPeak } from './load-history.js';
 
-/** What follows from the boot time; microseconds. */
+/** Time windows derived from the boot time of a worker, in microseconds. */
 export interface ScalingWindows {
-  /** For so long demand must last to count. */
+  /** How long demand must last to be taken into account. */
   readonly sustain: number;
-  /** The trend is taken over so much of the past; longer than it is looked ahead, so that a short wave is none. */
+  /** How far back the trend is measured. Longer than the forecast, so that a short wave is not taken for a trend. */
   readonly trend: number;
-  /** For so long demand must have been low. */
+  /** How long demand must have been low before a scale-down. */
   readonly stabilization: number;
-  /** Between two steps down. */
+  /** Minimum time between two scale-down steps. */
   readonly cooldown: number;
 }
 
-/** The loads between which the number stays as it is; 1 is that of workers without a spare moment. */
+/** Load thresholds for scaling; a load of 1 means that the workers are fully utilized. */
 export interface ScalingThresholds {
-  /** Above this load of the workers ordered, more are. */
+  /** Scale up if the load of the workers ordered exceeds this. */
   readonly scaleUp: number;
-  /** The load that an order of more aims at. */
+  /** The load that a scale-up aims for. */
   readonly target: number;
-  /** A worker is given up where the load of those left would have stayed below this. */
+  /** Scale down if the load of the remaining workers would have stayed below this. */
   readonly scaleDown: number;
-  /** The load that those left may have in a moment, or for as long as a zone is lost. */
+  /** The load that the remaining workers may have for about a second, or while a zone is lost. */
   readonly maximum: number;
 }
 
-/** As weighed in docs/duties.md. */
+/** Chosen by the comparison in docs/duties.md. */
 export const defaultThresholds: ScalingThresholds = { scaleUp: 0.95, target: 0.85, scaleDown: 0.7, maximum: 1 };
-/** A step down gives up one worker in so many, and at least one. */
-const stepShare = 10;
+/** A scale-down step removes one worker in this many, but at least one. */
+const stepDivisor = 10;
 
-const shortestBoot = 2_000_000;
-const sustainBounds = [2_000_000, 4_000_000] as const;
-const bootsPerSustain = 1 / 2;
-const bootsPerTrend = 2;
-const bootsPerCalm = 3;
+const minBootTimeUs = 2_000_000;
+const sustainBoundsUs = [2_000_000, 4_000_000] as const;
+const sustainPerBootTime = 1 / 2;
+const trendPerBootTime = 2;
+const stabilizationPerBootTime = 3;
 
-/** The windows of a service. */
+/** The scaling windows of a service. */
 export function scalingWindows({ bootTime }: ScalingTerms): ScalingWindows {
-  const boot = Math.max(bootTime, shortestBoot);
-  const [shortest, longest] = sustainBounds;
+  const boot = Math.max(bootTime, minBootTimeUs);
+  const [shortest, longest] = sustainBoundsUs;
   return {
-    sustain: Math.min(longest, Math.max(shortest, boot * bootsPerSustain)),
-    trend: boot * bootsPerTrend,
-    stabilization: boot * bootsPerCalm,
+    sustain: Math.min(longest, Math.max(shortest, boot * sustainPerBootTime)),
+    trend: boot * trendPerBootTime,
+    stabilization: boot * stabilizationPerBootTime,
     cooldown: boot,
   };
 }
 
-/** The number within the bounds of the service. */
+/** Limits a number of workers to the bounds of the service. */
 export function clampToBounds(workers: number, { least, most }: ScalingTerms): number {
   return Math.min(most, Math.max(least, workers));
 }
 
-/** More than `ordered` where demand is too high for it, else `ordered`. Demand is in workers without a spare moment. */
+/** A target above `ordered` if demand, in fully utilized workers, is too high for `ordered`, else `ordered`. */
 export function scaledUpCount(ordered: number, demand: number, growth: number, loads: ScalingThresholds): number {
-  // No more than doubles, however steep.
+  // The forecast is at most twice the demand, however steep the trend is.
   const expected = demand + Math.min(growth, demand);
   return expected > loads.scaleUp * ordered ? Math.max(ordered, Math.ceil(expected / loads.target)) : ordered;
 }
 
-/** Whether the workers of a service, given for each zone, bear the demand also without the zone that has most. */
+/** Whether the workers of a service can carry the demand even if the zone with the most workers is lost. */
 export function toleratesZoneLoss(workersByZone: readonly number[], demand: number, loads: ScalingThresholds): boolean {
   if (workersByZone.length < 2) return true;
   const total = workersByZone.reduce((sum, workers) => sum + workers, 0);
   return (total - Math.max(...workersByZone)) * loads.maximum >= demand;
 }
 
-/** One step below `ordered` where those left would have borne the highest recent demand with its growth, else `ordered`. */
+/** One step below `ordered` if the remaining workers could have carried the recent peak plus its growth, else `ordered`. */
 export function scaledDownCount(ordered: number, peak: DemandPeak, growth: number, loads: ScalingThresholds): number {
   const needed = Math.ceil(Math.max((peak.level + growth) / loads.scaleDown, peak.burst / loads.maximum));
-  const step = Math.max(1, Math.floor(ordered / stepShare));
+  const step = Math.max(1, Math.floor(ordered / stepDivisor));
   return Math.min(ordered, Math.max(needed, ordered - step));
 }
