--- a/packages/usage/src/fleet-clock.test.ts
+++ b/packages/usage/src/fleet-clock.test.ts
@@ -1,4 +1,4 @@
-/** True time from the median of what control nodes tell, with clocks that step, drift and fall silent. */
+/** True time as the median of the control nodes' clocks, with clocks that step and sources that become unresponsive. */
 import { expect, it } from 'vitest';
 import { micros, seeded } from '@tansypost/inner-protocol';
 import { createFleetClock } from './fleet-clock.js';
@@ -7,41 +7,41 @@
 const second = 1_000_000;
 const nodes = ['c0', 'c1', 'c2', 'c3'];
 
-/** A machine, its control nodes and how far their clocks are off, in milliseconds. */
+/** A machine and its control nodes, with the errors of their clocks in milliseconds. */
 function createScene(seed = 1) {
   const random = seeded(seed);
-  const off = new Map<string, number>();
-  const heard = new Set(nodes);
-  let steady = 0;
+  const clockErrors = new Map<string, number>();
+  const reachable = new Set(nodes);
+  let monotonic = 0;
   function trueTime(): number {
-    return start + steady / 1000;
+    return start + monotonic / 1000;
   }
   function wallOf(machine: string): number {
-    return trueTime() + (off.get(machine) ?? 0);
+    return trueTime() + (clockErrors.get(machine) ?? 0);
   }
-  const clock = createFleetClock({ now: () => micros(steady) }, { wallClock: () => wallOf('self') });
-  /** Lets time pass in steps of a tenth of a second, and gives what the clock told and the largest error seen. */
-  function run(seconds: number): { readonly given: number[]; readonly error: number } {
-    const given: number[] = [];
+  const clock = createFleetClock({ now: () => micros(monotonic) }, { wallClock: () => wallOf('self') });
+  /** Advances time in steps of a tenth of a second; returns the times that the clock returned and its largest error. */
+  function run(seconds: number): { readonly returned: number[]; readonly error: number } {
+    const returned: number[] = [];
     let error = 0;
     for (let i = 0; i < seconds * 10; i += 1) {
-      steady += second / 10;
-      if (i % 5 === 0) for (const node of heard) sample(node);
-      given.push(clock.now());
-      error = Math.max(error, Math.abs(given.at(-1)! - trueTime()));
+      monotonic += second / 10;
+      if (i % 5 === 0) for (const node of reachable) sample(node);
+      returned.push(clock.now());
+      error = Math.max(error, Math.abs(returned.at(-1)! - trueTime()));
     }
-    return { given, error };
+    return { returned, error };
   }
   function sample(node: string): void {
-    const out = 200 + random() * 3000;
-    const back = 200 + random() * 3000;
-    const wall = Math.floor(wallOf(node) - back / 1000);
-    clock.addSample(node, wall, steady - out - back, steady);
+    const outbound = 200 + random() * 3000;
+    const inbound = 200 + random() * 3000;
+    const wall = Math.floor(wallOf(node) - inbound / 1000);
+    clock.addSample(node, wall, monotonic - outbound - inbound, monotonic);
   }
-  return { clock, off, heard, run, trueTime, pass: (by: number) => void (steady += by) };
+  return { clock, clockErrors, reachable, run, trueTime, pass: (by: number) => void (monotonic += by) };
 }
 
-it('is right to a few milliseconds while a minority of clocks is stepped and comes back', () => {
+it('is accurate to a few milliseconds while a minority of clocks steps and is corrected again', () => {
   const scene = createScene();
   scene.run(2);
   for (const [machine, by] of [
@@ -51,55 +51,55 @@
     ['c1', 2000],
     ['c1', -3_600_000],
   ] as const) {
-    scene.off.set(machine, by);
+    scene.clockErrors.set(machine, by);
     expect(scene.run(8).error).toBeLessThan(5);
-    scene.off.set(machine, 0);
+    scene.clockErrors.set(machine, 0);
     expect(scene.run(8).error).toBeLessThan(5);
   }
-  scene.off.set('self', 2000);
-  scene.off.set('c2', 2000);
+  scene.clockErrors.set('self', 2000);
+  scene.clockErrors.set('c2', 2000);
   expect(scene.run(8).error).toBeLessThan(5);
 });
 
-it('never goes back by less than a second, and takes larger corrections at once', () => {
+it('never goes back by less than a second, and applies larger corrections at once', () => {
   const scene = createScene();
   scene.run(2);
   const all: number[] = [];
   for (const by of [800, 0, 300, -600, -100, -1050]) {
-    nodes.forEach((node) => scene.off.set(node, by));
-    all.push(...scene.run(4).given);
+    nodes.forEach((node) => scene.clockErrors.set(node, by));
+    all.push(...scene.run(4).returned);
   }
   for (const [i, time] of all.entries()) if (i > 0) expect(time).toBeGreaterThanOrEqual(all[i - 1]!);
-  nodes.forEach((node) => scene.off.set(node, 0));
-  expect(scene.run(4).given.length).toBe(40);
+  nodes.forEach((node) => scene.clockErrors.set(node, 0));
+  expect(scene.run(4).returned.length).toBe(40);
   expect(Math.abs(scene.clock.now() - scene.trueTime())).toBeLessThan(5);
-  nodes.forEach((node) => scene.off.set(node, -60_000));
+  nodes.forEach((node) => scene.clockErrors.set(node, -60_000));
   scene.run(1);
   expect(Math.abs(scene.clock.now() - scene.trueTime() + 60_000)).toBeLessThan(5);
 });
 
-it('begins with its own time of day, is corrected by the first majority, and then goes on alone without it', () => {
+it('starts with its own time of day, is corrected by the first majority, and continues by its monotonic clock without samples', () => {
   const scene = createScene();
-  scene.off.set('self', 7000);
+  scene.clockErrors.set('self', 7000);
   expect(Math.round(scene.clock.now() - scene.trueTime())).toBe(7000);
-  expect(scene.run(1).given.length).toBe(10);
+  expect(scene.run(1).returned.length).toBe(10);
   expect(Math.abs(scene.clock.now() - scene.trueTime())).toBeLessThan(5);
-  scene.heard.clear();
+  scene.reachable.clear();
   scene.run(6);
-  scene.off.set('self', -2000);
+  scene.clockErrors.set('self', -2000);
   expect(scene.run(30).error).toBeLessThan(5);
 });
 
-it('drops sources that are silent, and passes over samples that took long', () => {
+it('drops unresponsive sources, and ignores samples with a long round trip', () => {
   const scene = createScene();
   scene.run(2);
-  scene.off.set('c0', 2000);
-  scene.off.set('c1', 2000);
+  scene.clockErrors.set('c0', 2000);
+  scene.clockErrors.set('c1', 2000);
   scene.run(1);
-  scene.heard.delete('c0');
-  scene.heard.delete('c1');
+  scene.reachable.delete('c0');
+  scene.reachable.delete('c1');
   scene.run(6);
-  scene.off.set('c2', 2000);
+  scene.clockErrors.set('c2', 2000);
   expect(scene.run(5).error).toBeLessThan(5);
   for (const node of nodes) scene.clock.addSample(node, scene.trueTime() + 9000, -600_000, 0);
   expect(Math.abs(scene.clock.now() - scene.trueTime())).toBeLessThan(5);
--- a/packages/usage/src/silent-routers.test.ts
+++ b/packages/usage/src/unresponsive-routers.test.ts
@@ -1,4 +1,4 @@
-/** What a holder that hears no router closes: nothing, for as long as the fault may be on its own side. */
+/** A leader that receives nothing from any router closes no window while it may itself be the node that is cut off. */
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Address, type Message } from '@tansypost/inner-protocol';
 import { createUsageCollector } from './usage-collector.js';
@@ -24,13 +24,13 @@
   return { clock, state, collector };
 }
 
-it('closes no window as empty before the longest wait where it has not heard a router yet', async () => {
+it('closes no window as empty before the maximum wait if it has no contact with any router yet', async () => {
   const { clock, collector } = createScene();
   await clock.runTo(5.5 * second);
   expect(collector.readyWindows()).toEqual([]);
 });
 
-it('goes on to hold windows back where all routers fell silent, when they have been forgotten', async () => {
+it('still holds windows back after all routers became unresponsive and their state expired', async () => {
   const { clock, state, collector } = createScene();
   state.routers = ['r0:1', 'r1:1'];
   await clock.runTo(4 * second);
--- a/packages/usage/src/usage-content.ts
+++ b/packages/usage/src/usage-content.ts
@@ -1,8 +1,8 @@
-/** What is reported of one window. */
+/** The content of the usage report for one window. */
 
 /**
- * The requests that began to run within a window, by tenant. Tenants without any are left out; the others are in the
- * order of their names.
+ * The number of requests that started to run within a window, by tenant. Tenants without requests are omitted; the others
+ * are sorted by name.
  */
 export interface UsageContent {
   readonly window: number;
@@ -14,13 +14,13 @@
   return a < b ? -1 : 1;
 }
 
-/** The content of a window; the same counts give the same content, in whichever order they came. */
+/** Creates the content of a window. The same counts give the same content, regardless of their order. */
 export function createUsageContent(window: number, counts: ReadonlyMap<string, number>): UsageContent {
-  const counted = [...counts].filter(([, count]) => count > 0);
-  return { window, counts: Object.fromEntries(counted.sort(byName)) };
+  const nonZero = [...counts].filter(([, count]) => count > 0);
+  return { window, counts: Object.fromEntries(nonZero.sort(byName)) };
 }
 
-/** The content as JSON; equal contents give equal texts. */
+/** Encodes the content as JSON; equal contents give equal strings. */
 export function encodeUsageContent(content: UsageContent): string {
   return JSON.stringify({ window: content.window, counts: content.counts });
 }
--- a/packages/usage/src/usage-counter.test.ts
+++ b/packages/usage/src/usage-counter.test.ts
@@ -1,4 +1,4 @@
-/** A router's counts: cumulative, told again until they are known, and kept until their window is closed. */
+/** A router's counts: cumulative, sent again until they are acknowledged, and kept until their window is closed. */
 import { expect, it } from 'vitest';
 import { encode, seeded, type MessageOf } from '@tansypost/inner-protocol';
 import { createUsageCounter } from './usage-counter.js';
@@ -14,16 +14,16 @@
     { log: (event, fields) => logged.push({ event, fields }) },
     { router: 'r:1', process: 'p1', windowLength, trueTime: () => time.now, maxWindows },
   );
-  function ask(over: Partial<MessageOf<'UsageAsk'>> = {}): MessageOf<'UsageTold'> {
-    return counter.answer({ kind: 'UsageAsk', from: 'c:1', process: 'p1', after: 0, closedThrough: 0, ...over });
+  function poll(overrides: Partial<MessageOf<'UsageAsk'>> = {}): MessageOf<'UsageTold'> {
+    return counter.answer({ kind: 'UsageAsk', from: 'c:1', process: 'p1', after: 0, closedThrough: 0, ...overrides });
   }
-  return { counter, time, logged, ask };
+  return { counter, time, logged, poll };
 }
 
-it('tells full counts of what has changed since, and all of it to who knows nothing or another process', () => {
-  const { counter, time, ask } = createScene();
+it('answers with the full counts of changed tenants, and with all counts to a collector that knows none of this process', () => {
+  const { counter, time, poll } = createScene();
   for (const tenant of ['b', 'a', 'b']) counter.recordStart(tenant);
-  const first = ask();
+  const first = poll();
   expect(first).toMatchObject({ router: 'r:1', process: 'p1', now: start, after: 0, sequence: 3 });
   expect(first.tables).toEqual([
     {
@@ -34,51 +34,51 @@
       ],
     },
   ]);
-  expect(ask()).toEqual(first);
-  expect(ask({ after: 3 }).tables).toEqual([]);
+  expect(poll()).toEqual(first);
+  expect(poll({ after: 3 }).tables).toEqual([]);
   time.now += windowLength;
   counter.recordStart('a');
   time.now -= 1;
   counter.recordStart('b');
-  expect(ask({ after: 3 }).tables).toEqual([
+  expect(poll({ after: 3 }).tables).toEqual([
     { window: firstWindow, counts: [{ tenant: 'b', count: 3 }] },
     { window: firstWindow + 1, counts: [{ tenant: 'a', count: 1 }] },
   ]);
-  expect(ask({ after: 5, process: 'p0' }).tables).toHaveLength(2);
-  expect(ask({ after: 5, process: 'p0' }).after).toBe(0);
+  expect(poll({ after: 5, process: 'p0' }).tables).toHaveLength(2);
+  expect(poll({ after: 5, process: 'p0' }).after).toBe(0);
 });
 
-it('keeps a window until it is closed, also when all of it has been told', () => {
-  const { counter, time, ask, logged } = createScene();
+it('keeps a window until it is closed, even after all of it has been sent', () => {
+  const { counter, time, poll, logged } = createScene();
   counter.recordStart('a');
   time.now += windowLength;
   counter.recordStart('a');
-  ask({ after: 1 });
-  ask({ after: 2, closedThrough: firstWindow - 1 });
-  expect(ask().tables).toHaveLength(2);
-  expect(ask({ after: 2, closedThrough: firstWindow }).tables).toEqual([]);
+  poll({ after: 1 });
+  poll({ after: 2, closedThrough: firstWindow - 1 });
+  expect(poll().tables).toHaveLength(2);
+  expect(poll({ after: 2, closedThrough: firstWindow }).tables).toEqual([]);
   expect(counter.windows()).toEqual([firstWindow + 1]);
-  expect(ask().tables).toHaveLength(1);
+  expect(poll().tables).toHaveLength(1);
   expect(logged).toEqual([]);
 });
 
-it('says how much it drops that nobody has heard', () => {
-  const { counter, time, ask, logged } = createScene();
+it('logs how many counts it drops that no collector has received', () => {
+  const { counter, time, poll, logged } = createScene();
   counter.recordStart('a');
   counter.recordStart('b');
-  ask({ after: 0 });
-  ask({ after: 2 });
+  poll({ after: 0 });
+  poll({ after: 2 });
   counter.recordStart('b');
-  ask({ after: 2, closedThrough: firstWindow });
+  poll({ after: 2, closedThrough: firstWindow });
   expect(logged).toEqual([{ event: 3502, fields: { router: 'r:1', window: firstWindow, count: 1 } }]);
   counter.recordStart('b');
   time.now += windowLength;
-  ask({ after: 3, closedThrough: firstWindow });
+  poll({ after: 3, closedThrough: firstWindow });
   expect(logged).toHaveLength(2);
   expect(counter.windows()).toEqual([]);
 });
 
-it('keeps a bounded number of windows when nobody asks', () => {
+it('keeps a bounded number of windows if no collector polls', () => {
   const { counter, time, logged } = createScene(4);
   for (let i = 0; i < 100; i += 1) {
     counter.recordStart('a');
@@ -88,9 +88,9 @@
   expect(logged).toHaveLength(96);
 });
 
-it('costs less than 250 bytes a second where 420 routers share 2,700 requests a second of 200 tenants', () => {
+it('takes less than 250 bytes a second per router if 420 routers share 2,700 requests a second of 200 tenants', () => {
   const random = seeded(7);
-  const { counter, time, ask } = createScene();
+  const { counter, time, poll } = createScene();
   const seconds = 60;
   let bytes = 0;
   let after = 0;
@@ -100,10 +100,10 @@
       counter.recordStart(`tenant-${Math.floor(random() * 200)}`);
     }
     time.now = start + (i + 1) * 1000;
-    const question = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
-    const told = ask(question);
-    bytes += encode({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...question }).length + encode(told).length;
-    after = told.sequence;
+    const request = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
+    const answer = poll(request);
+    bytes += encode({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...request }).length + encode(answer).length;
+    after = answer.sequence;
   }
   expect(bytes / seconds).toBeLessThan(250);
   expect(bytes / seconds).toBeGreaterThan(100);
--- a/packages/usage/src/usage-counter.ts
+++ b/packages/usage/src/usage-counter.ts
@@ -1,63 +1,63 @@
 /**
- * A router's counts of the requests that began to run, by window of true time and by tenant. They are cumulative and
- * stand under the router's process, so whoever collects them may hear them twice, late or after a loss. They are kept
+ * A router's counts of the requests that started to run, by window of true time and by tenant. Counts are cumulative and
+ * identified by the router's process, so a collector may receive them twice, late, or after a lost message. They are kept
  * until the content of their window is fixed.
  */
 import type { MessageOf, UsageTable, World } from '@tansypost/inner-protocol';
 import { windowOf } from './usage-window.js';
 
-/** What a counter is told when it is made. */
+/** Dependencies and settings of a counter. */
 export interface UsageCounterOptions {
   /** Name of the router, the same for all of its processes. */
   readonly router: string;
-  /** An id of this process that no other process of the router has. */
+  /** Id of this process, unique among all processes of the router. */
   readonly process: string;
   /** Length of a window in milliseconds. */
   readonly windowLength: number;
   /** True time in milliseconds since 1970. */
   readonly trueTime: () => number;
-  /** As many windows are kept, the newest ones, when nobody says which are fixed. */
+  /** Number of windows kept while no collector tells which windows are fixed; older windows are dropped. */
   readonly maxWindows?: number;
 }
 
-/** A router's side of the reports of usage. */
+/** The router's side of usage reporting. */
 export interface UsageCounter {
-  /** A request of this tenant has begun to run. */
+  /** Counts a request of this tenant that has started to run. */
   readonly recordStart: (tenant: string) => void;
-  /** What has changed since the asker heard last; it drops the windows that the ask says are fixed. */
-  readonly answer: (ask: MessageOf<'UsageAsk'>) => MessageOf<'UsageTold'>;
-  /** The windows that are kept. */
+  /** Answers a collector's poll with the counts that it does not have yet, and drops the windows that are fixed. */
+  readonly answer: (poll: MessageOf<'UsageAsk'>) => MessageOf<'UsageTold'>;
+  /** The windows that are stored. */
   readonly windows: () => readonly number[];
 }
 
-const defaultKeptWindows = 32;
-/** The event for counts that are in no report. */
+const defaultMaxWindows = 32;
+/** The log event for counts that are in no report. */
 const lateEvent = 3502;
 
-interface Counted {
+interface TenantCount {
   count: number;
-  /** The number of the change that raised it last. */
-  changed: number;
-  /** So much of the count is known to have been heard. */
-  heard: number;
+  /** Sequence number of the latest change of this count. */
+  changeNumber: number;
+  /** How much of the count a collector is known to have received. */
+  acknowledged: number;
 }
 
-type Table = Map<string, Counted>;
+type Table = Map<string, TenantCount>;
 
 interface CounterState {
   readonly tables: Map<number, Table>;
-  /** How many counts there were since the process began. */
+  /** Sequence number of the latest change, which is the number of requests counted since the process started. */
   sequence: number;
   closedThrough: number;
 }
 
-/** Makes a counter that has counted nothing. */
+/** Creates a counter without any counts. */
 export function createUsageCounter(world: Pick<World, 'log'>, options: UsageCounterOptions): UsageCounter {
   const state: CounterState = { tables: new Map(), sequence: 0, closedThrough: 0 };
-  const keptWindows = options.maxWindows ?? defaultKeptWindows;
+  const maxWindows = options.maxWindows ?? defaultMaxWindows;
 
   function drop(window: number): void {
-    const count = unheard(state.tables.get(window)!);
+    const count = unacknowledged(state.tables.get(window)!);
     state.tables.delete(window);
     if (count > 0) world.log(lateEvent, { router: options.router, window, count });
   }
@@ -67,18 +67,18 @@
   }
 
   function dropOldest(): void {
-    while (state.tables.size > keptWindows) drop(Math.min(...state.tables.keys()));
+    while (state.tables.size > maxWindows) drop(Math.min(...state.tables.keys()));
   }
 
-  function began(tenant: string): void {
-    countIn(state, windowOf(options.trueTime(), options.windowLength), tenant);
+  function recordStart(tenant: string): void {
+    incrementCount(state, windowOf(options.trueTime(), options.windowLength), tenant);
     dropOldest();
   }
 
-  function answer(ask: MessageOf<'UsageAsk'>): MessageOf<'UsageTold'> {
-    const after = ask.process === options.process ? ask.after : 0;
-    noteHeard(state, after);
-    state.closedThrough = Math.max(state.closedThrough, ask.closedThrough);
+  function answer(poll: MessageOf<'UsageAsk'>): MessageOf<'UsageTold'> {
+    const after = poll.process === options.process ? poll.after : 0;
+    acknowledge(state, after);
+    state.closedThrough = Math.max(state.closedThrough, poll.closedThrough);
     dropClosed();
     const { router, process } = options;
     const now = Math.floor(options.trueTime());
@@ -93,32 +93,32 @@
     };
   }
 
-  return { recordStart: began, answer, windows: () => [...state.tables.keys()] };
+  return { recordStart, answer, windows: () => [...state.tables.keys()] };
 }
 
-function countIn(state: CounterState, window: number, tenant: string): void {
-  const table = state.tables.get(window) ?? new Map<string, Counted>();
+function incrementCount(state: CounterState, window: number, tenant: string): void {
+  const table = state.tables.get(window) ?? new Map<string, TenantCount>();
   state.tables.set(window, table);
-  const counted = table.get(tenant) ?? { count: 0, changed: 0, heard: 0 };
-  table.set(tenant, counted);
+  const entry = table.get(tenant) ?? { count: 0, changeNumber: 0, acknowledged: 0 };
+  table.set(tenant, entry);
   state.sequence += 1;
-  counted.count += 1;
-  counted.changed = state.sequence;
+  entry.count += 1;
+  entry.changeNumber = state.sequence;
 }
 
-function noteHeard(state: CounterState, after: number): void {
+function acknowledge(state: CounterState, after: number): void {
   for (const table of state.tables.values())
-    for (const counted of table.values()) if (counted.changed <= after) counted.heard = counted.count;
+    for (const entry of table.values()) if (entry.changeNumber <= after) entry.acknowledged = entry.count;
 }
 
-function unheard(table: Table): number {
-  return [...table.values()].reduce((sum, counted) => sum + counted.count - counted.heard, 0);
+function unacknowledged(table: Table): number {
+  return [...table.values()].reduce((sum, entry) => sum + entry.count - entry.acknowledged, 0);
 }
 
 function changedAfter(state: CounterState, after: number): UsageTable[] {
   const tables: UsageTable[] = [];
   for (const [window, table] of state.tables) {
-    const changed = [...table].filter(([, counted]) => counted.changed > after);
+    const changed = [...table].filter(([, entry]) => entry.changeNumber > after);
     const counts = changed.map(([tenant, { count }]) => ({ tenant, count }));
     if (counts.length > 0) tables.push({ window, counts });
   }
--- a/packages/usage/src/usage-duty.test.ts
+++ b/packages/usage/src/usage-duty.test.ts
@@ -1,4 +1,4 @@
-/** Reports of usage as calls of a duty: the record says which windows are closed, and content once given out stays. */
+/** Usage reports as calls of a duty: the record determines which windows are closed, and planned content never changes. */
 import { expect, it } from 'vitest';
 import type { DutyRecord } from '@tansypost/duty-log';
 import { createVirtualClock, type Address, type MessageOf } from '@tansypost/inner-protocol';
@@ -6,21 +6,21 @@
 
 const router = 'r1:1' as Address;
 const emptyRecord: DutyRecord = { term: null, lastIntent: 0, open: [], outcomes: [] };
-const startOfClocks = 1_790_000_000_000;
+const startTime = 1_790_000_000_000;
 const windowLength = 5000;
-const firstWindow = startOfClocks / windowLength;
+const firstWindow = startTime / windowLength;
 
-/** A node whose one router tells a count of `count` in the first window whenever it is asked. */
-function scene() {
+/** A node whose only router reports `count` requests in the first window whenever it is polled. */
+function createScene() {
   const state = { count: 3, hasTerm: true };
-  const asks: MessageOf<'UsageAsk'>[] = [];
+  const polls: MessageOf<'UsageAsk'>[] = [];
   const clock = createVirtualClock({
     send: (_to, message) => {
-      if (message.kind === 'UsageAsk') asks.push(message);
+      if (message.kind === 'UsageAsk') polls.push(message);
     },
   });
   function now(): number {
-    return startOfClocks + clock.world.now() / 1000;
+    return startTime + clock.world.now() / 1000;
   }
   const duty = createUsageDuty(clock.world, {
     self: 'c1:1' as Address,
@@ -31,20 +31,20 @@
     wallClock: now,
     hasTerm: () => state.hasTerm,
   });
-  function answer(): void {
-    for (const { after } of asks.splice(0)) {
+  function answerPolls(): void {
+    for (const { after } of polls.splice(0)) {
       const tables = [{ window: firstWindow, counts: [{ tenant: 'a', count: state.count }] }];
-      const told = { kind: 'UsageTold', router, process: 'p', now: Math.floor(now()), after, sequence: 1 } as const;
-      duty.receive({ ...told, tables });
+      const answer = { kind: 'UsageTold', router, process: 'p', now: Math.floor(now()), after, sequence: 1 } as const;
+      duty.receive({ ...answer, tables });
     }
   }
   async function pass(until: number): Promise<void> {
     for (let at: number = clock.world.now(); at < until; at += 100_000) {
       await clock.runTo(at);
-      answer();
+      answerPolls();
     }
   }
-  return { duty, state, asks, pass };
+  return { duty, state, polls, pass };
 }
 
 const content = JSON.stringify({ window: firstWindow, counts: { a: 3 } });
@@ -54,25 +54,25 @@
   outcomes: [{ subject: 'windows', content, outcome: 'accepted', fence: 4 }],
 };
 
-it('asks nobody before it has read the record under a term of its own', async () => {
-  const { duty, state, asks, pass } = scene();
+it('polls no router before it has read the record in a term of its own', async () => {
+  const { duty, state, polls, pass } = createScene();
   await pass(2_000_000);
   state.hasTerm = false;
   duty.plan(emptyRecord);
   await pass(4_000_000);
-  expect(asks).toEqual([]);
+  expect(polls).toEqual([]);
 });
 
-it('owes a window with the same content until the record holds it, and then the next', async () => {
-  const { duty, state, pass } = scene();
+it('plans a window with the same content until the record holds it, and then the next window', async () => {
+  const { duty, state, pass } = createScene();
   duty.plan(emptyRecord);
   await pass(8_000_000);
-  const owed = [{ subject: 'windows', content }];
-  expect(duty.plan(emptyRecord)).toEqual(owed);
+  const planned = [{ subject: 'windows', content }];
+  expect(duty.plan(emptyRecord)).toEqual(planned);
   state.count = 5;
   await pass(9_000_000);
-  expect(duty.plan(emptyRecord)).toEqual(owed);
-  expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...owed[0]! }] })).toEqual([]);
+  expect(duty.plan(emptyRecord)).toEqual(planned);
+  expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...planned[0]! }] })).toEqual([]);
   await pass(14_000_000);
   const next = JSON.stringify({ window: firstWindow + 1, counts: {} });
   expect(duty.plan(reported)).toEqual([{ subject: 'windows', content: next }]);
--- a/packages/usage/src/usage-duty.ts
+++ b/packages/usage/src/usage-duty.ts
@@ -1,48 +1,48 @@
-/** Reports of usage as a duty: one call for each window, in order, whose content never changes once it is written down. */
+/** The duty that reports usage: one call for each window, in order, whose content never changes once it is recorded. */
 import type { Duty, DutyRecord, PlannedCall } from '@tansypost/duty-log';
 import type { Message, World } from '@tansypost/inner-protocol';
 import { createUsageCollector, type UsageCollectorOptions } from './usage-collector.js';
 import { encodeUsageContent, type UsageContent } from './usage-content.js';
 
-/** What the duty is told when it is made. */
+/** Dependencies and settings of the duty. */
 export interface UsageDutyOptions extends Omit<UsageCollectorOptions, 'isLeader' | 'closedThrough'> {
-  /** Whether this node has the term of this duty. */
+  /** Whether this node holds the term of this duty. */
   readonly hasTerm: () => boolean;
 }
 
-/** The duty, and what routers tell it. */
+/** The duty, which receives the routers' counts. */
 export interface UsageDuty extends Duty {
-  /** Takes in a message and says whether it was meant for this duty. */
+  /** Handles a message and returns whether it was meant for this duty. */
   readonly receive: (message: Message) => boolean;
   readonly stop: () => void;
 }
 
 /** Name of the duty. */
 export const usageDutyName = 'usage';
-/** All windows together are one subject, so they are reported in order. */
+/** All windows share one subject, so they are reported in order. */
 const subject = 'windows';
 
-/** Makes the duty; it collects while this node has the term. */
+/** Creates the duty; it collects while this node holds the term or is the standby. */
 export function createUsageDuty(world: World, options: UsageDutyOptions): UsageDuty {
   let closedThrough: number | undefined;
-  let hasRead = false;
+  let hasReadRecord = false;
   const collector = createUsageCollector(world, {
     ...options,
-    isLeader: () => hasRead && options.hasTerm(),
+    isLeader: () => hasReadRecord && options.hasTerm(),
     closedThrough: () => closedThrough,
   });
 
   function plan(record: DutyRecord): readonly PlannedCall[] {
-    hasRead = true;
-    closedThrough = lastWindow(record) ?? closedThrough;
+    hasReadRecord = true;
+    closedThrough = lastRecordedWindow(record) ?? closedThrough;
     return collector.readyWindows().map((content) => ({ subject, content: encodeUsageContent(content) }));
   }
 
   return { name: usageDutyName, maySupersede: false, plan, receive: collector.receive, stop: collector.stop };
 }
 
-/** The last window whose content stands in the record, open or reported. */
-function lastWindow({ open, outcomes }: DutyRecord): number | undefined {
+/** The last window whose content is in the record, open or reported. */
+function lastRecordedWindow({ open, outcomes }: DutyRecord): number | undefined {
   const windows = [...open, ...outcomes].map(({ content }) => (JSON.parse(content) as UsageContent).window);
   return windows.length === 0 ? undefined : Math.max(...windows);
 }
--- a/packages/usage/src/usage-window.ts
+++ b/packages/usage/src/usage-window.ts
@@ -1,11 +1,11 @@
-/** Windows of true time: window k begins k times the window's length after the beginning of 1970. */
+/** Windows of true time: window k starts k window lengths after the start of 1970 (the Unix epoch). */
 
-/** The window in which a time lies; both are in milliseconds, the time since 1970. */
+/** The window that contains `time`, in milliseconds since 1970; the length is in milliseconds. */
 export function windowOf(time: number, windowLength: number): number {
   return Math.floor(time / windowLength);
 }
 
-/** When a window ends, in milliseconds since 1970. */
+/** The end of a window, in milliseconds since 1970. */
 export function windowEnd(window: number, windowLength: number): number {
   return (window + 1) * windowLength;
 }
