--- a/packages/decision-report/src/read-losses.ts
+++ b/packages/decision-report/src/read-losses.ts
@@ -3,11 +3,11 @@
  * that kind that cannot be read counts as damaged, and more than a few of these mean that the log is cut short.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { UnusableReport } from '@tansypost/inner-protocol';
-import type { LossEvent } from '@tansypost/pass-through';
+import { UnusableReportError } from '@tansypost/inner-protocol';
+import type { RequestLogFields } from '@tansypost/pass-through';
 
 /** One request that did not end in time. */
-export interface Loss extends LossEvent {
+export interface Loss extends RequestLogFields {
   /** Seconds from the start of traffic, or by the router's clock where the log has no other. */
   readonly second: number;
   readonly router: string;
@@ -27,13 +27,13 @@
 const microsPerSecond = 1_000_000;
 const mostDamaged = 3;
 
-function isLossEvent(value: unknown): value is LossEvent {
+function isLossEvent(value: unknown): value is RequestLogFields {
   if (typeof value !== 'object' || value === null) return false;
-  const { path, outcome, cause, prompt } = value as Partial<LossEvent>;
+  const { path, outcome, cause, prompt } = value as Partial<RequestLogFields>;
   return [path, outcome, cause].every((text) => typeof text === 'string') && typeof prompt === 'number';
 }
 
-function fieldsOf(json: string): LossEvent | undefined {
+function fieldsOf(json: string): RequestLogFields | undefined {
   try {
     const fields: unknown = JSON.parse(json);
     return isLossEvent(fields) ? fields : undefined;
@@ -64,8 +64,10 @@
     if (fields === undefined) damaged += 1;
     else losses.push({ ...fields, second: secondOf(line, found[1]!), router: found[4]! });
   }
-  if (events === 0) return E.left(new UnusableReport(`${name} holds no events. Give the output of routers.`));
+  if (events === 0) return E.left(new UnusableReportError(`${name} holds no events. Give the output of routers.`));
   if (damaged > mostDamaged)
-    return E.left(new UnusableReport(`${name} has ${damaged} damaged lines of lost requests. Give the whole log.`));
+    return E.left(
+      new UnusableReportError(`${name} has ${damaged} damaged lines of lost requests. Give the whole log.`),
+    );
   return E.right({ losses, damaged });
 }
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -6,7 +6,14 @@
  */
 import type { StoredValue } from '@tansypost/control-feed';
 import { createCandidate, type Candidate, type VoterGroup } from '@tansypost/duty';
-import { every, micros, type Address, type DutyMark, type MessageOf, type World } from '@tansypost/inner-protocol';
+import {
+  every,
+  micros,
+  type Address,
+  type SingletonRoleEntry,
+  type MessageOf,
+  type World,
+} from '@tansypost/inner-protocol';
 import { createCallRateLimiter, type CallRateLimiter } from './call-rate-limiter.js';
 import { dutyRecordKey } from './duty-record.js';
 import type { DutyStatus } from './duty-status.js';
@@ -40,7 +47,7 @@
 /** The status of the duties at this node, for operators. */
 export interface DutiesStatus {
   /** The current leader, as far as this node knows. */
-  readonly holder: DutyMark | undefined;
+  readonly holder: SingletonRoleEntry | undefined;
   readonly duties: readonly DutyStatus[];
 }
 
@@ -63,7 +70,7 @@
   let stopped = false;
   const rateLimiter = createCallRateLimiter(world, options.callsPerSecond, pollDuties);
   const candidate = createCandidate(world, {
-    duty: role,
+    role,
     member: options.member,
     self: options.self,
     get slot() {
@@ -71,9 +78,9 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: options.replicas,
-    willing: options.isEligible,
-    won: endAllTerms,
-    lost: endAllTerms,
+    isWilling: options.isEligible,
+    onElected: endAllTerms,
+    onLeaseLost: endAllTerms,
   });
   for (const duty of options.duties) tasks.push(createTask(world, options, duty, candidate, rateLimiter, pollDuties));
 
@@ -82,15 +89,15 @@
   }
 
   function pollDuties(): void {
-    if (stopped || candidate.holds() === undefined) return;
+    if (stopped || candidate.heldEpoch() === undefined) return;
     const longestWaitFirst = [...tasks].sort((a, b) => a.lastCallAt() - b.lastCallAt());
     for (const task of longestWaitFirst) task.poll();
   }
 
   const stopPolling = every(world, () => pollInterval, pollDuties);
   return {
-    handleVote: candidate.vote,
-    status: () => ({ holder: candidate.holder(), duties: tasks.map((task) => task.status()) }),
+    handleVote: candidate.receiveVote,
+    status: () => ({ holder: candidate.leader(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
       stopPolling();
@@ -116,8 +123,8 @@
     record: options.record(dutyRecordKey(duty.name)),
     port: options.port,
     rateLimiter,
-    isLeader: () => candidate.holds() !== undefined,
-    canCall: () => candidate.holdsFor(minLeaseLeft) !== undefined,
+    isLeader: () => candidate.heldEpoch() !== undefined,
+    canCall: () => candidate.heldEpochFor(minLeaseLeft) !== undefined,
     holdOffDuration: minLeaseLeft,
     maxCallTransit: maxCallTransitUs,
     callTimeout: options.callTimeout,
--- a/packages/scaling/src/scale-planner.test.ts
+++ b/packages/scaling/src/scale-planner.test.ts
@@ -2,7 +2,7 @@
 import { expect, it } from 'vitest';
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import { micros } from '@tansypost/inner-protocol';
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import { createScalePlanner, decodeScaleOrder, scaleSubject, type ScaledService } from './index.js';
 
 /** The workers of a zone and the load that they report; without a load none of them reports. */
@@ -15,7 +15,7 @@
 
 const second = 1_000_000;
 const slots = 10;
-const bounds: ScalingTerms = { least: 4, most: 40, bootTime: 4 * second };
+const bounds: ScalingBounds = { minWorkers: 4, maxWorkers: 40, bootTime: 4 * second };
 const steadyLoad: FleetSetup = inAllZones(20, 0.75);
 
 function inAllZones(workers: number, load?: number): FleetSetup {
@@ -133,7 +133,7 @@
   const idle = createScenario();
   idle.run(400, () => inAllZones(Math.min(20, idle.ordered('west') ?? 20), 0.01));
   expect(idle.ordered('west')).toBe(4);
-  idle.settings.service = { name: 's', scaling: { ...bounds, least: 9 } };
+  idle.settings.service = { name: 's', scaling: { ...bounds, minWorkers: 9 } };
   idle.run(2, inAllZones(4, 0.01));
   expect(idle.ordered('west')).toBe(9);
 });
@@ -173,7 +173,7 @@
 });
 
 it('does not scale down a zone whose load grows, even while it is still low', () => {
-  const scenario = createScenario({ name: 's', scaling: { ...bounds, most: 200 } });
+  const scenario = createScenario({ name: 's', scaling: { ...bounds, maxWorkers: 200 } });
   scenario.run(5, inAllZones(100, 0.02));
   const numbers = scenario
     .run(11.5, (elapsed) => inAllZones(100, 0.02 + 0.07 * elapsed))
--- a/packages/scaling/src/scale-planner.ts
+++ b/packages/scaling/src/scale-planner.ts
@@ -4,7 +4,7 @@
  * own state is only the recent load, and it removes no worker before it has observed enough of that.
  */
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import { createLoadHistory, type LoadHistory } from './load-history.js';
 import { toPlannedOrder, scaleSubject, type PlannedOrder } from './scale-order.js';
 import {
@@ -22,7 +22,7 @@
 /** A service of the configuration in force. */
 export interface ScaledService {
   readonly name: string;
-  readonly scaling?: ScalingTerms | undefined;
+  readonly scaling?: ScalingBounds | undefined;
 }
 
 /** The fleet as a control node sees it at one point in time. */
@@ -65,7 +65,7 @@
 
 interface ServiceState {
   readonly name: string;
-  bounds: ScalingTerms;
+  bounds: ScalingBounds;
   windows: ScalingWindows;
   /** Demand over all zones. Workers that do not report count with the mean load, so it may be overestimated. */
   total: LoadHistory;
@@ -128,7 +128,7 @@
   }
 }
 
-function newService(name: string, bounds: ScalingTerms): ServiceState {
+function newService(name: string, bounds: ScalingBounds): ServiceState {
   const windows = scalingWindows(bounds);
   return { name, bounds, windows, total: newHistory(windows), zones: new Map(), lastShortageAt: -Infinity };
 }
--- a/packages/scaling/src/worker-targets.ts
+++ b/packages/scaling/src/worker-targets.ts
@@ -3,7 +3,7 @@
  * worker, exceeds the capacity of the workers ordered. It scales down in small steps after demand has been low for several
  * boot times. The gap between the two thresholds (hysteresis) keeps the target from oscillating.
  */
-import type { ScalingTerms } from '@tansypost/paths';
+import type { ScalingBounds } from '@tansypost/paths';
 import type { DemandPeak } from './load-history.js';
 
 /** Time windows derived from the boot time of a worker, in microseconds. */
@@ -42,7 +42,7 @@
 const stabilizationPerBootTime = 3;
 
 /** The scaling windows of a service. */
-export function scalingWindows({ bootTime }: ScalingTerms): ScalingWindows {
+export function scalingWindows({ bootTime }: ScalingBounds): ScalingWindows {
   const boot = Math.max(bootTime, minBootTimeUs);
   const [shortest, longest] = sustainBoundsUs;
   return {
@@ -54,7 +54,7 @@
 }
 
 /** Limits a number of workers to the bounds of the service. */
-export function clampToBounds(workers: number, { least, most }: ScalingTerms): number {
+export function clampToBounds(workers: number, { minWorkers: least, maxWorkers: most }: ScalingBounds): number {
   return Math.min(most, Math.max(least, workers));
 }
 
--- a/packages/usage/src/fleet-clock.test.ts
+++ b/packages/usage/src/fleet-clock.test.ts
@@ -1,6 +1,6 @@
 /** True time as the median of the control nodes' clocks, with clocks that step and sources that become unresponsive. */
 import { expect, it } from 'vitest';
-import { micros, seeded } from '@tansypost/inner-protocol';
+import { micros, createSeededRandom } from '@tansypost/inner-protocol';
 import { createFleetClock } from './fleet-clock.js';
 
 const start = 1_790_000_001_234;
@@ -9,7 +9,7 @@
 
 /** A machine and its control nodes, with the errors of their clocks in milliseconds. */
 function createScene(seed = 1) {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const clockErrors = new Map<string, number>();
   const reachable = new Set(nodes);
   let monotonic = 0;
--- a/packages/usage/src/usage-counter.test.ts
+++ b/packages/usage/src/usage-counter.test.ts
@@ -1,6 +1,6 @@
 /** A router's counts: cumulative, sent again until they are acknowledged, and kept until their window is closed. */
 import { expect, it } from 'vitest';
-import { encode, seeded, type MessageOf } from '@tansypost/inner-protocol';
+import { encodeMessage, createSeededRandom, type MessageOf } from '@tansypost/inner-protocol';
 import { createUsageCounter } from './usage-counter.js';
 
 const windowLength = 5000;
@@ -89,7 +89,7 @@
 });
 
 it('takes less than 250 bytes a second per router if 420 routers share 2,700 requests a second of 200 tenants', () => {
-  const random = seeded(7);
+  const random = createSeededRandom(7);
   const { counter, time, poll } = createScene();
   const seconds = 60;
   let bytes = 0;
@@ -102,7 +102,8 @@
     time.now = start + (i + 1) * 1000;
     const request = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
     const answer = poll(request);
-    bytes += encode({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...request }).length + encode(answer).length;
+    bytes +=
+      encodeMessage({ kind: 'UsageAsk', from: '10.0.0.1:7000', ...request }).length + encodeMessage(answer).length;
     after = answer.sequence;
   }
   expect(bytes / seconds).toBeLessThan(250);
--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -4,7 +4,14 @@
  * duty's record are simulated; messages pass through the real codec.
  */
 import { describe, expect, it } from 'vitest';
-import { micros, seeded, type Address, type Message, type MessageOf, type World } from '@tansypost/inner-protocol';
+import {
+  micros,
+  createSeededRandom,
+  type Address,
+  type Message,
+  type MessageOf,
+  type World,
+} from '@tansypost/inner-protocol';
 import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
 import { createFleetClock } from './fleet-clock.js';
 import { createUsageCollector, type UsageCollector } from './usage-collector.js';
@@ -57,7 +64,7 @@
 }
 
 function createFleet({ seed, routers: count, rate, standby = false }: FleetSettings) {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   const engine = createEngine();
   const net = createNetwork(engine, random);
   const clockErrors = new Map<string, number>();
@@ -323,7 +330,7 @@
 
 /** Drops, repeats and delays some of the usage messages. */
 function disturbMessages(fleet: Fleet, seed: number): void {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   fleet.net.tamper((m: Message) => {
     if (m.kind !== 'UsageAsk' && m.kind !== 'UsageTold') return undefined;
     const draw = random();
@@ -543,7 +550,7 @@
 
 /** Injects random faults one after the other, each of which ends within some seconds. */
 async function injectFaults(fleet: Fleet, seed: number): Promise<void> {
-  const random = seeded(seed);
+  const random = createSeededRandom(seed);
   let leader = 0;
   function randomRouter(): Router {
     return fleet.routers[Math.floor(random() * fleet.routers.length)]!;
