--- a/packages/duty-log/src/duty-runner.test.ts
+++ b/packages/duty-log/src/duty-runner.test.ts
@@ -74,7 +74,7 @@
     });
   }
   function send(_to: Address, message: Message): void {
-    if (message.kind === 'Ballot') voter.requestVote(message, runner.handleVote);
+    if (message.kind === 'Ballot') voter.requestVote(message, runner.receiveVote);
   }
   const runner = createDutyRunner(
     { ...clock.world, send },
--- a/packages/duty-log/src/duty-runner.ts
+++ b/packages/duty-log/src/duty-runner.ts
@@ -54,7 +54,7 @@
 /** The duties at one control node. */
 export interface DutyRunner {
   /** Handles a voter's answer to a vote request of this node. */
-  readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
+  readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly status: () => DutiesStatus;
   readonly stop: () => void;
 }
@@ -96,7 +96,7 @@
 
   const stopPolling = every(world, () => pollInterval, pollDuties);
   return {
-    handleVote: candidate.receiveVote,
+    receiveVote: candidate.receiveVote,
     status: () => ({ holder: candidate.leader(), duties: tasks.map((task) => task.status()) }),
     stop: () => {
       stopped = true;
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -116,7 +116,7 @@
   function receive(node: DutyNode, received: Message): void {
     if (received.kind === 'Ballot')
       node.voter?.requestVote(received, (vote) => node.runner && replyTo(received.from as Address, vote, node));
-    if (received.kind === 'BallotVote') node.runner?.handleVote(received);
+    if (received.kind === 'BallotVote') node.runner?.receiveVote(received);
   }
 
   function replyTo(address: Address, vote: Message, node: DutyNode): void {
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -169,7 +169,7 @@
           minTakeoverGap: betweenHolders,
         });
         return (message, from) => {
-          if (message.kind === 'BallotVote') recovery.handleVote(message);
+          if (message.kind === 'BallotVote') recovery.receiveVote(message);
           return learning.receive(message, from);
         };
       },
--- a/packages/worker-stages/src/decode-recovery.ts
+++ b/packages/worker-stages/src/decode-recovery.ts
@@ -1,15 +1,15 @@
 /**
- * Makes prefill workers decode where a service has lost its last decode worker, or none answers. One control node at a
- * time does it, as holder of a role that is won by ballot when there is need, and held by a lease. It writes each order
- * into the control state, then gives it, and only while its lease has so much left that no successor can give an order
- * to the same worker within the time that must lie between two holders.
+ * Orders prefill workers to decode when a service has lost its last decode worker or none of them answers. One control node
+ * at a time does this: the leader for this role, who is elected when there is a need and holds a lease. It writes each order
+ * to the control state before sending it, and sends it only while enough of its lease is left that no successor can order
+ * the same worker within the minimum takeover gap.
  */
 import type { ControlNode } from '@tansypost/control-state';
 import type { ListedWorker, StoredValue } from '@tansypost/control-feed';
 import { createCandidate } from '@tansypost/duty';
 import { every, micros, type Address, type Cancel, type MessageOf, type World } from '@tansypost/inner-protocol';
 import * as E from 'fp-ts/lib/Either.js';
-import { createDecodeSilence, type DecodeSilence } from './decode-silence.js';
+import { createDecodeLiveness, type DecodeLiveness } from './decode-liveness.js';
 import { createOrderedWorkers, type OrderedWorkers } from './ordered-workers.js';
 import { orderRecordKey, decodeOrderRecord, appendOrder, type OrderRecord } from './order-record.js';
 import type { WorkerStageClient, WorkerReport } from './ports.js';
@@ -23,66 +23,66 @@
   readonly stageSwitchTime: number;
 }
 
-/** What the recovery is told when it is made. Times are microseconds. */
+/** Dependencies and settings of the recovery. Times are in microseconds. */
 export interface DecodeRecoveryOptions {
   readonly self: Address;
   readonly member: string;
   readonly controlNode: () => ControlNode | undefined;
   /** The newest list of workers. */
   readonly workers: () => readonly ListedWorker[];
-  /** The services of the configuration in force, as this node knows it. */
+  /** The services of the current configuration, as this node knows it. */
   readonly services: () => readonly ServedService[];
-  /** The value of `orderRecordKey`. */
+  /** The stored value at `orderRecordKey`. */
   readonly record: StoredValue;
   readonly workerClient: WorkerStageClient;
-  /** The lease of the role; the same for all candidates and voters. */
+  /** Duration of the leader's lease; the same for all candidates and voters. */
   readonly leaseDuration: number;
-  /** What must lie between orders of two holders to one worker. */
+  /** Minimum time between orders of two successive leaders to the same worker. */
   readonly minTakeoverGap: number;
 }
 
 /** The recovery at one control node. */
 export interface DecodeRecovery {
-  /** Takes in a voter's answer. */
-  readonly handleVote: (answer: MessageOf<'BallotVote'>) => void;
+  /** Handles a voter's answer to a vote request of this node. */
+  readonly receiveVote: (answer: MessageOf<'BallotVote'>) => void;
   readonly stop: Cancel;
 }
 
-/** The recovery with what it was told, as its steps use it. */
+/** The parts of the recovery that its steps use. */
 interface Context {
   readonly world: World;
   readonly options: DecodeRecoveryOptions;
   readonly needs: RecoveryNeeds;
-  readonly silence: DecodeSilence;
+  readonly liveness: DecodeLiveness;
   readonly ordered: OrderedWorkers;
-  /** Whether the role is held for long enough to give an order. */
-  readonly mayOrder: () => boolean;
+  /** Whether the lease lasts long enough to send an order now. */
+  readonly canOrder: () => boolean;
 }
 
-/** A prefill worker that is to decode, and what it said of itself. */
+/** A prefill worker that is to decode, and its report. */
 interface ChosenWorker {
   readonly worker: ListedWorker;
   readonly report: WorkerReport;
 }
 
 const role = 'decode recovery';
-const lookEvery = micros(250_000);
-const pauseBetweenSteps = 300_000;
-/** The longest that an order is on its way. */
-const orderOnItsWay = 600_000;
-/** Workers asked for a report in one step. */
-const mostAsked = 4;
-
-/** Starts the recovery at this node. */
+const pollInterval = micros(250_000);
+const stepDelayUs = 300_000;
+/** Longest time that an order may spend in transit. */
+const maxOrderTransitUs = 600_000;
+/** Number of workers asked for a report in one step. */
+const maxReportsPerStep = 4;
+
+/** Starts the candidacy and the recovery at this node. */
 export function createDecodeRecovery(world: World, options: DecodeRecoveryOptions): DecodeRecovery {
   const ordered = createOrderedWorkers(world, () => longestSwitch(options));
-  const silence = createDecodeSilence(world, {
+  const silence = createDecodeLiveness(world, {
     workers: options.workers,
     served,
-    isAsker: () => options.controlNode()?.rankAmongLive() === 0,
+    isProber: () => options.controlNode()?.rankAmongLive() === 0,
     report: options.workerClient.report,
   });
-  const needs = createRecoveryNeeds(world, { workers: silence.answeringWorkers, served, rank, ordered });
+  const needs = createRecoveryNeeds(world, { workers: silence.responsiveWorkers, served, rank, ordered });
   const candidate = createCandidate(world, {
     role,
     member: options.member,
@@ -92,11 +92,11 @@
     },
     leaseDuration: options.leaseDuration,
     replicas: () => options.controlNode()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
-    isWilling: () => options.controlNode()?.replica.state() === 'voting' && needs.due() !== undefined,
+    isWilling: () => options.controlNode()?.replica.state() === 'voting' && needs.dueService() !== undefined,
     onElected: () => undefined,
     onLeaseLost: () => undefined,
   });
-  const least = options.minTakeoverGap + orderOnItsWay;
+  const minLeaseLeft = options.minTakeoverGap + maxOrderTransitUs;
   function served(): string[] {
     return options.services().map((service) => service.name);
   }
@@ -104,13 +104,13 @@
     return options.controlNode()?.rankAmongLive() ?? 0;
   }
   function mayOrder(): boolean {
-    return candidate.heldEpochFor(least) !== undefined;
+    return candidate.heldEpochFor(minLeaseLeft) !== undefined;
   }
-  const stopLooking = startLooking({ world, options, needs, silence, ordered, mayOrder });
+  const stopPolling = startPolling({ world, options, needs, liveness: silence, ordered, canOrder: mayOrder });
   return {
-    handleVote: candidate.receiveVote,
+    receiveVote: candidate.receiveVote,
     stop: () => {
-      stopLooking();
+      stopPolling();
       candidate.stop();
     },
   };
@@ -120,84 +120,84 @@
   return Math.max(0, ...options.services().map((service) => service.stageSwitchTime));
 }
 
-/** Looks at the needs again and again, and takes one step at a time where one is due. */
-function startLooking(context: Context): Cancel {
-  const { world, needs, silence } = context;
-  let busy = false;
+/** Polls the needs at a fixed interval, and does one step at a time when one is due. */
+function startPolling(context: Context): Cancel {
+  const { world, needs, liveness: silence } = context;
+  let isStepping = false;
   let nextStepAt = 0;
 
-  function look(): void {
-    noteOwnCopy(context);
-    silence.look();
-    needs.look();
-    const service = needs.due();
-    if (service === undefined || busy || world.now() < nextStepAt || !context.mayOrder()) return;
-    busy = true;
-    void restore(context, service).finally(() => {
-      busy = false;
-      nextStepAt = world.now() + pauseBetweenSteps;
+  function poll(): void {
+    applyReplicaRecord(context);
+    silence.poll();
+    needs.poll();
+    const service = needs.dueService();
+    if (service === undefined || isStepping || world.now() < nextStepAt || !context.canOrder()) return;
+    isStepping = true;
+    void orderNextWorker(context, service).finally(() => {
+      isStepping = false;
+      nextStepAt = world.now() + stepDelayUs;
     });
   }
 
-  return every(world, () => lookEvery, look);
+  return every(world, () => pollInterval, poll);
 }
 
-/** Takes in what this node's replica holds of the record, so that all nodes wait for a worker that one has ordered. */
-function noteOwnCopy({ options, ordered }: Context): void {
+/** Applies the record in this node's replica, so that a worker ordered by any node is pending on all nodes. */
+function applyReplicaRecord({ options, ordered }: Context): void {
   const row = options.controlNode()?.replica.row(orderRecordKey);
-  if (row === undefined || ordered.knows(row.version)) return;
+  if (row === undefined || ordered.hasSeen(row.version)) return;
   const record = decodeOrderRecord(row.value);
-  if (E.isRight(record)) ordered.noteRecord(row.version, record.right);
+  if (E.isRight(record)) ordered.updateRecord(row.version, record.right);
 }
 
-/** One step: writes down an order to one prefill worker of the service, and gives it. */
-async function restore(context: Context, service: string): Promise<void> {
-  const { world, options, needs, silence, ordered } = context;
+/** One step: records an order to one prefill worker of the service, and sends it. */
+async function orderNextWorker(context: Context, service: string): Promise<void> {
+  const { world, options, needs, liveness: silence, ordered } = context;
   const stored = await options.record.read();
   if (stored === undefined) return;
   const record = decodeOrderRecord(stored.value);
   if (E.isLeft(record)) return world.log(4106, { why: record.left });
-  ordered.noteRecord(stored.version, record.right);
-  const workers = workersOf(silence.answeringWorkers(), service);
-  if (!needs.isMissing(service) || !(await isProven(options, workers))) return;
+  ordered.updateRecord(stored.version, record.right);
+  const workers = workersOf(silence.responsiveWorkers(), service);
+  if (!needs.needsMoreOrders(service) || !(await isDecodeProven(options, workers))) return;
   const chosen = await choosePrefillWorker(context, workers);
-  if (chosen !== undefined) await giveOrder(context, record.right, stored.version, chosen);
+  if (chosen !== undefined) await recordAndSendOrder(context, record.right, stored.version, chosen);
 }
 
-/** Where a worker decodes already, it was made to: more follow only when it has been seen to run requests. */
-async function isProven(
+/** Decode workers that exist here were ordered before; more workers follow only when one of them runs requests. */
+async function isDecodeProven(
   { workerClient: workerOrders }: DecodeRecoveryOptions,
   { decode }: ServiceWorkers,
 ): Promise<boolean> {
   if (decode.length === 0) return true;
-  const reports = await Promise.all(decode.slice(0, mostAsked).map(workerOrders.report));
+  const reports = await Promise.all(decode.slice(0, maxReportsPerStep).map(workerOrders.report));
   return reports.some((report) => report !== undefined && report.stage === 'decode' && report.load > 0);
 }
 
-/** The prefill worker with the least to do. Where one is changing already, it is waited for instead. */
+/** The prefill worker with the lowest load; none if a worker is already changing its stage, which is then pending. */
 async function choosePrefillWorker(
   { options, ordered }: Context,
   { prefill }: ServiceWorkers,
 ): Promise<ChosenWorker | undefined> {
-  const free = prefill.filter((worker) => !ordered.isWaitedFor(worker.id) && !ordered.isPassedOver(worker.id));
-  const asked = free.slice(0, mostAsked);
+  const eligible = prefill.filter((worker) => !ordered.isPending(worker.id) && !ordered.isExcluded(worker.id));
+  const asked = eligible.slice(0, maxReportsPerStep);
   const reports = await Promise.all(asked.map(options.workerClient.report));
   const answered: ChosenWorker[] = [];
   let isChanging = false;
   for (const [index, worker] of asked.entries()) {
     const report = reports[index];
-    if (report === undefined) ordered.passOver(worker.id);
+    if (report === undefined) ordered.exclude(worker.id);
     else if (report.changing || report.stage === 'decode') {
-      ordered.waitFor(worker.id);
+      ordered.markPending(worker.id);
       isChanging = true;
     } else answered.push({ worker, report });
   }
   return isChanging ? undefined : answered.sort((a, b) => a.report.load - b.report.load)[0];
 }
 
-/** The order is in the record, on a majority of the disks, before it is given; the version of that write is its fence. */
-async function giveOrder(
-  { world, options, ordered, mayOrder }: Context,
+/** Commits the order to the record on a majority of disks, then sends it; the version of that write is its fence. */
+async function recordAndSendOrder(
+  { world, options, ordered, canOrder: mayOrder }: Context,
   record: OrderRecord,
   version: number,
   { worker, report }: ChosenWorker,
@@ -207,9 +207,9 @@
   const next = appendOrder(record, { worker: worker.id, service: worker.service, stage, holder });
   const fence = await options.record.write(version, next.bytes);
   if (fence === undefined || !mayOrder()) return;
-  ordered.noteRecord(fence, next.record);
+  ordered.updateRecord(fence, next.record);
   const { ordersTaken } = report;
   const outcome = await options.workerClient.order({ worker, stage, holder, fence, ordersTaken });
   world.log(4103, { service: worker.service, worker: worker.id, stage, fence, outcome });
-  ordered.noteOutcome(worker.id, outcome);
+  ordered.handleOutcome(worker.id, outcome);
 }
--- a/packages/worker-stages/src/expiring-set.ts
+++ b/packages/worker-stages/src/expiring-set.ts
@@ -1,28 +1,28 @@
-/** Names that are kept for a while each. */
+/** A set of names, each of which expires after its own lifetime. */
 import type { World } from '@tansypost/inner-protocol';
 
-/** A set whose members leave it by themselves. */
+/** A set whose members expire. */
 export interface ExpiringSet {
   readonly has: (name: string) => boolean;
-  /** Keeps the name for so many microseconds from now, also where it was there already. */
-  readonly keep: (name: string, lasting: number) => void;
-  readonly drop: (name: string) => void;
+  /** Adds the name for `lifetime` microseconds from now; a present name gets the new expiry time. */
+  readonly add: (name: string, lifetime: number) => void;
+  readonly remove: (name: string) => void;
 }
 
 /** An empty set. */
 export function createExpiringSet(world: Pick<World, 'now'>): ExpiringSet {
-  const ends = new Map<string, number>();
+  const expiryTimes = new Map<string, number>();
 
   function has(name: string): boolean {
-    const end = ends.get(name);
-    if (end === undefined || end > world.now()) return end !== undefined;
-    ends.delete(name);
+    const expiresAt = expiryTimes.get(name);
+    if (expiresAt === undefined || expiresAt > world.now()) return expiresAt !== undefined;
+    expiryTimes.delete(name);
     return false;
   }
 
-  function keep(name: string, lasting: number): void {
-    ends.set(name, world.now() + lasting);
+  function add(name: string, lifetime: number): void {
+    expiryTimes.set(name, world.now() + lifetime);
   }
 
-  return { has, keep, drop: (name) => void ends.delete(name) };
+  return { has, add, remove: (name) => void expiryTimes.delete(name) };
 }
--- a/packages/worker-stages/src/ordered-workers.ts
+++ b/packages/worker-stages/src/ordered-workers.ts
@@ -1,38 +1,39 @@
 /**
- * The workers that have been ordered to decode, as one control node knows it from its copy of the record and from the
- * orders that it gave itself: which are waited for, and which are passed over for a while.
+ * The workers that have been ordered to decode, as one control node knows them from its replica of the order record and from
+ * the orders that it sent itself: which of them are pending, and which are temporarily excluded.
  */
 import type { World } from '@tansypost/inner-protocol';
 import type { OrderRecord } from './order-record.js';
 import type { OrderOutcome } from './ports.js';
 import { createExpiringSet } from './expiring-set.js';
 
-/** Knows the orders. */
+/** The state of the orders to workers. */
 export interface OrderedWorkers {
-  /** All workers that the record says were ordered to decode. */
+  /** Ids of all workers that were ordered to decode according to the record. */
   readonly recovered: () => ReadonlySet<string>;
-  readonly knows: (recordVersion: number) => boolean;
-  /** Takes in a version of the record; workers ordered in it that were not known before are waited for. */
-  readonly noteRecord: (version: number, record: OrderRecord) => void;
-  readonly noteOutcome: (worker: string, outcome: OrderOutcome) => void;
-  /** Waits for a worker that says that it is changing. */
-  readonly waitFor: (worker: string) => void;
-  /** A worker that gave no report is not chosen for a while. */
-  readonly passOver: (worker: string) => void;
-  readonly isWaitedFor: (worker: string) => boolean;
-  readonly isPassedOver: (worker: string) => boolean;
+  /** Whether this version of the record, or a later one, has been applied. */
+  readonly hasSeen: (recordVersion: number) => boolean;
+  /** Applies a version of the record; workers whose order is new in it become pending. */
+  readonly updateRecord: (version: number, record: OrderRecord) => void;
+  readonly handleOutcome: (worker: string, outcome: OrderOutcome) => void;
+  /** Marks a worker as pending that is expected to become a decode worker. */
+  readonly markPending: (worker: string) => void;
+  /** Excludes a worker from being chosen for a while. */
+  readonly exclude: (worker: string) => void;
+  readonly isPending: (worker: string) => boolean;
+  readonly isExcluded: (worker: string) => boolean;
 }
 
-/** How long a change may take beyond the switch: requests that run to their end, and the list that runs behind. */
-const beyondSwitch = 5_000_000;
-/** After an order without an answer the worker is asked again so much later. */
-const unknownFor = 1_500_000;
-const passedOverFor = 10_000_000;
+/** Time beyond the stage switch itself: running requests have to finish, and the worker list lags behind. */
+const switchMarginUs = 5_000_000;
+/** After an order without an answer, the worker stays pending for this time and is then asked again. */
+const unknownOutcomeWaitUs = 1_500_000;
+const exclusionUs = 10_000_000;
 
-/** No orders yet. `switchTime` is how long a worker takes to change, in microseconds. */
+/** Creates the state without any orders. `switchTime` is how long a stage switch takes, in microseconds. */
 export function createOrderedWorkers(world: Pick<World, 'now'>, switchTime: () => number): OrderedWorkers {
-  const coming = createExpiringSet(world);
-  const passedOver = createExpiringSet(world);
+  const pending = createExpiringSet(world);
+  const excluded = createExpiringSet(world);
   let recovered: ReadonlySet<string> = new Set();
   let recordVersion = 0;
 
@@ -45,12 +46,12 @@
   }
 
   function waitFor(worker: string): void {
-    coming.keep(worker, switchTime() + beyondSwitch);
+    pending.add(worker, switchTime() + switchMarginUs);
   }
 
   function passOver(worker: string): void {
-    coming.drop(worker);
-    passedOver.keep(worker, passedOverFor);
+    pending.remove(worker);
+    excluded.add(worker, exclusionUs);
   }
 
   function noteOutcome(worker: string, outcome: OrderOutcome): void {
@@ -60,7 +61,7 @@
       case 'busy':
         return waitFor(worker);
       case 'unknown':
-        return coming.keep(worker, unknownFor);
+        return pending.add(worker, unknownOutcomeWaitUs);
       case 'fenced':
       case 'other':
       case 'refused':
@@ -70,12 +71,12 @@
 
   return {
     recovered: () => recovered,
-    knows: (version) => version <= recordVersion,
-    noteRecord,
-    noteOutcome,
-    waitFor,
-    passOver,
-    isWaitedFor: coming.has,
-    isPassedOver: passedOver.has,
+    hasSeen: (version) => version <= recordVersion,
+    updateRecord: noteRecord,
+    handleOutcome: noteOutcome,
+    markPending: waitFor,
+    exclude: passOver,
+    isPending: pending.has,
+    isExcluded: excluded.has,
   };
 }
--- a/packages/worker-stages/src/ports.ts
+++ b/packages/worker-stages/src/ports.ts
@@ -1,17 +1,17 @@
-/** What workers can be asked and ordered, as the recovery of decode workers uses it. A port never throws. */
+/** The port through which the recovery of decode workers queries and orders workers. A port never throws. */
 import type { ListedWorker } from '@tansypost/control-feed';
 
-/** What a worker does: it reads prompts (prefill), or it makes tokens (decode). */
+/** The stage that a worker runs: it processes prompts (prefill) or generates tokens (decode). */
 export type Stage = ListedWorker['part'];
 
-/** What a worker says of itself when it is asked. */
+/** A worker's answer to a report request. */
 export interface WorkerReport {
   readonly stage: Stage;
-  /** An order is being carried out. */
+  /** Whether a stage change is in progress. */
   readonly changing: boolean;
-  /** Orders that it has taken in this life. */
+  /** Number of orders that it has accepted since it started. */
   readonly ordersTaken: number;
-  /** Requests that run or wait there. */
+  /** Number of running and queued requests. */
   readonly load: number;
 }
 
@@ -19,23 +19,24 @@
 export interface StageOrder {
   readonly worker: ListedWorker;
   readonly stage: Stage;
-  /** The machine that gives it. */
+  /** Name of the control node that sends it. */
   readonly holder: string;
-  /** Rises with each order that anybody gives; a worker that checks it refuses a lower one than it has seen. */
+  /** Fencing token, higher for each order of any node. A worker that checks it rejects one lower than it has seen. */
   readonly fence: number;
-  /** Taken only by a worker that has taken so many orders before. */
+  /** The worker accepts the order only if it has accepted exactly this many orders before. */
   readonly ordersTaken: number;
 }
 
 /**
- * How an order ended: it is being carried out, holds already, another one is under way or came before it, a higher fence
- * was seen, another worker has the address, it is refused for good, or no answer came, so that it may have been taken.
+ * How an order ended. `accepted`: it is being carried out. `holds`: the worker already has the stage. `busy`: another order
+ * is in progress or was accepted first. `fenced`: a higher fence was seen. `other`: another worker has the address.
+ * `refused`: rejected permanently. `unknown`: no answer, so the order may have been accepted.
  */
 export type OrderOutcome = 'accepted' | 'holds' | 'busy' | 'fenced' | 'other' | 'refused' | 'unknown';
 
-/** The way to workers. */
+/** Queries and orders workers. */
 export interface WorkerStageClient {
-  /** Undefined where no answer came in time. */
+  /** Requests a report; undefined if no answer came in time. */
   readonly report: (worker: ListedWorker) => Promise<WorkerReport | undefined>;
   readonly order: (order: StageOrder) => Promise<OrderOutcome>;
 }
--- a/packages/worker-stages/src/recovery-plan.test.ts
+++ b/packages/worker-stages/src/recovery-plan.test.ts
@@ -1,4 +1,4 @@
-/** How many prefill workers are to become decode workers, for each mix. */
+/** How many prefill workers have to become decode workers, for each mix of workers. */
 import { expect, it } from 'vitest';
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { Stage } from './ports.js';
@@ -24,15 +24,15 @@
   { prefill: 28, decode: 13, recovered: true, missing: 1 },
   { prefill: 27, decode: 14, recovered: true, missing: 0 },
 ])(
-  'wants $missing more decode workers beside $prefill prefill and $decode decode workers, recovered: $recovered',
+  'needs $missing more decode workers with $prefill prefill and $decode decode workers, recovered: $recovered',
   (row) => {
     const list = [...workers('prefill', row.prefill), ...workers('decode', row.decode)];
-    const known = row.recovered ? allDecode : new Set<string>();
-    expect(missingDecodeWorkers(workersOf(list, 's'), known)).toBe(row.missing);
+    const recovered = row.recovered ? allDecode : new Set<string>();
+    expect(missingDecodeWorkers(workersOf(list, 's'), recovered)).toBe(row.missing);
   },
 );
 
-it('counts those that leave for neither stage, and looks at each service by itself', () => {
+it('counts leaving workers for neither stage, and each service separately', () => {
   const list = [...workers('prefill', 2), ...workers('decode', 1, true), ...workers('decode', 1, false, 'other')];
   expect(workersOf(list, 's')).toMatchObject({ decode: [], leavingDecode: 1 });
   expect(missingDecodeWorkers(workersOf(list, 's'), new Set())).toBe(1);
