--- a/packages/scaling/src/worker-targets.ts
+++ b/packages/scaling/src/worker-targets.ts
@@ -54,27 +54,36 @@
 }
 
 /** Limits a number of workers to the bounds of the service. */
-export function clampToBounds(workers: number, { minWorkers: least, maxWorkers: most }: ScalingBounds): number {
-  return Math.min(most, Math.max(least, workers));
+export function clampToBounds(workers: number, { minWorkers, maxWorkers }: ScalingBounds): number {
+  return Math.min(maxWorkers, Math.max(minWorkers, workers));
 }
 
 /** A target above `ordered` if demand, in fully utilized workers, is too high for `ordered`, else `ordered`. */
-export function scaledUpCount(ordered: number, demand: number, growth: number, loads: ScalingThresholds): number {
+export function scaledUpCount(ordered: number, demand: number, growth: number, thresholds: ScalingThresholds): number {
   // The forecast is at most twice the demand, however steep the trend is.
   const expected = demand + Math.min(growth, demand);
-  return expected > loads.scaleUp * ordered ? Math.max(ordered, Math.ceil(expected / loads.target)) : ordered;
+  return expected > thresholds.scaleUp * ordered ? Math.max(ordered, Math.ceil(expected / thresholds.target)) : ordered;
 }
 
 /** Whether the workers of a service can carry the demand even if the zone with the most workers is lost. */
-export function toleratesZoneLoss(workersByZone: readonly number[], demand: number, loads: ScalingThresholds): boolean {
+export function toleratesZoneLoss(
+  workersByZone: readonly number[],
+  demand: number,
+  thresholds: ScalingThresholds,
+): boolean {
   if (workersByZone.length < 2) return true;
   const total = workersByZone.reduce((sum, workers) => sum + workers, 0);
-  return (total - Math.max(...workersByZone)) * loads.maximum >= demand;
+  return (total - Math.max(...workersByZone)) * thresholds.maximum >= demand;
 }
 
 /** One step below `ordered` if the remaining workers could have carried the recent peak plus its growth, else `ordered`. */
-export function scaledDownCount(ordered: number, peak: DemandPeak, growth: number, loads: ScalingThresholds): number {
-  const needed = Math.ceil(Math.max((peak.level + growth) / loads.scaleDown, peak.burst / loads.maximum));
+export function scaledDownCount(
+  ordered: number,
+  peak: DemandPeak,
+  growth: number,
+  thresholds: ScalingThresholds,
+): number {
+  const needed = Math.ceil(Math.max((peak.level + growth) / thresholds.scaleDown, peak.burst / thresholds.maximum));
   const step = Math.max(1, Math.floor(ordered / stepDivisor));
   return Math.min(ordered, Math.max(needed, ordered - step));
 }
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -152,7 +152,7 @@
       member: name,
       controlNode: () => (alive.has(node) ? controlNode : undefined),
       workers: listed,
-      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime: switchTime })),
+      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
       workerClient: {
         report: async ({ id }) => {
--- a/packages/worker-stages/src/decode-recovery.ts
+++ b/packages/worker-stages/src/decode-recovery.ts
@@ -76,13 +76,13 @@
 /** Starts the candidacy and the recovery at this node. */
 export function createDecodeRecovery(world: World, options: DecodeRecoveryOptions): DecodeRecovery {
   const ordered = createOrderedWorkers(world, () => longestSwitch(options));
-  const silence = createDecodeLiveness(world, {
+  const liveness = createDecodeLiveness(world, {
     workers: options.workers,
     served,
     isProber: () => options.controlNode()?.rankAmongLive() === 0,
     report: options.workerClient.report,
   });
-  const needs = createRecoveryNeeds(world, { workers: silence.responsiveWorkers, served, rank, ordered });
+  const needs = createRecoveryNeeds(world, { workers: liveness.responsiveWorkers, served, rank, ordered });
   const candidate = createCandidate(world, {
     role,
     member: options.member,
@@ -103,10 +103,10 @@
   function rank(): number {
     return options.controlNode()?.rankAmongLive() ?? 0;
   }
-  function mayOrder(): boolean {
+  function canOrder(): boolean {
     return candidate.heldEpochFor(minLeaseLeft) !== undefined;
   }
-  const stopPolling = startPolling({ world, options, needs, liveness: silence, ordered, canOrder: mayOrder });
+  const stopPolling = startPolling({ world, options, needs, liveness, ordered, canOrder });
   return {
     receiveVote: candidate.receiveVote,
     stop: () => {
@@ -122,13 +122,13 @@
 
 /** Polls the needs at a fixed interval, and does one step at a time when one is due. */
 function startPolling(context: Context): Cancel {
-  const { world, needs, liveness: silence } = context;
+  const { world, needs, liveness } = context;
   let isStepping = false;
   let nextStepAt = 0;
 
   function poll(): void {
     applyReplicaRecord(context);
-    silence.poll();
+    liveness.poll();
     needs.poll();
     const service = needs.dueService();
     if (service === undefined || isStepping || world.now() < nextStepAt || !context.canOrder()) return;
@@ -152,25 +152,22 @@
 
 /** One step: records an order to one prefill worker of the service, and sends it. */
 async function orderNextWorker(context: Context, service: string): Promise<void> {
-  const { world, options, needs, liveness: silence, ordered } = context;
+  const { world, options, needs, liveness, ordered } = context;
   const stored = await options.record.read();
   if (stored === undefined) return;
   const record = decodeOrderRecord(stored.value);
   if (E.isLeft(record)) return world.log(4106, { why: record.left });
   ordered.updateRecord(stored.version, record.right);
-  const workers = workersOf(silence.responsiveWorkers(), service);
+  const workers = workersOf(liveness.responsiveWorkers(), service);
   if (!needs.needsMoreOrders(service) || !(await isDecodeProven(options, workers))) return;
   const chosen = await choosePrefillWorker(context, workers);
   if (chosen !== undefined) await recordAndSendOrder(context, record.right, stored.version, chosen);
 }
 
-/** Decode workers that exist here were ordered before; more workers follow only when one of them runs requests. */
-async function isDecodeProven(
-  { workerClient: workerOrders }: DecodeRecoveryOptions,
-  { decode }: ServiceWorkers,
-): Promise<boolean> {
+/** Whether more workers may follow. Existing decode workers were ordered before, and one of them must run requests first. */
+async function isDecodeProven({ workerClient }: DecodeRecoveryOptions, { decode }: ServiceWorkers): Promise<boolean> {
   if (decode.length === 0) return true;
-  const reports = await Promise.all(decode.slice(0, maxReportsPerStep).map(workerOrders.report));
+  const reports = await Promise.all(decode.slice(0, maxReportsPerStep).map(workerClient.report));
   return reports.some((report) => report !== undefined && report.stage === 'decode' && report.load > 0);
 }
 
@@ -197,7 +194,7 @@
 
 /** Commits the order to the record on a majority of disks, then sends it; the version of that write is its fence. */
 async function recordAndSendOrder(
-  { world, options, ordered, canOrder: mayOrder }: Context,
+  { world, options, ordered, canOrder }: Context,
   record: OrderRecord,
   version: number,
   { worker, report }: ChosenWorker,
@@ -206,7 +203,7 @@
   const stage = 'decode';
   const next = appendOrder(record, { worker: worker.id, service: worker.service, stage, holder });
   const fence = await options.record.write(version, next.bytes);
-  if (fence === undefined || !mayOrder()) return;
+  if (fence === undefined || !canOrder()) return;
   ordered.updateRecord(fence, next.record);
   const { ordersTaken } = report;
   const outcome = await options.workerClient.order({ worker, stage, holder, fence, ordersTaken });
--- a/packages/worker-stages/src/ordered-workers.ts
+++ b/packages/worker-stages/src/ordered-workers.ts
@@ -37,45 +37,45 @@
   let recovered: ReadonlySet<string> = new Set();
   let recordVersion = 0;
 
-  function noteRecord(version: number, record: OrderRecord): void {
+  function updateRecord(version: number, record: OrderRecord): void {
     if (version <= recordVersion) return;
     recordVersion = version;
     const ordered = record.orders.filter((order) => order.stage === 'decode').map((order) => order.worker);
-    for (const worker of ordered) if (!recovered.has(worker)) waitFor(worker);
+    for (const worker of ordered) if (!recovered.has(worker)) markPending(worker);
     recovered = new Set(ordered);
   }
 
-  function waitFor(worker: string): void {
+  function markPending(worker: string): void {
     pending.add(worker, switchTime() + switchMarginUs);
   }
 
-  function passOver(worker: string): void {
+  function exclude(worker: string): void {
     pending.remove(worker);
     excluded.add(worker, exclusionUs);
   }
 
-  function noteOutcome(worker: string, outcome: OrderOutcome): void {
+  function handleOutcome(worker: string, outcome: OrderOutcome): void {
     switch (outcome) {
       case 'accepted':
       case 'holds':
       case 'busy':
-        return waitFor(worker);
+        return markPending(worker);
       case 'unknown':
         return pending.add(worker, unknownOutcomeWaitUs);
       case 'fenced':
       case 'other':
       case 'refused':
-        return passOver(worker);
+        return exclude(worker);
     }
   }
 
   return {
     recovered: () => recovered,
     hasSeen: (version) => version <= recordVersion,
-    updateRecord: noteRecord,
-    handleOutcome: noteOutcome,
-    markPending: waitFor,
-    exclude: passOver,
+    updateRecord,
+    handleOutcome,
+    markPending,
+    exclude,
     isPending: pending.has,
     isExcluded: excluded.has,
   };
