--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -1,13 +1,15 @@
 /**
- * How a cluster begins where none of the seeds holds control state. The machines with disks ask the seeds to join; each
- * seed answers with all that have asked it, so that the candidates learn of each other. They then tell each other whom
- * they know (their view) and one of them founds the cluster with all of its view.
+ * Bootstrap of a cluster when no seed holds control state. The machines with disks (the candidates) ask the seeds to
+ * join, and each seed answers with the list of all candidates that have asked it (its roster), so that the candidates
+ * discover each other. The candidates then exchange the sets of candidates that they know (their views), and one of
+ * them bootstraps the cluster with the members of its view.
  *
- * Why two groups cannot found apart: a candidate founds only once a majority of the seeds has listed it, each in a
- * process that has run since the first start of the whole system, and so has forgotten nobody. Of two founders one is
- * therefore in the view of the other. A candidate founds only after all of its view have told it the same view while
- * they were blank; a view only grows, and no machine founds after a restart. `docs/design-notes.md` has the full
- * argument. What cannot be known is waited for, never guessed.
+ * Two groups cannot bootstrap separate clusters. A candidate bootstraps only once a majority of the seeds has listed
+ * it, each in a process that has run since the first start of the whole system and therefore has forgotten no
+ * candidate. Of two candidates that bootstrap, one is therefore in the view of the other. A candidate also requires
+ * that every candidate in its view has reported the same view while it was blank. Views only grow, and no machine
+ * bootstraps after a restart. `docs/design-notes.md` has the full argument. A candidate waits for what it cannot know
+ * and never guesses.
  */
 import type { Address, BootstrapCandidate, MessageOf, ReplicaEntry } from '@tansypost/inner-protocol';
 import { majorityOf } from './membership-record.js';
@@ -15,135 +17,142 @@
 type FoundingRoster = MessageOf<'FoundingRoster'>;
 type FoundingView = MessageOf<'FoundingView'>;
 
-/** Who may found a cluster, and with how many. */
+/** Which machines may bootstrap a cluster, and with how many members. */
 export interface DiscoveryBootstrapOptions {
   readonly self: Address;
   readonly diskId: () => string;
-  /** The seeds of the first start; all machines were given the same. */
+  /** The seeds of the first start, which are the same on all machines. */
   readonly seeds: readonly Address[];
-  /** Whether this process may begin a cluster: it has run since the first start of the whole system. */
-  readonly mayBegin: boolean;
-  /** The fewest machines that found a cluster. */
+  /** Whether this process may bootstrap a cluster, that is, has run since the first start of the whole system. */
+  readonly mayBootstrap: boolean;
+  /** Minimum number of machines that bootstrap a cluster. */
   readonly minMembers: number;
-  /** The most machines that hold a replica at first. */
+  /** Maximum number of machines that hold a replica after the bootstrap. */
   readonly maxMembers: number;
 }
 
-/** What a machine that holds no state yet waits for. */
+/** What a machine without control state waits for before a cluster can be bootstrapped. */
 export type BootstrapWait =
   | { readonly why: 'not the first start' }
-  | { readonly why: 'founders not heard'; readonly machines: readonly string[] }
-  | { readonly why: 'founders have yet to begin'; readonly machines: readonly string[] }
+  | { readonly why: 'bootstrap members not heard'; readonly machines: readonly string[] }
+  | { readonly why: 'bootstrap members have not bootstrapped yet'; readonly machines: readonly string[] }
   | { readonly why: 'seeds not heard'; readonly seeds: readonly string[] }
-  | { readonly why: 'too few seeds remember the first start'; readonly remembering: number; readonly needed: number }
+  | {
+      readonly why: 'too few seeds have run since the first start';
+      readonly remembering: number;
+      readonly needed: number;
+    }
   | { readonly why: 'too few machines with a disk'; readonly known: number; readonly needed: number }
-  | { readonly why: 'machines not heard or not of one view'; readonly machines: readonly string[] };
+  | { readonly why: 'candidates not heard or with a different view'; readonly machines: readonly string[] };
 
-/** The founding side of a blank replica that no seed can help to find others but by hearsay. */
+/** The bootstrap of a blank replica that discovers the other candidates through the seeds. */
 export interface DiscoveryBootstrap {
-  /** Takes in whom a seed has heard. */
-  readonly roster: (message: FoundingRoster) => void;
-  /** Takes in the view of another candidate. */
-  readonly view: (message: FoundingView) => void;
-  /** The members of the cluster once it is time to found it. */
+  /** Handles a seed's list of candidates. */
+  readonly receiveRoster: (message: FoundingRoster) => void;
+  /** Handles the view of another candidate. */
+  readonly receiveView: (message: FoundingView) => void;
+  /** The members of the cluster once this machine may bootstrap it. */
   readonly members: () => readonly ReplicaEntry[] | undefined;
-  /** What the other candidates are to be told; nobody is known where the seeds hold state. */
-  readonly greeting: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
-  /** Undefined where it could found a cluster now. */
-  readonly waitsFor: () => BootstrapWait | undefined;
+  /** The message to send to the other candidates; undefined if none is known, as when the seeds hold control state. */
+  readonly viewMessage: () => { readonly to: readonly Address[]; readonly message: FoundingView } | undefined;
+  /** Undefined if this machine could bootstrap a cluster now. */
+  readonly bootstrapWait: () => BootstrapWait | undefined;
 }
 
-/** Makes the founding side; it knows nobody yet. */
+/** Creates the discovery bootstrap of a machine, without any known candidates. */
 export function createDiscoveryBootstrap(options: DiscoveryBootstrapOptions): DiscoveryBootstrap {
   const seeds = [...options.seeds];
-  const known = new Map<string, BootstrapCandidate>();
+  const knownCandidates = new Map<string, BootstrapCandidate>();
   const statelessSeeds = new Set<string>();
-  const listedAt = new Set<string>();
-  const views = new Map<string, string>();
+  const listingSeeds = new Set<string>();
+  const viewKeyByCandidate = new Map<string, string>();
 
   function self(): BootstrapCandidate {
     return { address: options.self, disk: options.diskId() };
   }
 
-  function learn(candidates: readonly BootstrapCandidate[]): void {
-    for (const candidate of candidates) known.set(nameOf(candidate), candidate);
+  function addCandidates(candidates: readonly BootstrapCandidate[]): void {
+    for (const candidate of candidates) knownCandidates.set(candidateId(candidate), candidate);
   }
 
-  function candidates(): BootstrapCandidate[] {
-    const all = new Map(known).set(nameOf(self()), self());
-    return [...all.values()].sort(byName);
+  function allCandidates(): BootstrapCandidate[] {
+    const all = new Map(knownCandidates).set(candidateId(self()), self());
+    return [...all.values()].sort(byCandidateId);
   }
 
-  function others(): BootstrapCandidate[] {
-    const own = nameOf(self());
-    return candidates().filter((candidate) => nameOf(candidate) !== own);
+  function otherCandidates(): BootstrapCandidate[] {
+    const own = candidateId(self());
+    return allCandidates().filter((candidate) => candidateId(candidate) !== own);
   }
 
-  function roster(message: FoundingRoster): void {
+  function receiveRoster(message: FoundingRoster): void {
     if (!seeds.includes(message.from as Address)) return;
     statelessSeeds.add(message.from);
-    learn(message.candidates);
-    const own = nameOf(self());
-    const isListed = message.candidates.some((candidate) => nameOf(candidate) === own);
-    if (message.firstStart && isListed) listedAt.add(message.from);
+    addCandidates(message.candidates);
+    const own = candidateId(self());
+    const isListed = message.candidates.some((candidate) => candidateId(candidate) === own);
+    if (message.firstStart && isListed) listingSeeds.add(message.from);
   }
 
-  /** A view that comes late only shows what its teller once said; as views grow, that is safe to count. */
-  function view(message: FoundingView): void {
-    const teller = nameOf({ address: message.from, disk: message.disk });
-    learn(message.candidates);
-    views.set(teller, keyOf(message.candidates));
+  /** A delayed view shows what its sender knew earlier; views only grow, so it is safe to count. */
+  function receiveView(message: FoundingView): void {
+    const senderId = candidateId({ address: message.from, disk: message.disk });
+    addCandidates(message.candidates);
+    viewKeyByCandidate.set(senderId, viewKeyOf(message.candidates));
   }
 
-  function founders(): ReplicaEntry[] {
-    const all = candidates();
+  function chooseMembers(): ReplicaEntry[] {
+    const all = allCandidates();
     const count = Math.min(all.length, options.maxMembers);
-    // An even number bears no more losses than one less.
-    const odd = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
-    return all.slice(0, odd).map(({ address, disk }, slot) => ({ slot, address, disk }));
+    // An even number of replicas tolerates no more failures than one replica less.
+    const memberCount = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
+    return all.slice(0, memberCount).map(({ address, disk }, slot) => ({ slot, address, disk }));
   }
 
   function members(): readonly ReplicaEntry[] | undefined {
-    return waitsFor() === undefined ? founders() : undefined;
+    return bootstrapWait() === undefined ? chooseMembers() : undefined;
   }
 
-  function greeting(): ReturnType<DiscoveryBootstrap['greeting']> {
-    const to = others().map((candidate) => candidate.address as Address);
+  function viewMessage(): ReturnType<DiscoveryBootstrap['viewMessage']> {
+    const to = otherCandidates().map((candidate) => candidate.address as Address);
     if (to.length === 0) return undefined;
     const { address: from, disk } = self();
-    return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: candidates() } };
+    return { to: [...new Set(to)], message: { kind: 'FoundingView', from, disk, candidates: allCandidates() } };
   }
 
-  function waitsFor(): BootstrapWait | undefined {
-    if (!options.mayBegin) return { why: 'not the first start' };
-    const silent = seeds.filter((seed) => !statelessSeeds.has(seed));
-    if (seeds.length === 0 || silent.length > 0) return { why: 'seeds not heard', seeds: silent };
+  function bootstrapWait(): BootstrapWait | undefined {
+    if (!options.mayBootstrap) return { why: 'not the first start' };
+    const unheardSeeds = seeds.filter((seed) => !statelessSeeds.has(seed));
+    if (seeds.length === 0 || unheardSeeds.length > 0) return { why: 'seeds not heard', seeds: unheardSeeds };
     const needed = majorityOf(seeds.length);
-    if (listedAt.size < needed)
-      return { why: 'too few seeds remember the first start', remembering: listedAt.size, needed };
-    const all = candidates();
+    if (listingSeeds.size < needed)
+      return { why: 'too few seeds have run since the first start', remembering: listingSeeds.size, needed };
+    const all = allCandidates();
     if (all.length < options.minMembers)
       return { why: 'too few machines with a disk', known: all.length, needed: options.minMembers };
-    const own = keyOf(all);
-    const apart = others().filter((candidate) => views.get(nameOf(candidate)) !== own);
-    if (apart.length > 0)
-      return { why: 'machines not heard or not of one view', machines: apart.map((candidate) => candidate.address) };
-    const chosen = founders();
+    const own = viewKeyOf(all);
+    const differing = otherCandidates().filter((candidate) => viewKeyByCandidate.get(candidateId(candidate)) !== own);
+    if (differing.length > 0)
+      return {
+        why: 'candidates not heard or with a different view',
+        machines: differing.map((candidate) => candidate.address),
+      };
+    const chosen = chooseMembers();
     if (chosen.some((entry) => entry.disk === options.diskId())) return undefined;
-    return { why: 'founders have yet to begin', machines: chosen.map((entry) => entry.address) };
+    return { why: 'bootstrap members have not bootstrapped yet', machines: chosen.map((entry) => entry.address) };
   }
 
-  return { roster, view, members, greeting, waitsFor };
+  return { receiveRoster, receiveView, members, viewMessage, bootstrapWait };
 }
 
-function nameOf({ address, disk }: BootstrapCandidate): string {
+function candidateId({ address, disk }: BootstrapCandidate): string {
   return `${address} ${disk}`;
 }
 
-function byName(left: BootstrapCandidate, right: BootstrapCandidate): number {
-  return nameOf(left) < nameOf(right) ? -1 : 1;
+function byCandidateId(left: BootstrapCandidate, right: BootstrapCandidate): number {
+  return candidateId(left) < candidateId(right) ? -1 : 1;
 }
 
-function keyOf(candidates: readonly BootstrapCandidate[]): string {
-  return candidates.map(nameOf).sort().join('\n');
+function viewKeyOf(candidates: readonly BootstrapCandidate[]): string {
+  return candidates.map(candidateId).sort().join('\n');
 }
--- a/packages/control-state/src/seed-bootstrap.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -1,88 +1,89 @@
 /**
- * How a cluster begins: the blank replicas of its first machines write one and the same membership record once each of
- * them has heard all the others lately, so none can found a cluster without the rest. A machine among them that holds no
- * state says so and is not waited for; as it never holds any, all others come to the same founders.
+ * Bootstrap of a cluster by its configured seeds. Each blank replica writes the same membership record once it has
+ * recently heard from all the others, so none can bootstrap a cluster without the rest. A seed that holds no control
+ * state says so and is not waited for. Because it never holds any, all others arrive at the same bootstrap members.
  */
 import type { Address, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
 
 type ReplicaHello = MessageOf<'ReplicaHello'>;
 
-/** Who may found a cluster together. */
+/** Which machines may bootstrap a cluster together. */
 export interface SeedBootstrapOptions {
   readonly self: Address;
-  /** The addresses of the founders, this one among them. */
-  readonly founders: readonly Address[];
-  /** Whether this replica may begin a cluster, or only follow others that do. */
-  readonly mayBegin: boolean;
+  /** Addresses of the configured bootstrap members, including this one. */
+  readonly members: readonly Address[];
+  /** Whether this replica may start a bootstrap; otherwise it only joins one that others have started. */
+  readonly mayBootstrap: boolean;
   readonly diskId: () => string;
 }
 
-/** Decides when a cluster is founded. */
+/** Decides when the cluster is bootstrapped. */
 export interface SeedBootstrap {
-  /** Takes in what another replica says of itself; gives the members of the cluster once it is time to found it. */
-  readonly heard: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
-  /** Takes in that the machine at a founder's address holds no state. */
-  readonly withoutState: (address: Address) => void;
-  /** The members of a cluster that has one founder only. */
-  readonly alone: () => readonly ReplicaEntry[] | undefined;
-  /** The other founders that were not heard lately. */
-  readonly silent: () => readonly Address[];
+  /** Handles the hello of another replica; returns the members of the cluster once it may be bootstrapped. */
+  readonly receiveHello: (hello: ReplicaHello, slot: number) => readonly ReplicaEntry[] | undefined;
+  /** Records that the machine at a bootstrap member's address holds no control state and never will. */
+  readonly markStateless: (address: Address) => void;
+  /** The membership of a cluster whose only bootstrap member is this replica. */
+  readonly soleMember: () => readonly ReplicaEntry[] | undefined;
+  /** The other bootstrap members that have not been heard from recently. */
+  readonly unheardMembers: () => readonly Address[];
 }
 
-interface HeardBlank {
+interface BlankPeer {
   readonly disk: string;
   readonly address: string;
-  readonly at: number;
+  readonly heardAt: number;
 }
 
-const heardFor = 2_000_000;
+/** A hello counts as recent for this long. */
+const helloFreshnessUs = 2_000_000;
 
-/** Makes the founding side of a blank replica. */
+/** Creates the seed bootstrap of a blank replica. */
 export function createSeedBootstrap(world: World, options: SeedBootstrapOptions): SeedBootstrap {
-  const blanks = new Map<number, HeardBlank>();
-  const stateless = new Set<Address>();
+  const blankPeers = new Map<number, BlankPeer>();
+  const statelessMembers = new Set<Address>();
 
-  function founders(): readonly Address[] {
-    return options.founders.filter((address) => !stateless.has(address));
+  function expectedMembers(): readonly Address[] {
+    return options.members.filter((address) => !statelessMembers.has(address));
   }
 
-  function heard(hello: ReplicaHello, slot: number): readonly ReplicaEntry[] | undefined {
+  function receiveHello(hello: ReplicaHello, slot: number): readonly ReplicaEntry[] | undefined {
     if (hello.state === 'blank' && hello.slot >= 0)
-      blanks.set(hello.slot, { disk: hello.disk, address: hello.from, at: world.now() });
-    else blanks.delete(hello.slot);
-    const foundedWithUs = hello.state === 'voting' && hello.membershipEpoch === 1;
-    if (foundedWithUs && hello.founders.includes(options.diskId())) return hello.replicas;
-    return options.mayBegin && slot >= 0 ? together(slot) : undefined;
+      blankPeers.set(hello.slot, { disk: hello.disk, address: hello.from, heardAt: world.now() });
+    else blankPeers.delete(hello.slot);
+    const hasBootstrapped = hello.state === 'voting' && hello.membershipEpoch === 1;
+    if (hasBootstrapped && hello.founders.includes(options.diskId())) return hello.replicas;
+    return options.mayBootstrap && slot >= 0 ? membersOnceComplete(slot) : undefined;
   }
 
-  function isFresh({ at }: HeardBlank): boolean {
-    return world.now() - at < heardFor;
+  function isFresh({ heardAt: at }: BlankPeer): boolean {
+    return world.now() - at < helloFreshnessUs;
   }
 
-  function silent(): readonly Address[] {
-    const heardLately = new Set([...blanks.values()].filter(isFresh).map(({ address }) => address));
-    return founders().filter((address) => address !== options.self && !heardLately.has(address));
+  function unheardMembers(): readonly Address[] {
+    const heardRecently = new Set([...blankPeers.values()].filter(isFresh).map(({ address }) => address));
+    return expectedMembers().filter((address) => address !== options.self && !heardRecently.has(address));
   }
 
-  function together(slot: number): readonly ReplicaEntry[] | undefined {
-    const fresh = [...blanks].filter(([, blank]) => isFresh(blank));
-    if (fresh.length !== founders().length - 1) return undefined;
+  function membersOnceComplete(slot: number): readonly ReplicaEntry[] | undefined {
+    const fresh = [...blankPeers].filter(([, blank]) => isFresh(blank));
+    if (fresh.length !== expectedMembers().length - 1) return undefined;
     const others = fresh.map(([other, blank]) => ({ slot: other, address: blank.address, disk: blank.disk }));
     return [{ slot, address: options.self, disk: options.diskId() }, ...others].sort(
       (left, right) => left.slot - right.slot,
     );
   }
 
-  function alone(): readonly ReplicaEntry[] | undefined {
+  function soleMember(): readonly ReplicaEntry[] | undefined {
     const { self } = options;
-    const [only, ...others] = founders();
-    if (!options.mayBegin || only !== self || others.length > 0) return undefined;
+    const [only, ...others] = expectedMembers();
+    if (!options.mayBootstrap || only !== self || others.length > 0) return undefined;
     return [{ slot: 0, address: self, disk: options.diskId() }];
   }
 
-  function withoutState(address: Address): void {
-    if (address !== options.self && options.founders.includes(address)) stateless.add(address);
+  function markStateless(address: Address): void {
+    if (address !== options.self && options.members.includes(address)) statelessMembers.add(address);
   }
 
-  return { heard, withoutState, alone, silent };
+  return { receiveHello, markStateless, soleMember, unheardMembers };
 }
