--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -1,6 +1,7 @@
 /**
- * Builds what the machines run, straight from the TypeScript sources: one bundle with the tests stripped,
- * and the code cache that the loader starts it from. Everything goes under target/, or under the folder named.
+ * Builds the deployed program directly from the TypeScript sources: one bundle without in-source tests, and a code cache
+ * for each role, which the loader starts from. Output goes to target/, or to the directory given as first argument; the
+ * second argument is the deploy file.
  */
 import { build } from 'esbuild';
 import { execFileSync } from 'node:child_process';
@@ -18,7 +19,7 @@
 
 rmSync(target, { recursive: true, force: true });
 mkdirSync(target, { recursive: true });
-const made = await build({
+const result = await build({
   entryPoints: [`${root}platform/src/entry.ts`],
   outfile: `${target}/bundle.cjs`,
   bundle: true,
@@ -33,47 +34,50 @@
   metafile: true,
   alias: sources,
   define: { 'import.meta.vitest': 'undefined' },
-  // Used only where a type is asked for in passing; nothing of theirs has to run for its own sake.
-  plugins: [{ name: 'unused', setup: dropUnused }],
+  // These libraries are imported in places only for types; none of them needs to run for its side effects.
+  plugins: [{ name: 'unused', setup: markSideEffectFree }],
   logLevel: 'warning',
 });
-writeFileSync(`${target}/bundle.json`, JSON.stringify(made.metafile));
+writeFileSync(`${target}/bundle.json`, JSON.stringify(result.metafile));
 copyFileSync(`${root}deploy/load.cjs`, `${target}/tansypost.cjs`);
 for (const { run } of Object.values(
   parse(readFileSync(process.argv[3] ?? `${root}deploy/system.toml`, 'utf8')).roles,
 )) {
-  const { flags, program } = partsOf(run);
-  warm(program, flags);
+  const { flags, role } = parseCommand(run);
+  createCodeCache(role, flags);
 }
 
-/** The flags of Node.js in a run line, which stand before the program's file, and the role that the program is given. */
-function partsOf(run) {
+/** The Node.js flags in a command, which precede the program's file, and the role that follows the file. */
+function parseCommand(run) {
   const [, ...words] = run.split(' ');
   const file = words.findIndex((word) => !word.startsWith('--'));
-  return { flags: words.slice(0, file), program: words[file + 1] };
+  return { flags: words.slice(0, file), role: words[file + 1] };
 }
 
-// A code cache holds only for the flags it was made under. Without one a role starts all the same, later.
-function warm(role, flags) {
+/** A code cache is valid only for the flags it was created with. Without one a role starts too, but more slowly. */
+function createCodeCache(role, flags) {
   try {
     execFileSync(process.execPath, [...flags, `${root}deploy/warm.cjs`, role, target], {
       stdio: ['ignore', 'ignore', 'inherit'],
       timeout: 30_000,
     });
-  } catch (e) {
-    process.stderr.write(`build: no code cache for ${role} (${e.message}); it starts without.\n`);
+  } catch (error) {
+    process.stderr.write(
+      `build: cannot create the code cache for ${role} (${error.message}); the role starts without it, more slowly.\n`,
+    );
   }
 }
 
-function dropUnused(b) {
-  b.onResolve({ filter: /^(consola|@sinclair\/typebox(\/.*)?|fastify|avsc)$/ }, async (a) => {
-    if (a.pluginData === 'again') return undefined;
-    const r = await b.resolve(a.path, {
-      kind: a.kind,
-      resolveDir: a.resolveDir,
-      importer: a.importer,
+/** An esbuild plugin that drops these libraries wherever nothing of theirs is used. */
+function markSideEffectFree(pluginBuild) {
+  pluginBuild.onResolve({ filter: /^(consola|@sinclair\/typebox(\/.*)?|fastify|avsc)$/ }, async (args) => {
+    if (args.pluginData === 'again') return undefined;
+    const resolved = await pluginBuild.resolve(args.path, {
+      kind: args.kind,
+      resolveDir: args.resolveDir,
+      importer: args.importer,
       pluginData: 'again',
     });
-    return { ...r, sideEffects: false };
+    return { ...resolved, sideEffects: false };
   });
 }
--- a/deploy/build.test.ts
+++ b/deploy/build.test.ts
@@ -1,3 +1,4 @@
+/** The build of the deployed program: its bundle, code caches and command line. */
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -29,8 +30,11 @@
   readonly inputs: Readonly<Record<string, { readonly imports: readonly { readonly path: string }[] }>>;
 }
 
-/** Which of our own sources in the bundle start threads or processes, or share memory; a turn of theirs may end anywhere. */
-function threadsOf(record: string): string[] {
+/**
+ * The project's sources in the bundle that start threads or processes, or share memory. There must be none: the code
+ * relies on each event loop turn running without interference.
+ */
+function sourcesWithThreads(record: string): string[] {
   const { inputs } = JSON.parse(readFileSync(record, 'utf8')) as BundleRecord;
   const ours = Object.keys(inputs).filter((file) => /^(packages|programs|platform)\//.test(file));
   expect(ours.length).toBeGreaterThan(50);
@@ -43,55 +47,57 @@
 
 const here = fileURLToPath(new URL('.', import.meta.url));
 
-it('builds a bundle that starts, with a code cache for each role that is taken under the flags of the deploy file', () => {
+it('builds a bundle that starts, with a code cache for each role that is accepted under the flags of the deploy file', () => {
   const folder = mkdtempSync(join(tmpdir(), 'built-'));
   const target = join(folder, 'target');
   const file = join(folder, 'boot.toml');
-  function run(...args: string[]): { status: number | null; said: string } {
+  function run(...args: string[]): { status: number | null; output: string } {
     const env = { PATH: process.env['PATH'] };
-    const r = spawnSync(process.execPath, args, { encoding: 'utf8', env });
-    return { status: r.status, said: r.stdout + r.stderr };
+    const result = spawnSync(process.execPath, args, { encoding: 'utf8', env });
+    return { status: result.status, output: result.stdout + result.stderr };
   }
   const program = join(target, 'tansypost.cjs');
-  expect(run(join(here, 'build.mjs'), target)).toEqual({ status: 0, said: '' });
+  expect(run(join(here, 'build.mjs'), target)).toEqual({ status: 0, output: '' });
   expect(readFileSync(join(target, 'bundle.cjs'), 'utf8')).not.toContain('vitest');
-  expect(threadsOf(join(target, 'bundle.json'))).toEqual([]);
+  expect(sourcesWithThreads(join(target, 'bundle.json'))).toEqual([]);
   const { roles } = parse(readFileSync(join(here, 'system.toml'), 'utf8')) as {
     roles: Record<string, { run: string }>;
   };
   expect(Object.keys(roles)).toEqual(['router', 'keeper']);
   const unset = {
     status: 2,
-    said: 'tansypost: TANSYPOST_NODE_FILE is not set; set it to the path of the settings file.\n',
+    output: 'tansypost: TANSYPOST_NODE_FILE is not set; set it to the path of the settings file.\n',
   };
-  for (const [role, r] of Object.entries(roles)) {
-    const [node, ...words] = r.run.split(' ');
+  for (const [role, entry] of Object.entries(roles)) {
+    const [node, ...words] = entry.run.split(' ');
     const flags = words.slice(0, words.indexOf('target/tansypost.cjs'));
     expect([node, words[flags.length + 1]]).toEqual(['node', role]);
-    // As the run line says it, with what stands behind the role.
+    // The command of the deploy file, with the arguments after the role.
     expect(run(...flags, program, ...words.slice(flags.length + 1))).toEqual(unset);
     const other = run('--max-old-space-size=99', program, role);
-    expect(other.said).toContain(`${role}.cache was made by another Node.js or under other flags; build anew.`);
-    expect(other.said).toContain(unset.said);
+    expect(other.output).toContain(
+      `${role}.cache was created by another Node.js release or with other flags; rebuild it.`,
+    );
+    expect(other.output).toContain(unset.output);
   }
   writeFileSync(file, settings);
   expect(run(program, 'check', file)).toEqual({
     status: 0,
-    said: `tansypost: ${file} is sound (edge-a-1, role router)\n`,
+    output: `tansypost: ${file} is valid (edge-a-1, role router)\n`,
   });
   writeFileSync(file, settings.replace('"a"', '""'));
   expect(run(program, 'check', file)).toEqual({
     status: 2,
-    said: 'tansypost: settings field zone: expected a text that is not empty, got "". Correct it in the settings file.\n',
+    output: 'tansypost: settings field zone: expected a non-empty string, got "". Correct it in the settings file.\n',
   });
   expect(run(program, 'weaver')).toEqual({
     status: 2,
-    said: 'tansypost: unknown role weaver; name one of router, keeper, check FILE, --help.\n',
+    output: 'tansypost: unknown role weaver; use router, keeper, check FILE or --help.\n',
   });
   rmSync(folder, { recursive: true });
 });
 
-it('takes for flags of Node.js only what stands before the program', () => {
+it('takes only the flags before the program for flags of Node.js', () => {
   const folder = mkdtempSync(join(tmpdir(), 'built-'));
   const target = join(folder, 'target');
   const deployFile = join(folder, 'system.toml');
--- a/deploy/load.cjs
+++ b/deploy/load.cjs
@@ -1,6 +1,6 @@
 /**
- * Starts the bundle beside it from the role's code cache, so that the functions used at the start need not
- * be compiled again. Another release of Node.js or other flags refuse the cache; the bundle then starts without.
+ * Starts the bundle in the same directory from the role's code cache, so that functions used at start-up need not be
+ * compiled again. Another release of Node.js, or other flags, reject the cache; the bundle then starts without it.
  */
 
 'use strict';
@@ -15,6 +15,6 @@
   cachedData: cached ? readFileSync(cache) : undefined,
 });
 if (script.cachedDataRejected === true) {
-  process.stderr.write(`tansypost: ${cache} was made by another Node.js or under other flags; build anew.\n`);
+  process.stderr.write(`tansypost: ${cache} was created by another Node.js release or with other flags; rebuild it.\n`);
 }
 script.runInThisContext()(exports, require, module, filename, __dirname);
--- a/deploy/packages.test.ts
+++ b/deploy/packages.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the field `packages` of the deploy file: the system packages that a clean build needs, no more and no fewer.
- * docs/operating.md tells how they were found out, and names the programs that each gives.
+ * Checks the field `packages` of the deploy file: exactly the system packages that a clean build needs.
+ * docs/operating.md describes how they were determined, and names the programs that each provides.
  */
 import { spawnSync } from 'node:child_process';
 import { cpSync, mkdirSync, mkdtempSync, readFileSync, readdirSync, rmSync, symlinkSync, utimesSync } from 'node:fs';
@@ -22,32 +22,32 @@
 
 const root = fileURLToPath(new URL('..', import.meta.url));
 const deployFile = parse(readFileSync(join(root, 'deploy/system.toml'), 'utf8')) as unknown as DeployFile;
-// Debian policy 5.6.7 (source) and 5.6.1: lower case letters, digits, plus, minus, period; two at the least.
+// Debian policy 5.6.7 (source) and 5.6.1: at least two lower case letters, digits, plus, minus, period.
 const debianName = /^[a-z0-9][a-z0-9+.-]+$/;
-// What every Debian system has: the shell that is handed the build line.
+// Every Debian system has the shell that runs the build line.
 const shellPrograms = ['sh'];
 const shellBuiltins = ['['];
 
-/** The rows of the table of packages in docs/operating.md: the package, and the programs that the build takes of it. */
+/** The table of packages in docs/operating.md: each package with the programs that the build uses from it. */
 function documentedPackages(): Map<string, string[]> {
   const page = readFileSync(join(root, 'docs/operating.md'), 'utf8');
-  const section = page.split('\n## ').find((s) => s.startsWith('System packages of a build')) ?? '';
+  const section = page.split('\n## ').find((section) => section.startsWith('System packages of a build')) ?? '';
   const rows = [...section.matchAll(/^\| `([^`]+)` \| (.+?) \|/gm)];
-  return new Map(rows.map((r) => [r[1]!, [...r[2]!.matchAll(/`([^`]+)`/g)].map((m) => m[1]!)]));
+  return new Map(rows.map((row) => [row[1]!, [...row[2]!.matchAll(/`([^`]+)`/g)].map((match) => match[1]!)]));
 }
 
-/** The first word of each command of a shell line that holds no quotes, no substitution and no redirection. */
+/** The first word of each command in a shell line without quotes, substitution or redirection. */
 function commandsOf(line: string): string[] {
   const commands = line.split(/\|\||;/);
   for (const command of commands) expect(command).not.toMatch(/["'`$<>()|&]/);
   return commands.map((command) => command.trim().split(/\s+/)[0]!);
 }
 
-/** What a script starts as other processes: the first argument of each call of node:child_process. */
+/** The processes that a script starts: the first argument of each call of node:child_process. */
 function startedBy(script: string): string[] {
   const source = readFileSync(join(root, 'deploy', script), 'utf8');
   const calls = /\b(?:exec|execSync|execFile|execFileSync|spawn|spawnSync|fork)\(([^,)]+)/g;
-  return [...source.matchAll(calls)].map((m) => m[1]!.trim());
+  return [...source.matchAll(calls)].map((match) => match[1]!.trim());
 }
 
 function linksTo(folder: string, programs: readonly string[]): string {
@@ -60,7 +60,7 @@
   return folder;
 }
 
-it('is a sorted list of Debian package names, each once, and just those that the page tells of', () => {
+it('is a sorted list of unique Debian package names, the same as in the documentation', () => {
   const packages = deployFile.packages as string[];
   expect(Array.isArray(packages)).toBe(true);
   expect(packages.length).toBeGreaterThan(0);
@@ -69,7 +69,7 @@
   expect(packages).toEqual([...documentedPackages().keys()]);
 });
 
-it('gives each program that the build line and its scripts start, and each package gives one that is started', () => {
+it('provides each program that the build line and its scripts start, and each package provides one that is started', () => {
   const lineCommands = commandsOf(deployFile.build).filter((command) => !shellBuiltins.includes(command));
   expect(lineCommands).toEqual(['npm', 'node']);
   expect(startedBy('build.mjs')).toEqual(['process.execPath']);
@@ -79,7 +79,7 @@
   for (const given of programs.values()) expect(given.length).toBeGreaterThan(0);
 });
 
-it('needs no compiler and no git: of all locked packages only esbuild runs a script here, and none is fetched from git', () => {
+it('needs no compiler and no git: of all locked packages only esbuild has an install script, and none comes from git', () => {
   const lock = JSON.parse(readFileSync(join(root, 'package-lock.json'), 'utf8')) as {
     readonly packages: Readonly<Record<string, LockedPackage>>;
   };
@@ -90,7 +90,7 @@
   expect(locked.filter(([, p]) => /^(git|github:)|\.git/.test(p.resolved ?? ''))).toEqual([]);
 });
 
-it('builds with nothing on PATH but the programs of the packages and the shell, and not without them', () => {
+it('builds with only the programs of the packages and the shell on PATH, and fails without them', () => {
   const folder = mkdtempSync(join(tmpdir(), 'packages-'));
   const copy = join(folder, 'copy');
   mkdirSync(copy);
@@ -105,17 +105,17 @@
   ];
   for (const part of parts)
     cpSync(join(root, part), join(copy, part), { recursive: true, filter: (f) => !/\/(dist|node_modules)$/.test(f) });
-  // What is installed stands, so that the test asks no registry: the line takes it for newer than the lock file.
+  // Uses the installed modules, so that the test needs no registry: they must look newer than the lock file.
   symlinkSync(join(root, 'node_modules'), join(copy, 'node_modules'));
   utimesSync(join(copy, 'package-lock.json'), 0, 0);
   const programs = [...documentedPackages().values()].flat();
   const path = linksTo(join(folder, 'bin'), [...programs, ...shellPrograms]);
-  function build(PATH: string): { status: number | null; said: string } {
+  function build(PATH: string): { status: number | null; output: string } {
     const options = { cwd: copy, encoding: 'utf8' as const, env: { PATH, HOME: folder } };
     const ended = spawnSync('/bin/sh', ['-c', deployFile.build], options);
-    return { status: ended.status, said: ended.stdout + ended.stderr };
+    return { status: ended.status, output: ended.stdout + ended.stderr };
   }
-  expect(build(path)).toEqual({ status: 0, said: '' });
+  expect(build(path)).toEqual({ status: 0, output: '' });
   expect(readdirSync(join(copy, 'target')).sort()).toEqual([
     'bundle.cjs',
     'bundle.json',
@@ -125,6 +125,6 @@
   ]);
   const without = build(linksTo(join(folder, 'shell'), shellPrograms));
   expect(without.status).toBe(127);
-  expect(without.said).toContain('node');
+  expect(without.output).toContain('node');
   rmSync(folder, { recursive: true });
 });
--- a/deploy/warm.cjs
+++ b/deploy/warm.cjs
@@ -1,6 +1,6 @@
 /**
- * Run by the build with a role's own flags: starts the role from the bundle on the loopback for a moment,
- * calls it, and keeps the compiled code of all that ran as the role's code cache.
+ * Creates the code cache of a role. The build runs this with the role's own flags: it starts the role from the bundle on
+ * loopback, calls it, and stores the compiled code of everything that ran.
  */
 
 'use strict';
@@ -15,34 +15,34 @@
 const folder = mkdtempSync(`${tmpdir()}/warm-`);
 const script = new Script(readFileSync(filename, 'latin1'), { filename });
 
-function freePorts(n) {
-  const servers = Array.from({ length: n }, () => createServer().listen(0, '127.0.0.1'));
-  return Promise.all(servers.map((s) => new Promise((ok) => s.once('listening', () => ok(s.address().port))))).then(
-    async (ports) => {
-      await Promise.all(servers.map((s) => new Promise((ok) => s.close(ok))));
-      return ports;
-    },
-  );
+function freePorts(count) {
+  const servers = Array.from({ length: count }, () => createServer().listen(0, '127.0.0.1'));
+  return Promise.all(
+    servers.map((server) => new Promise((resolve) => server.once('listening', () => resolve(server.address().port)))),
+  ).then(async (ports) => {
+    await Promise.all(servers.map((server) => new Promise((resolve) => server.close(resolve))));
+    return ports;
+  });
 }
 
-function settings(p) {
+function settings(ports) {
   return `node_name = "warm"
 role = "${role}"
 serves = [${role === 'keeper' ? '"control"' : '"edge", "control"'}]
 ip = "127.0.0.1"
 zone = "a"
 region = "r"
-port_range = [${p[0]},${p[0]}]
-seed_nodes = ["127.0.0.1:${p[1]}"]
+port_range = [${ports[0]},${ports[0]}]
+seed_nodes = ["127.0.0.1:${ports[1]}"]
 bootstrap = true
 counts_as_loss = ${role === 'keeper'}
 ${role === 'keeper' ? `data_dir = "${folder}"` : ''}
 [zones]
 a = "r"
 [bind_addrs]
-front_http = "127.0.0.1:${p[2]}"
-readiness = "127.0.0.1:${p[3]}"
-control_plane = "127.0.0.1:${p[1]}"
+front_http = "127.0.0.1:${ports[2]}"
+readiness = "127.0.0.1:${ports[3]}"
+control_plane = "127.0.0.1:${ports[1]}"
 [limits]
 cpu_fraction = 1.0
 memory_mb = 350
@@ -56,54 +56,54 @@
 [bounds]
 drain_ms = 3000
 [platform_api]
-address = "127.0.0.1:${p[4]}"
+address = "127.0.0.1:${ports[4]}"
 rate_per_s = 50.0
 max_lag_ms = 800
 `;
 }
 
 function call(port, method, path, headers, body) {
-  return new Promise((ok) => {
-    const r = http.request({ host: '127.0.0.1', port, method, path, headers, timeout: 500 }, (a) => {
-      a.resume();
-      a.on('close', ok);
+  return new Promise((resolve) => {
+    const request = http.request({ host: '127.0.0.1', port, method, path, headers, timeout: 500 }, (response) => {
+      response.resume();
+      response.on('close', resolve);
     });
-    r.on('error', ok);
-    r.on('timeout', () => r.destroy());
-    r.end(body);
+    request.on('error', resolve);
+    request.on('timeout', () => request.destroy());
+    request.end(body);
   });
 }
 
 function wait(ms) {
-  return new Promise((ok) => setTimeout(ok, ms));
+  return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-function end(code) {
+function exit(code) {
   rmSync(folder, { recursive: true, force: true });
   process.exit(code);
 }
 
 async function run() {
-  const p = await freePorts(5);
-  writeFileSync(`${folder}/boot.toml`, settings(p));
+  const ports = await freePorts(5);
+  writeFileSync(`${folder}/boot.toml`, settings(ports));
   process.env.TANSYPOST_NODE_FILE = `${folder}/boot.toml`;
   process.argv = [process.argv[0], filename, role];
   script.runInThisContext()(exports, require, module, filename, target);
   await wait(700);
   if (role === 'keeper') {
-    await call(p[1], 'PUT', '/config', { 'If-Match': '0' }, '{}');
-    await call(p[1], 'GET', '/config', {});
+    await call(ports[1], 'PUT', '/config', { 'If-Match': '0' }, '{}');
+    await call(ports[1], 'GET', '/config', {});
   } else {
-    await call(p[3], 'GET', '/ready', {});
-    await call(p[2], 'POST', '/', { Host: 'warm.example', 'X-Attempt-Id': 'w' }, 'x');
+    await call(ports[3], 'GET', '/ready', {});
+    await call(ports[2], 'POST', '/', { Host: 'warm.example', 'X-Attempt-Id': 'w' }, 'x');
   }
   await wait(300);
   writeFileSync(`${target}/${role}.cache`, script.createCachedData());
-  end(0);
+  exit(0);
 }
 
-process.on('uncaughtException', (e) => {
-  process.stderr.write(`warm ${role}: ${e.stack}\n`);
-  end(1);
+process.on('uncaughtException', (error) => {
+  process.stderr.write(`code cache of ${role}: ${error.stack}\n`);
+  exit(1);
 });
 run();
