--- a/packages/model-checker/src/duties/duty-node.ts
+++ b/packages/model-checker/src/duties/duty-node.ts
@@ -125,11 +125,11 @@
     self: node.address,
     slot: () => node.slot,
     replicas: cluster.membership,
-    willing: () => true,
+    isEligible: () => true,
     leaseDuration: times.leaseDuration,
-    betweenHolders: times.betweenHolders,
+    minTakeoverGap: times.betweenHolders,
     callsPerSecond,
-    callPatience: times.callPatience,
+    callTimeout: times.callPatience,
     duties: [createReports(scheduler.now, draw, cluster.mostOpenReports), createOrders(cluster.wanted)],
     record: (key) => cluster.records.value(key, caller),
     port: { call: (call) => new Promise((done) => cluster.call(node, call, done)) },
@@ -141,15 +141,15 @@
   const { epochs, id } = node.disk;
   const store: EpochStore = {
     epoch: (duty) => epochs.get(duty) ?? 0,
-    keep: (duty, epoch, done) => {
+    save: (duty, epoch, done) => {
       epochs.set(duty, epoch);
       done(true);
     },
   };
   node.voter = createVoter(world as World, {
     slot: () => node.slot,
-    disk: () => id,
-    voting: () => true,
+    diskId: () => id,
+    isVoting: () => true,
     votingSince: () => votingSince,
     membershipEpoch: () => cluster.membership().membershipEpoch,
     leaseDuration: times.leaseDuration,
--- a/packages/simulator/src/pass-through/spoiled-tenants.ts
+++ b/packages/simulator/src/pass-through/spoiled-tenants.ts
@@ -1,10 +1,10 @@
 /** Ways in which a router may go wrong about tenants, for days that are to show that a check sees it. */
-import type { Incoming, WorkerPort } from '@tansypost/pass-through';
-import type { PathTable, Tenant } from '@tansypost/paths';
+import type { IncomingRequest, WorkerPort } from '@tansypost/pass-through';
+import type { RouteTable, Tenant } from '@tansypost/paths';
 import type { Spoil } from './spoil.js';
 
 /** The document as a spoiled router takes it; `before` are those that it took earlier in its life. */
-export function spoiledTable(spoil: Spoil | undefined, table: PathTable, before: readonly PathTable[]): PathTable {
+export function spoiledTable(spoil: Spoil | undefined, table: RouteTable, before: readonly RouteTable[]): RouteTable {
   if (spoil === 'keys-unchecked') return { ...table, tenants: undefined };
   const first = before[0]?.tenants;
   if (first === undefined || table.tenants === undefined) return table;
@@ -25,15 +25,15 @@
 export function spoiledTellings(spoil: Spoil | undefined, port: WorkerPort): WorkerPort {
   if (spoil !== 'credentials-passed-on' && spoil !== 'tenants-mixed') return port;
   let lastTenant: string | undefined;
-  function told(request: Incoming): Incoming {
-    if (spoil === 'credentials-passed-on') return { ...request, credentials: ['Authorization', 'Bearer key'] };
+  function told(request: IncomingRequest): IncomingRequest {
+    if (spoil === 'credentials-passed-on') return { ...request, credentialHeaders: ['Authorization', 'Bearer key'] };
     const tenant = lastTenant ?? request.tenant;
     lastTenant = request.tenant;
     return { ...request, tenant };
   }
   return {
     ...port,
-    read: (worker, request, ...rest) => port.read(worker, told(request), ...rest),
+    prefill: (worker, request, ...rest) => port.prefill(worker, told(request), ...rest),
     run: (worker, request, ...rest) => port.run(worker, told(request), ...rest),
   };
 }
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -6,7 +6,13 @@
 import type { ControlNode } from '@tansypost/control-state';
 import type { ListedWorker, StoredVersion } from '@tansypost/control-feed';
 import { createVoter, type Voter } from '@tansypost/duty';
-import { createVirtualClock, seeded, type Address, type Message, type World } from '@tansypost/inner-protocol';
+import {
+  createVirtualClock,
+  createSeededRandom,
+  type Address,
+  type Message,
+  type World,
+} from '@tansypost/inner-protocol';
 import type { OrderOutcome, Stage } from './ports.js';
 import { orderRecordKey } from './order-record.js';
 import { createDecodeRecovery, type DecodeRecovery } from './decode-recovery.js';
@@ -96,8 +102,8 @@
       clock.world.after(1000 as never, () => {
         if (!alive.has(target)) return;
         if (message.kind === 'Ballot')
-          voters[target]!.ballot(message, (vote) => send(target)(message.from as Address, vote));
-        if (message.kind === 'BallotVote') recoveries[target]!.vote(message);
+          voters[target]!.requestVote(message, (vote) => send(target)(message.from as Address, vote));
+        if (message.kind === 'BallotVote') recoveries[target]!.handleVote(message);
       });
     };
   }
@@ -111,14 +117,14 @@
     const votingSince = clock.world.now() === 0 ? -leaseDuration : clock.world.now();
     voters[node] = createVoter(world, {
       slot: () => node,
-      disk: () => `disk${node}`,
-      voting: () => true,
+      diskId: () => `disk${node}`,
+      isVoting: () => true,
       votingSince: () => votingSince,
       membershipEpoch: () => 1,
       leaseDuration,
       store: {
         epoch: (duty) => epochs.get(duty) ?? 0,
-        keep: (duty, epoch, done) => {
+        save: (duty, epoch, done) => {
           epochs.set(duty, epoch);
           done(true);
         },
@@ -136,15 +142,15 @@
       row: (key: string) => ({ version: 0, value: Buffer.alloc(0), ...(key === orderRecordKey ? stored : {}) }),
     };
     const rank = [...alive].sort().indexOf(node);
-    const controlNode = { replica, rank: () => rank } as unknown as ControlNode;
+    const controlNode = { replica, rankAmongLive: () => rank } as unknown as ControlNode;
     recoveries[node] = createDecodeRecovery(world, {
       self: `${name}:1` as Address,
       member: name,
       controlNode: () => (alive.has(node) ? controlNode : undefined),
       workers: listed,
-      services: () => scene.served.map((service) => ({ name: service, switchTime })),
+      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime: switchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
-      workerOrders: {
+      workerClient: {
         report: async ({ id }) => {
           const entry = workers.get(id);
           if (entry === undefined || !scene.reachable() || scene.silent.has(id)) return undefined;
@@ -154,7 +160,7 @@
           alive.has(node) ? take({ at: clock.world.now(), worker: to.id, holder, fence, stage }) : 'unknown',
       },
       leaseDuration,
-      betweenHolders,
+      minTakeoverGap: betweenHolders,
     });
   }
   function readStored(): StoredVersion {
@@ -303,7 +309,7 @@
 it('never lets two holders order one worker within the time between them, nor a fence fall, whoever dies', async () => {
   let takeovers = 0;
   for (let seed = 1; seed <= 150; seed += 1) {
-    const random = seeded(seed);
+    const random = createSeededRandom(seed);
     const { clock, scene, orders, kill, startNode, alive } = createScene(prefill, random);
     // The same workers are ordered again and again, by one holder and by the next.
     scene.fate = () => (random() < 0.9 ? 'heard' : 'refused');
