--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -4,11 +4,11 @@
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
-  createCoreAsker,
+  createControlClient,
   createFeedServer,
-  createReplicaList,
-  type CoreAnswer,
-  type CoreQuestion,
+  createReplicaAddressList,
+  type ControlResponse,
+  type ControlRequest,
 } from '@tansypost/control-feed';
 import { createControlNodeHost, type ControlNodeHost, type OpenDisk } from '@tansypost/control-node';
 import type { Address, World } from '@tansypost/inner-protocol';
@@ -18,15 +18,15 @@
 
 /** How an operator's call reaches the core through one machine. */
 export interface CoreAccess {
-  readonly ask: (question: CoreQuestion) => Promise<CoreAnswer>;
+  readonly ask: (question: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
 /** The settings of the shipped program, in microseconds. */
 const settings = {
-  tenure: 10_000_000,
+  routerLeaseUs: 10_000_000,
   dutyTenure: 3_000_000,
-  sweepEvery: 2_000_000,
+  antiEntropyIntervalUs: 2_000_000,
   firstPause: 300_000,
   longestPause: 1_000_000,
 } as const;
@@ -69,21 +69,21 @@
     kernel.start(process);
     const world = kernel.world(process);
     const node = this.createNode(world, founds);
-    const replicas = createReplicaList(node.core, self, () => seeds);
-    const asker = createCoreAsker(world, self, replicas);
+    const replicas = createReplicaAddressList(node.core, self, () => seeds);
+    const asker = createControlClient(world, self, replicas);
     const feed = createFeedServer(world, {
       self,
       zone: 'z',
-      keeper: node.core,
+      controlNode: node.core,
       seeds: () => seeds,
-      fetchList: async () => undefined,
+      fetchWorkerList: async () => undefined,
     });
     process.receive = (message, from) => {
-      if (message.kind === 'Answer') asker.answer(message);
+      if (message.kind === 'Answer') asker.handleAnswer(message);
       else if (!feed.receive(message, from)) node.receive(message, from);
     };
     this.node = node;
-    this.coreAccess = { ask: (question) => new Promise((done) => asker.ask(question, done)), now: world.now };
+    this.coreAccess = { ask: (question) => new Promise((done) => asker.request(question, done)), now: world.now };
     void node.begin();
   }
 
@@ -108,11 +108,11 @@
     return createControlNodeHost(world, {
       ...settings,
       slot: undefined,
-      foundingSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
-      founds,
+      bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
+      mayBootstrap: founds,
       rejoins: true,
       self,
-      core: seeds,
+      bootstrapMembers: seeds,
       seeds: [],
       newDiskId: () => `${process.name}.${Math.floor(world.random() * 2 ** 48).toString(36)}`,
       open: (afresh, blank) => this.openDisk(afresh, blank),
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -3,7 +3,7 @@
  * virtual time. `runSim` runs one seed to its end-of-day read-back and gives the history.
  */
 import * as E from 'fp-ts/lib/Either.js';
-import { address, digest, seeded, type Address } from '@tansypost/inner-protocol';
+import { address, digest, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import { readJournal } from '@tansypost/control-state';
 import {
   createTrainer,
@@ -183,15 +183,15 @@
 
 export function createSim(o: SimOptions): Sim {
   const d = o.deployment;
-  const r = seeded(o.seed * 2654435761 + 17);
+  const r = createSeededRandom(o.seed * 2654435761 + 17);
   const e = createEngine();
-  const net = createNetwork(e, seeded(o.seed ^ 0x9e3779b9));
+  const net = createNetwork(e, createSeededRandom(o.seed ^ 0x9e3779b9));
   const h = newHistory();
   const workers = createSimWorkers(
     e,
     net,
     h,
-    seeded(o.seed ^ 0x51ed270b),
+    createSeededRandom(o.seed ^ 0x51ed270b),
     d.workers,
     o.paces ?? [14_000, 9000, 6000, 12_000],
   );
@@ -243,12 +243,12 @@
       const host = createControlNodeHost(world(proc, a), {
         slot,
         self: address(a),
-        core: coreAt.map((x, i) => address(i === slot ? a : x)),
+        bootstrapMembers: coreAt.map((x, i) => address(i === slot ? a : x)),
         seeds: seedsAt,
-        tenure,
+        routerLeaseUs: tenure,
         dutyTenure: 3_000_000,
-        rewriteOver: 100_000,
-        sweepEvery: 2_000_000,
+        compactAboveBytes: 100_000,
+        antiEntropyIntervalUs: 2_000_000,
         newDiskId: () => Math.floor(r() * 2 ** 48).toString(36),
         open,
       });
@@ -262,7 +262,7 @@
       if (afresh) n.disk.crash();
       const f = readJournal(n.disk.bytes());
       if (E.isLeft(f)) n.disk.lose();
-      else n.disk.cut(f.right.good);
+      else n.disk.cut(f.right.validBytes);
       const found = E.isLeft(f) ? [] : f.right.records;
       const disk = n.disk.open(proc);
       const err = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
--- a/tests/messages.test.ts
+++ b/tests/messages.test.ts
@@ -4,7 +4,13 @@
  * released worker. No invariant may be violated.
  */
 import { describe, expect, it } from 'vitest';
-import { decoderForSelf, encode, kinds, type Kind, type Message } from '../packages/inner-protocol/src/index.js';
+import {
+  decoderForOwnSchemas,
+  encodeMessage,
+  messageKinds,
+  type MessageKind,
+  type Message,
+} from '../packages/inner-protocol/src/index.js';
 import {
   passedDeployments,
   playPassedOne,
@@ -26,9 +32,9 @@
 type Tampering = 'dropped' | 'repeated' | 'late' | 'stale';
 
 /** Kinds that are so infrequent that every second message is tampered with. */
-const infrequentKinds: ReadonlySet<Kind> = new Set(['HoldsNoState']);
+const infrequentKinds: ReadonlySet<MessageKind> = new Set(['HoldsNoState']);
 
-function tamper(kind: Kind, tampering: Tampering, tampered: { count: number }): (network: Network) => void {
+function tamper(kind: MessageKind, tampering: Tampering, tampered: { count: number }): (network: Network) => void {
   let seen = 0;
   const olderMessages = new Map<string, Message>();
   return function set(network) {
@@ -50,7 +56,7 @@
 }
 
 // These kinds occur only in some runs of this size; all others must occur.
-const rareKinds = new Set<Kind>([
+const rareKinds = new Set<MessageKind>([
   'Samples',
   'MarksDigest',
   'CopyAsk',
@@ -64,7 +70,7 @@
 
 // These kinds occur only in pass-through fleets: between control nodes and routers, and when a machine joins the control
 // cluster. The kinds within the control cluster occur there as well.
-const passThroughOnlyKinds: readonly Kind[] = [
+const passThroughOnlyKinds: readonly MessageKind[] = [
   'Beat',
   'ConfigurationPatch',
   'Follow',
@@ -78,8 +84,8 @@
   'Reading',
 ];
 // These kinds belong to usage reports; packages/usage/src/usage-fleet.test.ts tampers with them in the same ways.
-const usageKinds = new Set<Kind>(['UsageAsk', 'UsageTold']);
-const passThroughKinds = new Set<Kind>([
+const usageKinds = new Set<MessageKind>(['UsageAsk', 'UsageTold']);
+const passThroughKinds = new Set<MessageKind>([
   ...passThroughOnlyKinds,
   'Committed',
   'News',
@@ -96,7 +102,7 @@
 ];
 
 describe.each(['dropped', 'repeated', 'late', 'stale'] as const)('%s', (tampering) => {
-  it.each(kinds.filter((kind) => !usageKinds.has(kind)))('%s', async (kind) => {
+  it.each(messageKinds.filter((kind) => !usageKinds.has(kind)))('%s', async (kind) => {
     const tampered = { count: 0 };
     const result = await runOne(small, 5, faults, {
       span: 10,
@@ -148,7 +154,7 @@
 });
 
 it('rejects every truncated or extended frame, and decodes a frame with one altered byte without an exception', () => {
-  const decode = decoderForSelf();
+  const decode = decoderForOwnSchemas();
   const message: Message = {
     kind: 'Accept',
     id: 'a',
@@ -160,7 +166,7 @@
     value: Buffer.from('{}'),
     changes: ['c@3'],
   };
-  const frame = encode(message);
+  const frame = encodeMessage(message);
   for (let i = 0; i < frame.length; i += 1) {
     expect(decode(frame.subarray(0, i))._tag).toBe('Left');
     const altered = Buffer.from(frame);
--- a/tests/requests.test.ts
+++ b/tests/requests.test.ts
@@ -9,11 +9,11 @@
 import { Agent, request } from 'undici';
 import { afterEach, expect, it } from 'vitest';
 import {
-  afterReal,
+  startTimer,
   digest,
-  monotonic,
+  monotonicNow,
   type Address,
-  type Mark,
+  type WorkerStateEntry,
   type World,
 } from '../packages/inner-protocol/src/index.js';
 import {
@@ -108,9 +108,9 @@
   options: { tenured?: boolean; others?: string[]; patienceMs?: number } = {},
 ): Promise<TestRouter> {
   const world: World = {
-    now: monotonic,
+    now: monotonicNow,
     random: () => 0,
-    after: afterReal,
+    after: startTimer,
     send: () => undefined,
     log: () => undefined,
   };
@@ -135,7 +135,7 @@
       ],
     }),
   );
-  const marks: Mark[] =
+  const marks: WorkerStateEntry[] =
     workerAddress === undefined ? [] : [{ worker: 'w', incarnation: 1, state: 1, address: workerAddress }];
   function feed(): void {
     core.receive({
@@ -143,7 +143,7 @@
       workers: marks,
       reports: [],
       news: [{ key: 'desired/main', epoch: 8, version: 1, value }],
-      grants: options.tenured === false ? [] : [{ asked: monotonic(), version: 1 }],
+      grants: options.tenured === false ? [] : [{ asked: monotonicNow(), version: 1 }],
       others: options.others ?? [],
       contact: true,
     });
