--- a/packages/control-state/src/change-history.ts
+++ b/packages/control-state/src/change-history.ts
@@ -1,65 +1,70 @@
 /**
- * Which change made which version of one key. It answers whether an order that is sent again has been taken already.
+ * Records which change produced which version of a key, so that a repeated write is recognised as already applied.
  *
- * Each Accept carries only the change of its own version, so a change costs the same however many came before. What was
- * chosen is on a majority, so the union of the histories of any majority holds every chosen change. A change that was
- * accepted but never chosen may stand beside it under the same version; the chosen one bears the higher epoch, as a
- * leader writes a version only after a majority has promised its epoch and shown no chosen value of that version.
+ * Each Accept carries only the change of its own version, so the cost of a change does not grow with the history. A
+ * chosen change is on a majority, so the union of the histories of any majority contains every chosen change. A change
+ * that was accepted but never chosen may exist under the same version. The chosen one then has the higher epoch,
+ * because a leader writes a version only after a majority has promised its epoch and reported no chosen value of that
+ * version.
  */
 
-/** A change that made one version of a key. */
+/** A change that produced one version of a key. */
 export interface AppliedChange {
   readonly id: string;
   readonly version: number;
-  /** The epoch of the leader that wrote it. */
+  /** Epoch of the leader that wrote it. */
   readonly epoch: number;
 }
 
 /**
- * How many versions back a change stays known: at 13 changes a second ten minutes, at 500 a day two weeks. A leader
- * writes one change after the other, each with a sync, so a disk of 5 ms a sync cannot use it up in less than 40 s.
+ * Number of versions for which a change is remembered: ten minutes at 13 changes per second, two weeks at 500 per day.
+ * A leader writes changes one at a time, each with a disk sync, so at 5 ms per sync the history covers at least 40 s.
  */
 export const maxKeptChanges = 8192;
 
-/** The changes of one key that are still known. */
+/** The remembered changes of one key. */
 export interface ChangeHistory {
-  /** Takes a change in. Gives false where one of a higher or the same epoch stands under that version already. */
+  /**
+   * Adds a change. Returns false if it is too old, or if that version already has a change of the same or a higher
+   * epoch.
+   */
   readonly add: (change: AppliedChange) => boolean;
-  /** The version that a change made, among versions up to `upTo`. */
+  /** The version that a change produced, if it is at most `upTo`. */
   readonly versionOf: (id: string, upTo: number) => number | undefined;
   readonly at: (version: number) => AppliedChange | undefined;
-  /** All that are kept up to a version, the oldest first. */
+  /** All remembered changes up to a version, oldest first. */
   readonly list: (upTo?: number) => AppliedChange[];
-  /** Drops all above a version: they were accepted somewhere, but never chosen. */
+  /** Drops all changes above a version: they were accepted somewhere but never chosen. */
   readonly dropAbove: (version: number) => void;
 }
 
-/** Makes an empty history that keeps the changes of so many versions. */
-export function createChangeHistory(kept = maxKeptChanges): ChangeHistory {
+/** Creates an empty history that remembers the changes of the last `maxVersions` versions. */
+export function createChangeHistory(maxVersions = maxKeptChanges): ChangeHistory {
   const byVersion = new Map<number, AppliedChange>();
-  const versions = new Map<string, number>();
+  const versionById = new Map<string, number>();
   let oldest = Infinity;
   let newest = 0;
 
   function add(change: AppliedChange): boolean {
     const present = byVersion.get(change.version);
-    if (change.version <= newest - kept || (present !== undefined && present.epoch >= change.epoch)) return false;
+    if (change.version <= newest - maxVersions || (present !== undefined && present.epoch >= change.epoch))
+      return false;
     if (present !== undefined) remove(present);
     byVersion.set(change.version, change);
-    versions.set(change.id, Math.max(versions.get(change.id) ?? 0, change.version));
+    versionById.set(change.id, Math.max(versionById.get(change.id) ?? 0, change.version));
     oldest = Math.min(oldest, change.version);
     newest = Math.max(newest, change.version);
-    dropOld();
+    dropExpired();
     return true;
   }
 
   function remove(change: AppliedChange): void {
     byVersion.delete(change.version);
-    if (versions.get(change.id) === change.version) versions.delete(change.id);
+    if (versionById.get(change.id) === change.version) versionById.delete(change.id);
   }
 
-  function dropOld(): void {
-    for (; oldest <= newest - kept; oldest += 1) {
+  function dropExpired(): void {
+    for (; oldest <= newest - maxVersions; oldest += 1) {
       const change = byVersion.get(oldest);
       if (change !== undefined) remove(change);
     }
@@ -77,7 +82,7 @@
   return {
     add,
     versionOf: (id, upTo) => {
-      const version = versions.get(id);
+      const version = versionById.get(id);
       return version === undefined || version > upTo ? undefined : version;
     },
     at: (version) => byVersion.get(version),
@@ -86,15 +91,15 @@
   };
 }
 
-/** The form in which a change stands in the journal. */
+/** Encodes a change for the journal. */
 export function encodeChange(change: AppliedChange): string {
   return `#${change.version}@${change.epoch}@${change.id}`;
 }
 
-/** Reads that form, and the `id@version` of earlier releases, which kept no epoch. */
+/** Decodes a change from the journal, also in the format `id@version` of earlier releases, which has no epoch. */
 export function decodeChange(text: string): AppliedChange {
-  const present = /^#(\d+)@(\d+)@(.*)$/s.exec(text);
-  if (present !== null) return { version: Number(present[1]), epoch: Number(present[2]), id: present[3]! };
-  const cut = text.lastIndexOf('@');
-  return { id: text.slice(0, cut), version: Number(text.slice(cut + 1)), epoch: 0 };
+  const current = /^#(\d+)@(\d+)@(.*)$/s.exec(text);
+  if (current !== null) return { version: Number(current[1]), epoch: Number(current[2]), id: current[3]! };
+  const separator = text.lastIndexOf('@');
+  return { id: text.slice(0, separator), version: Number(text.slice(separator + 1)), epoch: 0 };
 }
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/founding-schedules.ts
@@ -101,7 +101,7 @@
       self: address,
       diskId: () => disk,
       seeds: Array.from({ length: seedCount }, (_unused, index) => `s${index}:1` as Address),
-      mayBegin: first,
+      mayBootstrap: first,
       minMembers: this.fewest,
       maxMembers: 9,
     });
@@ -120,7 +120,7 @@
     if (candidate.record !== undefined) return;
     const { address: from, disk, first } = candidate;
     for (const seed of this.guides.keys()) this.send(from, seed, { kind: 'Join', from, disk, first, caughtUp: false });
-    const view = candidate.founding.greeting();
+    const view = candidate.founding.viewMessage();
     for (const to of view?.to ?? []) this.send(from, to, view!.message);
   }
 
@@ -151,8 +151,8 @@
 
   private receive(candidate: Candidate, message: Message): void {
     if (candidate.record !== undefined) return;
-    if (message.kind === 'FoundingRoster') candidate.founding.roster(message);
-    if (message.kind === 'FoundingView') candidate.founding.view(message);
+    if (message.kind === 'FoundingRoster') candidate.founding.receiveRoster(message);
+    if (message.kind === 'FoundingView') candidate.founding.receiveView(message);
     const members = candidate.founding.members();
     if (members === undefined) return;
     candidate.record = members;
