--- a/tests/platform-processes.test.ts
+++ b/tests/platform-processes.test.ts
@@ -14,11 +14,11 @@
 import {
   call,
   configuration,
-  playList,
-  playWorker,
-  releaseAnswers,
-  until,
-  whole,
+  serveWorkerList,
+  serveWorkerRequest,
+  completeHeldAnswers,
+  callUntil,
+  completeAnswer,
   type Answer,
   type PendingCall,
 } from './platform-world.js';
@@ -29,7 +29,7 @@
 const ports = { front: 8161, readiness: 8167, control: 8166, inner: 7720, list: 8169, worker: 8080 };
 const folder = mkdtempSync(join(tmpdir(), 'platform-'));
 const children = new Map<string, ChildProcess>();
-const heldAnswers: http.ServerResponse[] = [];
+const heldResponses: http.ServerResponse[] = [];
 
 function settings(role: 'router' | 'keeper', overrides: Record<string, unknown> = {}): string {
   const ip = role === 'router' ? hosts.edge : hosts.control;
@@ -94,8 +94,8 @@
 const dutyCalls: DutyCall[] = [];
 
 /** The platform API: serves the worker list and accepts duty calls. */
-function playPlatform(request: http.IncomingMessage, answer: http.ServerResponse): void {
-  if (request.method === 'GET') return playList(`${hosts.platform}:${ports.worker}`, answer);
+function servePlatformApi(request: http.IncomingMessage, answer: http.ServerResponse): void {
+  if (request.method === 'GET') return serveWorkerList(`${hosts.platform}:${ports.worker}`, answer);
   const chunks: Buffer[] = [];
   request.on('data', (chunk: Buffer) => chunks.push(chunk));
   request.on('end', () => {
@@ -129,8 +129,8 @@
   return call({ host: hosts.control, port: ports.control, path: '/config' }).answer;
 }
 const servers = [
-  http.createServer((request, response) => playWorker(heldAnswers, request, response)),
-  http.createServer(playPlatform),
+  http.createServer((request, response) => serveWorkerRequest(heldResponses, request, response)),
+  http.createServer(servePlatformApi),
 ];
 beforeAll(async () => {
   for (const [index, port] of [ports.worker, ports.list].entries())
@@ -149,11 +149,11 @@
 
 it('cuts off no request on SIGHUP, changed settings and changed routes, and serves 20 of 20 on a route added later', async () => {
   const first = configuration(3, ['first']);
-  await until(
+  await callUntil(
     () => put(first, '0'),
     (answer) => answer.status === 200,
   );
-  await until(ready, (answer) => answer.status === 200);
+  await callUntil(ready, (answer) => answer.status === 200);
   const heldRequests = Array.from({ length: 5 }, () => send('/first/a', true));
   await Promise.all(heldRequests.map((held) => held.begun));
 
@@ -163,19 +163,19 @@
   }
   const second = configuration(7, ['later']);
   expect((await put(second, '3')).status).toBe(200);
-  await until(
+  await callUntil(
     () => send('/later/a').answer,
     (answer) => answer.status === 200,
   );
   const laterAnswers = await Promise.all(Array.from({ length: 20 }, () => send('/later/a').answer));
   expect(
     laterAnswers.map((answer) => ({ status: answer.status, body: answer.body, complete: answer.complete })),
-  ).toEqual(Array(20).fill(whole));
+  ).toEqual(Array(20).fill(completeAnswer));
   expect((await send('/first/a').answer).status).toBe(404);
 
-  releaseAnswers(heldAnswers);
+  completeHeldAnswers(heldResponses);
   const answers = await Promise.all(heldRequests.map((held) => held.answer));
-  for (const answer of answers) expect(answer).toMatchObject(whole);
+  for (const answer of answers) expect(answer).toMatchObject(completeAnswer);
   expect(new Set(answers.map((answer) => answer.seal)).size).toBe(5);
 });
 
@@ -193,9 +193,9 @@
   const exit = exitOf('keeper');
   children.get('keeper')!.kill('SIGKILL');
   expect(await exit).toEqual([null, 'SIGKILL']);
-  expect(await send('/later/a').answer).toMatchObject(whole);
+  expect(await send('/later/a').answer).toMatchObject(completeAnswer);
   start('keeper');
-  const answer = await until(readConfig, (answer) => answer.status === 200);
+  const answer = await callUntil(readConfig, (answer) => answer.status === 200);
   expect(answer.body).toBe(configuration(7, ['later']));
 });
 
@@ -211,11 +211,11 @@
 async function sendAndAwaitReports(count: number, expectedTotal: number): Promise<void> {
   const authorization = 'Bearer key-of-a-tenant';
   for (let index = 0; index < count; index += 1)
-    expect(await send('/later/a', false, { authorization }).answer).toMatchObject(whole);
+    expect(await send('/later/a', false, { authorization }).answer).toMatchObject(completeAnswer);
   function total(): number {
     return usageReports().reduce((sum, { counts }) => sum + (counts['a-tenant'] ?? 0), 0);
   }
-  await until(readConfig, () => total() >= expectedTotal);
+  await callUntil(readConfig, () => total() >= expectedTotal);
   expect(total()).toBe(expectedTotal);
 }
 
@@ -225,7 +225,7 @@
   const tenants = [{ name: 'a-tenant', api_keys: ['key-of-a-tenant'] }];
   const backends = [{ ...document.backends[0]!, scaling }];
   expect((await put(JSON.stringify({ ...document, backends, tenants }), '7')).status).toBe(200);
-  await until(
+  await callUntil(
     () => send('/later/a').answer,
     (answer) => answer.status === 401,
   );
@@ -244,22 +244,22 @@
   expect(new Set(orders)).toEqual(new Set(['{"backend":"s","zone":"a","desired":1}']));
   const first = configuration(13, ['later']);
   expect((await put(first, '11')).status).toBe(200);
-  await until(
+  await callUntil(
     () => send('/later/a').answer,
     (answer) => answer.status === 200,
   );
 });
 
 it('completes requests in progress after SIGTERM, reports not ready, and exits with 0', async () => {
-  await until(ready, (answer) => answer.status === 200);
+  await callUntil(ready, (answer) => answer.status === 200);
   const held = send('/later/a', true);
   await held.begun;
   const exit = exitOf('router');
   children.get('router')!.kill('SIGTERM');
-  await until(ready, (answer) => answer.status === 503);
-  expect(await send('/later/a').answer).toMatchObject(whole);
-  releaseAnswers(heldAnswers);
-  expect(await held.answer).toMatchObject(whole);
+  await callUntil(ready, (answer) => answer.status === 503);
+  expect(await send('/later/a').answer).toMatchObject(completeAnswer);
+  completeHeldAnswers(heldResponses);
+  expect(await held.answer).toMatchObject(completeAnswer);
   expect(await exit).toEqual([0, null]);
   const log = readFileSync(join(folder, 'router.log'), 'utf8');
   expect(log).not.toMatch(/unforeseen|Error/);
--- a/tests/platform-world.ts
+++ b/tests/platform-world.ts
@@ -56,7 +56,10 @@
 }
 
 /** Repeats a call until its answer is the expected one; otherwise the test's own timeout ends it. */
-export async function until(attempt: () => Promise<Answer>, isExpected: (answer: Answer) => boolean): Promise<Answer> {
+export async function callUntil(
+  attempt: () => Promise<Answer>,
+  isExpected: (answer: Answer) => boolean,
+): Promise<Answer> {
   for (;;) {
     const answer = await attempt().catch(() => undefined);
     if (answer !== undefined && isExpected(answer)) return answer;
@@ -86,10 +89,10 @@
 }
 
 /** A complete answer of the test worker, as a client receives it. */
-export const whole = { status: 200, body: 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n', complete: true };
+export const completeAnswer = { status: 200, body: 'id: 1\ndata: one\n\nid: 2\ndata: two\n\n', complete: true };
 
 /** A worker that streams two events; the second event of a held request is sent only when the test releases it. */
-export function playWorker(
+export function serveWorkerRequest(
   heldResponses: http.ServerResponse[],
   request: http.IncomingMessage,
   response: http.ServerResponse,
@@ -111,11 +114,11 @@
   });
 }
 /** Completes the held answers. */
-export function releaseAnswers(heldResponses: http.ServerResponse[]): void {
+export function completeHeldAnswers(heldResponses: http.ServerResponse[]): void {
   for (const response of heldResponses.splice(0)) response.end('id: 2\ndata: two\n\n');
 }
 /** Responds with a list of one decode worker at `address`. */
-export function playList(address: string, response: http.ServerResponse): void {
+export function serveWorkerList(address: string, response: http.ServerResponse): void {
   const worker = { id: 'i-1', backend: 's', address, zone: 'a', revision: 'v1' };
   const commonFields = { slots: 32, state: 'ready', cold_left_ms: 0, stage: 'decode', models: [] };
   response.end(JSON.stringify({ instances: [{ ...worker, ...commonFields }], next_token: null }));
--- a/tests/shared-processes.test.ts
+++ b/tests/shared-processes.test.ts
@@ -24,11 +24,11 @@
 import {
   call,
   configuration,
-  playList,
-  playWorker,
-  releaseAnswers,
-  until,
-  whole,
+  serveWorkerList,
+  serveWorkerRequest,
+  completeHeldAnswers,
+  callUntil,
+  completeAnswer,
   type Answer,
   type PendingCall,
 } from './platform-world.js';
@@ -47,7 +47,7 @@
 const ports = { front: 8261, readiness: 8267, control: 8266, inner: 7820, list: 8269, worker: 8180 };
 const folder = mkdtempSync(join(tmpdir(), 'shared-'));
 const children = new Map<Machine, ChildProcess>();
-const heldAnswers: http.ServerResponse[] = [];
+const heldResponses: http.ServerResponse[] = [];
 
 function settings(machine: Machine): string {
   const ip = hosts[machine];
@@ -142,8 +142,8 @@
 }
 
 const servers = [
-  http.createServer((request, response) => playWorker(heldAnswers, request, response)),
-  http.createServer((_request, response) => playList(`${hosts.platform}:${ports.worker}`, response)),
+  http.createServer((request, response) => serveWorkerRequest(heldResponses, request, response)),
+  http.createServer((_request, response) => serveWorkerList(`${hosts.platform}:${ports.worker}`, response)),
 ];
 beforeAll(async () => {
   for (const [index, port] of [ports.worker, ports.list].entries())
@@ -164,11 +164,11 @@
 const first = configuration(3, ['first']);
 
 it('accepts changes where the state is held, redirects operators elsewhere, and serves on both', async () => {
-  await until(
+  await callUntil(
     () => callOperatorApi('holder', 'PUT', first, '0'),
     (answer) => answer.status === 200,
   );
-  const redirect = await until(
+  const redirect = await callUntil(
     () => callOperatorApi('gateway', 'GET'),
     (answer) => answer.status === 307,
   );
@@ -176,11 +176,11 @@
   expect((await callOperatorApi('gateway', 'PUT', configuration(9, ['other']), '3')).status).toBe(307);
   expect(await callOperatorApi('holder', 'GET')).toMatchObject({ status: 200, body: first });
   for (const machine of ['holder', 'gateway'] as const) {
-    await until(
+    await callUntil(
       () => ready(machine),
       (answer) => answer.status === 200,
     );
-    expect(await send(machine).answer).toMatchObject(whole);
+    expect(await send(machine).answer).toMatchObject(completeAnswer);
   }
 });
 
@@ -190,20 +190,23 @@
   const exit = exitOf('holder');
   children.get('holder')!.kill('SIGKILL');
   expect(await exit).toEqual([null, 'SIGKILL']);
-  expect(await send('gateway').answer).toMatchObject(whole);
+  expect(await send('gateway').answer).toMatchObject(completeAnswer);
   start('holder');
-  const restored = await until(
+  const configAfterRestart = await callUntil(
     () => callOperatorApi('holder', 'GET'),
     (answer) => answer.status === 200,
   );
-  expect(JSON.parse(restored.body)).toMatchObject({ revision: 5, routes: [{ name: 'first', deadline_ms: 50_000 }] });
+  expect(JSON.parse(configAfterRestart.body)).toMatchObject({
+    revision: 5,
+    routes: [{ name: 'first', deadline_ms: 50_000 }],
+  });
 });
 
 it('answers 503 and logs it if no machine holds control state', async () => {
   expect((await callOperatorApi('lonely', 'GET')).status).toBe(503);
   expect((await callOperatorApi('lonely', 'PUT', first, '0')).status).toBe(503);
   expect((await callOperatorApi('lonely', 'DELETE')).status).toBe(405);
-  await until(
+  await callUntil(
     async () => ({ ...noAnswer, body: logOf('lonely') }),
     (log) => log.body.includes('E2014'),
   );
@@ -211,7 +214,7 @@
 });
 
 it('hands over control and completes answers after SIGTERM, and exits with 0', async () => {
-  await until(
+  await callUntil(
     () => ready('holder'),
     (answer) => answer.status === 200,
   );
@@ -219,19 +222,19 @@
   await held.begun;
   const exit = exitOf('holder');
   children.get('holder')!.kill('SIGTERM');
-  await until(
+  await callUntil(
     () => ready('holder'),
     (answer) => answer.status === 503,
   );
-  releaseAnswers(heldAnswers);
-  expect(await held.answer).toMatchObject(whole);
+  completeHeldAnswers(heldResponses);
+  expect(await held.answer).toMatchObject(completeAnswer);
   expect(await exit).toEqual([0, null]);
   expect(logOf('holder')).toContain('E2012');
 });
 
 it('completes answers though SIGTERM is repeated', async () => {
   start('holder');
-  await until(
+  await callUntil(
     () => ready('holder'),
     (answer) => answer.status === 200,
   );
@@ -240,19 +243,19 @@
   const exit = exitOf('holder');
   for (let signal = 0; signal < 3; signal += 1) {
     children.get('holder')!.kill('SIGTERM');
-    await until(
+    await callUntil(
       () => ready('holder'),
       (answer) => answer.status === 503,
     );
   }
   // The control node hands over once and closes, while the router continues the answer in progress.
-  await until(
+  await callUntil(
     () => callOperatorApi('holder', 'GET').catch(() => noAnswer),
     (answer) => answer.status === 0,
   );
   for (let check = 0; check < 10; check += 1) expect(await ready('holder')).toMatchObject({ status: 503 });
-  releaseAnswers(heldAnswers);
-  expect(await held.answer).toMatchObject(whole);
+  completeHeldAnswers(heldResponses);
+  expect(await held.answer).toMatchObject(completeAnswer);
   expect(await exit).toEqual([0, null]);
   expect(logOf('holder').match(/E2012/g)).toHaveLength(2);
 });
@@ -270,7 +273,7 @@
   writeSync(settingsPipe, settings('early'));
   renameSync(file, pipe);
   closeSync(settingsPipe);
-  await until(
+  await callUntil(
     async () => ({ ...noAnswer, body: logOf('early') }),
     (log) => log.body.includes('E1001'),
   );
