--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -12,8 +12,8 @@
 const root = fileURLToPath(new URL('..', import.meta.url));
 const target = process.argv[2] ?? `${root}target`;
 const sources = Object.fromEntries(
-  ['packages', 'programs'].flatMap((g) =>
-    readdirSync(`${root}${g}`).map((n) => [`@tansypost/${n}`, `${root}${g}/${n}/src/index.ts`]),
+  ['packages', 'programs'].flatMap((group) =>
+    readdirSync(`${root}${group}`).map((name) => [`@tansypost/${name}`, `${root}${group}/${name}/src/index.ts`]),
   ),
 );
 
