--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -257,7 +257,7 @@
     owner = seedNames.find((n) =>
       c
         .machine(n)
-        .host!.core()!
+        .host!.controlNode()!
         .ledKeys()
         .some((k) => k.key === configurationKey),
     )!;
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -25,11 +25,11 @@
 }
 
 function replicaOf(machine: ClusterMachine) {
-  return machine.host!.core()!.replica;
+  return machine.host!.controlNode()!.replica;
 }
 
 function follow(cluster: ControlCluster, name: string) {
-  return cluster.machine(name).host!.core()!.follow(configurationKey, 0, 0, router);
+  return cluster.machine(name).host!.controlNode()!.follow(configurationKey, 0, 0, router);
 }
 
 async function leasedAt(cluster: ControlCluster, name: string): Promise<boolean> {
--- a/packages/model-checker/src/closing.ts
+++ b/packages/model-checker/src/closing.ts
@@ -24,7 +24,7 @@
 /** Where the faults left it unknown whether another cluster was founded, each machine waits and knows for what. */
 function findUnexplained(cluster: Cluster): Violation | undefined {
   const running = cluster.machines.filter((machine) => machine.process.alive);
-  const silent = running.find((machine) => machine.host()?.core()?.replica.waitsFor() === undefined);
+  const silent = running.find((machine) => machine.host()?.controlNode()?.replica.waitsFor() === undefined);
   if (silent === undefined) return undefined;
   return { rule: 'says what it waits for', what: `${silent.name} holds no state and does not say why` };
 }
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -25,10 +25,10 @@
 /** The settings of the shipped program, in microseconds. */
 const settings = {
   routerLeaseUs: 10_000_000,
-  dutyTenure: 3_000_000,
+  roleLeaseUs: 3_000_000,
   antiEntropyIntervalUs: 2_000_000,
-  firstPause: 300_000,
-  longestPause: 1_000_000,
+  initialRetryDelayUs: 300_000,
+  maxRetryDelayUs: 1_000_000,
 } as const;
 
 /** A machine that outlives the programs started on it. */
@@ -69,12 +69,12 @@
     kernel.start(process);
     const world = kernel.world(process);
     const node = this.createNode(world, founds);
-    const replicas = createReplicaAddressList(node.core, self, () => seeds);
+    const replicas = createReplicaAddressList(node.controlNode, self, () => seeds);
     const asker = createControlClient(world, self, replicas);
     const feed = createFeedServer(world, {
       self,
       zone: 'z',
-      controlNode: node.core,
+      controlNode: node.controlNode,
       seeds: () => seeds,
       fetchWorkerList: async () => undefined,
     });
@@ -84,7 +84,7 @@
     };
     this.node = node;
     this.coreAccess = { ask: (question) => new Promise((done) => asker.request(question, done)), now: world.now };
-    void node.begin();
+    void node.start();
   }
 
   /** Ends the program; of the writes that wait for their sync the first `kept` survive. */
@@ -110,7 +110,7 @@
       slot: undefined,
       bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
       mayBootstrap: founds,
-      rejoins: true,
+      rejoinsWhenSuperseded: true,
       self,
       bootstrapMembers: seeds,
       seeds: [],
@@ -124,6 +124,6 @@
     const found = [...this.disk.records()];
     const disk = this.disk.open(this.process);
     if (afresh) await new Promise<void>((done) => disk.rewrite(found, () => done()));
-    return E.right({ disk, found, cut: 0 });
+    return E.right({ disk, storedRecords: found, truncatedBytes: 0 });
   }
 }
--- a/packages/model-checker/src/situation.ts
+++ b/packages/model-checker/src/situation.ts
@@ -18,7 +18,7 @@
 
 function roleOf(machine: ControlMachine): string {
   if (!machine.process.alive) return machine.disk.durable().disk === '' ? 'gone' : 'down';
-  const core = machine.host()?.core();
+  const core = machine.host()?.controlNode();
   if (core === undefined) return 'opening';
   const holds = core.ledKeys().some((led) => led.key === configurationKey) ? '+' : '';
   return `${machine.process.frozen ? 'frozen ' : ''}${core.replica.state()}${holds}`;
--- a/packages/simulator/src/control-runs/catch-up-run.ts
+++ b/packages/simulator/src/control-runs/catch-up-run.ts
@@ -141,7 +141,7 @@
 /** The revision that a member which votes has on its own disk. */
 function heldRevision(run: ControlRun, node: string): number {
   const { host, proc } = run.cluster.machine(node);
-  const replica = host?.core()?.replica;
+  const replica = host?.controlNode()?.replica;
   if (!proc.alive || replica === undefined || replica.state() !== 'voting') return -1;
   const { value } = replica.row(configurationKey);
   return value.length === 0 ? 0 : (JSON.parse(value.toString()) as { revision: number }).revision;
--- a/packages/simulator/src/control-runs/control-cluster.ts
+++ b/packages/simulator/src/control-runs/control-cluster.ts
@@ -164,13 +164,13 @@
     return new Promise((done) => asker.request({ ...q, deadline: world.now() + patience }, done));
   }
   function votes(m: ClusterMachine): boolean {
-    return m.proc.alive && m.host?.core()?.replica.state() === 'voting';
+    return m.proc.alive && m.host?.controlNode()?.replica.state() === 'voting';
   }
   function leads(m: ClusterMachine): boolean {
     return (
       votes(m) &&
       m
-        .host!.core()!
+        .host!.controlNode()!
         .ledKeys()
         .some((k) => k.key === configurationKey)
     );
@@ -196,7 +196,9 @@
     voting: () => namesWhere(votes),
     leaders: () => namesWhere(leads),
     replicas: (via) =>
-      (machine(via).host?.core()?.replica.membership().replicas ?? []).map((p) => p.address.split(':')[0]!).sort(),
+      (machine(via).host?.controlNode()?.replica.membership().replicas ?? [])
+        .map((p) => p.address.split(':')[0]!)
+        .sort(),
   };
 }
 
--- a/packages/simulator/src/control-runs/cut-run.ts
+++ b/packages/simulator/src/control-runs/cut-run.ts
@@ -146,9 +146,11 @@
   await run.cluster.run(1100);
   if ((await read) === undefined)
     run.breaches.push({ check: 'servesAfterHealing', what: `${target} gives no configuration after the fault` });
-  const held = run.cluster.machine(target).host?.core()?.replica.row(configurationKey).version ?? 0;
+  const held = run.cluster.machine(target).host?.controlNode()?.replica.row(configurationKey).version ?? 0;
   const newest = Math.max(
-    ...run.cluster.voting().map((n) => run.cluster.machine(n).host!.core()!.replica.row(configurationKey).version),
+    ...run.cluster
+      .voting()
+      .map((n) => run.cluster.machine(n).host!.controlNode()!.replica.row(configurationKey).version),
   );
   if (held < newest)
     run.breaches.push({ check: 'caughtUp', what: `${target} holds version ${held} of ${newest} after the fault` });
--- a/packages/simulator/src/control-runs/loss-run.ts
+++ b/packages/simulator/src/control-runs/loss-run.ts
@@ -97,7 +97,7 @@
 
 function newestRecord(run: ControlRun): { epoch: number; members: string[] } | undefined {
   const records = run.running().flatMap((n) => {
-    const record = run.cluster.machine(n).host?.core()?.replica.membership();
+    const record = run.cluster.machine(n).host?.controlNode()?.replica.membership();
     return record === undefined ? [] : [{ epoch: record.membershipEpoch, members: run.cluster.replicas(n) }];
   });
   return records.sort((a, b) => b.epoch - a.epoch)[0];
--- a/packages/simulator/src/core-machine.ts
+++ b/packages/simulator/src/core-machine.ts
@@ -101,7 +101,7 @@
   const found = E.isLeft(journal) ? [] : journal.right.records;
   const disk = machine.disk.open(machine.proc);
   const error = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
-  return error === undefined ? E.right({ disk, found, cut: 0 }) : E.left(error);
+  return error === undefined ? E.right({ disk, storedRecords: found, truncatedBytes: 0 }) : E.left(error);
 }
 
 /** Starts a control node on a machine on which none runs. */
@@ -132,15 +132,15 @@
     slot: undefined,
     bootstrapSlot: founders.includes(self) ? founders.indexOf(self) : undefined,
     mayBootstrap: o.bootstrap,
-    rejoins: true,
-    firstPause: 300_000,
-    longestPause: 1_000_000,
+    rejoinsWhenSuperseded: true,
+    initialRetryDelayUs: 300_000,
+    maxRetryDelayUs: 1_000_000,
     self,
     bootstrapMembers: founders,
     initialSeeds: [...founders],
     seeds: [],
     routerLeaseUs: 10_000_000,
-    dutyTenure: o.dutyTenure,
+    roleLeaseUs: o.dutyTenure,
     ...(o.sweepEvery === undefined ? {} : { antiEntropyIntervalUs: o.sweepEvery }),
     ...(o.wantedReplicas === undefined ? {} : { targetReplicas: o.wantedReplicas }),
     ...(o.founderCount === undefined ? {} : { bootstrapSize: o.founderCount }),
@@ -148,8 +148,8 @@
     newDiskId: () => Math.floor(site.random() * 2 ** 48).toString(36),
     open: (afresh, blank) => openDisk(machine, afresh, blank),
   });
-  const asker = createControlClient(world, self, createReplicaAddressList(host.core, self, o.seeds));
-  const feed = createFeedServer(world, { self, controlNode: host.core, seeds: o.seeds, ...o.feed(proc) });
+  const asker = createControlClient(world, self, createReplicaAddressList(host.controlNode, self, o.seeds));
+  const feed = createFeedServer(world, { self, controlNode: host.controlNode, seeds: o.seeds, ...o.feed(proc) });
   const beside = o.beside?.(world, host, asker, feed.workers);
   proc.receive = (m, from) => {
     o.observer?.received(m, self, from);
@@ -159,7 +159,7 @@
   machine.host = host;
   // A disk in trouble at the start is tried again.
   async function begin(): Promise<void> {
-    if (E.isLeft(await host.begin())) outer.after(beginAgainAfter, () => void begin());
+    if (E.isLeft(await host.start())) outer.after(beginAgainAfter, () => void begin());
   }
   void begin();
   return { world, host, asker };
--- a/packages/simulator/src/measure-parts.ts
+++ b/packages/simulator/src/measure-parts.ts
@@ -39,8 +39,8 @@
     shiftParts: shifts,
     shiftHold: 8_000_000,
     shiftRest: 60_000_000,
-    slice: agentDefaults.slice,
-    rehearsalLimit: agentDefaults.rehearsalLimit,
+    slice: agentDefaults.treatmentShare,
+    rehearsalLimit: agentDefaults.rehearsalTimeLimitUs,
     verdict: verdictDefaults,
   });
   const h = await sim.run();
--- a/packages/simulator/src/measure.ts
+++ b/packages/simulator/src/measure.ts
@@ -55,10 +55,10 @@
     .filter((q) => q.ended === 'whole')
     .map((q) => q.ttft! / 1000)
     .sort((a, b) => a - b);
-  const rec = sim.agents[0]!.core!.rehearsals();
+  const rec = sim.agents[0]!.core!.rehearsalRecord();
   const reasons = new Map<string, number>();
   for (const r of sim.routers)
-    for (const [k, v] of Object.entries((r.core!.figures() as { placement: Record<string, number> }).placement))
+    for (const [k, v] of Object.entries((r.core!.metrics() as { placement: Record<string, number> }).placement))
       reasons.set(k, (reasons.get(k) ?? 0) + v);
   return {
     policy,
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -46,7 +46,7 @@
       }),
     look: (at, core) => {
       for (const m of core.running()) {
-        const r = m.host?.core()?.replica.row(recordKey);
+        const r = m.host?.controlNode()?.replica.row(recordKey);
         if (r !== undefined && r.version > 0) records.push({ at, record: readRecord(r.value) });
         for (const duty of (m.learning?.figures()['holds'] ?? []) as string[]) holders.push({ at, who: m.name, duty });
       }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -150,7 +150,7 @@
         const learning = createControlNodeLearning(w, {
           self: m.address,
           member: name,
-          keeper: host.core,
+          keeper: host.controlNode,
           asker: askThrough(w, coreAsker),
           trainer: createSlicedTrainer(w, g.learning?.spoil),
           tenure: dutyTenure,
@@ -160,9 +160,9 @@
         const recovery = createDecodeRecovery(w, {
           self: m.address,
           member: name,
-          controlNode: host.core,
+          controlNode: host.controlNode,
           workers: listed,
-          services: () => servicesOf(host.core()?.replica.row(configurationKey).value),
+          services: () => servicesOf(host.controlNode()?.replica.row(configurationKey).value),
           record: createStoredValue(w, orderRecordKey, (question) => answerTo(coreAsker, question)),
           workerClient: createVirtualOrders(g, workers, m.proc),
           leaseDuration: dutyTenure,
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -14,14 +14,20 @@
   type Model,
 } from '@tansypost/placement';
 import { createControlNodeHost, type OpenDisk } from '@tansypost/control-node';
-import { agentDefaults, createAgentCore, dutyNames, type AgentCore, type AgentOptions } from '@tansypost/router-agent';
+import {
+  agentDefaults,
+  createAgentCore,
+  singletonRoles,
+  type AgentCore,
+  type AgentOptions,
+} from '@tansypost/router-agent';
 import {
   createRouterCore,
   failureKinds,
   routerDefaults,
   type FailureKind,
-  type Incoming,
-  type Reply,
+  type IncomingRequest,
+  type ResponseWriter,
   type RouterCore,
 } from '@tansypost/request-router';
 import {
@@ -246,7 +252,7 @@
         bootstrapMembers: coreAt.map((x, i) => address(i === slot ? a : x)),
         seeds: seedsAt,
         routerLeaseUs: tenure,
-        dutyTenure: 3_000_000,
+        roleLeaseUs: 3_000_000,
         compactAboveBytes: 100_000,
         antiEntropyIntervalUs: 2_000_000,
         newDiskId: () => Math.floor(r() * 2 ** 48).toString(36),
@@ -254,7 +260,7 @@
       });
       proc.receive = host.receive;
       n.stop = () => void host.stop();
-      void host.begin();
+      void host.start();
       n.running = true;
     }
     // As the file disk does: a damaged file is put aside, and after a failure all that is found is written anew.
@@ -267,7 +273,12 @@
       const disk = n.disk.open(proc);
       const err = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
       return err === undefined
-        ? E.right({ disk, found, cut: 0, ...(E.isLeft(f) ? { aside: f.left.message } : {}) })
+        ? E.right({
+            disk,
+            storedRecords: found,
+            truncatedBytes: 0,
+            ...(E.isLeft(f) ? { quarantineReason: f.left.message } : {}),
+          })
         : E.left(err);
     }
     return n;
@@ -297,24 +308,24 @@
           member: `agent${i}`,
           self: address(n.address),
           zone: zoneOf(i),
-          router: address(`router${i}:1`),
-          routerHttp: `router${i}`,
+          routerAddress: address(`router${i}:1`),
+          routerHttpAddress: `router${i}`,
           service: 'main',
           seeds: n.seeds,
           slot: i,
-          born: Math.max(1, e.now() + wallJump.by),
+          incarnation: Math.max(1, e.now() + wallJump.by),
           persisted: n.persisted,
-          trainEvery: o.trainEvery ?? 150,
+          samplesPerTraining: o.trainEvery ?? 150,
           verdict: o.verdict ?? { minCount: 40, ttftMargin: 0.25, tokenMargin: 0.25, failureMargin: 0.05 },
-          rehearsalLimit: o.rehearsalLimit ?? 20_000_000,
-          slice: o.slice ?? 0.2,
-          shiftHold: o.shiftHold ?? 3_000_000,
-          shiftRest: o.shiftRest ?? 10_000_000,
-          shiftParts: o.shiftParts ?? true,
+          rehearsalTimeLimitUs: o.rehearsalLimit ?? 20_000_000,
+          treatmentShare: o.slice ?? 0.2,
+          shiftHoldUs: o.shiftHold ?? 3_000_000,
+          shiftCooldownUs: o.shiftRest ?? 10_000_000,
+          shiftStages: o.shiftParts ?? true,
         },
         {
           fetchReport: workers.fetchFor(proc, incarnation),
-          order: workers.orderFor(proc, incarnation),
+          orderStage: workers.orderFor(proc, incarnation),
           trainer: {
             add: (ss) => t.add(ss),
             train: (v) => {
@@ -326,13 +337,13 @@
           save: (x) => {
             if (i % 3 !== 2) n.persisted = x;
           },
-          wall: () => e.now() + wallJump.by,
+          wallClockUs: () => e.now() + wallJump.by,
         },
       );
       const core = n.core;
       proc.receive = (m, from) => {
         core.receive(m, from);
-        const x = core.news.get('rehearsal/main');
+        const x = core.keyUpdates.get('rehearsal/main');
         if (x === undefined || h.records.some((k) => k.version === x.version)) return;
         h.records.push({ at: e.now(), version: x.version, record: readRecord(x.value) });
         h.records.sort((p, q) => p.version - q.version);
@@ -356,11 +367,11 @@
         w,
         {
           ...routerDefaults,
-          router: `router${i}#${incarnation}`,
-          http: `router${i}`,
-          agent: address(agents[i]!.address),
+          routerId: `router${i}#${incarnation}`,
+          httpAddress: `router${i}`,
+          agentAddress: address(agents[i]!.address),
           service: 'main',
-          tenure,
+          leaseDurationUs: tenure,
           placement: {
             ...placementDefaults,
             minSamples: 100,
@@ -370,12 +381,12 @@
           },
         },
         {
-          workers: workers.portFor(proc, incarnation),
-          digest: (p) => digest(p).slice(0, 32),
-          sendOn: (to, q, reply, gone) => sendOn(proc, incarnation, to, q, reply, gone),
-          sending: (request, worker, phase, extra, version) => {
+          workerClient: workers.portFor(proc, incarnation),
+          digestPrompt: (p) => digest(p).slice(0, 32),
+          forward: (to, q, reply, gone) => sendOn(proc, incarnation, to, q, reply, gone),
+          onAttempt: (request, worker, phase, extra, version) => {
             const decided = phase === 'prefill' || extra;
-            const inc = core.table.mark(worker as never)?.incarnation ?? 0;
+            const inc = core.workerTable.workerState(worker as never)?.incarnation ?? 0;
             h.sends.push({
               at: e.now(),
               request,
@@ -393,10 +404,10 @@
       n.closed = false;
       proc.receive = (m) => {
         core.receive(m);
-        const v = core.feed.applied();
+        const v = core.feed.appliedVersion();
         if (v !== seen) {
           seen = v;
-          h.applied.push({ at: e.now(), router: `router${i}`, version: v, tag: tagOf(core.feed.desired()) });
+          h.applied.push({ at: e.now(), router: `router${i}`, version: v, tag: tagOf(core.feed.desiredState()) });
         }
       };
       n.running = true;
@@ -414,8 +425,8 @@
     p: Proc,
     incarnation: number,
     to: string,
-    q: Incoming,
-    reply: Reply,
+    q: IncomingRequest,
+    reply: ResponseWriter,
     gone: AbortSignal,
   ): Promise<boolean> {
     const n = routers.find((x) => `router${routers.indexOf(x)}` === to);
@@ -444,8 +455,8 @@
           n.proc,
           n.proc.incarnation,
           () =>
-            void n.core!.serve(
-              { ...q, sentOn: true },
+            void n.core!.handleRequest(
+              { ...q, forwarded: true },
               {
                 chunk: (t) =>
                   home(() => {
@@ -542,7 +553,7 @@
         p,
         p.incarnation,
         () =>
-          void pick.x.core!.serve(
+          void pick.x.core!.handleRequest(
             {
               id: a.id,
               tenant: a.tenant,
@@ -550,7 +561,7 @@
               model: 'm',
               prompt: a.prompt,
               maxTokens: a.maxTokens,
-              sentOn: false,
+              forwarded: false,
               idempotencyKey: key,
             },
             {
@@ -601,7 +612,7 @@
     h.changes.push(c);
     const incarnation = at.proc.incarnation;
     async function go(): Promise<void> {
-      const b = base ?? (await at!.core!.readDesired()).version;
+      const b = base ?? (await at!.core!.readDesiredState()).version;
       const t = templates(d, (k) => k.worth + tag / 1000).templates;
       c.base = b;
       const state = sound
@@ -631,7 +642,7 @@
   function lookUp(c: History['changes'][number]): void {
     const at = liveAgent();
     if (at === undefined || c.end !== undefined) return;
-    void at.core!.lookup(c.id).then((x) => {
+    void at.core!.lookUpChange(c.id).then((x) => {
       if (x.status === 'done') Object.assign(c, { answer: 'acknowledged', version: x.version, end: e.now() });
       else lookUp(c);
     });
@@ -646,7 +657,7 @@
       const a = liveAgent();
       if (a === undefined || left === 0) return;
       let told = false;
-      void a.core!.platform([m]).then((x) => {
+      void a.core!.applyPlatformStates([m]).then((x) => {
         if (told) return;
         told = true;
         if (!x.confirmed) tell(left - 1);
@@ -919,11 +930,11 @@
       return;
     }
     const x = n as RouterNode;
-    x.core!.stopTaking();
+    x.core!.stopAccepting();
     const incarnation = n.proc.incarnation;
     function look(): void {
       if (!n.proc.alive || n.proc.incarnation !== incarnation) return;
-      if (x.core!.active() > 0) return e.at(e.now() + s(0.05), look);
+      if (x.core!.activeRequests() > 0) return e.at(e.now() + s(0.05), look);
       x.closed = true;
       x.core!.stop();
       e.at(e.now() + s(0.1), () => {
@@ -996,16 +1007,16 @@
       if (e.now() >= total) return;
       const from = e.now();
       void liveAgent()
-        ?.core?.readDesired()
+        ?.core?.readDesiredState()
         .then((x) => {
           if (x.status === 'value') h.reads.push({ from, end: e.now(), version: x.version, whole: x.value.toString() });
         });
       e.at(e.now() + s(0.7), read);
     }
     function look(): void {
-      for (const duty of dutyNames) {
+      for (const duty of singletonRoles) {
         const members = agents
-          .filter((x) => x.proc.alive && !x.proc.frozen && x.core?.holds(duty) !== undefined)
+          .filter((x) => x.proc.alive && !x.proc.frozen && x.core?.heldEpoch(duty) !== undefined)
           .map((x) => x.proc.name);
         if (members.length > 1) h.holders.push({ at: e.now(), duty, members });
       }
@@ -1022,7 +1033,7 @@
       n.disk.lose();
     }
     const at = liveAgent()!;
-    void at.core!.readDesired().then((x) => {
+    void at.core!.readDesiredState().then((x) => {
       if (x.status === 'value') h.readBack = { version: x.version, whole: x.value.toString() };
     });
     await e.run(total + s(9));
--- a/packages/simulator/src/sim-workers.ts
+++ b/packages/simulator/src/sim-workers.ts
@@ -4,7 +4,13 @@
  * the checks to judge.
  */
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
-import type { DecodeResult, HandleParams, PrefillResult, WorkerJob, WorkerPort } from '@tansypost/request-router';
+import type {
+  DecodeResult,
+  KvTransferParams,
+  PrefillResult,
+  WorkerRequest,
+  WorkerClient,
+} from '@tansypost/request-router';
 import type { FetchedReport } from '@tansypost/router-agent';
 import { createWorkerCore, workerDefaults, type Handle, type Part, type WorkerCore } from '@tansypost/worker-stand-in';
 import type { Engine } from './engine.js';
@@ -22,7 +28,7 @@
 }
 export interface SimWorkers {
   readonly all: SimWorker[];
-  readonly portFor: (p: Proc, incarnation: number) => WorkerPort;
+  readonly portFor: (p: Proc, incarnation: number) => WorkerClient;
   readonly fetchFor: (p: Proc, incarnation: number) => (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   readonly orderFor: (
     p: Proc,
@@ -111,8 +117,8 @@
     });
   }
 
-  function portFor(p: Proc, incarnation: number): WorkerPort {
-    function prefill(m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
+  function portFor(p: Proc, incarnation: number): WorkerClient {
+    function prefill(m: WorkerStateEntry, j: WorkerRequest, signal: AbortSignal): Promise<PrefillResult> {
       return new Promise((ok) => {
         let off: (() => void) | undefined;
         let dead: (() => void) | undefined;
@@ -121,26 +127,26 @@
           ok(r);
         }
         signal.addEventListener('abort', () => {
-          done({ tag: 'unknown', why: 'aborted' });
+          done({ tag: 'unknown', reason: 'aborted' });
           e.at(e.now() + 1000, () => off?.());
         });
-        if (signal.aborted) return done({ tag: 'unknown', why: 'aborted' });
+        if (signal.aborted) return done({ tag: 'unknown', reason: 'aborted' });
         reach(
           p,
           m,
           (w) => {
             if (m.incarnation !== w.incarnation)
-              return back(p, incarnation, w, () => done({ tag: 'notStarted', why: 'other_incarnation' }));
+              return back(p, incarnation, w, () => done({ tag: 'notStarted', reason: 'other_incarnation' }));
             if (signal.aborted && random() < 0.5) return;
             function broke(): void {
-              back(p, incarnation, w, () => done({ tag: 'unknown', why: 'ECONNRESET' }));
+              back(p, incarnation, w, () => done({ tag: 'unknown', reason: 'ECONNRESET' }));
             }
             w.proc.deaths.add(broke);
             dead = () => {
               w.proc.deaths.delete(broke);
             };
             off = w.core.prefill({ request: j.request, prompt: j.prompt, maxTokens: j.maxTokens }, (a) => {
-              if (a.tag === 'refused') return back(p, incarnation, w, () => done({ tag: 'notStarted', why: a.why }));
+              if (a.tag === 'refused') return back(p, incarnation, w, () => done({ tag: 'notStarted', reason: a.why }));
               const x = a.handle;
               back(p, incarnation, w, () =>
                 done({
@@ -158,15 +164,15 @@
               );
             });
           },
-          (why) => into(p, incarnation, () => done({ tag: 'notStarted', why })),
+          (why) => into(p, incarnation, () => done({ tag: 'notStarted', reason: why })),
         );
       });
     }
 
     function decode(
       m: WorkerStateEntry,
-      j: WorkerJob,
-      hp: HandleParams,
+      j: WorkerRequest,
+      hp: KvTransferParams,
       chunk: (t: string) => void,
       signal: AbortSignal,
     ): Promise<DecodeResult> {
@@ -182,10 +188,10 @@
           ok(r);
         }
         signal.addEventListener('abort', () => {
-          done({ tag: 'unknown', why: 'aborted' });
+          done({ tag: 'unknown', reason: 'aborted' });
           e.at(e.now() + 1000, () => off?.());
         });
-        if (signal.aborted) return done({ tag: 'unknown', why: 'aborted' });
+        if (signal.aborted) return done({ tag: 'unknown', reason: 'aborted' });
         const hd: Handle = {
           id: hp.remote_block_ids[0] ?? '',
           worker: hp.remote_engine_id,
@@ -199,15 +205,15 @@
           m,
           (w) => {
             if (m.incarnation !== w.incarnation)
-              return back(p, incarnation, w, () => done({ tag: 'notStarted', why: 'other_incarnation' }));
+              return back(p, incarnation, w, () => done({ tag: 'notStarted', reason: 'other_incarnation' }));
             const no = w.core.admit(job, hd);
             if (no !== undefined)
               return back(p, incarnation, w, () =>
-                done(no.startsWith('memory') ? { tag: 'lapsed', why: no } : { tag: 'notStarted', why: no }),
+                done(no.startsWith('memory') ? { tag: 'lapsed', reason: no } : { tag: 'notStarted', reason: no }),
               );
             const wgen = w.proc.incarnation;
             function broke(): void {
-              back(p, incarnation, w, () => done({ tag: 'unknown', why: 'ECONNRESET' }));
+              back(p, incarnation, w, () => done({ tag: 'unknown', reason: 'ECONNRESET' }));
             }
             w.proc.deaths.add(broke);
             dead = () => {
@@ -215,7 +221,7 @@
             };
             takeFrom(w, hd, (why, of) =>
               into(w.proc, wgen, () => {
-                if (why !== undefined) return back(p, incarnation, w, () => done({ tag: 'lapsed', why }));
+                if (why !== undefined) return back(p, incarnation, w, () => done({ tag: 'lapsed', reason: why }));
                 if (signal.aborted && random() < 0.8) return;
                 memoryOf.set(`${w.name}/${j.request}`, of!);
                 // A stream keeps its order: each piece arrives after the one before.
@@ -225,7 +231,7 @@
                     if (net.blocked(w.proc.machine, p.machine))
                       return net.onHeal(() =>
                         into(p, incarnation, () => {
-                          if (!over) done({ tag: 'unknown', why: 'cut' });
+                          if (!over) done({ tag: 'unknown', reason: 'cut' });
                         }),
                       );
                     into(p, incarnation, () => {
@@ -236,12 +242,12 @@
                 off = w.core.decode(job, hd, {
                   chunk: (t) => piece(() => void chunk(t)),
                   end: (finish) => piece(() => done({ tag: 'done', finish })),
-                  broke: () => piece(() => done({ tag: 'unknown', why: 'broke off' })),
+                  broke: () => piece(() => done({ tag: 'unknown', reason: 'broke off' })),
                 });
               }),
             );
           },
-          (why) => into(p, incarnation, () => done({ tag: 'notStarted', why })),
+          (why) => into(p, incarnation, () => done({ tag: 'notStarted', reason: why })),
         );
       });
     }
--- a/packages/simulator/src/verdicts.ts
+++ b/packages/simulator/src/verdicts.ts
@@ -67,7 +67,7 @@
     });
 }
 
-const limitSeconds = agentDefaults.rehearsalLimit / 1e6;
+const limitSeconds = agentDefaults.rehearsalTimeLimitUs / 1e6;
 
 function stage(
   seen: readonly Seen[],
--- a/programs/control-node/src/control-node-host.test.ts
+++ b/programs/control-node/src/control-node-host.test.ts
@@ -57,25 +57,35 @@
     bootstrapMembers: ['k0:1', 'k1:1', 'k2:1'] as Address[],
     seeds: [],
     routerLeaseUs: 10_000_000,
-    dutyTenure: 3_000_000,
+    roleLeaseUs: 3_000_000,
     newDiskId: () => `d${(ids += 1)}`,
     open: async (afresh) => {
       opened.push(afresh);
-      return broken ? E.left(new Error('still full')) : E.right({ disk, found: [...file], cut: 0 });
+      return broken ? E.left(new Error('still full')) : E.right({ disk, storedRecords: [...file], truncatedBytes: 0 });
     },
   });
-  await h.begin();
-  h.core()!.replica.putRow('k', { promised: 8, epoch: 8, version: 1, value: Buffer.from('v') }, [], () => undefined);
+  await h.start();
+  h.controlNode()!.replica.putRow(
+    'k',
+    { promised: 8, epoch: 8, version: 1, value: Buffer.from('v') },
+    [],
+    () => undefined,
+  );
   broken = true;
-  h.core()!.replica.putRow('k', { promised: 8, epoch: 8, version: 2, value: Buffer.from('w') }, [], () => undefined);
+  h.controlNode()!.replica.putRow(
+    'k',
+    { promised: 8, epoch: 8, version: 2, value: Buffer.from('w') },
+    [],
+    () => undefined,
+  );
   await step(5_000_000);
-  expect(h.core()).toBeUndefined();
+  expect(h.controlNode()).toBeUndefined();
   expect(opened.length).toBeGreaterThan(2);
   expect(opened.slice(1).every((x) => x)).toBe(true);
   broken = false;
   await step(10_000_000);
-  expect(h.core()!.replica.state()).not.toBe('failed');
-  expect(h.core()!.replica.diskId()).toBe('d1');
-  expect(h.core()!.replica.row('k').version).toBe(1);
+  expect(h.controlNode()!.replica.state()).not.toBe('failed');
+  expect(h.controlNode()!.replica.diskId()).toBe('d1');
+  expect(h.controlNode()!.replica.row('k').version).toBe(1);
   expect(logged).toEqual(expect.arrayContaining([2005, 2010, 2011]));
 });
--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -12,10 +12,10 @@
 
 export interface OpenDisk {
   readonly disk: Disk;
-  readonly found: readonly JournalRecord[];
-  readonly cut: number;
+  readonly storedRecords: readonly JournalRecord[];
+  readonly truncatedBytes: number;
   // Why the file that was there was put aside, where it was.
-  readonly aside?: string;
+  readonly quarantineReason?: string;
   readonly close?: () => Promise<void>;
 }
 export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'found' | 'newDiskId'> {
@@ -24,16 +24,16 @@
   readonly open: (afresh: boolean, blank: boolean) => Promise<E.Either<Error, OpenDisk>>;
   readonly newDiskId: () => string;
   // Whether a place that was replaced asks for another one.
-  readonly rejoins?: boolean;
-  readonly firstPause?: number;
-  readonly longestPause?: number;
+  readonly rejoinsWhenSuperseded?: boolean;
+  readonly initialRetryDelayUs?: number;
+  readonly maxRetryDelayUs?: number;
 }
 export interface ControlNodeHost {
   readonly receive: (m: Message, from: Address) => void;
-  readonly core: () => ControlNode | undefined;
-  readonly bytes: () => number;
+  readonly controlNode: () => ControlNode | undefined;
+  readonly diskBytes: () => number;
   // The first opening: an error here is for the program to report, as nothing has run yet.
-  readonly begin: () => Promise<E.Either<Error, void>>;
+  readonly start: () => Promise<E.Either<Error, void>>;
   // Leaves within `limit` microseconds; without a sound disk there is nothing to hand over.
   readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => Promise<void>;
@@ -41,8 +41,8 @@
 export function createControlNodeHost(w: World, o: ControlNodeHostOptions): ControlNodeHost {
   let core: ControlNode | undefined;
   let disk: OpenDisk | undefined;
-  const firstPause = o.firstPause ?? 1_000_000;
-  const longestPause = o.longestPause ?? 10_000_000;
+  const firstPause = o.initialRetryDelayUs ?? 1_000_000;
+  const longestPause = o.maxRetryDelayUs ?? 10_000_000;
   let pause = firstPause;
   let retryAt = Infinity;
   let opening = false;
@@ -53,14 +53,14 @@
     opening = false;
     if (E.isLeft(d)) return d;
     disk = d.right;
-    if (disk.cut > 0) w.log(2008, { bytes: disk.cut });
-    if (disk.aside !== undefined) w.log(2009, { why: disk.aside });
+    if (disk.truncatedBytes > 0) w.log(2008, { bytes: disk.truncatedBytes });
+    if (disk.quarantineReason !== undefined) w.log(2009, { why: disk.quarantineReason });
     core = createVotingControlNode(w, {
       ...o,
       ...(blank ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
       reopened: afresh,
       disk: disk.disk,
-      found: disk.found,
+      found: disk.storedRecords,
       newDiskId: o.newDiskId(),
       onStateChange: (s) => {
         if (s === 'failed') w.after(micros(0), look);
@@ -74,7 +74,7 @@
       void drop()?.close?.();
       retryAt = w.now() + pause;
     }
-    if (o.rejoins === true && core?.replica.isSuperseded() === true && !core.replica.isLeaving()) {
+    if (o.rejoinsWhenSuperseded === true && core?.replica.isSuperseded() === true && !core.replica.isLeaving()) {
       const d = drop();
       opening = true;
       void Promise.resolve(d?.close?.()).then(() => again(true));
@@ -109,9 +109,9 @@
   const stop = every(w, () => micros(250_000), look);
   return {
     receive: (m, from) => core?.receive(m, from),
-    core: () => core,
-    bytes: () => disk?.disk.size() ?? 0,
-    begin: () => open(false, false),
+    controlNode: () => core,
+    diskBytes: () => disk?.disk.size() ?? 0,
+    start: () => open(false, false),
     leave: (limit, done) => (core === undefined ? done('incomplete') : core.leave(limit, done)),
     stop: async () => {
       stop();
--- a/programs/control-node/src/file-disk-power.test.ts
+++ b/programs/control-node/src/file-disk-power.test.ts
@@ -251,7 +251,7 @@
     let states = 0;
     for (const snapshot of this.snapshots) {
       for (const left of remains(snapshot.names)) {
-        const found = named((await opened(new ModelFileSystem(left))).found);
+        const found = named((await opened(new ModelFileSystem(left))).storedRecords);
         expect(this.expected.slice(snapshot.acknowledged, snapshot.begun + 1)).toContain(found);
         states += 1;
       }
@@ -289,8 +289,8 @@
   await unsynced.appendFile(encodeRecord(record('a', 2)));
   const files = killed.restarted();
   const disk = await opened(files);
-  expect(named(disk.found)).toBe('a1 a2');
-  const script = new Script(disk.found);
+  expect(named(disk.storedRecords)).toBe('a1 a2');
+  const script = new Script(disk.storedRecords);
   files.restarted(script.watch).look();
   expect(await script.check()).toBeGreaterThan(0);
 });
@@ -301,7 +301,7 @@
   const script = new Script([record('a', 1)]);
   const files = new ModelFileSystem(withFolder([[journal, torn]]), script.watch);
   const disk = await opened(files);
-  expect(disk.cut).toBe(20);
+  expect(disk.truncatedBytes).toBe(20);
   await script.append(disk, record('b', 2));
   await script.append(disk, record('c', 3));
   files.look();
@@ -315,7 +315,7 @@
   const older: [string, Buffer][] = [1, 2].map((n) => [`${journal}.damaged.${n}`, damaged]);
   const files = new ModelFileSystem(withFolder([[journal, damaged], ...older]), script.watch);
   const disk = await opened(files);
-  expect(disk.aside).toContain('place.journal.damaged.3');
+  expect(disk.quarantineReason).toContain('place.journal.damaged.3');
   await script.append(disk, record('a', 1));
   await script.rewrite(disk, [record('a', 2)]);
   files.look();
@@ -331,7 +331,7 @@
   await script.rewrite(disk, [record('a', 1), record('b', 2)]);
   files.fillAfter(Infinity);
   const again = await opened(files, true);
-  expect(named(again.found)).toBe('a1 b2');
+  expect(named(again.storedRecords)).toBe('a1 b2');
   await script.append(again, record('c', 3));
   files.look();
   expect(await script.check()).toBeGreaterThan(20);
@@ -341,7 +341,7 @@
   const found = new Script();
   const files = new ModelFileSystem(withFolder([[journal, encodeRecord(record('a', 1))]]));
   const disk = await opened(files, false, true);
-  expect(disk.found).toEqual([]);
+  expect(disk.storedRecords).toEqual([]);
   const after = files.restarted(found.watch);
   const again = await opened(after);
   await found.append(again, record('b', 1));
--- a/programs/control-node/src/file-disk.test.ts
+++ b/programs/control-node/src/file-disk.test.ts
@@ -25,12 +25,12 @@
   appendFileSync(join(folder, 'place.journal'), Buffer.from('TPJ1torn'));
   const b = await openFileDisk(folder);
   if (E.isLeft(b)) throw b.left;
-  expect(b.right.found.map((r) => `${r.key}${r.version}`)).toEqual(['b2', 'c3']);
-  expect(b.right.cut).toBe(8);
+  expect(b.right.storedRecords.map((r) => `${r.key}${r.version}`)).toEqual(['b2', 'c3']);
+  expect(b.right.truncatedBytes).toBe(8);
   await put(b.right.disk, rec('d', 4));
   await b.right.close();
   const c = await openFileDisk(folder);
-  expect(E.isRight(c) && c.right.found.length).toBe(3);
+  expect(E.isRight(c) && c.right.storedRecords.length).toBe(3);
   if (E.isRight(c)) await c.right.close();
   rmSync(folder, { recursive: true });
 });
@@ -44,8 +44,8 @@
     writeFileSync(name, bad);
     const d = await openFileDisk(folder);
     if (E.isLeft(d)) throw d.left;
-    expect(d.right.found).toEqual([]);
-    expect(d.right.aside).toContain(`place.journal.damaged.${n}`);
+    expect(d.right.storedRecords).toEqual([]);
+    expect(d.right.quarantineReason).toContain(`place.journal.damaged.${n}`);
     expect(readFileSync(`${name}.damaged.${n}`)).toEqual(bad);
     await d.right.close();
   }
@@ -65,7 +65,7 @@
   const was = statSync(name).ino;
   const d = await openFileDisk(folder, true);
   if (E.isLeft(d)) throw d.left;
-  expect(d.right.found.length).toBe(2);
+  expect(d.right.storedRecords.length).toBe(2);
   expect(statSync(name).ino).not.toBe(was);
   await d.right.close();
   rmSync(folder, { recursive: true });
--- a/programs/control-node/src/file-disk.ts
+++ b/programs/control-node/src/file-disk.ts
@@ -152,9 +152,9 @@
   if (afresh) await rewriteNow(r.right.records);
   return {
     disk,
-    found: r.right.records,
-    cut: r.right.tornBytes,
-    ...(aside === undefined ? {} : { aside }),
+    storedRecords: r.right.records,
+    truncatedBytes: r.right.tornBytes,
+    ...(aside === undefined ? {} : { quarantineReason: aside }),
     close: async () => {
       await busy;
       await file.close();
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -28,19 +28,19 @@
       open: (afresh, blank) => openFileDisk(b.data, afresh, blank),
       newDiskId: () => randomBytes(8).toString('hex'),
       routerLeaseUs: (b.feedTenureMs ?? 10_000) * 1000,
-      dutyTenure: (b.dutyTenureMs ?? 3000) * 1000,
+      roleLeaseUs: (b.dutyTenureMs ?? 3000) * 1000,
       observe: (what, key, version) => {
         if (!key.startsWith('desired/')) return;
         traces.push({ at: Date.now() * 1000, what, key, version });
         if (traces.length > 500) traces.shift();
       },
     });
-    const opened = await host.begin();
+    const opened = await host.start();
     if (E.isLeft(opened)) throw opened.left;
     real.onMessage(host.receive);
     const app = fastify();
     app.get('/vitals', async (_q, a) => {
-      const core = host.core();
+      const core = host.controlNode();
       const ok = core?.replica.state() === 'voting';
       return a.code(ok ? 200 : 503).send({
         ok,
@@ -48,7 +48,7 @@
         disk: core?.replica.diskId(),
         core: core?.replica.membership(),
         owned: core?.ledKeys(),
-        bytes: host.bytes(),
+        bytes: host.diskBytes(),
       });
     });
     app.get<{ Params: { version: string } }>('/trace/:version', async (q) =>
@@ -58,7 +58,7 @@
       a
         .type('text/plain; version=0.0.4')
         .send(
-          `tansypost_place_voting ${host.core()?.replica.state() === 'voting' ? 1 : 0}\ntansypost_core_generation ${host.core()?.replica.membership().membershipEpoch ?? 0}\ntansypost_keys_owned ${host.core()?.ledKeys().length ?? 0}\ntansypost_file_bytes ${host.bytes()}\n`,
+          `tansypost_place_voting ${host.controlNode()?.replica.state() === 'voting' ? 1 : 0}\ntansypost_core_generation ${host.controlNode()?.replica.membership().membershipEpoch ?? 0}\ntansypost_keys_owned ${host.controlNode()?.ledKeys().length ?? 0}\ntansypost_file_bytes ${host.diskBytes()}\n`,
         ),
     );
     await app.listen(splitAddress(b.http));
--- a/programs/control-node/src/voting-control-node.ts
+++ b/programs/control-node/src/voting-control-node.ts
@@ -7,7 +7,7 @@
 import type { Address, Message, World } from '@tansypost/inner-protocol';
 
 export interface VotingControlNodeOptions extends ControlNodeOptions {
-  readonly dutyTenure: number;
+  readonly roleLeaseUs: number;
 }
 
 export function createVotingControlNode(w: World, o: VotingControlNodeOptions): ControlNode {
@@ -18,7 +18,7 @@
     isVoting: () => k.replica.state() === 'voting',
     votingSince: k.replica.votingSince,
     membershipEpoch: () => k.replica.membership().membershipEpoch,
-    leaseDuration: o.dutyTenure,
+    leaseDuration: o.roleLeaseUs,
     store: {
       epoch: (d) => k.replica.row(`~ballot/${d}`).promised,
       save: (d, epoch, done) =>
--- a/programs/request-router/src/admission.ts
+++ b/programs/request-router/src/admission.ts
@@ -6,31 +6,31 @@
  */
 import { every, micros, type Cancel, type World } from '@tansypost/inner-protocol';
 
-export interface Claimant {
-  readonly purse: string;
+export interface AdmissionRequest {
+  readonly fairShareKey: string;
   readonly share: number;
-  readonly worth: number;
+  readonly priority: number;
   readonly cost: number;
-  readonly patience: number;
+  readonly timeoutUs: number;
   // What of the patience went by before it came here.
-  readonly waited: number;
+  readonly elapsedUs: number;
 }
-export type Admitted =
-  | { readonly tag: 'go'; readonly begun: () => void }
+export type AdmissionResult =
+  | { readonly tag: 'go'; readonly started: () => void }
   | { readonly tag: 'shed'; readonly retryAfter: number }
   | { readonly tag: 'unable' };
 export interface Admission {
   // `renew` gives the terms in force, as these may change while it waits.
-  readonly enter: (c: Claimant, renew?: () => Claimant) => Promise<Admitted>;
-  readonly waiting: () => number;
-  readonly left: () => void;
+  readonly requestSlot: (c: AdmissionRequest, renew?: () => AdmissionRequest) => Promise<AdmissionResult>;
+  readonly queueLength: () => number;
+  readonly requestFinished: () => void;
   readonly stop: Cancel;
 }
 interface Waiting {
-  c: Claimant;
-  readonly renew: () => Claimant;
+  c: AdmissionRequest;
+  readonly renew: () => AdmissionRequest;
   readonly since: number;
-  readonly done: (a: Admitted) => void;
+  readonly done: (a: AdmissionResult) => void;
 }
 const half = 10_000_000;
 
@@ -54,22 +54,22 @@
     const u = used.get(p);
     return u === undefined ? 0 : u.n * 2 ** (-(w.now() - u.at) / half);
   }
-  function charge(c: Claimant): void {
-    used.set(c.purse, { n: spent(c.purse) + c.cost, at: w.now(), share: c.share });
+  function charge(c: AdmissionRequest): void {
+    used.set(c.fairShareKey, { n: spent(c.fairShareKey) + c.cost, at: w.now(), share: c.share });
   }
-  function over(c: Claimant): boolean {
-    const shares = new Map(queue.map((x) => [x.c.purse, x.c.share]));
+  function over(c: AdmissionRequest): boolean {
+    const shares = new Map(queue.map((x) => [x.c.fairShareKey, x.c.share]));
     let all = 0;
     for (const [p, u] of used) {
       all += spent(p);
       shares.set(p, u.share);
     }
     const whole = [...shares.values()].reduce((a, b) => a + b, 0);
-    return all > 0 && spent(c.purse) / all > c.share / Math.max(1e-9, whole);
+    return all > 0 && spent(c.fairShareKey) / all > c.share / Math.max(1e-9, whole);
   }
   function order(): void {
     const rank = new Map(queue.map((x) => [x, over(x.c) ? 1 : 0]));
-    queue.sort((a, b) => rank.get(a)! - rank.get(b)! || b.c.worth - a.c.worth || a.since - b.since);
+    queue.sort((a, b) => rank.get(a)! - rank.get(b)! || b.c.priority - a.c.priority || a.since - b.since);
   }
   function rate(): number {
     return pace * 2 ** (-(w.now() - paceAt) / 2_000_000);
@@ -84,13 +84,13 @@
   }
 
   // A place that was given away is taken until its holder has begun, else a whole crowd would go on one free place.
-  function go(c: Claimant): Admitted {
+  function go(c: AdmissionRequest): AdmissionResult {
     charge(c);
     granted += 1;
     let over = false;
     return {
       tag: 'go',
-      begun: () => {
+      started: () => {
         if (!over) granted -= 1;
         over = true;
       },
@@ -114,15 +114,15 @@
     const r = rate();
     const keep: Waiting[] = [];
     for (const x of queue) {
-      const waited = x.c.waited + w.now() - x.since;
+      const waited = x.c.elapsedUs + w.now() - x.since;
       const wait = r > 0.2 ? ((keep.length + 1) / r) * 1e6 : 500_000;
-      if (waited + wait > x.c.patience / 2) x.done({ tag: 'shed', retryAfter: retryAfter(queue.length) });
+      if (waited + wait > x.c.timeoutUs / 2) x.done({ tag: 'shed', retryAfter: retryAfter(queue.length) });
       else keep.push(x);
     }
     queue = keep;
   }
 
-  function enter(c: Claimant, renew = (): Claimant => c): Promise<Admitted> {
+  function enter(c: AdmissionRequest, renew = (): AdmissionRequest => c): Promise<AdmissionResult> {
     if (queue.length === 0 && room(granted)) return Promise.resolve(go(c));
     return new Promise((done) => {
       queue.push({ c, renew, since: w.now(), done });
@@ -130,7 +130,7 @@
     });
   }
   const stop = every(w, () => micros(20_000), drain);
-  return { enter, waiting: () => queue.length, left, stop };
+  return { requestSlot: enter, queueLength: () => queue.length, requestFinished: left, stop };
 }
 
 if (import.meta.vitest) {
@@ -170,12 +170,12 @@
       },
     };
   }
-  function kind(purse: string, x: Partial<Claimant> = {}): Claimant {
-    return { purse, share: 1, worth: 1, cost: 1, patience: 4_000_000, waited: 0, ...x };
+  function kind(purse: string, x: Partial<AdmissionRequest> = {}): AdmissionRequest {
+    return { fairShareKey: purse, share: 1, priority: 1, cost: 1, timeoutUs: 4_000_000, elapsedUs: 0, ...x };
   }
   it('gives up at once on what it cannot reach, far before its patience ends, and says when to come back', async () => {
     const b = bench();
-    const r = b.a.enter(kind('p', { patience: 800_000 }));
+    const r = b.a.requestSlot(kind('p', { timeoutUs: 800_000 }));
     expect(await r).toMatchObject({ tag: 'shed' });
     expect(((await r) as { retryAfter: number }).retryAfter).toBeGreaterThanOrEqual(1);
   });
@@ -193,21 +193,23 @@
       () => false,
       () => able,
     );
-    const x = a.enter(kind('p'));
+    const x = a.requestSlot(kind('p'));
     for (const f of ticks.splice(0)) f();
-    expect(a.waiting()).toBe(1);
+    expect(a.queueLength()).toBe(1);
     able = false;
     for (const f of ticks.splice(0)) f();
     expect(await x).toEqual({ tag: 'unable' });
-    expect(a.waiting()).toBe(0);
+    expect(a.queueLength()).toBe(0);
   });
   it('goes by the terms in force, which may change while a request waits', async () => {
     const b = bench();
     let worth = 1;
     const went: string[] = [];
     const all = [
-      b.a.enter(kind('p', { worth: 2 })).then(() => went.push('same')),
-      b.a.enter(kind('p', { worth }), () => kind('p', { worth })).then(() => went.push('raised')),
+      b.a.requestSlot(kind('p', { priority: 2 })).then(() => went.push('same')),
+      b.a
+        .requestSlot(kind('p', { priority: worth }), () => kind('p', { priority: worth }))
+        .then(() => went.push('raised')),
     ];
     worth = 3;
     b.free(1);
@@ -222,14 +224,14 @@
     const b = bench();
     b.free(8);
     for (let i = 0; i < 8; i += 1) {
-      const x = await b.a.enter(kind('greedy'));
-      if (x.tag === 'go') x.begun();
+      const x = await b.a.requestSlot(kind('greedy'));
+      if (x.tag === 'go') x.started();
     }
     const went: string[] = [];
-    const all = [kind('greedy', { worth: 9 }), kind('modest', { worth: 1 }), kind('modest', { worth: 5 })].map(
+    const all = [kind('greedy', { priority: 9 }), kind('modest', { priority: 1 }), kind('modest', { priority: 5 })].map(
       async (c, i) => {
-        const x = await b.a.enter(c);
-        if (x.tag === 'go') went.push(`${c.purse}${i}`);
+        const x = await b.a.requestSlot(c);
+        if (x.tag === 'go') went.push(`${c.fairShareKey}${i}`);
       },
     );
     for (let i = 0; i < 3; i += 1) {
--- a/programs/request-router/src/app.ts
+++ b/programs/request-router/src/app.ts
@@ -8,9 +8,9 @@
 import { Value } from '@sinclair/typebox/value';
 import fastify, { type FastifyInstance, type FastifyReply } from 'fastify';
 import { Agent, request } from 'undici';
-import { failure, failureBody, failureFrom, failureKinds, type Failure } from './failure.js';
-import type { Incoming, Reply, RouterCore } from './router-core.js';
-import type { Sampling } from './worker-port.js';
+import { failure, failureBody, parseFailure, failureKinds, type Failure } from './failure.js';
+import type { IncomingRequest, ResponseWriter, RouterCore } from './router-core.js';
+import type { Sampling } from './worker-client.js';
 
 const Body = Type.Object(
   {
@@ -29,7 +29,7 @@
 export interface AppOptions {
   readonly core: RouterCore;
   readonly bodyLimit: number;
-  readonly metrics: () => string;
+  readonly metricsText: () => string;
 }
 
 function header(h: Record<string, string | string[] | undefined>, k: string): string | undefined {
@@ -77,16 +77,16 @@
     const kind = header(q.headers, 'x-tansypost-kind');
     if (tenant === undefined || kind === undefined)
       return refuse(a, failure('bad_request', 'x-tansypost-tenant and x-tansypost-kind must be given.'), id);
-    const r: Incoming = {
+    const r: IncomingRequest = {
       id,
       tenant,
       kind,
       model: b.model,
       prompt: b.prompt,
       maxTokens: b.max_tokens ?? 16,
-      sentOn: header(q.headers, 'x-tansypost-sent-on') !== undefined,
+      forwarded: header(q.headers, 'x-tansypost-sent-on') !== undefined,
       idempotencyKey: header(q.headers, 'idempotency-key'),
-      spent: Math.max(0, Number(header(q.headers, 'x-tansypost-spent-us') ?? 0) || 0),
+      elapsedUs: Math.max(0, Number(header(q.headers, 'x-tansypost-spent-us') ?? 0) || 0),
       sampling: samplingOf(b),
     };
     const gone = new AbortController();
@@ -97,7 +97,7 @@
     });
     const reply = b.stream === true ? streamed(a, id, b.model) : gathered(a, id, b.model);
     try {
-      await o.core.serve(r, reply, gone.signal);
+      await o.core.handleRequest(r, reply, gone.signal);
     } catch {
       reply.fail(failure('internal_error', 'Something unforeseen went wrong inside this router.'));
     }
@@ -115,7 +115,7 @@
     a.raw.end(body);
   }
 
-  function streamed(a: FastifyReply, id: string, model: string): Reply {
+  function streamed(a: FastifyReply, id: string, model: string): ResponseWriter {
     let begun = false;
     function event(text: string, end: string | null): string {
       return `data: ${JSON.stringify({ id, object: 'text_completion', model, choices: [{ index: 0, text, finish_reason: end }] })}\n\n`;
@@ -149,7 +149,7 @@
     };
   }
 
-  function gathered(a: FastifyReply, id: string, model: string): Reply {
+  function gathered(a: FastifyReply, id: string, model: string): ResponseWriter {
     let text = '';
     return {
       chunk: (t) => {
@@ -171,25 +171,25 @@
   }
 
   app.get('/vitals', async (_q, a) =>
-    a.code(o.core.feed.tenured() ? 200 : 503).send({ ok: o.core.feed.tenured(), ...o.core.figures() }),
+    a.code(o.core.feed.hasLease() ? 200 : 503).send({ ok: o.core.feed.hasLease(), ...o.core.metrics() }),
   );
   app.get('/figures', async () => ({
-    ...o.core.figures(),
-    workers: o.core.table.view(),
-    parts: o.core.feed.record().parts,
+    ...o.core.metrics(),
+    workers: o.core.workerTable.snapshot(),
+    parts: o.core.feed.rehearsalRecord().parts,
   }));
-  app.get('/desired-state', async () => ({ version: o.core.feed.applied(), state: o.core.feed.desired() }));
-  app.get('/metrics', async (_q, a) => a.type('text/plain; version=0.0.4').send(o.metrics()));
+  app.get('/desired-state', async () => ({ version: o.core.feed.appliedVersion(), state: o.core.feed.desiredState() }));
+  app.get('/metrics', async (_q, a) => a.type('text/plain; version=0.0.4').send(o.metricsText()));
   return app;
 }
 
 // Sends a request on to another router, once, if that router answers a short question first. Its refusal before any
 // send lets the next one be asked; whatever else it says is the final answer, and a broken link leaves the
 // outcome unknown.
-export async function sendOnHttp(
+export async function forwardOverHttp(
   to: string,
-  r: Incoming,
-  reply: Reply,
+  r: IncomingRequest,
+  reply: ResponseWriter,
   gone: AbortSignal,
   dispatcher: Agent,
 ): Promise<boolean> {
@@ -213,13 +213,13 @@
         'x-tansypost-tenant': r.tenant,
         'x-tansypost-kind': r.kind,
         'x-tansypost-sent-on': '1',
-        'x-tansypost-spent-us': `${Math.round(r.spent ?? 0)}`,
+        'x-tansypost-spent-us': `${Math.round(r.elapsedUs ?? 0)}`,
         ...(r.idempotencyKey === undefined ? {} : { 'idempotency-key': r.idempotencyKey }),
       },
       body: JSON.stringify({ ...r.sampling, model: r.model, prompt: r.prompt, max_tokens: r.maxTokens, stream: true }),
     });
     if (x.statusCode !== 200) {
-      const f = failureFrom(await x.body.text(), x.statusCode);
+      const f = parseFailure(await x.body.text(), x.statusCode);
       if (f.kind === 'no_tenure' || f.kind === 'stopping') return false;
       reply.fail(f);
       return true;
@@ -237,7 +237,7 @@
           return true;
         }
         if (line.startsWith('event: error')) {
-          const f = failureFrom(line.slice(line.indexOf('data: ') + 6));
+          const f = parseFailure(line.slice(line.indexOf('data: ') + 6));
           reply.fail(failureKinds[f.kind].ran === 'no' ? failure('answer_cut', f.message) : f);
           return true;
         }
--- a/programs/request-router/src/window.ts
+++ b/programs/request-router/src/concurrency-window.ts
@@ -5,14 +5,19 @@
  */
 import type { Micros } from '@tansypost/inner-protocol';
 
-export interface Window {
-  readonly open: (granted?: number) => boolean;
-  readonly began: () => (took: boolean) => void;
-  readonly idle: () => boolean;
+export interface ConcurrencyWindow {
+  readonly hasRoom: (granted?: number) => boolean;
+  readonly beginPrefill: () => (took: boolean) => void;
+  readonly isIdle: () => boolean;
   readonly size: () => number;
 }
 
-export function createWindow(now: () => Micros, target: () => number, start = 64, most = 512): Window {
+export function createConcurrencyWindow(
+  now: () => Micros,
+  target: () => number,
+  start = 64,
+  most = 512,
+): ConcurrencyWindow {
   let size = start;
   let n = 0;
   let shrunk = -Infinity;
@@ -30,7 +35,7 @@
       } else if (n + 1 >= 0.8 * size) size = Math.min(most, size + 0.5);
     };
   }
-  return { open: (granted = 0) => n + granted < size, began, idle: () => n === 0, size: () => size };
+  return { hasRoom: (granted = 0) => n + granted < size, beginPrefill: began, isIdle: () => n === 0, size: () => size };
 }
 
 if (import.meta.vitest) {
@@ -38,7 +43,7 @@
   const { micros } = await import('@tansypost/inner-protocol');
   it('shrinks to what is read within the target, and grows again when there is room', () => {
     let t = 0;
-    const w = createWindow(
+    const w = createConcurrencyWindow(
       () => micros(t),
       () => 1_000_000,
     );
@@ -47,9 +52,9 @@
     let busy = 0;
     function step(each: number, until: number): void {
       while (t < until) {
-        while (w.open()) {
+        while (w.hasRoom()) {
           busy = Math.max(busy, t) + each;
-          ends.push({ at: busy, end: w.began() });
+          ends.push({ at: busy, end: w.beginPrefill() });
         }
         t = ends[0]!.at;
         ends.shift()!.end(true);
--- a/programs/request-router/src/feed.ts
+++ b/programs/request-router/src/configuration-feed.ts
@@ -9,24 +9,24 @@
 import { decodeModel, scoreAll, type Model } from '@tansypost/placement';
 import { emptyRecord, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
 
-export interface FeedOptions {
+export interface ConfigurationFeedOptions {
   readonly service: string;
-  readonly tenure: number;
+  readonly leaseDurationUs: number;
   readonly now: () => Micros;
   readonly log: (event: number, fields: Record<string, unknown>) => void;
 }
-export interface Feed {
-  readonly take: (m: MessageOf<'Feed'>) => void;
-  readonly tenured: () => boolean;
-  readonly applied: () => number;
-  readonly desired: () => DesiredState | undefined;
-  readonly record: () => RehearsalRecord;
+export interface ConfigurationFeed {
+  readonly receive: (m: MessageOf<'Feed'>) => void;
+  readonly hasLease: () => boolean;
+  readonly appliedVersion: () => number;
+  readonly desiredState: () => DesiredState | undefined;
+  readonly rehearsalRecord: () => RehearsalRecord;
   readonly model: (r: ModelRef | undefined) => Model | undefined;
-  readonly have: () => { key: string; epoch: number; version: number }[];
-  readonly others: () => readonly string[];
+  readonly heldVersions: () => { key: string; epoch: number; version: number }[];
+  readonly otherRouters: () => readonly string[];
 }
 
-export function createFeed(o: FeedOptions): Feed {
+export function createConfigurationFeed(o: ConfigurationFeedOptions): ConfigurationFeed {
   const held = new Map<string, KeyUpdate>();
   const models = new Map<string, Model>();
   let until = -Infinity;
@@ -53,7 +53,7 @@
     }
     for (const g of m.grants) {
       if (g.version !== version) continue;
-      until = Math.max(until, g.asked + o.tenure);
+      until = Math.max(until, g.asked + o.leaseDurationUs);
       askedLast = Math.max(askedLast, g.asked);
     }
     fedAt = o.now();
@@ -122,13 +122,13 @@
   }
 
   return {
-    take,
-    tenured,
+    receive: take,
+    hasLease: tenured,
     model,
-    applied: () => version,
-    desired: () => desired,
-    record: () => record,
-    have: () => [...held.values()].map((n) => ({ key: n.key, epoch: n.epoch, version: n.version })),
-    others: () => others,
+    appliedVersion: () => version,
+    desiredState: () => desired,
+    rehearsalRecord: () => record,
+    heldVersions: () => [...held.values()].map((n) => ({ key: n.key, epoch: n.epoch, version: n.version })),
+    otherRouters: () => others,
   };
 }
--- a/programs/request-router/src/decision.ts
+++ b/programs/request-router/src/decision.ts
@@ -3,31 +3,32 @@
  * and the facts of the moment, and does nothing itself. The executor obeys.
  */
 import { failure, type Failure } from './failure.js';
-import { provablyNeverStarted, type SendLedger } from './send-ledger.js';
+import { noAttemptStarted, type AttemptLedger } from './attempt-ledger.js';
 
-export interface Facts {
-  readonly repeatable: boolean;
-  readonly timeLeft: number;
+export interface DecisionFacts {
+  readonly idempotent: boolean;
+  readonly remainingUs: number;
   // How many extra sends the budget allows now.
-  readonly extras: number;
+  readonly availableRetries: number;
   readonly prefillWorkers: number;
   readonly decodeWorkers: number;
   readonly retryAfter: number;
 }
-export type Step =
+export type DecisionStep =
   { readonly do: 'prefill' } | { readonly do: 'decode' } | { readonly do: 'fail'; readonly failure: Failure };
 
-export function decide(l: SendLedger, f: Facts): Step {
-  function fail(x: Failure): Step {
+export function decide(l: AttemptLedger, f: DecisionFacts): DecisionStep {
+  function fail(x: Failure): DecisionStep {
     return { do: 'fail', failure: x };
   }
-  const last = l.sends.at(-1);
+  const last = l.attempts.at(-1);
   // Once a decode was sent, a new prefill will take an extra decode with it.
-  const again = l.sends.some((s) => s.phase === 'decode') ? 2 : 1;
-  const untouched = provablyNeverStarted(l);
-  if (l.firstByte) return fail(failure('answer_cut', 'The worker broke off after the answer had begun.', f.retryAfter));
+  const again = l.attempts.some((s) => s.phase === 'decode') ? 2 : 1;
+  const untouched = noAttemptStarted(l);
+  if (l.firstByteSent)
+    return fail(failure('answer_cut', 'The worker broke off after the answer had begun.', f.retryAfter));
   if (last?.outcome === 'pending') return fail(failure('outcome_unknown', 'A send is still open.'));
-  if (f.timeLeft <= 0) {
+  if (f.remainingUs <= 0) {
     return fail(
       untouched
         ? failure('overloaded', 'Its patience ran out before a worker took it.', f.retryAfter)
@@ -38,25 +39,25 @@
     if (f.decodeWorkers > 0) return { do: 'decode' };
     return fail(
       failure(
-        f.repeatable ? 'workers_failed' : 'outcome_unknown',
+        f.idempotent ? 'workers_failed' : 'outcome_unknown',
         'No worker is ready to decode; the prompt has been read.',
         f.retryAfter,
       ),
     );
   }
-  if (last?.phase === 'decode' && last.outcome === 'notStarted' && f.extras >= 1 && f.decodeWorkers > 0)
+  if (last?.phase === 'decode' && last.outcome === 'notStarted' && f.availableRetries >= 1 && f.decodeWorkers > 0)
     return { do: 'decode' };
   if (untouched) {
     if (f.prefillWorkers === 0 || f.decodeWorkers === 0)
       return fail(failure('no_workers', 'No worker is ready for it.', f.retryAfter));
-    if (last === undefined || f.extras >= again) return { do: 'prefill' };
+    if (last === undefined || f.availableRetries >= again) return { do: 'prefill' };
     return fail(
       failure('workers_refused', 'Workers would not take it and no more sends are allowed now.', f.retryAfter),
     );
   }
-  if (!f.repeatable)
+  if (!f.idempotent)
     return fail(failure('outcome_unknown', 'It may not be repeated and may have run in part.', f.retryAfter));
-  if (f.extras >= again && f.prefillWorkers > 0 && f.decodeWorkers > 0) return { do: 'prefill' };
+  if (f.availableRetries >= again && f.prefillWorkers > 0 && f.decodeWorkers > 0) return { do: 'prefill' };
   return fail(failure('workers_failed', 'Workers failed it and no more sends are allowed now.', f.retryAfter));
 }
 
@@ -69,9 +70,9 @@
     outcome: fc.constantFrom('done' as const, 'notStarted' as const, 'lapsed' as const, 'unknown' as const),
   });
   const facts = fc.record({
-    repeatable: fc.boolean(),
-    timeLeft: fc.integer({ min: -1, max: 5 }),
-    extras: fc.integer({ min: 0, max: 3 }),
+    idempotent: fc.boolean(),
+    remainingUs: fc.integer({ min: -1, max: 5 }),
+    availableRetries: fc.integer({ min: 0, max: 3 }),
     prefillWorkers: fc.integer({ min: 0, max: 2 }),
     decodeWorkers: fc.integer({ min: 0, max: 2 }),
     retryAfter: fc.constant(1),
@@ -80,10 +81,10 @@
   it('never sends again what may have started and may not be repeated, nor refuses what may have run', () => {
     fc.assert(
       fc.property(fc.array(send, { maxLength: 5 }), fc.boolean(), facts, (sends, firstByte, f) => {
-        const l: SendLedger = { sends, firstByte };
+        const l: AttemptLedger = { attempts: sends, firstByteSent: firstByte };
         const s = decide(l, f);
         const started = sends.some((x) => x.phase === 'prefill' && x.outcome !== 'notStarted');
-        if (s.do === 'prefill') expect(f.repeatable || !started).toBe(true);
+        if (s.do === 'prefill') expect(f.idempotent || !started).toBe(true);
         if (s.do !== 'fail') expect(firstByte).toBe(false);
         if (s.do === 'decode')
           expect(sends.at(-1)!.outcome === 'done' || sends.at(-1)!.outcome === 'notStarted').toBe(true);
@@ -94,7 +95,7 @@
           sends.length > 0 &&
           !(sends.at(-1)!.phase === 'prefill' && sends.at(-1)!.outcome === 'done')
         ) {
-          expect(f.extras).toBeGreaterThanOrEqual(
+          expect(f.availableRetries).toBeGreaterThanOrEqual(
             s.do === 'prefill' && sends.some((x) => x.phase === 'decode') ? 2 : 1,
           );
         }
--- a/programs/request-router/src/failure.ts
+++ b/programs/request-router/src/failure.ts
@@ -45,7 +45,7 @@
 }
 
 // Reads the error that another router gave, and makes a typed one of whatever is not ours.
-export function failureFrom(text: string, status?: number): Failure {
+export function parseFailure(text: string, status?: number): Failure {
   try {
     const e = (JSON.parse(text) as { error?: { kind?: unknown; message?: unknown; retry_after?: unknown } }).error;
     if (typeof e?.kind === 'string' && Object.hasOwn(failureKinds, e.kind)) {
@@ -89,7 +89,7 @@
     }
   });
   it('makes a typed failure of whatever another router says', () => {
-    expect(failureFrom(JSON.stringify(failureBody(failure('overloaded', 'm', 4), 'q')))).toEqual(
+    expect(parseFailure(JSON.stringify(failureBody(failure('overloaded', 'm', 4), 'q')))).toEqual(
       failure('overloaded', 'm', 4),
     );
     for (const x of [
@@ -102,7 +102,7 @@
       '{"error":{"kind":7}}',
       '{"error":{}}',
     ]) {
-      expect(failureFrom(x, 502)).toMatchObject({ kind: 'outcome_unknown', retryAfter: 1 });
+      expect(parseFailure(x, 502)).toMatchObject({ kind: 'outcome_unknown', retryAfter: 1 });
     }
   });
 }
--- a/programs/request-router/src/http-workers.ts
+++ b/programs/request-router/src/http-worker-client.ts
@@ -4,11 +4,11 @@
  */
 import { Agent, request } from 'undici';
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
-import type { DecodeResult, HandleParams, PrefillResult, WorkerJob, WorkerPort } from './worker-port.js';
+import type { DecodeResult, KvTransferParams, PrefillResult, WorkerRequest, WorkerClient } from './worker-client.js';
 
 const neverConnected = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
-export function createHttpWorkers(): WorkerPort & { readonly close: () => Promise<void> } {
+export function createHttpWorkerClient(): WorkerClient & { readonly close: () => Promise<void> } {
   const agent = new Agent({
     connect: { timeout: 1500 },
     connections: 128,
@@ -17,7 +17,7 @@
     bodyTimeout: 15_000,
   });
 
-  function post(m: WorkerStateEntry, j: WorkerJob, body: object, signal: AbortSignal): ReturnType<typeof request> {
+  function post(m: WorkerStateEntry, j: WorkerRequest, body: object, signal: AbortSignal): ReturnType<typeof request> {
     return request(`http://${m.address}/v1/completions`, {
       method: 'POST',
       dispatcher: agent,
@@ -30,25 +30,25 @@
       body: JSON.stringify({ ...j.sampling, model: j.model, prompt: j.prompt, ...body }),
     });
   }
-  function broke(e: unknown): { tag: 'notStarted' | 'unknown'; why: string } {
+  function broke(e: unknown): { tag: 'notStarted' | 'unknown'; reason: string } {
     const code = (e as { code?: string }).code ?? '';
-    return { tag: neverConnected.has(code) ? 'notStarted' : 'unknown', why: code === '' ? String(e) : code };
+    return { tag: neverConnected.has(code) ? 'notStarted' : 'unknown', reason: code === '' ? String(e) : code };
   }
   async function refusal(
     text: string,
     status: number,
-  ): Promise<{ tag: 'notStarted' | 'unknown' | 'lapsed'; why: string }> {
+  ): Promise<{ tag: 'notStarted' | 'unknown' | 'lapsed'; reason: string }> {
     try {
       const x = JSON.parse(text) as { error?: { kind?: string; started?: boolean } };
-      const why = x.error?.kind ?? `status ${status}`;
-      if (x.error?.started !== false) return { tag: 'unknown', why };
-      return { tag: why.startsWith('memory_') ? 'lapsed' : 'notStarted', why };
+      const reason = x.error?.kind ?? `status ${status}`;
+      if (x.error?.started !== false) return { tag: 'unknown', reason };
+      return { tag: reason.startsWith('memory_') ? 'lapsed' : 'notStarted', reason };
     } catch {
-      return { tag: 'unknown', why: `status ${status} without a typed error` };
+      return { tag: 'unknown', reason: `status ${status} without a typed error` };
     }
   }
 
-  async function prefill(m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
+  async function prefill(m: WorkerStateEntry, j: WorkerRequest, signal: AbortSignal): Promise<PrefillResult> {
     try {
       const r = await post(
         m,
@@ -59,11 +59,11 @@
       const text = await r.body.text();
       if (r.statusCode !== 200) {
         const x = await refusal(text, r.statusCode);
-        return x.tag === 'lapsed' ? { tag: 'unknown', why: x.why } : { tag: x.tag, why: x.why };
+        return x.tag === 'lapsed' ? { tag: 'unknown', reason: x.reason } : { tag: x.tag, reason: x.reason };
       }
-      const h = (JSON.parse(text) as { kv_transfer_params?: HandleParams }).kv_transfer_params;
+      const h = (JSON.parse(text) as { kv_transfer_params?: KvTransferParams }).kv_transfer_params;
       if (h === undefined || !Array.isArray(h.remote_block_ids) || typeof h.remote_host !== 'string')
-        return { tag: 'unknown', why: 'no handle in the answer' };
+        return { tag: 'unknown', reason: 'no handle in the answer' };
       return { tag: 'done', handle: h };
     } catch (e) {
       return broke(e);
@@ -72,8 +72,8 @@
 
   async function decode(
     m: WorkerStateEntry,
-    j: WorkerJob,
-    h: HandleParams,
+    j: WorkerRequest,
+    h: KvTransferParams,
     chunk: (t: string) => void | Promise<void>,
     signal: AbortSignal,
   ): Promise<DecodeResult> {
@@ -89,7 +89,7 @@
         signal,
       );
       if (r.statusCode !== 200) return await refusal(await r.body.text(), r.statusCode);
-      return await readStream(r.body, chunk, signal);
+      return await readCompletionStream(r.body, chunk, signal);
     } catch (e) {
       return broke(e);
     }
@@ -100,7 +100,7 @@
 // Reads a worker's event stream. It is whole only if every event was sound, a finish reason came, and [DONE]
 // after it. While a requester reads slowly nothing is read from the worker, so the stream is held back by TCP; the
 // wait ends with the signal at the latest.
-export async function readStream(
+export async function readCompletionStream(
   body: AsyncIterable<Buffer | string>,
   chunk: (t: string) => void | Promise<void>,
   signal?: AbortSignal,
@@ -134,29 +134,29 @@
     for (let i = held.indexOf('\n\n'); i >= 0; i = held.indexOf('\n\n')) {
       const line = held.slice(0, i);
       held = held.slice(i + 2);
-      if (!line.startsWith('data: ')) return { tag: 'unknown', why: 'nonsense instead of an event' };
+      if (!line.startsWith('data: ')) return { tag: 'unknown', reason: 'nonsense instead of an event' };
       const data = line.slice(6);
       if (data === '[DONE]')
         return finished !== undefined
           ? { tag: 'done', finish: finished }
-          : { tag: 'unknown', why: '[DONE] without a finish reason' };
+          : { tag: 'unknown', reason: '[DONE] without a finish reason' };
       let e: { choices?: { text?: unknown; finish_reason?: unknown }[] };
       try {
         e = JSON.parse(data) as typeof e;
       } catch {
-        return { tag: 'unknown', why: 'an event that is not JSON' };
+        return { tag: 'unknown', reason: 'an event that is not JSON' };
       }
       const x = e.choices?.[0];
       if (x === undefined || typeof x.text !== 'string' || finished !== undefined)
-        return { tag: 'unknown', why: 'an event without its choice' };
+        return { tag: 'unknown', reason: 'an event without its choice' };
       const slow = x.text === '' ? undefined : chunk(x.text);
       if (slow !== undefined) await Promise.race([slow, off]);
-      if (signal?.aborted === true) return { tag: 'unknown', why: 'aborted' };
+      if (signal?.aborted === true) return { tag: 'unknown', reason: 'aborted' };
       if (x.finish_reason !== null && x.finish_reason !== undefined) finished = String(x.finish_reason);
     }
-    if (held.length > 1_000_000) return { tag: 'unknown', why: 'an event without end' };
+    if (held.length > 1_000_000) return { tag: 'unknown', reason: 'an event without end' };
   }
-  return { tag: 'unknown', why: 'the stream ended before [DONE]' };
+  return { tag: 'unknown', reason: 'the stream ended before [DONE]' };
 }
 
 if (import.meta.vitest) {
@@ -172,7 +172,7 @@
     const { EventEmitter } = await import('node:events');
     for (const s of [whole.join(''), whole[0]!, '%%\n\n']) {
       const signal = AbortSignal.any([new AbortController().signal]);
-      await readStream(feedOf(s, 9), () => undefined, signal);
+      await readCompletionStream(feedOf(s, 9), () => undefined, signal);
       expect(EventEmitter.getEventListeners(signal, 'abort').length).toBe(0);
     }
   });
@@ -180,14 +180,16 @@
     let got = '';
     expect(
       (
-        await readStream(feedOf(whole.join(''), 3), (t) => {
+        await readCompletionStream(feedOf(whole.join(''), 3), (t) => {
           got += t;
         })
       ).tag,
     ).toBe('done');
     expect(got).toBe('ab');
     for (let cut = 0; cut < whole.join('').length; cut += 1) {
-      expect((await readStream(feedOf(whole.join('').slice(0, cut), 7), () => undefined)).tag).toBe('unknown');
+      expect((await readCompletionStream(feedOf(whole.join('').slice(0, cut), 7), () => undefined)).tag).toBe(
+        'unknown',
+      );
     }
     const bad = [
       [whole[0], whole[3]],
@@ -196,6 +198,7 @@
       ['data: {"x"\n\n', ...whole],
       [ev(5 as never), ...whole],
     ];
-    for (const b of bad) expect((await readStream(feedOf(b.join(''), 9), () => undefined)).tag).toBe('unknown');
+    for (const b of bad)
+      expect((await readCompletionStream(feedOf(b.join(''), 9), () => undefined)).tag).toBe('unknown');
   });
 }
--- a/programs/request-router/src/claims.ts
+++ b/programs/request-router/src/idempotency-claims.ts
@@ -6,13 +6,13 @@
 
 export type ClaimResult =
   { readonly tag: 'won' } | { readonly tag: 'taken'; readonly known: string } | { readonly tag: 'failed' };
-export interface Claims {
+export interface IdempotencyClaims {
   readonly claim: (key: string, request: string, patience: number) => Promise<ClaimResult>;
-  readonly tell: (op: 'release' | 'ended', key: string, request: string, ended: string) => void;
-  readonly answer: (m: MessageOf<'ClaimAnswer'>) => void;
+  readonly reportResult: (op: 'release' | 'ended', key: string, request: string, ended: string) => void;
+  readonly receiveAnswer: (m: MessageOf<'ClaimAnswer'>) => void;
 }
 
-export function createClaims(w: World, agent: Address, holder: string): Claims {
+export function createIdempotencyClaims(w: World, agent: Address, holder: string): IdempotencyClaims {
   const open = new Map<string, (r: ClaimResult) => void>();
   let n = 0;
   function claim(key: string, request: string, patience: number): Promise<ClaimResult> {
@@ -37,8 +37,9 @@
   }
   return {
     claim,
-    tell: (op, key, request, ended) => w.send(agent, { kind: 'Claim', id: '', op, key, holder, request, ended }),
-    answer: (m) =>
+    reportResult: (op, key, request, ended) =>
+      w.send(agent, { kind: 'Claim', id: '', op, key, holder, request, ended }),
+    receiveAnswer: (m) =>
       open.get(m.id)?.(
         m.status === 'won'
           ? { tag: 'won' }
--- a/programs/request-router/src/metrics.ts
+++ b/programs/request-router/src/metrics.ts
@@ -1,6 +1,6 @@
 /** The router's figures as text for a scraper: numbers as they are, tables of counts with a label. */
 
-export function metrics(f: Record<string, unknown>): string {
+export function formatMetrics(f: Record<string, unknown>): string {
   const out: string[] = [];
   for (const [k, v] of Object.entries(f)) {
     const name = `tansypost_${k.replace(/[A-Z]/g, (c) => `_${c.toLowerCase()}`)}`;
--- a/programs/request-router/src/extra-budget.ts
+++ b/programs/request-router/src/retry-budget.ts
@@ -8,28 +8,28 @@
  */
 import type { Micros } from '@tansypost/inner-protocol';
 
-export interface ExtraBudget {
-  readonly first: () => void;
+export interface RetryBudget {
+  readonly recordFirstAttempt: () => void;
   // How many extra sends are allowed now.
-  readonly room: () => number;
-  readonly extra: () => void;
-  readonly granted: () => number;
+  readonly availableRetries: () => number;
+  readonly recordRetry: () => void;
+  readonly grantProbes: () => number;
   readonly totals: () => { first: number; extra: number };
 }
-const window = 10_000_000;
-const slot = 100_000;
+const budgetWindowUs = 10_000_000;
+const slotUs = 100_000;
 // A router begins with one, as a worker may die before it has sent anything.
-const firstSends = 1;
-export const savedSends = 2;
-export const savedShare = 0.02;
+const initialRetries = 1;
+export const maxSavedRetries = 2;
+export const savedRetryRatio = 0.02;
 
-export function createExtraBudget(now: () => Micros, share = 0.2, probeShare = 0.1): ExtraBudget {
+export function createRetryBudget(now: () => Micros, share = 0.2, probeShare = 0.1): RetryBudget {
   const slots: { at: number; first: number; spent: number }[] = [];
   let [first, extra, probes] = [0, 0, 0];
-  let saved = firstSends;
+  let saved = initialRetries;
   function here(): { at: number; first: number; spent: number } {
-    const at = Math.floor(now() / slot);
-    while (slots.length > 0 && slots[0]!.at <= at - window / slot) slots.shift();
+    const at = Math.floor(now() / slotUs);
+    while (slots.length > 0 && slots[0]!.at <= at - budgetWindowUs / slotUs) slots.shift();
     if (slots.at(-1)?.at !== at) slots.push({ at, first: 0, spent: 0 });
     return slots.at(-1)!;
   }
@@ -39,24 +39,24 @@
   }
   function room(): number {
     const s = sums();
-    return Math.max(0, Math.floor(Math.min(saved, share * s.first + firstSends - s.spent) + 1e-9));
+    return Math.max(0, Math.floor(Math.min(saved, share * s.first + initialRetries - s.spent) + 1e-9));
   }
   function spend(): void {
     saved -= 1;
     here().spent += 1;
   }
   return {
-    first: () => {
+    recordFirstAttempt: () => {
       first += 1;
       here().first += 1;
-      saved = Math.min(saved + share, savedSends + savedShare * sums().first);
+      saved = Math.min(saved + share, maxSavedRetries + savedRetryRatio * sums().first);
     },
-    room,
-    extra: () => {
+    availableRetries: room,
+    recordRetry: () => {
       extra += 1;
       spend();
     },
-    granted: () => {
+    grantProbes: () => {
       const due = Math.floor(first * probeShare);
       while (probes < due && room() > 0) {
         probes += 1;
@@ -74,7 +74,7 @@
   it('holds a fifth over every ten seconds, whatever the order of calls', () => {
     const r = createSeededRandom(8);
     let t = 0;
-    const b = createExtraBudget(() => micros(t));
+    const b = createRetryBudget(() => micros(t));
     const past: { t: number; first: number; spent: number }[] = [];
     let probes = 0;
     for (let i = 0; i < 4000; i += 1) {
@@ -82,14 +82,14 @@
       const burst = Math.floor(t / 3_000_000) % 2 === 0;
       let [f, s] = [0, 0];
       if (r() < (burst ? 0.9 : 0.2)) {
-        b.first();
+        b.recordFirstAttempt();
         f = 1;
       }
-      if (b.room() > 0) {
-        b.extra();
+      if (b.availableRetries() > 0) {
+        b.recordRetry();
         s += 1;
       }
-      const g = b.granted();
+      const g = b.grantProbes();
       s += g - probes;
       probes = g;
       past.push({ t, first: f, spent: s });
@@ -101,21 +101,21 @@
   });
   it('keeps near a fifth in the ten seconds after a crowd has gone, too', () => {
     let t = 0;
-    const b = createExtraBudget(() => micros(t));
+    const b = createRetryBudget(() => micros(t));
     for (let i = 0; i < 400; i += 1) {
       t += 25_000;
-      b.first();
+      b.recordFirstAttempt();
     }
     let [firsts, spent] = [0, 0];
     for (let i = 0; i < 10; i += 1) {
       t += 990_000;
-      b.first();
+      b.recordFirstAttempt();
       firsts += 1;
-      while (b.room() > 0) {
-        b.extra();
+      while (b.availableRetries() > 0) {
+        b.recordRetry();
         spent += 1;
       }
     }
-    expect(spent).toBeLessThanOrEqual(0.2 * firsts + savedSends + savedShare * 400);
+    expect(spent).toBeLessThanOrEqual(0.2 * firsts + maxSavedRetries + savedRetryRatio * 400);
   });
 }
--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -24,80 +24,91 @@
 } from '@tansypost/placement';
 import { armOf, armsOf, countAnswer, emptyCounts, type Arm, type Part } from '@tansypost/rehearsal';
 import type { CohortStatistics, WorkerStateEntry, WorkerId } from '@tansypost/inner-protocol';
-import { createAdmission, type Claimant } from './admission.js';
-import { createClaims } from './claims.js';
-import { decide, type Step } from './decision.js';
-import { createExtraBudget } from './extra-budget.js';
+import { createAdmission, type AdmissionRequest } from './admission.js';
+import { createIdempotencyClaims } from './idempotency-claims.js';
+import { decide, type DecisionStep } from './decision.js';
+import { createRetryBudget } from './retry-budget.js';
 import { failure, type Failure, type FailureKind } from './failure.js';
-import { createFeed, type Feed } from './feed.js';
-import { newLedger, type Send, type SendLedger } from './send-ledger.js';
-import { handleFits, type HandleParams, type Sampling, type WorkerJob, type WorkerPort } from './worker-port.js';
-import { createWindow } from './window.js';
+import { createConfigurationFeed, type ConfigurationFeed } from './configuration-feed.js';
+import { createAttemptLedger, type Attempt, type AttemptLedger } from './attempt-ledger.js';
+import {
+  isHandleFor,
+  type KvTransferParams,
+  type Sampling,
+  type WorkerRequest,
+  type WorkerClient,
+} from './worker-client.js';
+import { createConcurrencyWindow } from './concurrency-window.js';
 import { createWorkerTable, type WorkerTable } from './worker-table.js';
 
 export interface RouterOptions {
-  readonly router: string;
-  readonly http: string;
-  readonly agent: Address;
+  readonly routerId: string;
+  readonly httpAddress: string;
+  readonly agentAddress: Address;
   readonly service: string;
-  readonly tenure: number;
-  readonly promptLimit: number;
-  readonly queueRoom: number;
+  readonly leaseDurationUs: number;
+  readonly maxPromptTokens: number;
+  readonly maxWorkerQueueLength: number;
   readonly placement: PlacementOptions;
 }
 // How long a router without a tenure looks for one that takes a request, or for its own tenure to come back.
 const sendOnFor = 1_500_000;
-export const routerDefaults = { tenure: 10_000_000, promptLimit: 32_768, queueRoom: 12, placement: placementDefaults };
+export const routerDefaults = {
+  leaseDurationUs: 10_000_000,
+  maxPromptTokens: 32_768,
+  maxWorkerQueueLength: 12,
+  placement: placementDefaults,
+};
 
-export interface Incoming {
+export interface IncomingRequest {
   readonly id: string;
   readonly tenant: string;
   readonly kind: string;
   readonly model: string;
   readonly prompt: string;
   readonly maxTokens: number;
-  readonly sentOn: boolean;
+  readonly forwarded: boolean;
   readonly idempotencyKey?: string;
   readonly sampling?: Sampling;
   // What of its patience went by at routers before this one.
-  readonly spent?: number;
+  readonly elapsedUs?: number;
 }
 // A promise from `chunk` means that the requester reads slowly; nothing more is read from the worker until it is kept.
-export interface Reply {
+export interface ResponseWriter {
   readonly chunk: (text: string) => void | Promise<void>;
   readonly end: (finish: string) => void;
   readonly fail: (f: Failure) => void;
 }
 export interface RouterPorts {
-  readonly workers: WorkerPort;
-  readonly digest: (prompt: string) => string;
-  readonly sending?: (
+  readonly workerClient: WorkerClient;
+  readonly digestPrompt: (prompt: string) => string;
+  readonly onAttempt?: (
     request: string,
     worker: string,
     phase: 'prefill' | 'decode',
     extra: boolean,
     version: number,
   ) => void;
-  readonly sendOn: (to: string, r: Incoming, reply: Reply, gone: AbortSignal) => Promise<boolean>;
+  readonly forward: (to: string, r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<boolean>;
 }
 export interface RouterCore {
-  readonly serve: (r: Incoming, reply: Reply, gone: AbortSignal) => Promise<void>;
+  readonly handleRequest: (r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<void>;
   readonly receive: (m: Message) => void;
-  readonly feed: Feed;
-  readonly table: WorkerTable;
-  readonly figures: () => Record<string, unknown>;
-  readonly stopTaking: () => void;
-  readonly active: () => number;
+  readonly feed: ConfigurationFeed;
+  readonly workerTable: WorkerTable;
+  readonly metrics: () => Record<string, unknown>;
+  readonly stopAccepting: () => void;
+  readonly activeRequests: () => number;
   readonly stop: () => void;
 }
 
 interface Course {
-  readonly r: Incoming;
-  readonly reply: Reply;
+  readonly r: IncomingRequest;
+  readonly reply: ResponseWriter;
   kind: KindTemplate;
-  readonly ledger: SendLedger;
+  readonly ledger: AttemptLedger;
   readonly facts: PromptFacts;
-  readonly job: WorkerJob;
+  readonly job: WorkerRequest;
   readonly arrived: number;
   limit: number;
   unarm: () => void;
@@ -106,7 +117,7 @@
   readonly abort: AbortController;
   // The version of the desired state that its template is of.
   version: number;
-  handle: { h: HandleParams; from: WorkerStateEntry } | undefined;
+  handle: { h: KvTransferParams; from: WorkerStateEntry } | undefined;
   assigned: Assignment | undefined;
   sentAt: number;
   firstAt: number;
@@ -114,14 +125,19 @@
 }
 
 export function createRouterCore(w: World, o: RouterOptions, p: RouterPorts): RouterCore {
-  const feed = createFeed({ service: o.service, tenure: o.tenure, now: w.now, log: w.log });
+  const feed = createConfigurationFeed({
+    service: o.service,
+    leaseDurationUs: o.leaseDurationUs,
+    now: w.now,
+    log: w.log,
+  });
   const paces = createPaces();
   const table = createWorkerTable(w.now, paces);
   const tree = createRadixTree();
-  const budget = createExtraBudget(w.now);
-  const window = createWindow(w.now, readTarget);
-  const admission = createAdmission(w, room, () => feed.tenured());
-  const claims = createClaims(w, o.agent, o.router);
+  const budget = createRetryBudget(w.now);
+  const window = createConcurrencyWindow(w.now, readTarget);
+  const admission = createAdmission(w, room, () => feed.hasLease());
+  const claims = createIdempotencyClaims(w, o.agentAddress, o.routerId);
   const reasons = new Map<string, number>();
   const ends = new Map<string, number>();
   const arms = new Map<string, CohortStatistics>();
@@ -136,7 +152,7 @@
   }
 
   function partFor(arm: Arm): (m: WorkerStateEntry, reported: Part | undefined) => Part {
-    const rec = feed.record();
+    const rec = feed.rehearsalRecord();
     const run = rec.running?.subject;
     return function part(m, reported) {
       if (run?.type === 'part' && run.shift.worker === m.worker && run.shift.incarnation === m.incarnation) {
@@ -153,20 +169,23 @@
 
   // Reading a prompt should take no more than a fifth of the least patience in force.
   function readTarget(): number {
-    const ps = (feed.desired()?.templates ?? []).flatMap((t) => Object.values(t.kinds).map((k) => k.patienceMs));
+    const ps = (feed.desiredState()?.templates ?? []).flatMap((t) => Object.values(t.kinds).map((k) => k.patienceMs));
     return 200 * Math.max(2500, Math.min(10_000, ...ps));
   }
 
   // Room for one more: the window is open and some prefill worker's queue is short enough.
   function room(granted: number): boolean {
-    if (!window.open(granted)) return false;
-    if (window.idle() && granted === 0) return true;
+    if (!window.hasRoom(granted)) return false;
+    if (window.isIdle() && granted === 0) return true;
     const cs = candidates('prefill', 'none', new Set());
-    return cs.length === 0 || cs.some((c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < o.queueRoom);
+    return (
+      cs.length === 0 ||
+      cs.some((c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < o.maxWorkerQueueLength)
+    );
   }
 
   function modelFor(arm: Arm): Model | undefined {
-    const rec = feed.record();
+    const rec = feed.rehearsalRecord();
     const s = rec.running?.subject;
     if (arm === 'slice' && s?.type === 'model') return feed.model(s.model);
     // While a model that went live is watched, the control arm stays with the one before.
@@ -176,9 +195,9 @@
   }
 
   // Everything under way counts as active, what was sent on to another router too: a stop waits for all of it.
-  async function serve(r: Incoming, reply: Reply, gone: AbortSignal): Promise<void> {
+  async function serve(r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
     active += 1;
-    const arrived = w.now() - (r.spent ?? 0);
+    const arrived = w.now() - (r.elapsedUs ?? 0);
     try {
       const f = await refusalBefore(r, reply, gone, arrived);
       if (f === undefined) await serveHere(r, reply, gone, arrived);
@@ -191,9 +210,14 @@
     }
   }
 
-  async function serveHere(r: Incoming, reply: Reply, gone: AbortSignal, arrived: number): Promise<void> {
-    const k = kindOf(feed.desired()!, r.tenant, r.kind);
-    const version = feed.applied();
+  async function serveHere(
+    r: IncomingRequest,
+    reply: ResponseWriter,
+    gone: AbortSignal,
+    arrived: number,
+  ): Promise<void> {
+    const k = kindOf(feed.desiredState()!, r.tenant, r.kind);
+    const version = feed.appliedVersion();
     if (typeof k === 'string')
       return giveUp(
         r,
@@ -207,15 +231,15 @@
       if (r.idempotencyKey === undefined) await admitAndRun(r, reply, k, gone, arrived, version);
       else await claimAndRun(r, r.idempotencyKey, reply, k, gone, arrived, version);
     } finally {
-      admission.left();
+      admission.requestFinished();
     }
   }
 
   // A claim that was won but led to no send is given back, so that the requester may come again with its key.
   async function claimAndRun(
-    r: Incoming,
+    r: IncomingRequest,
     key: string,
-    reply: Reply,
+    reply: ResponseWriter,
     kind: KindTemplate,
     gone: AbortSignal,
     arrived: number,
@@ -229,33 +253,33 @@
     );
     if (c.tag === 'taken') return giveUp(r, reply, failure('claimed', `This key is taken: ${c.known}`));
     if (c.tag === 'failed') {
-      claims.tell('release', whole, r.id, '');
+      claims.reportResult('release', whole, r.id, '');
       return giveUp(r, reply, failure('claim_failed', 'The core did not answer the claim in time.', 2));
     }
     const end = await admitAndRun(r, reply, kind, gone, arrived, version);
-    if (end === 'not sent') claims.tell('release', whole, r.id, '');
-    else claims.tell('ended', whole, r.id, end);
+    if (end === 'not sent') claims.reportResult('release', whole, r.id, '');
+    else claims.reportResult('ended', whole, r.id, end);
   }
 
   function ready(): boolean {
-    return taking && feed.tenured() && feed.desired() !== undefined;
+    return taking && feed.hasLease() && feed.desiredState() !== undefined;
   }
 
   async function refusalBefore(
-    r: Incoming,
-    reply: Reply,
+    r: IncomingRequest,
+    reply: ResponseWriter,
     gone: AbortSignal,
     arrived: number,
   ): Promise<Failure | 'sent on' | undefined> {
     const t = promptFacts(r.prompt).tokens;
-    if (t > o.promptLimit)
-      return failure('prompt_too_long', `The prompt has ${t} tokens; the limit is ${o.promptLimit}.`);
+    if (t > o.maxPromptTokens)
+      return failure('prompt_too_long', `The prompt has ${t} tokens; the limit is ${o.maxPromptTokens}.`);
     if (ready()) return undefined;
-    if (!r.sentOn) {
+    if (!r.forwarded) {
       const at = Math.floor(w.random() * 64);
-      const all = feed.others();
+      const all = feed.otherRouters();
       const until = w.now() + sendOnFor;
-      const known = feed.desired() === undefined ? 'unknown_kind' : kindOf(feed.desired()!, r.tenant, r.kind);
+      const known = feed.desiredState() === undefined ? 'unknown_kind' : kindOf(feed.desiredState()!, r.tenant, r.kind);
       const limit = arrived + (typeof known === 'string' ? 30_000_000 : known.patienceMs * 1000);
       for (let i = 0; i < all.length && !gone.aborted && w.now() < Math.min(until, limit); i += 1) {
         if (await sendOn(all[(at + i) % all.length]!, r, reply, gone, arrived, limit)) return 'sent on';
@@ -270,7 +294,7 @@
     if (!taking) return failure('stopping', 'This router is stopping.');
     return failure(
       'no_tenure',
-      feed.tenured()
+      feed.hasLease()
         ? 'No desired state has been submitted yet.'
         : 'This router has lost touch with the control state.',
     );
@@ -279,8 +303,8 @@
   // The next router gets what is left of the patience, and no answer of its comes after that.
   function sendOn(
     to: string,
-    r: Incoming,
-    reply: Reply,
+    r: IncomingRequest,
+    reply: ResponseWriter,
     gone: AbortSignal,
     arrived: number,
     limit: number,
@@ -309,9 +333,9 @@
           late.abort();
         }),
       );
-      p.sendOn(
+      p.forward(
         to,
-        { ...r, spent: w.now() - arrived },
+        { ...r, elapsedUs: w.now() - arrived },
         {
           chunk: (t) => {
             if (over) return undefined;
@@ -327,8 +351,8 @@
   }
 
   async function admitAndRun(
-    r: Incoming,
-    reply: Reply,
+    r: IncomingRequest,
+    reply: ResponseWriter,
     kind: KindTemplate,
     gone: AbortSignal,
     arrived: number,
@@ -339,23 +363,23 @@
     const cost = facts.tokens + 4 * r.maxTokens;
     const waited = w.now() - arrived;
     let terms = kind;
-    function claimant(): Claimant {
-      const k = kindOf(feed.desired()!, r.tenant, r.kind);
+    function claimant(): AdmissionRequest {
+      const k = kindOf(feed.desiredState()!, r.tenant, r.kind);
       if (typeof k !== 'string') terms = k;
       return {
-        purse: `${r.tenant}/${r.kind}`,
+        fairShareKey: `${r.tenant}/${r.kind}`,
         share: terms.share,
-        worth: terms.worth,
+        priority: terms.worth,
         cost,
-        patience: terms.patienceMs * 1000,
-        waited,
+        timeoutUs: terms.patienceMs * 1000,
+        elapsedUs: waited,
       };
     }
-    const a = await admission.enter(claimant(), claimant);
+    const a = await admission.requestSlot(claimant(), claimant);
     if (a.tag === 'unable') {
       // A router that stops still serves what it has taken, so only the tenure is missing. One with a claim is not sent on.
       const f = r.idempotencyKey === undefined ? await refusalBefore(r, reply, gone, arrived) : undefined;
-      if (f === undefined && feed.tenured()) return admitAndRun(r, reply, terms, gone, arrived, feed.applied());
+      if (f === undefined && feed.hasLease()) return admitAndRun(r, reply, terms, gone, arrived, feed.appliedVersion());
       if (f !== 'sent on')
         giveUp(r, reply, f ?? failure('no_tenure', 'This router has lost touch with the control state.'));
       return 'not sent';
@@ -364,12 +388,12 @@
       giveUp(r, reply, failure('overloaded', 'There are more requests than the workers can take.', a.retryAfter));
       return 'not sent';
     }
-    const run = feed.record().running;
+    const run = feed.rehearsalRecord().running;
     const c: Course = {
       r,
       reply,
       kind: terms,
-      ledger: newLedger(),
+      ledger: createAttemptLedger(),
       facts,
       arrived,
       limit: arrived + terms.patienceMs * 1000,
@@ -378,7 +402,7 @@
         request: r.id,
         model: r.model,
         prompt: r.prompt,
-        digest: p.digest(r.prompt),
+        digest: p.digestPrompt(r.prompt),
         maxTokens: r.maxTokens,
         sampling: r.sampling ?? {},
       },
@@ -400,47 +424,48 @@
     gone.addEventListener('abort', left);
     let end: FailureKind | 'whole' | 'gone' = 'whole';
     try {
-      end = await run1(c, gone, a.begun);
+      end = await run1(c, gone, a.started);
     } finally {
-      a.begun();
+      a.started();
       c.unarm();
       gone.removeEventListener('abort', left);
       if (end === 'whole' || end === 'gone') note(ends, end);
       if (rehearsal !== undefined && c.arm !== 'none' && end !== 'gone') count(rehearsal, c, end);
     }
-    return c.ledger.sends.length === 0 ? 'not sent' : end;
+    return c.ledger.attempts.length === 0 ? 'not sent' : end;
   }
 
   async function run1(c: Course, gone: AbortSignal, begun: () => void): Promise<FailureKind | 'whole' | 'gone'> {
     for (;;) {
       if (gone.aborted) return 'gone';
-      if (!renew(c) && c.ledger.sends.length === 0) {
+      if (!renew(c) && c.ledger.attempts.length === 0) {
         const f = failure('unknown_kind', `Tenant ${c.r.tenant} has no kind ${c.r.kind} any more.`);
         giveUp(c.r, c.reply, f);
         return f.kind;
       }
-      if (c.ledger.sends.length === 0 && !feed.tenured()) {
+      if (c.ledger.attempts.length === 0 && !feed.hasLease()) {
         const f = failure('no_tenure', 'This router has lost touch with the control state.');
         giveUp(c.r, c.reply, f);
         return f.kind;
       }
       const ps = candidates('prefill', c.arm, c.tried);
       const ds = candidates('decode', c.arm, c.tried);
-      const step: Step = decide(c.ledger, {
-        repeatable: c.kind.repeatable,
-        timeLeft: c.abort.signal.aborted ? 0 : c.limit - w.now(),
-        extras: budget.room(),
+      const step: DecisionStep = decide(c.ledger, {
+        idempotent: c.kind.repeatable,
+        remainingUs: c.abort.signal.aborted ? 0 : c.limit - w.now(),
+        availableRetries: budget.availableRetries(),
         prefillWorkers: ps.length,
         decodeWorkers: ds.length,
         retryAfter: Math.max(1, Math.ceil(paceUs / 1e6)),
       });
       if (step.do === 'fail') {
-        if (step.failure.kind === 'answer_cut') w.log(5104, { request: c.r.id, worker: c.ledger.sends.at(-1)?.worker });
+        if (step.failure.kind === 'answer_cut')
+          w.log(5104, { request: c.r.id, worker: c.ledger.attempts.at(-1)?.worker });
         giveUp(c.r, c.reply, step.failure);
         return step.failure.kind;
       }
       // To carry on with a prompt that was read needs no tenure; to begin anew does.
-      if (!feed.tenured() && (step.do === 'prefill' || c.ledger.sends.at(-1)?.phase === 'decode')) {
+      if (!feed.hasLease() && (step.do === 'prefill' || c.ledger.attempts.at(-1)?.phase === 'decode')) {
         const f = failure(
           c.kind.repeatable ? 'workers_failed' : 'outcome_unknown',
           'A worker failed it, and this router has lost touch with the control state.',
@@ -463,27 +488,27 @@
 
   // Brings a request under the template in force; false when its kind is there no more, and then nothing begins anew.
   function renew(c: Course): boolean {
-    if (c.version === feed.applied()) return true;
-    const k = kindOf(feed.desired()!, c.r.tenant, c.r.kind);
-    c.version = feed.applied();
+    if (c.version === feed.appliedVersion()) return true;
+    const k = kindOf(feed.desiredState()!, c.r.tenant, c.r.kind);
+    c.version = feed.appliedVersion();
     c.kind = typeof k === 'string' ? { ...c.kind, repeatable: false } : k;
     c.limit = c.arrived + c.kind.patienceMs * 1000;
     armLimit(c);
     return typeof k !== 'string';
   }
 
-  function enterSend(c: Course, phase: 'prefill' | 'decode', worker: WorkerId): Send {
-    if (c.ledger.sends.length === 0) budget.first();
-    else if (c.ledger.sends.some((s) => s.phase === phase)) budget.extra();
-    p.sending?.(
+  function enterSend(c: Course, phase: 'prefill' | 'decode', worker: WorkerId): Attempt {
+    if (c.ledger.attempts.length === 0) budget.recordFirstAttempt();
+    else if (c.ledger.attempts.some((s) => s.phase === phase)) budget.recordRetry();
+    p.onAttempt?.(
       c.r.id,
       worker,
       phase,
-      c.ledger.sends.some((x) => x.phase === phase),
+      c.ledger.attempts.some((x) => x.phase === phase),
       c.version,
     );
-    const s: Send = { phase, worker, outcome: 'pending' };
-    c.ledger.sends.push(s);
+    const s: Attempt = { phase, worker, outcome: 'pending' };
+    c.ledger.attempts.push(s);
     return s;
   }
 
@@ -497,24 +522,24 @@
     const n = reasons.get(a.reason)!;
     if (!['scored', 'explored', 'only'].includes(a.reason) && Number.isInteger(Math.log10(n)))
       w.log(4001, { reason: a.reason, times: n });
-    const m = table.mark(a.worker.worker)!;
+    const m = table.workerState(a.worker.worker)!;
     c.assigned = a;
     c.sentAt = w.now();
     const s = enterSend(c, 'prefill', a.worker.worker);
     tree.insert(c.facts.blocks, a.worker.worker, w.now());
-    const end = table.began(a.worker.worker, 'prefill', c.facts.tokens);
-    const read = window.began();
+    const end = table.beginRequest(a.worker.worker, 'prefill', c.facts.tokens);
+    const read = window.beginPrefill();
     const patience = new AbortController();
     const dark = Math.max(2_000_000, 6_000_000 * (a.predicted ?? 0.5));
     const cancel = c.kind.repeatable ? w.after(micros(dark), () => patience.abort()) : () => undefined;
-    const x = await p.workers.prefill(m, c.job, AbortSignal.any([c.abort.signal, patience.signal]));
+    const x = await p.workerClient.prefill(m, c.job, AbortSignal.any([c.abort.signal, patience.signal]));
     cancel();
     end();
     read(x.tag === 'done' || c.abort.signal.aborted);
-    if (x.tag === 'done' && handleFits(x.handle, c.job, m)) {
+    if (x.tag === 'done' && isHandleFor(x.handle, c.job, m)) {
       s.outcome = 'done';
       c.handle = { h: x.handle, from: m };
-      table.went(a.worker.worker);
+      table.recordSuccess(a.worker.worker);
       paces.saw(
         a.worker.worker,
         c.facts.tokens - ((hits.get(a.worker.worker) ?? 0) * c.facts.tokens) / Math.max(1, c.facts.blocks.length),
@@ -525,27 +550,27 @@
     }
     s.outcome = x.tag === 'notStarted' ? 'notStarted' : 'unknown';
     c.tried.add(a.worker.worker);
-    if (x.tag === 'notStarted' && (x.why === 'queue_full' || x.why === 'wrong_part')) return;
-    if (!c.abort.signal.aborted) blame(c, a.worker.worker, x.tag === 'done' ? 'handle of another request' : x.why);
+    if (x.tag === 'notStarted' && (x.reason === 'queue_full' || x.reason === 'wrong_part')) return;
+    if (!c.abort.signal.aborted) blame(c, a.worker.worker, x.tag === 'done' ? 'handle of another request' : x.reason);
   }
 
   function blame(c: Course, worker: WorkerId, why: string): void {
     w.log(5103, { request: c.r.id, worker, why });
-    table.failed(worker);
+    table.recordFailure(worker);
   }
 
   // True once the answer is whole. The requester sees nothing of a send that failed before its first byte.
   async function decode(c: Course, ds: Candidate[]): Promise<boolean> {
     const d = assignDecode(ds, w.random)!;
-    const m = table.mark(d.worker)!;
+    const m = table.workerState(d.worker)!;
     const s = enterSend(c, 'decode', d.worker);
-    const end = table.began(d.worker, 'decode', c.facts.tokens + c.r.maxTokens);
+    const end = table.beginRequest(d.worker, 'decode', c.facts.tokens + c.r.maxTokens);
     const patience = new AbortController();
     const cancel = c.kind.repeatable ? w.after(micros(3_000_000), () => patience.abort()) : () => undefined;
     function chunk(text: string): void | Promise<void> {
       if (c.abort.signal.aborted) return undefined;
-      if (!c.ledger.firstByte) {
-        c.ledger.firstByte = true;
+      if (!c.ledger.firstByteSent) {
+        c.ledger.firstByteSent = true;
         c.firstAt = w.now();
         cancel();
         learn(c);
@@ -553,12 +578,18 @@
       c.chunks += 1;
       return c.reply.chunk(text);
     }
-    const x = await p.workers.decode(m, c.job, c.handle!.h, chunk, AbortSignal.any([c.abort.signal, patience.signal]));
+    const x = await p.workerClient.decode(
+      m,
+      c.job,
+      c.handle!.h,
+      chunk,
+      AbortSignal.any([c.abort.signal, patience.signal]),
+    );
     cancel();
     end();
     if (x.tag === 'done') {
       s.outcome = 'done';
-      table.went(d.worker);
+      table.recordSuccess(d.worker);
       paceUs += 0.05 * (w.now() - c.arrived - paceUs);
       if (!c.abort.signal.aborted) c.reply.end(x.finish);
       w.log(5101, { request: c.r.id, kind: c.r.kind, us: w.now() - c.arrived });
@@ -566,17 +597,17 @@
     }
     s.outcome = x.tag;
     if (x.tag === 'lapsed') return false;
-    if (x.tag === 'notStarted' && (x.why === 'queue_full' || x.why === 'kv_full' || x.why === 'wrong_part')) {
+    if (x.tag === 'notStarted' && (x.reason === 'queue_full' || x.reason === 'kv_full' || x.reason === 'wrong_part')) {
       c.tried.add(d.worker);
       return false;
     }
     c.tried.add(d.worker);
-    if (!c.abort.signal.aborted) blame(c, d.worker, x.why);
+    if (!c.abort.signal.aborted) blame(c, d.worker, x.reason);
     return false;
   }
 
   function learn(c: Course): void {
-    if (c.assigned === undefined || c.ledger.sends.length !== 2) return;
+    if (c.assigned === undefined || c.ledger.attempts.length !== 2) return;
     samples.push({ x: c.assigned.row, y: -(c.firstAt - c.sentAt) / 1e6 });
     if (samples.length >= batchSize) flush();
   }
@@ -584,9 +615,9 @@
   function flush(): void {
     flushedAt = w.now();
     if (samples.length === 0) return;
-    w.send(o.agent, {
+    w.send(o.agentAddress, {
       kind: 'Samples',
-      from: o.router,
+      from: o.routerId,
       count: samples.length,
       width,
       rows: encodeSamples(samples, width),
@@ -611,40 +642,40 @@
     for (const old of arms.keys()) if (arms.size > 64 && !old.startsWith(rehearsal)) arms.delete(old);
   }
 
-  function giveUp(r: Incoming, reply: Reply, f: Failure): void {
+  function giveUp(r: IncomingRequest, reply: ResponseWriter, f: Failure): void {
     w.log(5102, { request: r.id, kind: f.kind, tenant: r.tenant, of: r.kind });
     note(ends, f.kind);
     reply.fail(f);
   }
 
   function receive(m: Message): void {
-    if (m.kind === 'ClaimAnswer') return claims.answer(m);
+    if (m.kind === 'ClaimAnswer') return claims.receiveAnswer(m);
     if (m.kind !== 'Feed') return;
-    for (const x of table.marks(m.workers)) {
+    for (const x of table.mergeStates(m.workers)) {
       tree.forget(x);
       paces.forget(x);
     }
-    table.reports(m.reports);
-    const before = feed.applied();
-    feed.take(m);
-    if (feed.applied() !== before) tell();
+    table.mergeReports(m.reports);
+    const before = feed.appliedVersion();
+    feed.receive(m);
+    if (feed.appliedVersion() !== before) tell();
   }
 
   // A router that stops says that it has applied all there will ever be: no change need wait for its tenure.
-  function tell(applied: number = feed.applied()): void {
+  function tell(applied: number = feed.appliedVersion()): void {
     if (w.now() - flushedAt > 5_000_000) flush();
     const t = budget.totals();
-    w.send(o.agent, {
+    w.send(o.agentAddress, {
       kind: 'RouterState',
-      router: o.router,
-      http: o.http,
+      router: o.routerId,
+      http: o.httpAddress,
       asked: w.now(),
       applied,
       first: t.first,
       extra: t.extra,
-      allowance: budget.granted(),
+      allowance: budget.grantProbes(),
       arms: [...arms.values()],
-      have: feed.have(),
+      have: feed.heldVersions(),
     });
   }
 
@@ -655,29 +686,29 @@
     () => tell(),
   );
   return {
-    serve,
+    handleRequest: serve,
     receive,
     feed,
-    table,
-    figures: () => ({
-      router: o.router,
-      tenured: feed.tenured(),
-      desiredVersion: feed.applied(),
-      live: feed.record().live?.version,
-      running: feed.record().running?.id,
+    workerTable: table,
+    metrics: () => ({
+      router: o.routerId,
+      tenured: feed.hasLease(),
+      desiredVersion: feed.appliedVersion(),
+      live: feed.rehearsalRecord().live?.version,
+      running: feed.rehearsalRecord().running?.id,
       active,
-      waiting: admission.waiting(),
+      waiting: admission.queueLength(),
       window: Math.round(window.size()),
       ends: Object.fromEntries(ends),
       placement: Object.fromEntries(reasons),
       ...budget.totals(),
-      probes: budget.granted(),
+      probes: budget.grantProbes(),
       treeBlocks: tree.size(),
     }),
-    stopTaking: () => {
+    stopAccepting: () => {
       taking = false;
     },
-    active: () => active,
+    activeRequests: () => active,
     stop: () => {
       stopTelling();
       admission.stop();
--- a/programs/request-router/src/worker-port.ts
+++ b/programs/request-router/src/worker-client.ts
@@ -4,7 +4,7 @@
  */
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 
-export interface WorkerJob {
+export interface WorkerRequest {
   readonly request: string;
   readonly model: string;
   readonly prompt: string;
@@ -19,7 +19,7 @@
   readonly seed?: number;
   readonly user?: string;
 }
-export interface HandleParams {
+export interface KvTransferParams {
   readonly remote_engine_id: string;
   readonly remote_block_ids: readonly string[];
   readonly remote_host: string;
@@ -29,21 +29,21 @@
   readonly incarnation: number;
 }
 export type PrefillResult =
-  | { readonly tag: 'done'; readonly handle: HandleParams }
-  | { readonly tag: 'notStarted'; readonly why: string }
-  | { readonly tag: 'unknown'; readonly why: string };
+  | { readonly tag: 'done'; readonly handle: KvTransferParams }
+  | { readonly tag: 'notStarted'; readonly reason: string }
+  | { readonly tag: 'unknown'; readonly reason: string };
 export type DecodeResult =
   | { readonly tag: 'done'; readonly finish: string }
-  | { readonly tag: 'notStarted'; readonly why: string }
-  | { readonly tag: 'lapsed'; readonly why: string }
-  | { readonly tag: 'unknown'; readonly why: string };
+  | { readonly tag: 'notStarted'; readonly reason: string }
+  | { readonly tag: 'lapsed'; readonly reason: string }
+  | { readonly tag: 'unknown'; readonly reason: string };
 
-export interface WorkerPort {
-  readonly prefill: (m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal) => Promise<PrefillResult>;
+export interface WorkerClient {
+  readonly prefill: (m: WorkerStateEntry, j: WorkerRequest, signal: AbortSignal) => Promise<PrefillResult>;
   readonly decode: (
     m: WorkerStateEntry,
-    j: WorkerJob,
-    h: HandleParams,
+    j: WorkerRequest,
+    h: KvTransferParams,
     chunk: (text: string) => void | Promise<void>,
     signal: AbortSignal,
   ) => Promise<DecodeResult>;
@@ -51,7 +51,7 @@
 
 // The router's end of the hand-over check: the handle must name the request, the prompt and the very
 // worker and incarnation that was asked to read it.
-export function handleFits(h: HandleParams, j: WorkerJob, m: WorkerStateEntry): boolean {
+export function isHandleFor(h: KvTransferParams, j: WorkerRequest, m: WorkerStateEntry): boolean {
   return (
     h.request_id === j.request &&
     h.prompt_digest === j.digest &&
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -7,40 +7,40 @@
 import type { Candidate, Paces } from '@tansypost/placement';
 import type { Part } from '@tansypost/rehearsal';
 
-interface Deed {
+interface LoadChange {
   readonly at: number;
-  readonly by: number;
+  readonly delta: number;
   readonly kv: number;
 }
 interface Row {
-  mark: WorkerStateEntry;
+  state: WorkerStateEntry;
   report: { r: WorkerReport; at: number } | undefined;
-  deeds: Deed[];
+  loadChanges: LoadChange[];
   running: number;
   prefillTokens: number;
   decodeTokens: number;
   failures: number;
-  restUntil: number;
+  ejectedUntil: number;
   failedAt: number;
-  nonsenseAt?: number;
+  invalidReportAt?: number;
 }
 export interface WorkerTable {
-  readonly marks: (ms: readonly WorkerStateEntry[]) => string[];
-  readonly reports: (rs: readonly WorkerReport[]) => void;
-  readonly began: (w: WorkerId, phase: 'prefill' | 'decode', tokens: number) => () => void;
-  readonly failed: (w: WorkerId) => void;
-  readonly went: (w: WorkerId) => void;
-  readonly mark: (w: WorkerId) => WorkerStateEntry | undefined;
-  readonly reportedPart: (w: WorkerId) => Part | undefined;
+  readonly mergeStates: (ms: readonly WorkerStateEntry[]) => string[];
+  readonly mergeReports: (rs: readonly WorkerReport[]) => void;
+  readonly beginRequest: (w: WorkerId, phase: 'prefill' | 'decode', tokens: number) => () => void;
+  readonly recordFailure: (w: WorkerId) => void;
+  readonly recordSuccess: (w: WorkerId) => void;
+  readonly workerState: (w: WorkerId) => WorkerStateEntry | undefined;
+  readonly reportedStage: (w: WorkerId) => Part | undefined;
   readonly candidates: (
     phase: 'prefill' | 'decode',
     part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
     without: ReadonlySet<string>,
   ) => Candidate[];
-  readonly view: () => object[];
+  readonly snapshot: () => object[];
 }
 
-export function sane(r: WorkerReport): boolean {
+export function isPlausibleReport(r: WorkerReport): boolean {
   return r.queued >= 0 && r.active >= 0 && r.queued < 1e6 && r.active < 1e6 && r.kvUsed >= 0 && r.kvUsed <= 1;
 }
 
@@ -51,20 +51,20 @@
     const renewed: string[] = [];
     for (const m of ms) {
       const r = rows.get(m.worker);
-      if (r === undefined || m.incarnation > r.mark.incarnation) {
+      if (r === undefined || m.incarnation > r.state.incarnation) {
         rows.set(m.worker, {
-          mark: m,
+          state: m,
           report: undefined,
-          deeds: [],
+          loadChanges: [],
           running: 0,
           prefillTokens: 0,
           decodeTokens: 0,
           failures: 0,
-          restUntil: 0,
+          ejectedUntil: 0,
           failedAt: -Infinity,
         });
         if (r !== undefined) renewed.push(m.worker);
-      } else if (m.incarnation === r.mark.incarnation && m.state > r.mark.state) r.mark = m;
+      } else if (m.incarnation === r.state.incarnation && m.state > r.state.state) r.state = m;
     }
     return renewed;
   }
@@ -73,15 +73,15 @@
     for (const r of rs) {
       const x = rows.get(r.worker);
       const at = now() - r.age;
-      if (x === undefined || r.incarnation !== x.mark.incarnation || (x.report !== undefined && at <= x.report.at))
+      if (x === undefined || r.incarnation !== x.state.incarnation || (x.report !== undefined && at <= x.report.at))
         continue;
-      if (!sane(r)) {
-        if (at > (x.nonsenseAt ?? -Infinity)) failed(r.worker as WorkerId);
-        x.nonsenseAt = at;
+      if (!isPlausibleReport(r)) {
+        if (at > (x.invalidReportAt ?? -Infinity)) failed(r.worker as WorkerId);
+        x.invalidReportAt = at;
         continue;
       }
       x.report = { r, at };
-      x.deeds = x.deeds.filter((d) => d.at > at);
+      x.loadChanges = x.loadChanges.filter((d) => d.at > at);
     }
   }
 
@@ -103,8 +103,8 @@
     };
   }
   function deed(x: Row, by: number): void {
-    if (x.deeds.length > 4000) x.deeds.shift();
-    x.deeds.push({ at: now(), by, kv: 0 });
+    if (x.loadChanges.length > 4000) x.loadChanges.shift();
+    x.loadChanges.push({ at: now(), delta: by, kv: 0 });
   }
 
   function failed(w: WorkerId): void {
@@ -112,7 +112,7 @@
     if (x === undefined) return;
     x.failures += 1;
     x.failedAt = now();
-    x.restUntil = now() + Math.min(8_000_000, 500_000 * 2 ** Math.min(4, x.failures - 1));
+    x.ejectedUntil = now() + Math.min(8_000_000, 500_000 * 2 ** Math.min(4, x.failures - 1));
   }
   function went(w: WorkerId): void {
     const x = rows.get(w);
@@ -121,26 +121,26 @@
   // After a failure a worker rests; until a report of later than that shows that it answers, it rests four times as long,
   // as every request that tries it in vain costs an extra send.
   function resting(x: Row, t: number): boolean {
-    if (x.restUntil > t) return true;
+    if (x.ejectedUntil > t) return true;
     const heard = x.report !== undefined && x.report.at > x.failedAt;
-    return !heard && t < x.failedAt + Math.min(8_000_000, 4 * (x.restUntil - x.failedAt));
+    return !heard && t < x.failedAt + Math.min(8_000_000, 4 * (x.ejectedUntil - x.failedAt));
   }
 
   function candidate(x: Row): Candidate {
     // Reports are paid for by traffic, so in a lull they stop; an old one must not go on speaking.
     const r = x.report !== undefined && now() - x.report.at < 5_000_000 ? x.report.r : undefined;
-    const since = x.deeds.reduce((a, d) => a + d.by, 0);
+    const since = x.loadChanges.reduce((a, d) => a + d.delta, 0);
     const all = Math.max(x.running, r === undefined ? x.running : r.queued + r.active + since);
     const queued = r === undefined ? 0 : Math.min(r.queued, all);
     return {
-      worker: x.mark.worker as WorkerId,
-      incarnation: x.mark.incarnation,
+      worker: x.state.worker as WorkerId,
+      incarnation: x.state.incarnation,
       running: Math.max(0, all - queued),
       queued,
       prefillTokens: x.prefillTokens,
       decodeTokens: x.decodeTokens,
       kvUsed: r?.kvUsed ?? 0,
-      speedClass: paces.speedClass(x.mark.worker),
+      speedClass: paces.speedClass(x.state.worker),
     };
   }
 
@@ -151,27 +151,27 @@
   ): Candidate[] {
     const not = phase === 'prefill' ? 'decode' : 'prefill';
     const fit = [...rows.values()].filter(
-      (x) => x.mark.state === 1 && part(x.mark, x.report?.r.part as Part | undefined) !== not,
+      (x) => x.state.state === 1 && part(x.state, x.report?.r.part as Part | undefined) !== not,
     );
     const t = now();
-    const well = fit.filter((x) => !resting(x, t) && !without.has(x.mark.worker));
+    const well = fit.filter((x) => !resting(x, t) && !without.has(x.state.worker));
     if (well.length > 0) return well.map(candidate);
-    const rest = fit.filter((x) => !without.has(x.mark.worker));
+    const rest = fit.filter((x) => !without.has(x.state.worker));
     return (rest.length > 0 ? rest : fit).map(candidate);
   }
 
   return {
-    marks,
-    reports,
-    began,
-    failed,
-    went,
+    mergeStates: marks,
+    mergeReports: reports,
+    beginRequest: began,
+    recordFailure: failed,
+    recordSuccess: went,
     candidates,
-    mark: (w) => rows.get(w)?.mark,
-    reportedPart: (w) => rows.get(w)?.report?.r.part as Part | undefined,
-    view: () =>
+    workerState: (w) => rows.get(w)?.state,
+    reportedStage: (w) => rows.get(w)?.report?.r.part as Part | undefined,
+    snapshot: () =>
       [...rows.values()].map((x) => ({
-        ...x.mark,
+        ...x.state,
         running: x.running,
         failures: x.failures,
         resting: resting(x, now()),
@@ -186,21 +186,21 @@
   it('tries a worker that failed sooner once a report of later shows that it answers', () => {
     let t = 0;
     const table = createWorkerTable(() => micros(t), { speedClass: () => 0 } as unknown as Paces);
-    table.marks([1, 2].map((n) => ({ worker: `w${n}`, incarnation: 1, state: 1, address: 'x' })));
+    table.mergeStates([1, 2].map((n) => ({ worker: `w${n}`, incarnation: 1, state: 1, address: 'x' })));
     function names(): string {
       return table
         .candidates('prefill', () => 'both', new Set())
         .map((c) => c.worker)
         .join(' ');
     }
-    table.failed('w1' as WorkerId);
+    table.recordFailure('w1' as WorkerId);
     t = 600_000;
     expect(names()).toBe('w2');
     t = 2_100_000;
     expect(names()).toBe('w1 w2');
-    table.failed('w1' as WorkerId);
+    table.recordFailure('w1' as WorkerId);
     t = 3_000_000;
-    table.reports([
+    table.mergeReports([
       { worker: 'w1', incarnation: 1, queued: 0, active: 0, kvUsed: 0, part: 'both', age: 100_000, fence: 0 },
     ]);
     t = 3_200_000;
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -37,26 +37,26 @@
   type VerdictOptions,
 } from '@tansypost/rehearsal';
 import * as E from 'fp-ts/lib/Either.js';
-import { createAsker } from './ask.js';
-import { createNews, type News } from './news.js';
-import { createPartsDuty } from './parts-duty.js';
-import { createReports, type FetchedReport } from './reports.js';
+import { createAgentControlClient } from './control-client.js';
+import { createKeyUpdateRelay, type KeyUpdateRelay } from './key-update-relay.js';
+import { createStageAssignment } from './stage-assignment.js';
+import { createLoadReports, type FetchedReport } from './load-reports.js';
 
 export interface AgentOptions {
   readonly member: string;
   readonly self: Address;
   readonly zone: string;
-  readonly router: Address;
-  readonly routerHttp: string;
+  readonly routerAddress: Address;
+  readonly routerHttpAddress: string;
   readonly service: string;
   readonly seeds: readonly Address[];
   readonly slot: number;
-  readonly born: number;
-  readonly dutyTenure: number;
-  readonly trainEvery: number;
-  readonly shiftParts: boolean;
-  readonly slice: number;
-  readonly rehearsalLimit: number;
+  readonly incarnation: number;
+  readonly roleLeaseUs: number;
+  readonly samplesPerTraining: number;
+  readonly shiftStages: boolean;
+  readonly treatmentShare: number;
+  readonly rehearsalTimeLimitUs: number;
   readonly persisted: {
     readonly entries: readonly MemberEntry[];
     readonly marks: readonly WorkerStateEntry[];
@@ -64,26 +64,26 @@
     readonly replicas: readonly ReplicaEntry[];
   };
   readonly verdict?: VerdictOptions;
-  readonly ackPatience?: number;
-  readonly shiftHold?: number;
-  readonly shiftRest?: number;
+  readonly submitTimeoutUs?: number;
+  readonly shiftHoldUs?: number;
+  readonly shiftCooldownUs?: number;
 }
 export const agentDefaults = {
-  dutyTenure: 3_000_000,
-  trainEvery: 1000,
-  shiftParts: true,
-  slice: 0.1,
-  rehearsalLimit: 600_000_000,
+  roleLeaseUs: 3_000_000,
+  samplesPerTraining: 1000,
+  shiftStages: true,
+  treatmentShare: 0.1,
+  rehearsalTimeLimitUs: 600_000_000,
   persisted: { entries: [], marks: [], membershipEpoch: 0, replicas: [] },
 };
 export interface AgentPorts {
   readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
-  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly orderStage: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly trainer: TrainerPort;
   readonly save: (p: AgentOptions['persisted']) => void;
-  readonly wall: () => number;
+  readonly wallClockUs: () => number;
   // Told of each change that this agent sees.
-  readonly changed?: (e: TraceEvent) => void;
+  readonly onTraceEvent?: (e: TraceEvent) => void;
 }
 export interface TraceEvent {
   readonly at: number;
@@ -91,7 +91,7 @@
   readonly key: string;
   readonly version: number;
 }
-export type Submitted =
+export type SubmitResult =
   | { readonly answer: 'acknowledged'; readonly version: number; readonly change: string }
   | { readonly answer: 'refused'; readonly faults: readonly Fault[]; readonly change: string }
   | { readonly answer: 'lost the race'; readonly version: number; readonly change: string }
@@ -99,23 +99,23 @@
 
 export interface AgentCore {
   readonly receive: (m: Message, from: Address) => void;
-  readonly platform: (
+  readonly applyPlatformStates: (
     ms: readonly WorkerStateEntry[],
   ) => Promise<{ readonly fresh: WorkerStateEntry[]; readonly confirmed: boolean }>;
-  readonly submit: (base: number, change: string, state: unknown) => Promise<Submitted>;
-  readonly readDesired: () => Promise<AskResult>;
-  readonly lookup: (change: string) => Promise<AskResult>;
-  readonly rehearsals: () => RehearsalRecord;
-  readonly decide: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
+  readonly submit: (base: number, change: string, state: unknown) => Promise<SubmitResult>;
+  readonly readDesiredState: () => Promise<AskResult>;
+  readonly lookUpChange: (change: string) => Promise<AskResult>;
+  readonly rehearsalRecord: () => RehearsalRecord;
+  readonly decideRehearsal: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
   readonly members: () => MemberEntry[];
-  readonly marks: () => WorkerStateEntry[];
+  readonly workerStates: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
-  readonly news: News;
-  readonly holds: (duty: string) => number | undefined;
-  readonly figures: () => Record<string, unknown>;
+  readonly keyUpdates: KeyUpdateRelay;
+  readonly heldEpoch: (duty: string) => number | undefined;
+  readonly metrics: () => Record<string, unknown>;
   readonly stop: () => void;
 }
-export const dutyNames = ['parts', 'training', 'rehearsals'] as const;
+export const singletonRoles = ['parts', 'training', 'rehearsals'] as const;
 
 export function createAgentCore(w: World, o: AgentOptions, p: AgentPorts): AgentCore {
   let core: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
@@ -143,18 +143,18 @@
   }
 
   const candidates = new Map<string, Candidate>(
-    dutyNames.map((d) => [
+    singletonRoles.map((d) => [
       d,
       createCandidate(w, {
         role: d,
         member: o.member,
         self: o.self,
         slot: o.slot,
-        leaseDuration: o.dutyTenure,
+        leaseDuration: o.roleLeaseUs,
         replicas: () => core,
         isWilling: () => w.now() - started > 1_000_000,
         onElected: () => {
-          if (d === 'parts') parts.won();
+          if (d === 'parts') parts.onElected();
         },
         onLeaseLost: () => undefined,
       }),
@@ -173,8 +173,8 @@
     member: o.member,
     self: o.self,
     zone: o.zone,
-    routerHttpAddress: o.routerHttp,
-    incarnation: o.born,
+    routerHttpAddress: o.routerHttpAddress,
+    incarnation: o.incarnation,
     seeds: o.seeds,
     persisted: o.persisted.entries,
     viewSize: 8,
@@ -190,52 +190,52 @@
   function save(es: readonly MemberEntry[]): void {
     p.save({ entries: es, marks: marks.all(), membershipEpoch: core.membershipEpoch, replicas: core.replicas });
   }
-  const asker = createAsker(w, o.self, () => core.replicas);
-  const news = createNews(w, {
+  const asker = createAgentControlClient(w, o.self, () => core.replicas);
+  const news = createKeyUpdateRelay(w, {
     self: o.self,
     member: o.member,
     service: o.service,
-    zone: views.zoneMembers,
+    zoneMembers: views.zoneMembers,
     replicas: () => core.replicas,
-    heardCore,
-    changed: (n) => {
+    onControlMembership: heardCore,
+    onUpdate: (n) => {
       note('news', n.key, n.version);
       feed();
     },
-    granted: (g) => {
+    onLeaseGrant: (g) => {
       grants = [g];
       grantedAt = w.now();
       feed();
     },
   });
-  const reports = createReports(w, {
+  const reports = createLoadReports(w, {
     self: o.self,
-    isHome: news.isHome,
-    home: news.home,
-    homes,
+    isZoneLeader: news.isZoneLeader,
+    zoneLeader: news.zoneLeader,
+    zoneLeaders: homes,
     subscribers: news.subscribers,
     workers: ready,
-    fetch: p.fetchReport,
-    changed: () => undefined,
+    fetchReport: p.fetchReport,
+    onChange: () => undefined,
   });
   function record(): Buffer | undefined {
     return news.get(`rehearsal/${o.service}`)?.value;
   }
   const writer = createRecordWriter(w, o.service, asker, (version, epoch, value) =>
-    news.learn({ key: `rehearsal/${o.service}`, epoch, version, value }),
+    news.mergeUpdate({ key: `rehearsal/${o.service}`, epoch, version, value }),
   );
-  const parts = createPartsDuty(w, {
-    holds: () => holds('parts'),
+  const parts = createStageAssignment(w, {
+    heldEpoch: () => holds('parts'),
     record: () => record() ?? Buffer.alloc(0),
     workers: ready,
     reports: () => reports.all().filter((r) => r.active >= 0),
     writer,
-    order: p.order,
-    shift: o.shiftParts,
-    slice: o.slice,
+    orderStage: p.orderStage,
+    shiftStages: o.shiftStages,
+    treatmentShare: o.treatmentShare,
     approval,
-    hold: o.shiftHold,
-    rest: o.shiftRest,
+    shiftHoldUs: o.shiftHoldUs,
+    shiftCooldownUs: o.shiftCooldownUs,
   });
   const training = createTrainingDuty(w, {
     service: o.service,
@@ -244,15 +244,15 @@
     asker,
     writer,
     trainer: p.trainer,
-    every: o.trainEvery,
-    slice: o.slice,
+    every: o.samplesPerTraining,
+    slice: o.treatmentShare,
     approval,
   });
   const keeping = createRehearsalDuty(w, {
     holds: () => holds('rehearsals'),
     record,
     writer,
-    timeLimit: o.rehearsalLimit,
+    timeLimit: o.rehearsalTimeLimitUs,
     verdict: o.verdict,
   });
 
@@ -275,8 +275,8 @@
     return [...zones.values()].map((es) => rendezvous(o.service, es, (x) => x.member)[0]!.address as Address);
   }
   function note(what: string, key: string, version: number): void {
-    traces.push({ at: p.wall(), what, key, version });
-    if (!key.startsWith('blob/')) p.changed?.(traces.at(-1)!);
+    traces.push({ at: p.wallClockUs(), what, key, version });
+    if (!key.startsWith('blob/')) p.onTraceEvent?.(traces.at(-1)!);
     if (traces.length > 500) traces = traces.slice(-400);
   }
 
@@ -287,7 +287,7 @@
       const h = at.get(n.key);
       return h === undefined || n.version > h.version || (n.version === h.version && n.epoch > h.epoch);
     });
-    w.send(o.router, {
+    w.send(o.routerAddress, {
       kind: 'Feed',
       workers: marks.all(),
       reports: reports.all(),
@@ -296,7 +296,7 @@
       contact: views.isInContact(),
       others: views
         .liveMembers()
-        .filter((e) => e.tenured && e.http !== o.routerHttp)
+        .filter((e) => e.tenured && e.http !== o.routerHttpAddress)
         .map((e) => e.http),
     });
   }
@@ -307,8 +307,8 @@
       note('applied', `desired/${o.service}`, m.applied);
     router = m;
     routerAt = w.now();
-    news.routerAsks(m.router, m.asked, m.applied);
-    reports.routerGrants(m.router, m.first, m.extra, m.allowance);
+    news.requestRouterLease(m.router, m.asked, m.applied);
+    reports.setProbeAllowance(m.router, m.first, m.extra, m.allowance);
     feed();
   }
 
@@ -375,21 +375,21 @@
       case 'Answer':
         return asker.answer(m);
       case 'News':
-        return news.onNews(m);
+        return news.receiveUpdates(m);
       case 'Subscribe':
-        return news.onSubscribe(m);
+        return news.receiveSubscription(m);
       case 'Leases':
-        return news.onTenures(m);
+        return news.receiveLeases(m);
       case 'BallotVote':
         return candidates.get(m.duty)?.receiveVote(m);
       case 'Reports':
-        return reports.take(m);
+        return reports.receive(m);
       case 'Demand':
-        return reports.demand(m);
+        return reports.receiveDemand(m);
       case 'RouterState':
         return onRouterState(m);
       case 'Samples': {
-        if (from === o.router) return toHolder('training', m, () => training.samples(m));
+        if (from === o.routerAddress) return toHolder('training', m, () => training.samples(m));
         if (holds('training') !== undefined) training.samples(m);
         return undefined;
       }
@@ -421,7 +421,7 @@
     void asker.ask({ op: 'claim', key: claimBucketKey(m.key), value, patience: 2_500_000 }).then((r) => {
       const known = r.value.toString();
       const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
-      w.send(o.router, { kind: 'ClaimAnswer', id: m.id, status, known });
+      w.send(o.routerAddress, { kind: 'ClaimAnswer', id: m.id, status, known });
     });
   }
 
@@ -457,7 +457,7 @@
     });
   }
 
-  async function submit(base: number, change: string, state: unknown): Promise<Submitted> {
+  async function submit(base: number, change: string, state: unknown): Promise<SubmitResult> {
     const d = checkDesiredState(state);
     if (E.isLeft(d)) return { answer: 'refused', faults: d.left, change };
     const r = await asker.ask({
@@ -466,7 +466,7 @@
       change,
       base,
       value: Buffer.from(JSON.stringify(d.right)),
-      patience: o.ackPatience ?? 25_000_000,
+      patience: o.submitTimeoutUs ?? 25_000_000,
     });
     if (r.status === 'done') return { answer: 'acknowledged', version: r.version, change };
     if (r.status === 'lost') return { answer: 'lost the race', version: r.version, change };
@@ -513,30 +513,30 @@
   ];
   return {
     receive,
-    platform,
+    applyPlatformStates: platform,
     submit,
-    decide,
-    news,
-    holds,
-    readDesired: () => asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 8_000_000 }),
-    lookup: (change) => asker.ask({ op: 'lookup', key: `desired/${o.service}`, change, patience: 8_000_000 }),
-    rehearsals: () => {
+    decideRehearsal: decide,
+    keyUpdates: news,
+    heldEpoch: holds,
+    readDesiredState: () => asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 8_000_000 }),
+    lookUpChange: (change) => asker.ask({ op: 'lookup', key: `desired/${o.service}`, change, patience: 8_000_000 }),
+    rehearsalRecord: () => {
       const b = record();
       return b === undefined ? emptyRecord : readRecord(b);
     },
     members: () => [...views.liveMembers()],
-    marks: () => marks.all(),
+    workerStates: () => marks.all(),
     trace: (k, v) => traces.filter((t) => t.key === k && t.version === v),
-    figures: () => ({
+    metrics: () => ({
       member: o.member,
       zone: o.zone,
-      home: news.home(),
-      isHome: news.isHome(),
+      home: news.zoneLeader(),
+      isHome: news.isZoneLeader(),
       core,
       members: views.liveMembers().length,
       duties: duties(),
       training: training.figures(),
-      orders: parts.orders(),
+      orders: parts.orderCount(),
       probes: reports.probes(),
       routerHeard: w.now() - routerAt < 2_000_000,
     }),
@@ -586,20 +586,20 @@
         member: 'a1',
         self: 'a1:1' as Address,
         zone: 'z',
-        router: 'r1:1' as Address,
-        routerHttp: 'r1',
+        routerAddress: 'r1:1' as Address,
+        routerHttpAddress: 'r1',
         service: 'main',
         seeds: [],
         slot: 1,
-        born: 9,
+        incarnation: 9,
         persisted: { entries, marks, membershipEpoch: 1, replicas },
       },
       {
         fetchReport: async () => undefined,
-        order: async () => undefined,
+        orderStage: async () => undefined,
         trainer: { add: () => undefined, train: async () => Buffer.alloc(0) },
         save: () => undefined,
-        wall: () => t,
+        wallClockUs: () => t,
       },
     );
     function step(us: number): void {
@@ -667,7 +667,7 @@
     expect(b.granted()).toBe(false);
     b.tell({ kind: 'Marks', marks: [{ ...kept, state: 2 }], whole: true, warm: true }, 'a2:1');
     expect(b.granted()).toBe(true);
-    expect(b.agent.marks().find((m) => m.worker === 'w')!.state).toBe(2);
+    expect(b.agent.workerStates().find((m) => m.worker === 'w')!.state).toBe(2);
   });
   it('serves after all agents have started together, and as the only agent there is', () => {
     const b = bench([kept], [entry('a2', 0), entry('a3', 0)]);
--- a/programs/router-agent/src/views-file.ts
+++ b/programs/router-agent/src/agent-state-file.ts
@@ -7,12 +7,12 @@
 import { join } from 'node:path';
 import { agentDefaults, type AgentOptions } from './agent-core.js';
 
-export interface ViewsFile {
+export interface AgentStateFile {
   readonly read: () => AgentOptions['persisted'];
   readonly save: (p: AgentOptions['persisted']) => void;
 }
 
-export function createViewsFile(folder: string | undefined): ViewsFile {
+export function createAgentStateFile(folder: string | undefined): AgentStateFile {
   if (folder === undefined) return { read: () => agentDefaults.persisted, save: () => undefined };
   mkdirSync(folder, { recursive: true });
   const name = join(folder, 'views.json');
--- a/programs/router-agent/src/app.ts
+++ b/programs/router-agent/src/app.ts
@@ -31,7 +31,7 @@
 export interface AgentAppOptions {
   readonly core: AgentCore;
   readonly service: string;
-  readonly sink?: EventSink['figures'];
+  readonly sinkStatistics?: EventSink['statistics'];
 }
 
 export function createAgentApp(o: AgentAppOptions): FastifyInstance {
@@ -58,7 +58,7 @@
     const e = [...Value.Errors(WorkerCall, q.body)][0];
     if (e !== undefined) return bad(a, `${e.path}: ${e.message}`, 'Correct the field named.');
     const b = q.body as Static<typeof WorkerCall>;
-    const r = await core.platform([
+    const r = await core.applyPlatformStates([
       { worker: b.worker, incarnation: b.incarnation, state: workerStates.indexOf(b.state), address: b.address },
     ]);
     if (r.confirmed || core.members().length === 0) return { taken: r.fresh.length > 0 };
@@ -73,7 +73,7 @@
         },
       });
   });
-  app.get('/platform/workers', async () => core.marks().map((m) => ({ ...m, state: workerStates[m.state] })));
+  app.get('/platform/workers', async () => core.workerStates().map((m) => ({ ...m, state: workerStates[m.state] })));
 
   app.post('/desired-state', async (q, a) => {
     const e = [...Value.Errors(Submission, q.body)][0];
@@ -86,7 +86,7 @@
     return a.code(code).send(r);
   });
   app.get('/desired-state', async (_q, a) => {
-    const r = await core.readDesired();
+    const r = await core.readDesiredState();
     if (r.status !== 'value')
       return a
         .code(504)
@@ -97,17 +97,17 @@
     return { version: r.version, state: r.version === 0 ? null : (JSON.parse(r.value.toString()) as unknown) };
   });
   app.get<{ Params: { id: string } }>('/changes/:id', async (q, a) => {
-    const r = await core.lookup(q.params.id);
+    const r = await core.lookUpChange(q.params.id);
     if (r.status === 'done') return { change: q.params.id, answer: 'acknowledged', version: r.version };
     if (r.status === 'none') return { change: q.params.id, answer: 'not in force', version: r.version };
     return a.code(504).header('retry-after', '2').send({ change: q.params.id, answer: 'outcome unknown' });
   });
 
-  app.get('/rehearsals', async () => core.rehearsals());
+  app.get('/rehearsals', async () => core.rehearsalRecord());
   app.post<{ Params: { id: string; word: string } }>('/rehearsals/:id/:word', async (q, a) => {
     const { id, word } = q.params;
     if (word !== 'approve' && word !== 'reject') return bad(a, `There is no word ${word}.`, 'Use approve or reject.');
-    const kind = await core.decide(id, word);
+    const kind = await core.decideRehearsal(id, word);
     return a
       .code(
         { taken: 200, unknown_rehearsal: 404, ended_rehearsal: 409, superseded_rehearsal: 409, outcome_unknown: 504 }[
@@ -118,7 +118,7 @@
   });
 
   app.get('/vitals', async (_q, a) => {
-    const f = core.figures();
+    const f = core.metrics();
     return a.code(f['routerHeard'] === true ? 200 : 503).send({ ok: f['routerHeard'], ...f });
   });
   app.get('/members', async () => core.members());
@@ -128,15 +128,19 @@
   app.get<{ Params: { version: string } }>('/cloudevents/:version', async (q, a) => {
     const es = core
       .trace(desiredKey, Number(q.params.version))
-      .map((t) => cloudEvent(String(core.figures()['member']), t));
+      .map((t) => cloudEvent(String(core.metrics()['member']), t));
     return a.type('application/cloudevents-batch+json').send(JSON.stringify(es));
   });
   app.get('/metrics', async (_q, a) => {
     const f = {
-      ...core.figures(),
-      ...(o.sink === undefined
+      ...core.metrics(),
+      ...(o.sinkStatistics === undefined
         ? {}
-        : { eventsSent: o.sink().sent, eventsLost: o.sink().lost, eventsWaiting: o.sink().waiting }),
+        : {
+            eventsSent: o.sinkStatistics().sent,
+            eventsLost: o.sinkStatistics().lost,
+            eventsWaiting: o.sinkStatistics().waiting,
+          }),
     };
     const lines = Object.entries(f).flatMap(([k, v]) =>
       typeof v === 'number'
--- a/programs/router-agent/src/ask.ts
+++ b/programs/router-agent/src/control-client.ts
@@ -8,7 +8,7 @@
 
 const none = Buffer.alloc(0);
 
-export function createAsker(w: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
+export function createAgentControlClient(w: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
   const open = new Map<string, (m: MessageOf<'Answer'>) => void>();
   let n = Math.floor(w.random() * 1e9);
 
--- a/programs/router-agent/src/event-sink.ts
+++ b/programs/router-agent/src/event-sink.ts
@@ -13,17 +13,17 @@
 }
 export interface EventSink {
   readonly add: (e: SinkEvent) => void;
-  readonly figures: () => { readonly sent: number; readonly lost: number; readonly waiting: number };
+  readonly statistics: () => { readonly sent: number; readonly lost: number; readonly waiting: number };
   readonly stop: () => void;
 }
 export interface EventSinkOptions {
   readonly member: string;
   // Posts one batch; true when the sink took it.
   readonly post: (body: string) => Promise<boolean>;
-  readonly room?: number;
+  readonly maxQueued?: number;
 }
-const batch = 100;
-const triesEach = 3;
+const maxBatchEvents = 100;
+const maxTries = 3;
 
 export function cloudEvent(member: string, e: SinkEvent): unknown {
   const x = new CloudEvent({
@@ -42,17 +42,17 @@
   let busy = false;
 
   function add(e: SinkEvent): void {
-    if (queue.length >= (o.room ?? 1000)) lost += 1;
+    if (queue.length >= (o.maxQueued ?? 1000)) lost += 1;
     else queue.push(e);
   }
   async function send(): Promise<void> {
     if (busy || queue.length === 0) return;
     busy = true;
-    const now = queue.slice(0, batch);
+    const now = queue.slice(0, maxBatchEvents);
     const ok = await o.post(JSON.stringify(now.map((e) => cloudEvent(o.member, e)))).catch(() => false);
     busy = false;
     tries = ok ? 0 : tries + 1;
-    if (!ok && tries < triesEach) return;
+    if (!ok && tries < maxTries) return;
     if (!ok) w.log(3201, { lost: now.length });
     queue = queue.slice(now.length);
     if (ok) sent += now.length;
@@ -64,7 +64,7 @@
     () => micros(1_000_000),
     () => void send(),
   );
-  return { add, figures: () => ({ sent, lost, waiting: queue.length }), stop };
+  return { add, statistics: () => ({ sent, lost, waiting: queue.length }), stop };
 }
 
 if (import.meta.vitest) {
@@ -83,7 +83,7 @@
       },
       {
         member: 'a1',
-        room: 250,
+        maxQueued: 250,
         post: async (b) => {
           bodies.push(b);
           return well;
@@ -95,9 +95,9 @@
       for (let i = 0; i < 5; i += 1) await Promise.resolve();
     }
     for (let i = 1; i <= 300; i += 1) s.add({ at: 1e15, what: 'applied', key: 'desired/main', version: i });
-    expect(s.figures()).toEqual({ sent: 0, lost: 50, waiting: 250 });
+    expect(s.statistics()).toEqual({ sent: 0, lost: 50, waiting: 250 });
     await step();
-    expect(s.figures()).toEqual({ sent: 100, lost: 50, waiting: 150 });
+    expect(s.statistics()).toEqual({ sent: 100, lost: 50, waiting: 150 });
     const first = (JSON.parse(bodies[0]!) as Record<string, unknown>[])[0]!;
     expect(first).toMatchObject({
       specversion: '1.0',
@@ -108,11 +108,11 @@
     well = false;
     await step();
     await step();
-    expect(s.figures().waiting).toBe(150);
+    expect(s.statistics().waiting).toBe(150);
     await step();
-    expect(s.figures()).toEqual({ sent: 100, lost: 150, waiting: 50 });
+    expect(s.statistics()).toEqual({ sent: 100, lost: 150, waiting: 50 });
     well = true;
     await step();
-    expect(s.figures()).toEqual({ sent: 150, lost: 150, waiting: 0 });
+    expect(s.statistics()).toEqual({ sent: 150, lost: 150, waiting: 0 });
   });
 }
--- a/programs/router-agent/src/index.ts
+++ b/programs/router-agent/src/index.ts
@@ -1,5 +1,5 @@
 export * from './agent-core.js';
-export * from './ask.js';
-export * from './parts-duty.js';
-export * from './reports.js';
+export * from './control-client.js';
+export * from './stage-assignment.js';
+export * from './load-reports.js';
 export type { TrainerPort } from '@tansypost/learning';
--- a/programs/router-agent/src/news.ts
+++ b/programs/router-agent/src/key-update-relay.ts
@@ -15,35 +15,35 @@
   type World,
 } from '@tansypost/inner-protocol';
 
-export interface NewsOptions {
+export interface KeyUpdateRelayOptions {
   readonly self: Address;
   readonly member: string;
   readonly service: string;
-  readonly zone: () => MemberEntry[];
+  readonly zoneMembers: () => MemberEntry[];
   readonly replicas: () => readonly ReplicaEntry[];
-  readonly heardCore: (membershipEpoch: number, ps: ReplicaEntry[]) => void;
-  readonly changed: (n: KeyUpdate) => void;
-  readonly granted: (g: { asked: number; version: number }, router: string) => void;
+  readonly onControlMembership: (membershipEpoch: number, ps: ReplicaEntry[]) => void;
+  readonly onUpdate: (n: KeyUpdate) => void;
+  readonly onLeaseGrant: (g: { asked: number; version: number }, router: string) => void;
 }
-export interface News {
-  readonly isHome: () => boolean;
-  readonly home: () => Address;
+export interface KeyUpdateRelay {
+  readonly isZoneLeader: () => boolean;
+  readonly zoneLeader: () => Address;
   readonly subscribers: () => Address[];
   readonly get: (k: string) => KeyUpdate | undefined;
   readonly all: () => KeyUpdate[];
-  readonly onNews: (m: MessageOf<'News'>) => void;
-  readonly onSubscribe: (m: MessageOf<'Subscribe'>) => void;
-  readonly onTenures: (m: MessageOf<'Leases'>) => void;
-  readonly routerAsks: (router: string, asked: number, applied: number) => void;
-  readonly learn: (n: KeyUpdate) => void;
+  readonly receiveUpdates: (m: MessageOf<'News'>) => void;
+  readonly receiveSubscription: (m: MessageOf<'Subscribe'>) => void;
+  readonly receiveLeases: (m: MessageOf<'Leases'>) => void;
+  readonly requestRouterLease: (router: string, asked: number, applied: number) => void;
+  readonly mergeUpdate: (n: KeyUpdate) => void;
   readonly stop: () => void;
 }
 interface Subscriber {
-  until: number;
-  tenures: MessageOf<'Subscribe'>['tenures'];
+  expiresAt: number;
+  leaseRequests: MessageOf<'Subscribe'>['tenures'];
 }
 
-export function createNews(w: World, o: NewsOptions): News {
+export function createKeyUpdateRelay(w: World, o: KeyUpdateRelayOptions): KeyUpdateRelay {
   const held = new Map<string, KeyUpdate>();
   const subs = new Map<Address, Subscriber>();
   let own: { router: string; asked: number; applied: number } | undefined;
@@ -53,7 +53,7 @@
   const always = [`desired/${o.service}`, `rehearsal/${o.service}`];
 
   function home(): Address {
-    const e = rendezvous(o.service, o.zone(), (x) => x.member)[0]!;
+    const e = rendezvous(o.service, o.zoneMembers(), (x) => x.member)[0]!;
     const a = e.address as Address;
     if (a !== lastHome) w.log(3004, { home: e.member });
     lastHome = a;
@@ -63,7 +63,7 @@
     return home() === o.self;
   }
   function live(): [Address, Subscriber][] {
-    for (const [a, s] of subs) if (s.until < w.now()) subs.delete(a);
+    for (const [a, s] of subs) if (s.expiresAt < w.now()) subs.delete(a);
     return [...subs];
   }
   function have(): { key: string; epoch: number; version: number }[] {
@@ -80,7 +80,7 @@
     }
     const all = new Map(mine.map((t) => [t.router, t]));
     for (const [, s] of live())
-      for (const t of s.tenures) if ((all.get(t.router)?.asked ?? -1) < t.asked) all.set(t.router, t);
+      for (const t of s.leaseRequests) if ((all.get(t.router)?.asked ?? -1) < t.asked) all.set(t.router, t);
     for (const p of o.replicas()) {
       w.send(p.address as Address, {
         kind: 'Subscribe',
@@ -106,20 +106,20 @@
     if (old !== undefined && (n.version < old.version || (n.version === old.version && n.epoch <= old.epoch))) return;
     held.set(n.key, n);
     if (old !== undefined && old.version === n.version) return;
-    o.changed(n);
+    o.onUpdate(n);
     for (const [a] of live()) w.send(a, { kind: 'News', news: [n], membershipEpoch: 0, replicas: [] });
   }
 
   function onNews(m: MessageOf<'News'>): void {
-    if (m.membershipEpoch > 0) o.heardCore(m.membershipEpoch, m.replicas);
+    if (m.membershipEpoch > 0) o.onControlMembership(m.membershipEpoch, m.replicas);
     for (const n of m.news) learn(n);
   }
 
   function onSubscribe(m: MessageOf<'Subscribe'>): void {
     if (m.relay) return;
     const from = m.from as Address;
-    const old = subs.get(from)?.tenures ?? [];
-    subs.set(from, { until: w.now() + 3_000_000, tenures: m.tenures });
+    const old = subs.get(from)?.leaseRequests ?? [];
+    subs.set(from, { expiresAt: w.now() + 3_000_000, leaseRequests: m.tenures });
     const at = new Map(m.have.map((h) => [h.key, h.version]));
     const out = [...held.values()].filter((n) => n.version > (at.get(n.key) ?? 0));
     if (out.length > 0) w.send(from, { kind: 'News', news: out, membershipEpoch: 0, replicas: [] });
@@ -128,10 +128,10 @@
 
   function onTenures(m: MessageOf<'Leases'>): void {
     for (const g of m.grants) {
-      if (own !== undefined && g.router === own.router) o.granted(g, g.router);
+      if (own !== undefined && g.router === own.router) o.onLeaseGrant(g, g.router);
     }
     for (const [a, s] of live()) {
-      const gs = m.grants.filter((g) => s.tenures.some((t) => t.router === g.router));
+      const gs = m.grants.filter((g) => s.leaseRequests.some((t) => t.router === g.router));
       if (gs.length > 0) w.send(a, { kind: 'Leases', grants: gs });
     }
   }
@@ -145,16 +145,16 @@
 
   const stop = every(w, () => micros(300_000), subscribe);
   return {
-    isHome,
-    home,
+    isZoneLeader: isHome,
+    zoneLeader: home,
     subscribers: () => live().map(([a]) => a),
     get: (k) => held.get(k),
     all: () => [...held.values()],
-    onNews,
-    onSubscribe,
-    onTenures,
-    routerAsks,
-    learn,
+    receiveUpdates: onNews,
+    receiveSubscription: onSubscribe,
+    receiveLeases: onTenures,
+    requestRouterLease: routerAsks,
+    mergeUpdate: learn,
     stop,
   };
 }
--- a/programs/router-agent/src/reports.ts
+++ b/programs/router-agent/src/load-reports.ts
@@ -22,30 +22,30 @@
   readonly incarnation: number;
   readonly fence: number;
 }
-export interface ReportsOptions {
+export interface LoadReportsOptions {
   readonly self: Address;
-  readonly isHome: () => boolean;
-  readonly home: () => Address;
-  readonly homes: () => Address[];
+  readonly isZoneLeader: () => boolean;
+  readonly zoneLeader: () => Address;
+  readonly zoneLeaders: () => Address[];
   readonly subscribers: () => Address[];
   readonly workers: () => WorkerStateEntry[];
-  readonly fetch: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
-  readonly changed: () => void;
+  readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  readonly onChange: () => void;
 }
-export interface Reports {
+export interface LoadReports {
   readonly all: () => WorkerReport[];
-  readonly take: (m: MessageOf<'Reports'>) => void;
-  readonly demand: (m: MessageOf<'Demand'>) => void;
-  readonly routerGrants: (router: string, first: number, extra: number, allowance: number) => void;
+  readonly receive: (m: MessageOf<'Reports'>) => void;
+  readonly receiveDemand: (m: MessageOf<'Demand'>) => void;
+  readonly setProbeAllowance: (router: string, first: number, extra: number, allowance: number) => void;
   readonly probes: () => number;
   readonly stop: () => void;
 }
 
 // What stands for a report with impossible figures, or for none where one was asked: routers count it against the
 // worker's vitals, and so know of a dark worker without each losing a request to it.
-export const nonsense = { queued: -1, active: -1, kvUsed: 0 };
+export const invalidLoad = { queued: -1, active: -1, kvUsed: 0 };
 
-export function createReports(w: World, o: ReportsOptions): Reports {
+export function createLoadReports(w: World, o: LoadReportsOptions): LoadReports {
   const held = new Map<string, { r: WorkerReport; at: number }>();
   const asked = new Map<string, number>();
   const totals = new Map<string, number>();
@@ -70,8 +70,8 @@
   function take(m: MessageOf<'Reports'>): void {
     const fresh = m.reports.filter(keep);
     if (fresh.length === 0) return;
-    o.changed();
-    if (m.relay && o.isHome())
+    o.onChange();
+    if (m.relay && o.isZoneLeader())
       for (const a of o.subscribers()) w.send(a, { kind: 'Reports', reports: fresh, relay: false });
   }
   function demand(m: MessageOf<'Demand'>): void {
@@ -85,11 +85,11 @@
 
   function tick(): void {
     if (own !== undefined) {
-      if (o.isHome()) demand(own);
-      else w.send(o.home(), own);
+      if (o.isZoneLeader()) demand(own);
+      else w.send(o.zoneLeader(), own);
     }
-    if (!o.isHome()) return;
-    const hs = o.homes();
+    if (!o.isZoneLeader()) return;
+    const hs = o.zoneLeaders();
     const mine = o.workers().filter((m) => rendezvous(m.worker, hs, (a) => a)[0] === o.self);
     const due = mine
       .filter((m) => (asked.get(m.worker) ?? -Infinity) <= w.now() - 100_000)
@@ -105,9 +105,9 @@
 
   async function fetchOne(m: WorkerStateEntry): Promise<void> {
     const at = w.now();
-    const f = await o.fetch(m);
+    const f = await o.fetchReport(m);
     if (f === undefined)
-      return share({ worker: m.worker, incarnation: m.incarnation, ...nonsense, part: '', age: 0, fence: 0 });
+      return share({ worker: m.worker, incarnation: m.incarnation, ...invalidLoad, part: '', age: 0, fence: 0 });
     if (f.incarnation !== m.incarnation) return;
     const r: WorkerReport = {
       worker: m.worker,
@@ -129,18 +129,25 @@
       r.kvUsed <= 1;
     if (!sound) {
       w.log(5103, { worker: m.worker, why: 'impossible figures in its report', report: f });
-      Object.assign(r, nonsense);
+      Object.assign(r, invalidLoad);
     }
     share(r);
   }
 
   function share(r: WorkerReport): void {
     if (!keep(r)) return;
-    o.changed();
+    o.onChange();
     for (const a of o.subscribers()) w.send(a, { kind: 'Reports', reports: [r], relay: false });
-    for (const a of o.homes()) if (a !== o.self) w.send(a, { kind: 'Reports', reports: [r], relay: true });
+    for (const a of o.zoneLeaders()) if (a !== o.self) w.send(a, { kind: 'Reports', reports: [r], relay: true });
   }
 
   const stop = every(w, () => micros(100_000), tick);
-  return { all: () => [...held.values()].map(out), take, demand, routerGrants, probes: () => probes, stop };
+  return {
+    all: () => [...held.values()].map(out),
+    receive: take,
+    receiveDemand: demand,
+    setProbeAllowance: routerGrants,
+    probes: () => probes,
+    stop,
+  };
 }
--- a/programs/router-agent/src/main.ts
+++ b/programs/router-agent/src/main.ts
@@ -5,10 +5,10 @@
 import { createRealWorld, splitAddress, type Address, type WorkerStateEntry } from '@tansypost/inner-protocol';
 import { agentDefaults, createAgentCore } from './agent-core.js';
 import { createAgentApp } from './app.js';
-import type { FetchedReport } from './reports.js';
+import type { FetchedReport } from './load-reports.js';
 import { createEventSink } from './event-sink.js';
 import { createThreadTrainer } from './trainer-port.js';
-import { createViewsFile } from './views-file.js';
+import { createAgentStateFile } from './agent-state-file.js';
 
 await runProgram({
   name: 'router-agent',
@@ -20,7 +20,7 @@
     const real = await createRealWorld(b.listen as Address, log, self);
     const http = new Agent({ connect: { timeout: 800 }, headersTimeout: 1500, bodyTimeout: 1500 });
     const trainer = createThreadTrainer();
-    const file = createViewsFile(b.data);
+    const file = createAgentStateFile(b.data);
     async function fetchReport(m: WorkerStateEntry): Promise<FetchedReport | undefined> {
       try {
         const r = await request(`http://${m.address}/report`, { dispatcher: http });
@@ -74,28 +74,28 @@
         member: b.member,
         self,
         zone: b.zone,
-        router: b.router as Address,
-        routerHttp: b.routerHttp,
+        routerAddress: b.router as Address,
+        routerHttpAddress: b.routerHttp,
         service,
         seeds: b.seeds as Address[],
         slot: b.slot,
-        born: Date.now(),
+        incarnation: Date.now(),
         persisted: file.read(),
-        ...(b.dutyTenureMs === undefined ? {} : { dutyTenure: b.dutyTenureMs * 1000 }),
-        ...(b.trainEvery === undefined ? {} : { trainEvery: b.trainEvery }),
-        ...(b.shiftParts === undefined ? {} : { shiftParts: b.shiftParts }),
+        ...(b.dutyTenureMs === undefined ? {} : { roleLeaseUs: b.dutyTenureMs * 1000 }),
+        ...(b.trainEvery === undefined ? {} : { samplesPerTraining: b.trainEvery }),
+        ...(b.shiftParts === undefined ? {} : { shiftStages: b.shiftParts }),
       },
       {
         fetchReport,
-        order,
+        orderStage: order,
         trainer,
         save: file.save,
-        wall: () => Date.now() * 1000,
-        ...(sink === undefined ? {} : { changed: sink.add }),
+        wallClockUs: () => Date.now() * 1000,
+        ...(sink === undefined ? {} : { onTraceEvent: sink.add }),
       },
     );
     real.onMessage(core.receive);
-    const app = createAgentApp({ core, service, ...(sink === undefined ? {} : { sink: sink.figures }) });
+    const app = createAgentApp({ core, service, ...(sink === undefined ? {} : { sinkStatistics: sink.statistics }) });
     await app.listen(splitAddress(b.http));
     async function stop(): Promise<void> {
       core.stop();
--- a/programs/router-agent/src/parts-duty.ts
+++ b/programs/router-agent/src/stage-assignment.ts
@@ -8,26 +8,26 @@
 import { begin, end, readRecord, type Part, type PartEntry, type RehearsalRecord } from '@tansypost/rehearsal';
 import type { RecordWriter } from '@tansypost/learning';
 
-export interface PartsDutyOptions {
-  readonly holds: () => number | undefined;
+export interface StageAssignmentOptions {
+  readonly heldEpoch: () => number | undefined;
   readonly record: () => Buffer | undefined;
   readonly workers: () => WorkerStateEntry[];
   readonly reports: () => WorkerReport[];
   readonly writer: RecordWriter;
-  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
-  readonly shift: boolean;
-  readonly slice: number;
+  readonly orderStage: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly shiftStages: boolean;
+  readonly treatmentShare: number;
   readonly approval: () => 'automatic' | 'operator';
-  readonly hold?: number;
-  readonly rest?: number;
+  readonly shiftHoldUs?: number;
+  readonly shiftCooldownUs?: number;
 }
-export interface PartsDuty {
-  readonly won: () => void;
+export interface StageAssignment {
+  readonly onElected: () => void;
   readonly tick: () => void;
-  readonly orders: () => number;
+  readonly orderCount: () => number;
 }
 
-export function partOf(r: RehearsalRecord, m: WorkerStateEntry): Part | undefined {
+export function assignedStage(r: RehearsalRecord, m: WorkerStateEntry): Part | undefined {
   const s = r.running?.subject;
   if (s?.type === 'part' && s.shift.worker === m.worker && s.shift.incarnation === m.incarnation) return 'both';
   const e = r.parts[m.worker];
@@ -35,7 +35,7 @@
 }
 
 // Parts for workers that have none yet; a worker back under a new incarnation keeps the part it had.
-export function assignNew(r: RehearsalRecord, ms: readonly WorkerStateEntry[]): RehearsalRecord | undefined {
+export function assignNewWorkers(r: RehearsalRecord, ms: readonly WorkerStateEntry[]): RehearsalRecord | undefined {
   const parts: Record<string, PartEntry> = { ...r.parts };
   let changed = false;
   function n(p: Part): number {
@@ -69,19 +69,19 @@
   };
 }
 
-export interface Pressure {
+export interface StageLoad {
   readonly prefill: number;
   readonly decode: number;
 }
-export function pressure(
+export function stageLoad(
   r: RehearsalRecord,
   ms: readonly WorkerStateEntry[],
   rs: readonly WorkerReport[],
-): Pressure | undefined {
+): StageLoad | undefined {
   const at = new Map(rs.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]));
   function mean(p: Part, f: (x: WorkerReport) => number): number | undefined {
     const xs = ms
-      .filter((m) => partOf(r, m) === p)
+      .filter((m) => assignedStage(r, m) === p)
       .map((m) => at.get(`${m.worker}/${m.incarnation}`))
       .filter((x) => x !== undefined);
     return xs.length === 0 ? undefined : xs.reduce((a, x) => a + f(x), 0) / xs.length;
@@ -91,7 +91,7 @@
   return p === undefined || d === undefined ? undefined : { prefill: p, decode: d };
 }
 
-export function createPartsDuty(w: World, o: PartsDutyOptions): PartsDuty {
+export function createStageAssignment(w: World, o: StageAssignmentOptions): StageAssignment {
   const ordered = new Map<string, { epoch: number; part: Part | '' }>();
   let busy = false;
   let fencing: number | undefined;
@@ -100,12 +100,12 @@
   let restUntil = 0;
 
   async function send(m: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
-    if (o.holds() !== epoch) return;
+    if (o.heldEpoch() !== epoch) return;
     orders += 1;
     // A cut link may hold an order and deliver it long after this tenure, to a worker that no later holder could reach. So
     // a part is ordered only right after the worker has answered a fence, which changes nothing when it comes late.
-    if (part !== '' && ((await o.order(m, epoch, '')) !== true || o.holds() !== epoch)) return;
-    const ok = await o.order(m, epoch, part);
+    if (part !== '' && ((await o.orderStage(m, epoch, '')) !== true || o.heldEpoch() !== epoch)) return;
+    const ok = await o.orderStage(m, epoch, part);
     if (ok === true) {
       ordered.set(`${m.worker}/${m.incarnation}`, { epoch, part });
       w.log(4103, { worker: m.worker, part, epoch });
@@ -116,7 +116,7 @@
     ordered.clear();
     lean = undefined;
     restUntil = w.now() + 10_000_000;
-    const e = o.holds();
+    const e = o.heldEpoch();
     if (e === undefined) return;
     fencing = e;
     void Promise.all(o.workers().map((m) => send(m, e, ''))).finally(() => {
@@ -125,7 +125,7 @@
   }
 
   function tick(): void {
-    const epoch = o.holds();
+    const epoch = o.heldEpoch();
     const b = o.record();
     if (epoch === undefined || b === undefined || busy || fencing === epoch) return;
     const r = readRecord(b);
@@ -139,16 +139,16 @@
   }
 
   async function work(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
-    if (ms.length > 0 && assignNew(r, ms) !== undefined) {
+    if (ms.length > 0 && assignNewWorkers(r, ms) !== undefined) {
       await o.writer.change(
-        (x) => assignNew(x, ms),
-        () => o.holds() === epoch,
+        (x) => assignNewWorkers(x, ms),
+        () => o.heldEpoch() === epoch,
       );
       return;
     }
     await Promise.all(
       ms.map(async (m) => {
-        const want = partOf(r, m) ?? '';
+        const want = assignedStage(r, m) ?? '';
         const had = ordered.get(`${m.worker}/${m.incarnation}`);
         if (had === undefined || had.epoch !== epoch || (want !== '' && had.part !== want)) await send(m, epoch, want);
       }),
@@ -157,8 +157,8 @@
   }
 
   async function propose(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
-    const p = pressure(r, ms, o.reports());
-    if (!o.shift || r.running !== undefined || p === undefined || w.now() < restUntil) {
+    const p = stageLoad(r, ms, o.reports());
+    if (!o.shiftStages || r.running !== undefined || p === undefined || w.now() < restUntil) {
       lean = undefined;
       return;
     }
@@ -173,28 +173,28 @@
       return;
     }
     if (lean?.to !== to) lean = { to, since: w.now() };
-    if (w.now() - lean.since < (o.hold ?? 8_000_000)) return;
+    if (w.now() - lean.since < (o.shiftHoldUs ?? 8_000_000)) return;
     const from: Part = to === 'prefill' ? 'decode' : 'prefill';
-    const give = ms.filter((m) => partOf(r, m) === from);
+    const give = ms.filter((m) => assignedStage(r, m) === from);
     if (give.length < 2) return;
     const m = give[0]!;
-    restUntil = w.now() + (o.rest ?? 60_000_000);
+    restUntil = w.now() + (o.shiftCooldownUs ?? 60_000_000);
     const shift = { worker: m.worker, incarnation: m.incarnation, from, to };
     await o.writer.change(
       (x) =>
-        x.running === undefined && partOf(x, m) === from
+        x.running === undefined && assignedStage(x, m) === from
           ? begin(
               x,
               `part-${epoch}-${m.worker}-${Math.floor(w.random() * 1e6)}`,
               { type: 'part', shift },
-              o.slice,
+              o.treatmentShare,
               o.approval(),
             )
           : undefined,
-      () => o.holds() === epoch,
+      () => o.heldEpoch() === epoch,
     );
   }
-  return { won, tick, orders: () => orders };
+  return { onElected: won, tick, orderCount: () => orders };
 }
 
 if (import.meta.vitest) {
@@ -205,15 +205,15 @@
   }
   it('splits new workers evenly, keeps the part over a new incarnation, and never leaves a part empty', () => {
     const ms = ['a', 'b', 'c', 'd', 'e'].map((x) => mark(x));
-    const r = assignNew(emptyRecord, ms)!;
+    const r = assignNewWorkers(emptyRecord, ms)!;
     expect(Object.values(r.parts).filter((p) => p.part === 'prefill').length).toBe(3);
-    expect(assignNew(r, ms)).toBeUndefined();
-    expect(assignNew(r, [mark('b', 2), ...ms.filter((m) => m.worker !== 'b')])!.parts['b']).toEqual({
+    expect(assignNewWorkers(r, ms)).toBeUndefined();
+    expect(assignNewWorkers(r, [mark('b', 2), ...ms.filter((m) => m.worker !== 'b')])!.parts['b']).toEqual({
       incarnation: 2,
       part: 'decode',
     });
     const left = ms.filter((m) => r.parts[m.worker]!.part === 'decode');
-    expect(Object.values(assignNew(r, left)!.parts).some((p) => p.part === 'both')).toBe(true);
+    expect(Object.values(assignNewWorkers(r, left)!.parts).some((p) => p.part === 'both')).toBe(true);
   });
   it('orders a part only of a worker that has just answered a fence', async () => {
     const asked: string[] = [];
@@ -223,7 +223,7 @@
         parts: { a: { part: 'prefill', incarnation: 1 }, b: { part: 'decode', incarnation: 1 } },
       }),
     );
-    const d = createPartsDuty(
+    const d = createStageAssignment(
       {
         now: () => micros(0),
         random: () => 0,
@@ -232,17 +232,17 @@
         log: () => undefined,
       },
       {
-        holds: () => 64,
+        heldEpoch: () => 64,
         record: () => record,
         workers: () => [mark('a'), mark('b')],
         reports: () => [],
         writer: { change: async () => undefined },
-        order: async (m, _epoch, part) => {
+        orderStage: async (m, _epoch, part) => {
           asked.push(`${m.worker} ${part === '' ? 'fence' : part}`);
           return m.worker === 'a' ? true : undefined;
         },
-        shift: false,
-        slice: 0.1,
+        shiftStages: false,
+        treatmentShare: 0.1,
         approval: () => 'automatic',
       },
     );
--- a/tests/rehearsal.test.ts
+++ b/tests/rehearsal.test.ts
@@ -23,18 +23,18 @@
   let live: string | undefined;
   sim.engine.at(92_000_000, () => {
     const a = sim.agents[0]!.core!;
-    const now = a.rehearsals();
+    const now = a.rehearsalRecord();
     const last = now.running?.state === 'watched' ? now.running : now.ended.find((e) => e.outcome === 'live');
-    live = a.rehearsals().live?.hash;
+    live = a.rehearsalRecord().live?.hash;
     if (last === undefined) return;
-    void a.decide(last.id, 'reject').then((k) => words.push(k));
-    void a.decide('no-such', 'approve').then((k) => words.push(k));
+    void a.decideRehearsal(last.id, 'reject').then((k) => words.push(k));
+    void a.decideRehearsal('no-such', 'approve').then((k) => words.push(k));
   });
   const h = await sim.run();
   expect(checkAll(h, { faultless: true, overloaded: false })).toEqual([]);
   expect(live).toBeDefined();
   expect(words.sort()).toEqual(['taken', 'unknown_rehearsal']);
-  const end = sim.agents[1]!.core!.rehearsals();
+  const end = sim.agents[1]!.core!.rehearsalRecord();
   expect(
     end.ended.some((e) => e.outcome === 'rolled back' && e.subject.type === 'model' && e.subject.model.hash === live),
   ).toBe(true);
@@ -47,11 +47,11 @@
   let early = false;
   function look(): void {
     const a = sim.agents[0]!.core!;
-    const r = a.rehearsals();
+    const r = a.rehearsalRecord();
     if (r.running !== undefined) seen.push(`${r.running.state} ${r.live === undefined ? 'nothing live' : 'live'}`);
     if (r.running?.state === 'running' && !early) {
       early = true;
-      void a.decide(r.running.id, 'approve');
+      void a.decideRehearsal(r.running.id, 'approve');
     }
     if (sim.engine.now() < 90e6) sim.engine.at(sim.engine.now() + 500_000, look);
   }
--- a/tests/requests.test.ts
+++ b/tests/requests.test.ts
@@ -17,11 +17,11 @@
 } from '../packages/inner-protocol/src/index.js';
 import {
   createApp,
-  createHttpWorkers,
+  createHttpWorkerClient,
   createRouterCore,
   failure,
   routerDefaults,
-  sendOnHttp,
+  forwardOverHttp,
   type RouterCore,
 } from '../programs/request-router/src/index.js';
 
@@ -111,15 +111,15 @@
     send: () => undefined,
     log: () => undefined,
   };
-  const workers = createHttpWorkers();
+  const workers = createHttpWorkerClient();
   const others = new Agent({ connect: { timeout: 1000 } });
   const core = createRouterCore(
     world,
-    { ...routerDefaults, router: 'r#1', http: 'r', agent: 'a:1' as Address, service: 'main' },
+    { ...routerDefaults, routerId: 'r#1', httpAddress: 'r', agentAddress: 'a:1' as Address, service: 'main' },
     {
-      workers,
-      digest: (p) => digest(p).slice(0, 32),
-      sendOn: (to, r, reply, gone) => sendOnHttp(to, r, reply, gone, others),
+      workerClient: workers,
+      digestPrompt: (p) => digest(p).slice(0, 32),
+      forward: (to, r, reply, gone) => forwardOverHttp(to, r, reply, gone, others),
     },
   );
   const value = Buffer.from(
@@ -143,7 +143,7 @@
   }
   feed();
   const beat = setInterval(feed, 200);
-  const http = await listen(createApp({ core, bodyLimit: 1_000_000, metrics: () => '' }));
+  const http = await listen(createApp({ core, bodyLimit: 1_000_000, metricsText: () => '' }));
   closing.push(async () => {
     clearInterval(beat);
     core.stop();
@@ -209,24 +209,24 @@
   s.pause();
   await w.left;
   expect(w.written()).toBeLessThan(100_000_000);
-  expect((r.core.figures() as { ends: Record<string, number> }).ends).toMatchObject({ answer_cut: 1 });
+  expect((r.core.metrics() as { ends: Record<string, number> }).ends).toMatchObject({ answer_cut: 1 });
   s.destroy();
 });
 
 it('answers an unforeseen error inside by its type and without a stack', async () => {
   const r = await router('127.0.0.1:1');
-  r.core.table.candidates = (() => {
+  r.core.workerTable.candidates = (() => {
     throw new Error('secret at line 12');
   }) as never;
   const app = createApp({
     core: {
       ...r.core,
-      serve: () => {
+      handleRequest: () => {
         throw new Error('secret at line 12');
       },
     },
     bodyLimit: 1000,
-    metrics: () => {
+    metricsText: () => {
       throw new Error('secret');
     },
   });
