--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -21,7 +21,7 @@
 export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'found' | 'newDiskId'> {
   // `afresh` asks that what is found be written to a new file and synced before it is handed over.
   // `blank` asks that what is found be thrown away.
-  readonly open: (afresh: boolean, blank: boolean) => Promise<E.Either<Error, OpenDisk>>;
+  readonly open: (rewrite: boolean, discard: boolean) => Promise<E.Either<Error, OpenDisk>>;
   readonly newDiskId: () => string;
   // Whether a place that was replaced asks for another one.
   readonly rejoinsWhenSuperseded?: boolean;
@@ -38,85 +38,89 @@
   readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => Promise<void>;
 }
-export function createControlNodeHost(w: World, o: ControlNodeHostOptions): ControlNodeHost {
-  let core: ControlNode | undefined;
-  let disk: OpenDisk | undefined;
-  const firstPause = o.initialRetryDelayUs ?? 1_000_000;
-  const longestPause = o.maxRetryDelayUs ?? 10_000_000;
-  let pause = firstPause;
+export function createControlNodeHost(world: World, options: ControlNodeHostOptions): ControlNodeHost {
+  let controlNode: ControlNode | undefined;
+  let openDisk: OpenDisk | undefined;
+  const firstPause = options.initialRetryDelayUs ?? 1_000_000;
+  const longestPause = options.maxRetryDelayUs ?? 10_000_000;
+  let retryDelayUs = firstPause;
   let retryAt = Infinity;
-  let opening = false;
+  let isOpening = false;
 
-  async function open(afresh: boolean, blank: boolean): Promise<E.Either<Error, void>> {
-    opening = true;
-    const d = await o.open(afresh, blank);
-    opening = false;
-    if (E.isLeft(d)) return d;
-    disk = d.right;
-    if (disk.truncatedBytes > 0) w.log(2008, { bytes: disk.truncatedBytes });
-    if (disk.quarantineReason !== undefined) w.log(2009, { why: disk.quarantineReason });
-    core = createVotingControlNode(w, {
-      ...o,
-      ...(blank ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
-      reopened: afresh,
-      disk: disk.disk,
-      found: disk.storedRecords,
-      newDiskId: o.newDiskId(),
+  async function openNode(rewrite: boolean, discard: boolean): Promise<E.Either<Error, void>> {
+    isOpening = true;
+    const opened = await options.open(rewrite, discard);
+    isOpening = false;
+    if (E.isLeft(opened)) return opened;
+    openDisk = opened.right;
+    if (openDisk.truncatedBytes > 0) world.log(2008, { bytes: openDisk.truncatedBytes });
+    if (openDisk.quarantineReason !== undefined) world.log(2009, { why: openDisk.quarantineReason });
+    controlNode = createVotingControlNode(world, {
+      ...options,
+      ...(discard ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
+      reopened: rewrite,
+      disk: openDisk.disk,
+      found: openDisk.storedRecords,
+      newDiskId: options.newDiskId(),
       onStateChange: (s) => {
-        if (s === 'failed') w.after(micros(0), look);
+        if (s === 'failed') world.after(micros(0), check);
       },
     });
     return E.right(undefined);
   }
 
-  function look(): void {
-    if (core?.replica.state() === 'failed') {
-      void drop()?.close?.();
-      retryAt = w.now() + pause;
+  function check(): void {
+    if (controlNode?.replica.state() === 'failed') {
+      void closeNode()?.close?.();
+      retryAt = world.now() + retryDelayUs;
     }
-    if (o.rejoinsWhenSuperseded === true && core?.replica.isSuperseded() === true && !core.replica.isLeaving()) {
-      const d = drop();
-      opening = true;
-      void Promise.resolve(d?.close?.()).then(() => again(true));
+    if (
+      options.rejoinsWhenSuperseded === true &&
+      controlNode?.replica.isSuperseded() === true &&
+      !controlNode.replica.isLeaving()
+    ) {
+      const dropped = closeNode();
+      isOpening = true;
+      void Promise.resolve(dropped?.close?.()).then(() => reopen(true));
       return;
     }
-    if (core !== undefined || opening || w.now() < retryAt) return;
-    again(false);
+    if (controlNode !== undefined || isOpening || world.now() < retryAt) return;
+    reopen(false);
   }
 
-  function drop(): OpenDisk | undefined {
-    const d = disk;
-    core?.stop();
-    core = undefined;
-    disk = undefined;
-    return d;
+  function closeNode(): OpenDisk | undefined {
+    const dropped = openDisk;
+    controlNode?.stop();
+    controlNode = undefined;
+    openDisk = undefined;
+    return dropped;
   }
 
-  function again(blank: boolean): void {
+  function reopen(discard: boolean): void {
     retryAt = Infinity;
-    void open(true, blank).then((r) => {
+    void openNode(true, discard).then((r) => {
       if (E.isRight(r)) {
-        w.log(2010, { afterMs: pause / 1000 });
-        pause = firstPause;
+        world.log(2010, { afterMs: retryDelayUs / 1000 });
+        retryDelayUs = firstPause;
         return;
       }
-      pause = Math.min(longestPause, 2 * pause);
-      retryAt = w.now() + pause;
-      w.log(2011, { why: r.left.message, againMs: pause / 1000 });
+      retryDelayUs = Math.min(longestPause, 2 * retryDelayUs);
+      retryAt = world.now() + retryDelayUs;
+      world.log(2011, { why: r.left.message, againMs: retryDelayUs / 1000 });
     });
   }
 
-  const stop = every(w, () => micros(250_000), look);
+  const stop = every(world, () => micros(250_000), check);
   return {
-    receive: (m, from) => core?.receive(m, from),
-    controlNode: () => core,
-    diskBytes: () => disk?.disk.size() ?? 0,
-    start: () => open(false, false),
-    leave: (limit, done) => (core === undefined ? done('incomplete') : core.leave(limit, done)),
+    receive: (m, from) => controlNode?.receive(m, from),
+    controlNode: () => controlNode,
+    diskBytes: () => openDisk?.disk.size() ?? 0,
+    start: () => openNode(false, false),
+    leave: (limit, done) => (controlNode === undefined ? done('incomplete') : controlNode.leave(limit, done)),
     stop: async () => {
       stop();
-      core?.stop();
-      await disk?.close?.();
+      controlNode?.stop();
+      await openDisk?.close?.();
     },
   };
 }
--- a/programs/control-node/src/file-disk.ts
+++ b/programs/control-node/src/file-disk.ts
@@ -19,47 +19,47 @@
 import { nodeFiles, type FileSystem, type OpenFile } from './file-system.js';
 
 export type FileDisk = OpenDisk & { readonly close: () => Promise<void> };
-type Job =
+type WriteJob =
   | { readonly rewrite: false; readonly b: Buffer; readonly done: (e?: Error) => void }
   | { readonly rewrite: true; readonly rs: readonly JournalRecord[]; readonly done: (e?: Error) => void };
 
 async function syncFolder(files: FileSystem, folder: string): Promise<void> {
-  const f = await files.open(folder, 'r');
+  const handle = await files.open(folder, 'r');
   try {
-    await f.sync();
+    await handle.sync();
   } finally {
-    await f.close();
+    await handle.close();
   }
 }
 
 // A folder lasts once the one above it was synced; so do those above it that were made with it.
 async function makeFolder(files: FileSystem, folder: string): Promise<void> {
-  const first = await files.mkdir(folder, { recursive: true });
-  if (first === undefined) return;
-  let made = resolve(folder);
-  await syncFolder(files, dirname(made));
-  while (made !== resolve(first) && made !== dirname(made)) {
-    made = dirname(made);
-    await syncFolder(files, dirname(made));
+  const uppermost = await files.mkdir(folder, { recursive: true });
+  if (uppermost === undefined) return;
+  let current = resolve(folder);
+  await syncFolder(files, dirname(current));
+  while (current !== resolve(uppermost) && current !== dirname(current)) {
+    current = dirname(current);
+    await syncFolder(files, dirname(current));
   }
 }
 
 // Gives the damaged file another name; of those put aside the newest two are kept.
-async function putAside(files: FileSystem, folder: string, name: string): Promise<string> {
-  const old = (await files.readdir(folder))
+async function quarantineFile(files: FileSystem, folder: string, path: string): Promise<string> {
+  const numbers = (await files.readdir(folder))
     .filter((f) => f.startsWith('place.journal.damaged.'))
     .map((f) => Number(f.split('.').at(-1)))
     .sort((a, b) => a - b);
-  const to = `${name}.damaged.${(old.at(-1) ?? 0) + 1}`;
-  await files.rename(name, to);
-  for (const n of old.slice(0, -1)) await files.rm(`${name}.damaged.${n}`, { force: true });
+  const target = `${path}.damaged.${(numbers.at(-1) ?? 0) + 1}`;
+  await files.rename(path, target);
+  for (const number of numbers.slice(0, -1)) await files.rm(`${path}.damaged.${number}`, { force: true });
   await syncFolder(files, folder);
-  return to;
+  return target;
 }
 
-async function readIfThere(files: FileSystem, name: string): Promise<Buffer> {
+async function readOrEmpty(files: FileSystem, path: string): Promise<Buffer> {
   try {
-    return await files.readFile(name);
+    return await files.readFile(path);
   } catch (e) {
     if ((e as NodeJS.ErrnoException).code === 'ENOENT') return Buffer.alloc(0);
     throw e;
@@ -69,12 +69,12 @@
 // `afresh` writes what is found to a new file; `blank` throws it away.
 export async function openFileDisk(
   folder: string,
-  afresh = false,
-  blank = false,
+  rewrite = false,
+  discard = false,
   files: FileSystem = nodeFiles,
 ): Promise<E.Either<Error, FileDisk>> {
   try {
-    return E.right(await openNow(files, folder, afresh, blank));
+    return E.right(await openJournal(files, folder, rewrite, discard));
   } catch (e) {
     return E.left(
       new FailedDiskError(
@@ -84,77 +84,80 @@
   }
 }
 
-async function openNow(files: FileSystem, folder: string, afresh: boolean, blank: boolean): Promise<FileDisk> {
+async function openJournal(files: FileSystem, folder: string, rewrite: boolean, discard: boolean): Promise<FileDisk> {
   await makeFolder(files, folder);
-  const name = join(folder, 'place.journal');
-  if (blank) await files.rm(name, { force: true });
-  const read = readJournal(await readIfThere(files, name));
-  const aside = E.isLeft(read) ? `${read.left.message} It is now ${await putAside(files, folder, name)}.` : undefined;
-  const r = E.isLeft(read) ? { right: { records: [], validBytes: 0, tornBytes: 0 } } : read;
-  if (r.right.tornBytes > 0) await files.truncate(name, r.right.validBytes);
-  let file: OpenFile = await files.open(name, 'a');
+  const path = join(folder, 'place.journal');
+  if (discard) await files.rm(path, { force: true });
+  const read = readJournal(await readOrEmpty(files, path));
+  const quarantineReason = E.isLeft(read)
+    ? `${read.left.message} It is now ${await quarantineFile(files, folder, path)}.`
+    : undefined;
+  const journal = E.isLeft(read) ? { right: { records: [], validBytes: 0, tornBytes: 0 } } : read;
+  if (journal.right.tornBytes > 0) await files.truncate(path, journal.right.validBytes);
+  let file: OpenFile = await files.open(path, 'a');
   // The process before may have been killed before its sync: what is found is told to others, so it must last first.
   await file.datasync();
   await syncFolder(files, folder);
-  let size = r.right.validBytes;
-  let jobs: Job[] = [];
-  let working = false;
+  let size = journal.right.validBytes;
+  let queue: WriteJob[] = [];
+  let isWorking = false;
   let busy: Promise<void> = Promise.resolve();
-  let broken: Error | undefined;
+  let failure: Error | undefined;
 
-  async function work(): Promise<void> {
-    working = true;
-    while (jobs.length > 0) {
-      const n = jobs.findIndex((j) => j.rewrite);
-      const now = n === 0 ? jobs.slice(0, 1) : jobs.slice(0, n < 0 ? jobs.length : n);
-      jobs = jobs.slice(now.length);
+  async function runQueue(): Promise<void> {
+    isWorking = true;
+    while (queue.length > 0) {
+      const firstRewrite = queue.findIndex((job) => job.rewrite);
+      const batch =
+        firstRewrite === 0 ? queue.slice(0, 1) : queue.slice(0, firstRewrite < 0 ? queue.length : firstRewrite);
+      queue = queue.slice(batch.length);
       try {
-        if (broken !== undefined) throw broken;
-        if (now[0]!.rewrite) await rewriteNow(now[0]!.rs);
+        if (failure !== undefined) throw failure;
+        if (batch[0]!.rewrite) await rewriteFile(batch[0]!.rs);
         else {
-          const b = joinRecords(now.map((j) => (j as { b: Buffer }).b));
-          await file.appendFile(b);
+          const bytes = joinRecords(batch.map((j) => (j as { b: Buffer }).b));
+          await file.appendFile(bytes);
           await file.datasync();
-          size += b.length;
+          size += bytes.length;
         }
-        for (const j of now) j.done();
-      } catch (e) {
-        broken = e instanceof Error ? e : new Error(String(e));
-        for (const j of now) j.done(broken);
+        for (const j of batch) j.done();
+      } catch (error) {
+        failure = error instanceof Error ? error : new Error(String(error));
+        for (const j of batch) j.done(failure);
       }
     }
-    working = false;
+    isWorking = false;
   }
 
-  async function rewriteNow(rs: readonly JournalRecord[]): Promise<void> {
-    const b = encodeSnapshot(rs);
-    const next = await files.open(`${name}.next`, 'w');
-    await next.writeFile(b);
-    await next.sync();
-    await next.close();
-    await files.rename(`${name}.next`, name);
+  async function rewriteFile(records: readonly JournalRecord[]): Promise<void> {
+    const bytes = encodeSnapshot(records);
+    const nextFile = await files.open(`${path}.next`, 'w');
+    await nextFile.writeFile(bytes);
+    await nextFile.sync();
+    await nextFile.close();
+    await files.rename(`${path}.next`, path);
     await syncFolder(files, folder);
     await file.close();
-    file = await files.open(name, 'a');
-    size = b.length;
+    file = await files.open(path, 'a');
+    size = bytes.length;
   }
 
-  function add(j: Job): void {
-    jobs.push(j);
-    if (!working) busy = work();
+  function enqueue(j: WriteJob): void {
+    queue.push(j);
+    if (!isWorking) busy = runQueue();
   }
 
   const disk: Disk = {
-    append: (x, done) => add({ rewrite: false, b: encodeRecord(x), done }),
-    rewrite: (rs, done) => add({ rewrite: true, rs, done }),
+    append: (x, done) => enqueue({ rewrite: false, b: encodeRecord(x), done }),
+    rewrite: (rs, done) => enqueue({ rewrite: true, rs, done }),
     size: () => size,
   };
-  if (afresh) await rewriteNow(r.right.records);
+  if (rewrite) await rewriteFile(journal.right.records);
   return {
     disk,
-    storedRecords: r.right.records,
-    truncatedBytes: r.right.tornBytes,
-    ...(aside === undefined ? {} : { quarantineReason: aside }),
+    storedRecords: journal.right.records,
+    truncatedBytes: journal.right.tornBytes,
+    ...(quarantineReason === undefined ? {} : { quarantineReason }),
     close: async () => {
       await busy;
       await file.close();
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -9,7 +9,7 @@
 import { createControlNodeHost } from './control-node-host.js';
 
 /** How long a stopping node may take to hand over what it holds, in microseconds. */
-const longestHandOver = 3_000_000;
+const leaveTimeoutUs = 3_000_000;
 
 await runProgram({
   name: 'control-node',
@@ -63,7 +63,7 @@
     );
     await app.listen(splitAddress(b.http));
     async function stop(): Promise<void> {
-      await new Promise((done) => host.leave(longestHandOver, done));
+      await new Promise((done) => host.leave(leaveTimeoutUs, done));
       await Promise.all([app.close(), real.transport.close()]);
       await host.stop();
     }
--- a/programs/control-node/src/voting-control-node.ts
+++ b/programs/control-node/src/voting-control-node.ts
@@ -10,24 +10,24 @@
   readonly roleLeaseUs: number;
 }
 
-export function createVotingControlNode(w: World, o: VotingControlNodeOptions): ControlNode {
-  const k = createControlNode(w, o);
-  const voter = createVoter(w, {
-    slot: () => k.replica.slot,
-    diskId: k.replica.diskId,
-    isVoting: () => k.replica.state() === 'voting',
-    votingSince: k.replica.votingSince,
-    membershipEpoch: () => k.replica.membership().membershipEpoch,
-    leaseDuration: o.roleLeaseUs,
+export function createVotingControlNode(world: World, options: VotingControlNodeOptions): ControlNode {
+  const node = createControlNode(world, options);
+  const voter = createVoter(world, {
+    slot: () => node.replica.slot,
+    diskId: node.replica.diskId,
+    isVoting: () => node.replica.state() === 'voting',
+    votingSince: node.replica.votingSince,
+    membershipEpoch: () => node.replica.membership().membershipEpoch,
+    leaseDuration: options.roleLeaseUs,
     store: {
-      epoch: (d) => k.replica.row(`~ballot/${d}`).promised,
+      epoch: (d) => node.replica.row(`~ballot/${d}`).promised,
       save: (d, epoch, done) =>
-        k.replica.putRow(`~ballot/${d}`, { ...k.replica.row(`~ballot/${d}`), promised: epoch }, [], done),
+        node.replica.putRow(`~ballot/${d}`, { ...node.replica.row(`~ballot/${d}`), promised: epoch }, [], done),
     },
   });
   function receive(m: Message, from: Address): void {
-    if (m.kind === 'Ballot') voter.requestVote(m, (v) => w.send(m.from as Address, v));
-    else k.receive(m, from);
+    if (m.kind === 'Ballot') voter.requestVote(m, (v) => world.send(m.from as Address, v));
+    else node.receive(m, from);
   }
-  return { ...k, receive };
+  return { ...node, receive };
 }
--- a/programs/request-router/src/admission.ts
+++ b/programs/request-router/src/admission.ts
@@ -1,144 +1,164 @@
 /**
- * Decides who goes on to the workers when there are more requests than they can take. With room, a
- * request goes at once and nothing here is felt. Under overload it waits: kinds that used less than
- * their share of credits first (so a share that is not used is lent out, and only then), by worth within
- * that. Whoever cannot be reached within half of its patience is given up on at once.
+ * Admission control. While there is capacity a request is admitted at once. Under overload requests are queued: those of
+ * kinds that used less than their fair share of credits come first, so that an unused share is lent to others and only
+ * then; among equals the higher priority comes first. A request that cannot be admitted within half of its timeout is shed
+ * at once.
  */
 import { every, micros, type Cancel, type World } from '@tansypost/inner-protocol';
 
+/** What admission needs to know of a request; kinds with the same `fairShareKey` share their credits. */
 export interface AdmissionRequest {
   readonly fairShareKey: string;
   readonly share: number;
   readonly priority: number;
   readonly cost: number;
   readonly timeoutUs: number;
-  // What of the patience went by before it came here.
+  // The part of the timeout that passed before the request arrived here.
   readonly elapsedUs: number;
 }
+/**
+ * `go`: admitted; `started` must be called once the first attempt has begun. `shed`: rejected because of overload; retry
+ * after so many seconds. `unable`: the router may not handle requests at present.
+ */
 export type AdmissionResult =
   | { readonly tag: 'go'; readonly started: () => void }
   | { readonly tag: 'shed'; readonly retryAfter: number }
   | { readonly tag: 'unable' };
+/** The admission queue. */
 export interface Admission {
-  // `renew` gives the terms in force, as these may change while it waits.
-  readonly requestSlot: (c: AdmissionRequest, renew?: () => AdmissionRequest) => Promise<AdmissionResult>;
+  /** `refresh` returns the request by the template in force, which may change while the request is queued. */
+  readonly requestSlot: (request: AdmissionRequest, refresh?: () => AdmissionRequest) => Promise<AdmissionResult>;
   readonly queueLength: () => number;
+  /** Tells that an admitted or rejected request has ended, which the drain rate is estimated from. */
   readonly requestFinished: () => void;
   readonly stop: Cancel;
 }
-interface Waiting {
-  c: AdmissionRequest;
-  readonly renew: () => AdmissionRequest;
-  readonly since: number;
-  readonly done: (a: AdmissionResult) => void;
+interface QueuedRequest {
+  request: AdmissionRequest;
+  readonly refresh: () => AdmissionRequest;
+  readonly queuedAt: number;
+  readonly resolve: (result: AdmissionResult) => void;
 }
-const half = 10_000_000;
+// Used credits decay with this half-life.
+const creditHalfLifeUs = 10_000_000;
 
-function allAble(): boolean {
+function alwaysAble(): boolean {
   return true;
 }
 
-// While the router is not able to decide nothing waits here.
+/** Creates the admission queue; while `isAble` is false no request stays queued. */
 export function createAdmission(
-  w: Pick<World, 'now' | 'after'>,
-  room: (granted: number) => boolean,
-  able: () => boolean = allAble,
+  world: Pick<World, 'now' | 'after'>,
+  hasRoom: (grantedSlots: number) => boolean,
+  isAble: () => boolean = alwaysAble,
 ): Admission {
-  const used = new Map<string, { n: number; at: number; share: number }>();
-  let queue: Waiting[] = [];
+  const creditsUsed = new Map<string, { credits: number; at: number; share: number }>();
+  let queue: QueuedRequest[] = [];
   let granted = 0;
-  let pace = 0;
-  let paceAt = w.now() as number;
+  let finishRate = 0;
+  let finishRateAt = world.now() as number;
 
-  function spent(p: string): number {
-    const u = used.get(p);
-    return u === undefined ? 0 : u.n * 2 ** (-(w.now() - u.at) / half);
+  function decayedCredits(key: string): number {
+    const usage = creditsUsed.get(key);
+    return usage === undefined ? 0 : usage.credits * 2 ** (-(world.now() - usage.at) / creditHalfLifeUs);
   }
-  function charge(c: AdmissionRequest): void {
-    used.set(c.fairShareKey, { n: spent(c.fairShareKey) + c.cost, at: w.now(), share: c.share });
+  function charge(request: AdmissionRequest): void {
+    creditsUsed.set(request.fairShareKey, {
+      credits: decayedCredits(request.fairShareKey) + request.cost,
+      at: world.now(),
+      share: request.share,
+    });
   }
-  function over(c: AdmissionRequest): boolean {
-    const shares = new Map(queue.map((x) => [x.c.fairShareKey, x.c.share]));
-    let all = 0;
-    for (const [p, u] of used) {
-      all += spent(p);
-      shares.set(p, u.share);
+  function isOverShare(request: AdmissionRequest): boolean {
+    const shares = new Map(queue.map((x) => [x.request.fairShareKey, x.request.share]));
+    let totalUsed = 0;
+    for (const [key, usage] of creditsUsed) {
+      totalUsed += decayedCredits(key);
+      shares.set(key, usage.share);
     }
-    const whole = [...shares.values()].reduce((a, b) => a + b, 0);
-    return all > 0 && spent(c.fairShareKey) / all > c.share / Math.max(1e-9, whole);
+    const totalShare = [...shares.values()].reduce((a, b) => a + b, 0);
+    return (
+      totalUsed > 0 && decayedCredits(request.fairShareKey) / totalUsed > request.share / Math.max(1e-9, totalShare)
+    );
   }
-  function order(): void {
-    const rank = new Map(queue.map((x) => [x, over(x.c) ? 1 : 0]));
-    queue.sort((a, b) => rank.get(a)! - rank.get(b)! || b.c.priority - a.c.priority || a.since - b.since);
+  function sortQueue(): void {
+    const overShare = new Map(queue.map((x) => [x, isOverShare(x.request) ? 1 : 0]));
+    queue.sort(
+      (a, b) =>
+        overShare.get(a)! - overShare.get(b)! || b.request.priority - a.request.priority || a.queuedAt - b.queuedAt,
+    );
   }
-  function rate(): number {
-    return pace * 2 ** (-(w.now() - paceAt) / 2_000_000);
+  // Finished requests per second, as a decaying average with a half-life of 2 s.
+  function currentRate(): number {
+    return finishRate * 2 ** (-(world.now() - finishRateAt) / 2_000_000);
   }
-  function left(): void {
-    pace = rate() + Math.LN2 / 2;
-    paceAt = w.now();
+  function requestFinished(): void {
+    finishRate = currentRate() + Math.LN2 / 2;
+    finishRateAt = world.now();
     drain();
   }
-  function retryAfter(n: number): number {
-    return Math.min(30, Math.max(1, Math.ceil(n / Math.max(0.2, rate()))));
+  function retryAfter(position: number): number {
+    return Math.min(30, Math.max(1, Math.ceil(position / Math.max(0.2, currentRate()))));
   }
 
-  // A place that was given away is taken until its holder has begun, else a whole crowd would go on one free place.
-  function go(c: AdmissionRequest): AdmissionResult {
-    charge(c);
+  // A granted slot counts as taken until its request has started; otherwise many queued requests would be admitted to one
+  // free slot at the same time.
+  function grantSlot(request: AdmissionRequest): AdmissionResult {
+    charge(request);
     granted += 1;
-    let over = false;
+    let released = false;
     return {
       tag: 'go',
       started: () => {
-        if (!over) granted -= 1;
-        over = true;
+        if (!released) granted -= 1;
+        released = true;
       },
     };
   }
 
   function drain(): void {
     if (queue.length === 0) return;
-    if (!able()) {
-      const xs = queue;
+    if (!isAble()) {
+      const pending = queue;
       queue = [];
-      for (const x of xs) x.done({ tag: 'unable' });
+      for (const waiting of pending) waiting.resolve({ tag: 'unable' });
       return;
     }
-    for (const x of queue) x.c = x.renew();
-    order();
-    while (queue.length > 0 && room(granted)) {
-      const x = queue.shift()!;
-      x.done(go(x.c));
+    for (const waiting of queue) waiting.request = waiting.refresh();
+    sortQueue();
+    while (queue.length > 0 && hasRoom(granted)) {
+      const next = queue.shift()!;
+      next.resolve(grantSlot(next.request));
     }
-    const r = rate();
-    const keep: Waiting[] = [];
-    for (const x of queue) {
-      const waited = x.c.elapsedUs + w.now() - x.since;
-      const wait = r > 0.2 ? ((keep.length + 1) / r) * 1e6 : 500_000;
-      if (waited + wait > x.c.timeoutUs / 2) x.done({ tag: 'shed', retryAfter: retryAfter(queue.length) });
-      else keep.push(x);
+    const drainRate = currentRate();
+    const remaining: QueuedRequest[] = [];
+    for (const waiting of queue) {
+      const elapsedUs = waiting.request.elapsedUs + world.now() - waiting.queuedAt;
+      const expectedWaitUs = drainRate > 0.2 ? ((remaining.length + 1) / drainRate) * 1e6 : 500_000;
+      if (elapsedUs + expectedWaitUs > waiting.request.timeoutUs / 2)
+        waiting.resolve({ tag: 'shed', retryAfter: retryAfter(queue.length) });
+      else remaining.push(waiting);
     }
-    queue = keep;
+    queue = remaining;
   }
 
-  function enter(c: AdmissionRequest, renew = (): AdmissionRequest => c): Promise<AdmissionResult> {
-    if (queue.length === 0 && room(granted)) return Promise.resolve(go(c));
-    return new Promise((done) => {
-      queue.push({ c, renew, since: w.now(), done });
+  function requestSlot(request: AdmissionRequest, refresh = (): AdmissionRequest => request): Promise<AdmissionResult> {
+    if (queue.length === 0 && hasRoom(granted)) return Promise.resolve(grantSlot(request));
+    return new Promise((resolve) => {
+      queue.push({ request, refresh, queuedAt: world.now(), resolve });
       drain();
     });
   }
-  const stop = every(w, () => micros(20_000), drain);
-  return { requestSlot: enter, queueLength: () => queue.length, requestFinished: left, stop };
+  const stop = every(world, () => micros(20_000), drain);
+  return { requestSlot, queueLength: () => queue.length, requestFinished, stop };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  function bench(): { a: Admission; step: (us: number) => void; free: (n: number) => void } {
+  function createFixture(): { admission: Admission; step: (us: number) => void; freeSlots: (n: number) => void } {
     let [t, slots] = [0, 0];
     let timers: { at: number; f: () => void }[] = [];
-    const a = createAdmission(
+    const admission = createAdmission(
       {
         now: () => micros(t),
         after: (d, f) => {
@@ -163,23 +183,23 @@
       t = end;
     }
     return {
-      a,
+      admission,
       step,
-      free: (n) => {
-        slots += n;
+      freeSlots: (count) => {
+        slots += count;
       },
     };
   }
-  function kind(purse: string, x: Partial<AdmissionRequest> = {}): AdmissionRequest {
+  function admissionRequest(purse: string, x: Partial<AdmissionRequest> = {}): AdmissionRequest {
     return { fairShareKey: purse, share: 1, priority: 1, cost: 1, timeoutUs: 4_000_000, elapsedUs: 0, ...x };
   }
-  it('gives up at once on what it cannot reach, far before its patience ends, and says when to come back', async () => {
-    const b = bench();
-    const r = b.a.requestSlot(kind('p', { timeoutUs: 800_000 }));
+  it('sheds a request that it cannot admit in time, long before its timeout, and says when to retry', async () => {
+    const fixture = createFixture();
+    const r = fixture.admission.requestSlot(admissionRequest('p', { timeoutUs: 800_000 }));
     expect(await r).toMatchObject({ tag: 'shed' });
     expect(((await r) as { retryAfter: number }).retryAfter).toBeGreaterThanOrEqual(1);
   });
-  it('lets nothing wait where the router may not decide any more', async () => {
+  it('keeps no request queued when the router may no longer handle requests', async () => {
     let able = true;
     const ticks: (() => void)[] = [];
     const a = createAdmission(
@@ -193,7 +213,7 @@
       () => false,
       () => able,
     );
-    const x = a.requestSlot(kind('p'));
+    const x = a.requestSlot(admissionRequest('p'));
     for (const f of ticks.splice(0)) f();
     expect(a.queueLength()).toBe(1);
     able = false;
@@ -201,46 +221,48 @@
     expect(await x).toEqual({ tag: 'unable' });
     expect(a.queueLength()).toBe(0);
   });
-  it('goes by the terms in force, which may change while a request waits', async () => {
-    const b = bench();
-    let worth = 1;
-    const went: string[] = [];
+  it('uses the template in force, which may change while a request is queued', async () => {
+    const fixture = createFixture();
+    let priority = 1;
+    const admitted: string[] = [];
     const all = [
-      b.a.requestSlot(kind('p', { priority: 2 })).then(() => went.push('same')),
-      b.a
-        .requestSlot(kind('p', { priority: worth }), () => kind('p', { priority: worth }))
-        .then(() => went.push('raised')),
+      fixture.admission.requestSlot(admissionRequest('p', { priority: 2 })).then(() => admitted.push('same')),
+      fixture.admission
+        .requestSlot(admissionRequest('p', { priority }), () => admissionRequest('p', { priority }))
+        .then(() => admitted.push('raised')),
     ];
-    worth = 3;
-    b.free(1);
-    b.step(20_000);
+    priority = 3;
+    fixture.freeSlots(1);
+    fixture.step(20_000);
     await Promise.race(all);
-    b.free(1);
-    b.step(20_000);
+    fixture.freeSlots(1);
+    fixture.step(20_000);
     await Promise.all(all);
-    expect(went).toEqual(['raised', 'same']);
+    expect(admitted).toEqual(['raised', 'same']);
   });
-  it('lets the one under its share go first, then the worthier', async () => {
-    const b = bench();
-    b.free(8);
+  it('admits requests under their fair share first, then by priority', async () => {
+    const fixture = createFixture();
+    fixture.freeSlots(8);
     for (let i = 0; i < 8; i += 1) {
-      const x = await b.a.requestSlot(kind('greedy'));
+      const x = await fixture.admission.requestSlot(admissionRequest('greedy'));
       if (x.tag === 'go') x.started();
     }
-    const went: string[] = [];
-    const all = [kind('greedy', { priority: 9 }), kind('modest', { priority: 1 }), kind('modest', { priority: 5 })].map(
-      async (c, i) => {
-        const x = await b.a.requestSlot(c);
-        if (x.tag === 'go') went.push(`${c.fairShareKey}${i}`);
-      },
-    );
+    const admitted: string[] = [];
+    const all = [
+      admissionRequest('greedy', { priority: 9 }),
+      admissionRequest('modest', { priority: 1 }),
+      admissionRequest('modest', { priority: 5 }),
+    ].map(async (c, i) => {
+      const x = await fixture.admission.requestSlot(c);
+      if (x.tag === 'go') admitted.push(`${c.fairShareKey}${i}`);
+    });
     for (let i = 0; i < 3; i += 1) {
-      b.free(1);
-      b.step(20_000);
+      fixture.freeSlots(1);
+      fixture.step(20_000);
       await Promise.resolve();
       await Promise.resolve();
     }
     await Promise.all(all);
-    expect(went).toEqual(['modest2', 'modest1', 'greedy0']);
+    expect(admitted).toEqual(['modest2', 'modest1', 'greedy0']);
   });
 }
--- a/programs/request-router/src/app.ts
+++ b/programs/request-router/src/app.ts
@@ -1,7 +1,7 @@
 /**
- * The caller's side: OpenAI's /v1/completions with server-sent events, checked by TypeBox before anything
- * else happens. `[DONE]` follows only a whole answer; after the first byte a failure is a typed error
- * event, before it a status with a body and Retry-After.
+ * The HTTP API of the router: OpenAI's /v1/completions with server-sent events. Bodies are validated by TypeBox first.
+ * `[DONE]` follows only a complete response. A failure before the first byte is an HTTP status with a body and Retry-After,
+ * a later one is a typed error event.
  */
 import { randomUUID } from 'node:crypto';
 import { Type, type Static } from '@sinclair/typebox';
@@ -26,138 +26,162 @@
   { additionalProperties: false },
 );
 
+/** What the API serves. */
 export interface AppOptions {
   readonly core: RouterCore;
   readonly bodyLimit: number;
   readonly metricsText: () => string;
 }
 
-function header(h: Record<string, string | string[] | undefined>, k: string): string | undefined {
-  const v = h[k];
-  return typeof v === 'string' ? v : undefined;
+function header(headers: Record<string, string | string[] | undefined>, name: string): string | undefined {
+  const value = headers[name];
+  return typeof value === 'string' ? value : undefined;
 }
 
-function samplingOf(b: Static<typeof Body>): Sampling {
+function samplingOf(body: Static<typeof Body>): Sampling {
   return {
-    ...(b.temperature === undefined ? {} : { temperature: b.temperature }),
-    ...(b.top_p === undefined ? {} : { top_p: b.top_p }),
-    ...(b.seed === undefined ? {} : { seed: b.seed }),
-    ...(b.user === undefined ? {} : { user: b.user }),
+    ...(body.temperature === undefined ? {} : { temperature: body.temperature }),
+    ...(body.top_p === undefined ? {} : { top_p: body.top_p }),
+    ...(body.seed === undefined ? {} : { seed: body.seed }),
+    ...(body.user === undefined ? {} : { user: body.user }),
   };
 }
 
-export function createApp(o: AppOptions): FastifyInstance {
-  const app = fastify({ bodyLimit: o.bodyLimit, forceCloseConnections: 'idle', return503OnClosing: false });
-  const ids = /^[A-Za-z0-9._:-]{1,128}$/;
+/** Creates the API; it does not listen yet. */
+export function createApp(options: AppOptions): FastifyInstance {
+  const app = fastify({ bodyLimit: options.bodyLimit, forceCloseConnections: 'idle', return503OnClosing: false });
+  const requestIdPattern = /^[A-Za-z0-9._:-]{1,128}$/;
 
-  function refuse(a: FastifyReply, f: Failure, id: string): FastifyReply {
-    if (f.retryAfter !== undefined) a.header('retry-after', `${f.retryAfter}`);
-    return a.code(failureKinds[f.kind].status).send(failureBody(f, id));
+  function sendFailure(reply: FastifyReply, failureToSend: Failure, id: string): FastifyReply {
+    if (failureToSend.retryAfter !== undefined) reply.header('retry-after', `${failureToSend.retryAfter}`);
+    return reply.code(failureKinds[failureToSend.kind].status).send(failureBody(failureToSend, id));
   }
 
-  app.setErrorHandler((e: { code?: string; message: string; statusCode?: number }, _q, a) => {
-    if (e.code === 'FST_ERR_CTP_BODY_TOO_LARGE') return refuse(a, failure('body_too_large', e.message), '');
-    if (e.statusCode !== undefined && e.statusCode < 500) return refuse(a, failure('bad_request', e.message), '');
-    return refuse(a, failure('internal_error', 'Something unforeseen went wrong inside this router.'), '');
+  app.setErrorHandler((error: { code?: string; message: string; statusCode?: number }, _request, reply) => {
+    if (error.code === 'FST_ERR_CTP_BODY_TOO_LARGE')
+      return sendFailure(reply, failure('body_too_large', error.message), '');
+    if (error.statusCode !== undefined && error.statusCode < 500)
+      return sendFailure(reply, failure('bad_request', error.message), '');
+    return sendFailure(reply, failure('internal_error', 'An unexpected error occurred in this router.'), '');
   });
-  app.setNotFoundHandler((q, a) =>
-    a.code(404).send({
-      error: { kind: 'bad_request', message: `There is no ${q.method} ${q.url}.`, remedy: 'POST /v1/completions.' },
+  app.setNotFoundHandler((httpRequest, reply) =>
+    reply.code(404).send({
+      error: {
+        kind: 'bad_request',
+        message: `There is no ${httpRequest.method} ${httpRequest.url}.`,
+        remedy: 'POST /v1/completions.',
+      },
     }),
   );
 
-  app.post('/v1/completions', async (q, a) => {
-    const id = header(q.headers, 'x-request-id') ?? randomUUID();
-    if (!ids.test(id))
-      return refuse(a, failure('bad_request', 'x-request-id may hold letters, digits and ._:- up to 128.'), '');
-    const e = [...Value.Errors(Body, q.body)][0];
-    if (e !== undefined) return refuse(a, failure('bad_request', `${e.path === '' ? '/' : e.path}: ${e.message}`), id);
-    const b = q.body as Static<typeof Body>;
-    const tenant = header(q.headers, 'x-tansypost-tenant');
-    const kind = header(q.headers, 'x-tansypost-kind');
+  app.post('/v1/completions', async (httpRequest, reply) => {
+    const id = header(httpRequest.headers, 'x-request-id') ?? randomUUID();
+    if (!requestIdPattern.test(id))
+      return sendFailure(
+        reply,
+        failure('bad_request', 'x-request-id must have 1 to 128 letters, digits or ._:- characters.'),
+        '',
+      );
+    const fault = [...Value.Errors(Body, httpRequest.body)][0];
+    if (fault !== undefined)
+      return sendFailure(
+        reply,
+        failure('bad_request', `${fault.path === '' ? '/' : fault.path}: ${fault.message}`),
+        id,
+      );
+    const body = httpRequest.body as Static<typeof Body>;
+    const tenant = header(httpRequest.headers, 'x-tansypost-tenant');
+    const kind = header(httpRequest.headers, 'x-tansypost-kind');
     if (tenant === undefined || kind === undefined)
-      return refuse(a, failure('bad_request', 'x-tansypost-tenant and x-tansypost-kind must be given.'), id);
-    const r: IncomingRequest = {
+      return sendFailure(
+        reply,
+        failure('bad_request', 'The headers x-tansypost-tenant and x-tansypost-kind are required.'),
+        id,
+      );
+    const incoming: IncomingRequest = {
       id,
       tenant,
       kind,
-      model: b.model,
-      prompt: b.prompt,
-      maxTokens: b.max_tokens ?? 16,
-      forwarded: header(q.headers, 'x-tansypost-sent-on') !== undefined,
-      idempotencyKey: header(q.headers, 'idempotency-key'),
-      elapsedUs: Math.max(0, Number(header(q.headers, 'x-tansypost-spent-us') ?? 0) || 0),
-      sampling: samplingOf(b),
+      model: body.model,
+      prompt: body.prompt,
+      maxTokens: body.max_tokens ?? 16,
+      forwarded: header(httpRequest.headers, 'x-tansypost-sent-on') !== undefined,
+      idempotencyKey: header(httpRequest.headers, 'idempotency-key'),
+      elapsedUs: Math.max(0, Number(header(httpRequest.headers, 'x-tansypost-spent-us') ?? 0) || 0),
+      sampling: samplingOf(body),
     };
-    const gone = new AbortController();
-    a.hijack();
-    a.raw.on('error', () => undefined);
-    a.raw.on('close', () => {
-      if (!a.raw.writableEnded) gone.abort();
+    const clientGone = new AbortController();
+    reply.hijack();
+    reply.raw.on('error', () => undefined);
+    reply.raw.on('close', () => {
+      if (!reply.raw.writableEnded) clientGone.abort();
     });
-    const reply = b.stream === true ? streamed(a, id, b.model) : gathered(a, id, b.model);
+    const response =
+      body.stream === true
+        ? createStreamingResponse(reply, id, body.model)
+        : createBufferedResponse(reply, id, body.model);
     try {
-      await o.core.handleRequest(r, reply, gone.signal);
+      await options.core.handleRequest(incoming, response, clientGone.signal);
     } catch {
-      reply.fail(failure('internal_error', 'Something unforeseen went wrong inside this router.'));
+      response.fail(failure('internal_error', 'An unexpected error occurred in this router.'));
     }
     return undefined;
   });
 
-  function head(a: FastifyReply, status: number, f: Failure, id: string): void {
-    const body = JSON.stringify(failureBody(f, id));
-    const h: Record<string, string> = {
+  function writeFailure(reply: FastifyReply, status: number, failureToSend: Failure, id: string): void {
+    const body = JSON.stringify(failureBody(failureToSend, id));
+    const headers: Record<string, string> = {
       'content-type': 'application/json',
       'content-length': `${Buffer.byteLength(body)}`,
     };
-    if (f.retryAfter !== undefined) h['retry-after'] = `${f.retryAfter}`;
-    a.raw.writeHead(status, h);
-    a.raw.end(body);
+    if (failureToSend.retryAfter !== undefined) headers['retry-after'] = `${failureToSend.retryAfter}`;
+    reply.raw.writeHead(status, headers);
+    reply.raw.end(body);
   }
 
-  function streamed(a: FastifyReply, id: string, model: string): ResponseWriter {
-    let begun = false;
-    function event(text: string, end: string | null): string {
+  function createStreamingResponse(reply: FastifyReply, id: string, model: string): ResponseWriter {
+    let started = false;
+    function formatEvent(text: string, end: string | null): string {
       return `data: ${JSON.stringify({ id, object: 'text_completion', model, choices: [{ index: 0, text, finish_reason: end }] })}\n\n`;
     }
-    function begin(): void {
-      if (!begun) a.raw.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
-      begun = true;
+    function writeHeadersOnce(): void {
+      if (!started) reply.raw.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
+      started = true;
     }
     return {
-      chunk: (t) => {
-        begin();
-        if (a.raw.write(event(t, null)) || a.raw.destroyed) return undefined;
-        return new Promise((ok) => {
-          function on(): void {
-            a.raw.off('drain', on).off('close', on);
-            ok();
+      chunk: (text) => {
+        writeHeadersOnce();
+        if (reply.raw.write(formatEvent(text, null)) || reply.raw.destroyed) return undefined;
+        return new Promise((resolve) => {
+          function onWritable(): void {
+            reply.raw.off('drain', onWritable).off('close', onWritable);
+            resolve();
           }
-          a.raw.on('drain', on).on('close', on);
+          reply.raw.on('drain', onWritable).on('close', onWritable);
         });
       },
       end: (finish) => {
-        begin();
-        a.raw.end(`${event('', finish)}data: [DONE]\n\n`);
+        writeHeadersOnce();
+        reply.raw.end(`${formatEvent('', finish)}data: [DONE]\n\n`);
       },
-      // Whoever does not read is cut off; there is no telling it more.
-      fail: (f) => {
-        if (a.raw.writableNeedDrain) a.raw.destroy();
-        else if (begun) a.raw.end(`event: error\ndata: ${JSON.stringify(failureBody(f, id))}\n\n`);
-        else head(a, failureKinds[f.kind].status, f, id);
+      // A client that does not read is disconnected, as no error event would reach it.
+      fail: (rejection) => {
+        if (reply.raw.writableNeedDrain) reply.raw.destroy();
+        else if (started) reply.raw.end(`event: error\ndata: ${JSON.stringify(failureBody(rejection, id))}\n\n`);
+        else writeFailure(reply, failureKinds[rejection.kind].status, rejection, id);
       },
     };
   }
 
-  function gathered(a: FastifyReply, id: string, model: string): ResponseWriter {
+  function createBufferedResponse(reply: FastifyReply, id: string, model: string): ResponseWriter {
     let text = '';
     return {
-      chunk: (t) => {
-        text += t;
+      chunk: (chunk) => {
+        text += chunk;
       },
       end: (finish) => {
-        a.raw.writeHead(200, { 'content-type': 'application/json' });
-        a.raw.end(
+        reply.raw.writeHead(200, { 'content-type': 'application/json' });
+        reply.raw.end(
           JSON.stringify({
             id,
             object: 'text_completion',
@@ -166,92 +190,119 @@
           }),
         );
       },
-      fail: (f) => head(a, failureKinds[f.kind].status, f, id),
+      fail: (rejection) => writeFailure(reply, failureKinds[rejection.kind].status, rejection, id),
     };
   }
 
-  app.get('/vitals', async (_q, a) =>
-    a.code(o.core.feed.hasLease() ? 200 : 503).send({ ok: o.core.feed.hasLease(), ...o.core.metrics() }),
+  app.get('/vitals', async (_request, reply) =>
+    reply
+      .code(options.core.feed.hasLease() ? 200 : 503)
+      .send({ ok: options.core.feed.hasLease(), ...options.core.metrics() }),
   );
   app.get('/figures', async () => ({
-    ...o.core.metrics(),
-    workers: o.core.workerTable.snapshot(),
-    parts: o.core.feed.rehearsalRecord().parts,
+    ...options.core.metrics(),
+    workers: options.core.workerTable.snapshot(),
+    parts: options.core.feed.rehearsalRecord().parts,
+  }));
+  app.get('/desired-state', async () => ({
+    version: options.core.feed.appliedVersion(),
+    state: options.core.feed.desiredState(),
   }));
-  app.get('/desired-state', async () => ({ version: o.core.feed.appliedVersion(), state: o.core.feed.desiredState() }));
-  app.get('/metrics', async (_q, a) => a.type('text/plain; version=0.0.4').send(o.metricsText()));
+  app.get('/metrics', async (_request, reply) => reply.type('text/plain; version=0.0.4').send(options.metricsText()));
   return app;
 }
 
-// Sends a request on to another router, once, if that router answers a short question first. Its refusal before any
-// send lets the next one be asked; whatever else it says is the final answer, and a broken link leaves the
-// outcome unknown.
+/**
+ * Forwards a request to another router, once, if that router's health check succeeds. Returns false, so that the next
+ * router may be tried, if the router refused the request before any attempt; any other answer is final. A broken
+ * connection leaves the outcome unknown.
+ */
 export async function forwardOverHttp(
-  to: string,
-  r: IncomingRequest,
-  reply: ResponseWriter,
-  gone: AbortSignal,
+  router: string,
+  forwarded: IncomingRequest,
+  response: ResponseWriter,
+  clientGone: AbortSignal,
   dispatcher: Agent,
 ): Promise<boolean> {
-  let begun = false;
+  let streaming = false;
   let finish = 'stop';
   try {
-    const v = await request(`http://${to}/vitals`, { dispatcher, signal: gone, headersTimeout: 500, bodyTimeout: 500 });
-    await v.body.dump();
-    if (v.statusCode !== 200) return false;
+    const health = await request(`http://${router}/vitals`, {
+      dispatcher,
+      signal: clientGone,
+      headersTimeout: 500,
+      bodyTimeout: 500,
+    });
+    await health.body.dump();
+    if (health.statusCode !== 200) return false;
   } catch {
     return false;
   }
   try {
-    const x = await request(`http://${to}/v1/completions`, {
+    const upstream = await request(`http://${router}/v1/completions`, {
       method: 'POST',
       dispatcher,
-      signal: gone,
+      signal: clientGone,
       headers: {
         'content-type': 'application/json',
-        'x-request-id': r.id,
-        'x-tansypost-tenant': r.tenant,
-        'x-tansypost-kind': r.kind,
+        'x-request-id': forwarded.id,
+        'x-tansypost-tenant': forwarded.tenant,
+        'x-tansypost-kind': forwarded.kind,
         'x-tansypost-sent-on': '1',
-        'x-tansypost-spent-us': `${Math.round(r.elapsedUs ?? 0)}`,
-        ...(r.idempotencyKey === undefined ? {} : { 'idempotency-key': r.idempotencyKey }),
+        'x-tansypost-spent-us': `${Math.round(forwarded.elapsedUs ?? 0)}`,
+        ...(forwarded.idempotencyKey === undefined ? {} : { 'idempotency-key': forwarded.idempotencyKey }),
       },
-      body: JSON.stringify({ ...r.sampling, model: r.model, prompt: r.prompt, max_tokens: r.maxTokens, stream: true }),
+      body: JSON.stringify({
+        ...forwarded.sampling,
+        model: forwarded.model,
+        prompt: forwarded.prompt,
+        max_tokens: forwarded.maxTokens,
+        stream: true,
+      }),
     });
-    if (x.statusCode !== 200) {
-      const f = parseFailure(await x.body.text(), x.statusCode);
-      if (f.kind === 'no_tenure' || f.kind === 'stopping') return false;
-      reply.fail(f);
+    if (upstream.statusCode !== 200) {
+      const upstreamFailure = parseFailure(await upstream.body.text(), upstream.statusCode);
+      if (upstreamFailure.kind === 'no_tenure' || upstreamFailure.kind === 'stopping') return false;
+      response.fail(upstreamFailure);
       return true;
     }
-    const d = new TextDecoder();
-    let held = '';
-    for await (const b of x.body) {
-      held += d.decode(b as Buffer, { stream: true });
-      for (let i = held.indexOf('\n\n'); i >= 0; i = held.indexOf('\n\n')) {
-        const line = held.slice(0, i);
-        held = held.slice(i + 2);
-        begun = true;
-        if (line === 'data: [DONE]') {
-          reply.end(finish);
+    const decoder = new TextDecoder();
+    let buffered = '';
+    for await (const part of upstream.body) {
+      buffered += decoder.decode(part as Buffer, { stream: true });
+      for (let i = buffered.indexOf('\n\n'); i >= 0; i = buffered.indexOf('\n\n')) {
+        const frame = buffered.slice(0, i);
+        buffered = buffered.slice(i + 2);
+        streaming = true;
+        if (frame === 'data: [DONE]') {
+          response.end(finish);
           return true;
         }
-        if (line.startsWith('event: error')) {
-          const f = parseFailure(line.slice(line.indexOf('data: ') + 6));
-          reply.fail(failureKinds[f.kind].ran === 'no' ? failure('answer_cut', f.message) : f);
+        if (frame.startsWith('event: error')) {
+          const upstreamFailure = parseFailure(frame.slice(frame.indexOf('data: ') + 6));
+          response.fail(
+            failureKinds[upstreamFailure.kind].ran === 'no'
+              ? failure('answer_cut', upstreamFailure.message)
+              : upstreamFailure,
+          );
           return true;
         }
-        const c = (JSON.parse(line.slice(6)) as { choices: { text: string; finish_reason: string | null }[] })
+        const choice = (JSON.parse(frame.slice(6)) as { choices: { text: string; finish_reason: string | null }[] })
           .choices[0]!;
-        if (c.text !== '') await reply.chunk(c.text);
-        finish = c.finish_reason ?? finish;
+        if (choice.text !== '') await response.chunk(choice.text);
+        finish = choice.finish_reason ?? finish;
       }
     }
-    reply.fail(failure('answer_cut', 'The router it was sent on to broke off.'));
+    response.fail(failure('answer_cut', 'The connection to the router that the request was forwarded to broke.'));
     return true;
-  } catch (e) {
-    if ((e as { code?: string }).code === 'ECONNREFUSED' && !begun) return false;
-    reply.fail(failure(begun ? 'answer_cut' : 'outcome_unknown', 'The router it was sent on to broke off.'));
+  } catch (error) {
+    if ((error as { code?: string }).code === 'ECONNREFUSED' && !streaming) return false;
+    response.fail(
+      failure(
+        streaming ? 'answer_cut' : 'outcome_unknown',
+        'The connection to the router that the request was forwarded to broke.',
+      ),
+    );
     return true;
   }
 }
--- a/programs/request-router/src/concurrency-window.ts
+++ b/programs/request-router/src/concurrency-window.ts
@@ -1,54 +1,62 @@
 /**
- * How many prompts this router may have with the workers at once. The window shrinks when reading a prompt takes
- * longer than the target and grows while it is full and reading is quick, so that under overload prompts wait
- * here, where they can be ordered by worth or given up on, and not in the workers' queues.
+ * Adaptive limit of the prefills that this router runs concurrently. The window shrinks when a prefill takes longer than
+ * the target, and grows while it is full and prefills are fast enough. Under overload requests therefore wait here, where
+ * they can be ordered by priority or rejected, and not in the workers' queues.
  */
 import type { Micros } from '@tansypost/inner-protocol';
 
+/** The current limit and the prefills in flight. */
 export interface ConcurrencyWindow {
   readonly hasRoom: (granted?: number) => boolean;
-  readonly beginPrefill: () => (took: boolean) => void;
+  /** Counts a prefill; the returned function ends it. Only a successful one changes the limit. */
+  readonly beginPrefill: () => (succeeded: boolean) => void;
   readonly isIdle: () => boolean;
   readonly size: () => number;
 }
 
+/** Creates a window of `initialSize` that never exceeds `maxSize`; `targetUs` is the target duration of a prefill. */
 export function createConcurrencyWindow(
   now: () => Micros,
-  target: () => number,
-  start = 64,
-  most = 512,
+  targetUs: () => number,
+  initialSize = 64,
+  maxSize = 512,
 ): ConcurrencyWindow {
-  let size = start;
-  let n = 0;
-  let shrunk = -Infinity;
-  function began(): (took: boolean) => void {
-    const at = now();
-    n += 1;
-    return function end(took) {
-      n -= 1;
-      if (!took) return;
-      const us = now() - at;
-      if (us > target()) {
-        if (now() - shrunk < Math.max(200_000, target() / 2)) return;
-        shrunk = now();
-        size = Math.max(2, Math.min(size, n + 1) * 0.7);
-      } else if (n + 1 >= 0.8 * size) size = Math.min(most, size + 0.5);
+  let size = initialSize;
+  let inFlight = 0;
+  let shrunkAt = -Infinity;
+  function beginPrefill(): (succeeded: boolean) => void {
+    const startedAt = now();
+    inFlight += 1;
+    return function endPrefill(succeeded) {
+      inFlight -= 1;
+      if (!succeeded) return;
+      const durationUs = now() - startedAt;
+      if (durationUs > targetUs()) {
+        if (now() - shrunkAt < Math.max(200_000, targetUs() / 2)) return;
+        shrunkAt = now();
+        size = Math.max(2, Math.min(size, inFlight + 1) * 0.7);
+      } else if (inFlight + 1 >= 0.8 * size) size = Math.min(maxSize, size + 0.5);
     };
   }
-  return { hasRoom: (granted = 0) => n + granted < size, beginPrefill: began, isIdle: () => n === 0, size: () => size };
+  return {
+    hasRoom: (granted = 0) => inFlight + granted < size,
+    beginPrefill,
+    isIdle: () => inFlight === 0,
+    size: () => size,
+  };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { micros } = await import('@tansypost/inner-protocol');
-  it('shrinks to what is read within the target, and grows again when there is room', () => {
+  it('shrinks to the number of prefills that finish within the target, and grows again when workers are fast', () => {
     let t = 0;
     const w = createConcurrencyWindow(
       () => micros(t),
       () => 1_000_000,
     );
-    // A worker that reads four prompts a second: each takes a quarter second for every one in front of it.
-    const ends: { at: number; end: (took: boolean) => void }[] = [];
+    // A worker that prefills one prompt at a time, at first in 250 ms each and later in 10 ms.
+    const ends: { at: number; end: (succeeded: boolean) => void }[] = [];
     let busy = 0;
     function step(each: number, until: number): void {
       while (t < until) {
--- a/programs/request-router/src/configuration-feed.ts
+++ b/programs/request-router/src/configuration-feed.ts
@@ -1,7 +1,7 @@
 /**
- * What the agent feeds the router, held as the router applies it: desired state and rehearsal record only ever
- * move to a higher version, models are taken by hash, and the feed tenure says whether this router may
- * decide at all. A tenure counts from when this router asked, by this router's clock.
+ * The configuration that the agent feeds to the router. The desired state and the rehearsal record only ever move to a
+ * higher version, models are identified by hash, and the feed lease says whether this router may handle requests at all.
+ * A lease runs from the time of this router's own request for it, by this router's clock.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { Micros, MessageOf, KeyUpdate } from '@tansypost/inner-protocol';
@@ -9,126 +9,138 @@
 import { decodeModel, scoreAll, type Model } from '@tansypost/placement';
 import { emptyRecord, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
 
+/** Settings of the feed. */
 export interface ConfigurationFeedOptions {
   readonly service: string;
   readonly leaseDurationUs: number;
   readonly now: () => Micros;
   readonly log: (event: number, fields: Record<string, unknown>) => void;
 }
+/** The configuration in force at this router. */
 export interface ConfigurationFeed {
-  readonly receive: (m: MessageOf<'Feed'>) => void;
+  readonly receive: (message: MessageOf<'Feed'>) => void;
   readonly hasLease: () => boolean;
   readonly appliedVersion: () => number;
   readonly desiredState: () => DesiredState | undefined;
   readonly rehearsalRecord: () => RehearsalRecord;
-  readonly model: (r: ModelRef | undefined) => Model | undefined;
+  readonly model: (reference: ModelRef | undefined) => Model | undefined;
   readonly heldVersions: () => { key: string; epoch: number; version: number }[];
   readonly otherRouters: () => readonly string[];
 }
 
-export function createConfigurationFeed(o: ConfigurationFeedOptions): ConfigurationFeed {
-  const held = new Map<string, KeyUpdate>();
+/** Creates a feed that holds nothing yet and no lease. */
+export function createConfigurationFeed(options: ConfigurationFeedOptions): ConfigurationFeed {
+  const updates = new Map<string, KeyUpdate>();
   const models = new Map<string, Model>();
-  let until = -Infinity;
-  let askedLast = -Infinity;
-  let fedAt = -Infinity;
-  let contact = false;
-  let had = false;
-  let refused = '';
-  let desired: DesiredState | undefined;
+  let leaseUntil = -Infinity;
+  let grantedRequestAt = -Infinity;
+  let receivedAt = -Infinity;
+  let agentInContact = false;
+  let wasLeased = false;
+  let reportedModel = '';
+  let desiredState: DesiredState | undefined;
   let version = 0;
-  let record = emptyRecord;
-  let others: readonly string[] = [];
-  const desiredKey = `desired/${o.service}`;
+  let rehearsalRecord = emptyRecord;
+  let otherRouters: readonly string[] = [];
+  const desiredKey = `desired/${options.service}`;
 
-  function take(m: MessageOf<'Feed'>): void {
-    for (const n of m.news) {
-      if (n.version <= 0) continue;
-      const old = held.get(n.key);
-      if (old !== undefined && (n.version < old.version || (n.version === old.version && n.epoch <= old.epoch)))
+  function receive(message: MessageOf<'Feed'>): void {
+    for (const update of message.news) {
+      if (update.version <= 0) continue;
+      const previous = updates.get(update.key);
+      if (
+        previous !== undefined &&
+        (update.version < previous.version || (update.version === previous.version && update.epoch <= previous.epoch))
+      )
         continue;
-      const same = old !== undefined && old.version === n.version;
-      held.set(n.key, n);
-      if (!same) apply(n);
+      const unchanged = previous !== undefined && previous.version === update.version;
+      updates.set(update.key, update);
+      if (!unchanged) apply(update);
     }
-    for (const g of m.grants) {
-      if (g.version !== version) continue;
-      until = Math.max(until, g.asked + o.leaseDurationUs);
-      askedLast = Math.max(askedLast, g.asked);
+    for (const grant of message.grants) {
+      if (grant.version !== version) continue;
+      leaseUntil = Math.max(leaseUntil, grant.asked + options.leaseDurationUs);
+      grantedRequestAt = Math.max(grantedRequestAt, grant.asked);
     }
-    fedAt = o.now();
-    contact = m.contact;
-    if (m.others.length > 0) others = m.others;
-    prepare();
-    tenured();
+    receivedAt = options.now();
+    agentInContact = message.contact;
+    if (message.others.length > 0) otherRouters = message.others;
+    prepareModels();
+    hasLease();
   }
 
-  // Decodes what the record names before a request needs it, and runs it a few times so that it is quick by then.
-  function prepare(): void {
-    const s = record.running?.subject;
-    for (const r of [record.live, s?.type === 'model' ? s.model : undefined]) {
-      if (r === undefined || models.has(r.hash)) continue;
-      const x = model(r);
-      if (x === undefined) continue;
-      const rows = Array.from({ length: 12 }, () => new Float32Array(x.predictor.sizes[0]!));
-      for (let n = 0; n < 3; n += 1) scoreAll(x, rows);
+  // Decodes the models of the record before a request needs them, and runs each a few times so that the JIT compiler has
+  // optimized it by then.
+  function prepareModels(): void {
+    const subject = rehearsalRecord.running?.subject;
+    for (const reference of [rehearsalRecord.live, subject?.type === 'model' ? subject.model : undefined]) {
+      if (reference === undefined || models.has(reference.hash)) continue;
+      const decoded = findModel(reference);
+      if (decoded === undefined) continue;
+      const rows = Array.from({ length: 12 }, () => new Float32Array(decoded.predictor.sizes[0]!));
+      for (let n = 0; n < 3; n += 1) scoreAll(decoded, rows);
     }
   }
 
-  function apply(n: KeyUpdate): void {
-    if (n.key === desiredKey) {
-      const d = checkDesiredState(JSON.parse(n.value.toString()));
-      if (E.isLeft(d)) return;
-      desired = d.right;
-      version = n.version;
-      o.log(5003, { version, epoch: n.epoch, change: 'desired' });
-    } else if (n.key === `rehearsal/${o.service}`) {
-      record = readRecord(n.value);
+  function apply(update: KeyUpdate): void {
+    if (update.key === desiredKey) {
+      const checked = checkDesiredState(JSON.parse(update.value.toString()));
+      if (E.isLeft(checked)) return;
+      desiredState = checked.right;
+      version = update.version;
+      options.log(5003, { version, epoch: update.epoch, change: 'desired' });
+    } else if (update.key === `rehearsal/${options.service}`) {
+      rehearsalRecord = readRecord(update.value);
     }
-    for (const h of models.keys()) {
-      const s = record.running?.subject;
-      if (h !== record.live?.hash && h !== record.before?.hash && !(s?.type === 'model' && s.model.hash === h))
-        models.delete(h);
+    for (const hash of models.keys()) {
+      const subject = rehearsalRecord.running?.subject;
+      if (
+        hash !== rehearsalRecord.live?.hash &&
+        hash !== rehearsalRecord.before?.hash &&
+        !(subject?.type === 'model' && subject.model.hash === hash)
+      )
+        models.delete(hash);
     }
   }
 
-  // Beside the tenure, the marks must be current: fed just now, and either the core was heard through the home
-  // agent or the agent hears at least half of the members that it knows. Otherwise a leaving mark may have
-  // passed this machine by.
-  function tenured(): boolean {
-    const t = o.now();
-    const current = t - fedAt < 1_500_000 && (t - askedLast < 1_500_000 || contact);
-    const is = t < until && current;
-    if (is !== had) o.log(is ? 5001 : 5002, { version });
-    had = is;
-    return is;
+  // Besides the lease, the worker states must be current: the agent has sent them just now, and either the control cluster
+  // has answered by way of the zone leader or the agent is in contact with at least half of the members that it knows.
+  // Otherwise this machine may have missed that a worker is leaving.
+  function hasLease(): boolean {
+    const now = options.now();
+    const current = now - receivedAt < 1_500_000 && (now - grantedRequestAt < 1_500_000 || agentInContact);
+    const leased = now < leaseUntil && current;
+    if (leased !== wasLeased) options.log(leased ? 5001 : 5002, { version });
+    wasLeased = leased;
+    return leased;
   }
 
-  function model(r: ModelRef | undefined): Model | undefined {
-    if (r === undefined) return undefined;
-    const m = models.get(r.hash);
-    if (m !== undefined) return m;
-    const b = held.get(r.blob);
-    if (b === undefined) return undefined;
-    const d = decodeModel(b.value, r.hash);
-    if (E.isLeft(d)) {
-      if (refused !== `${r.hash}/${b.version}`) o.log(4004, { version: r.version, hash: r.hash, blob: r.blob });
-      refused = `${r.hash}/${b.version}`;
+  function findModel(reference: ModelRef | undefined): Model | undefined {
+    if (reference === undefined) return undefined;
+    const cached = models.get(reference.hash);
+    if (cached !== undefined) return cached;
+    const blob = updates.get(reference.blob);
+    if (blob === undefined) return undefined;
+    const decoded = decodeModel(blob.value, reference.hash);
+    if (E.isLeft(decoded)) {
+      if (reportedModel !== `${reference.hash}/${blob.version}`)
+        options.log(4004, { version: reference.version, hash: reference.hash, blob: reference.blob });
+      reportedModel = `${reference.hash}/${blob.version}`;
       return undefined;
     }
-    models.set(r.hash, d.right);
-    o.log(4002, { version: r.version, hash: r.hash });
-    return d.right;
+    models.set(reference.hash, decoded.right);
+    options.log(4002, { version: reference.version, hash: reference.hash });
+    return decoded.right;
   }
 
   return {
-    receive: take,
-    hasLease: tenured,
-    model,
+    receive,
+    hasLease,
+    model: findModel,
     appliedVersion: () => version,
-    desiredState: () => desired,
-    rehearsalRecord: () => record,
-    heldVersions: () => [...held.values()].map((n) => ({ key: n.key, epoch: n.epoch, version: n.version })),
-    otherRouters: () => others,
+    desiredState: () => desiredState,
+    rehearsalRecord: () => rehearsalRecord,
+    heldVersions: () => [...updates.values()].map((n) => ({ key: n.key, epoch: n.epoch, version: n.version })),
+    otherRouters: () => otherRouters,
   };
 }
--- a/programs/request-router/src/decision.ts
+++ b/programs/request-router/src/decision.ts
@@ -1,64 +1,75 @@
 /**
- * The decision object: asked after every event of a request what to do next, it answers from the ledger
- * and the facts of the moment, and does nothing itself. The executor obeys.
+ * Decides the next step of a request from its attempts so far and the current conditions. It has no effects of its own;
+ * the router core executes the step.
  */
 import { failure, type Failure } from './failure.js';
 import { noAttemptStarted, type AttemptLedger } from './attempt-ledger.js';
 
+/** The current conditions; `remainingUs` is the time until the deadline. */
 export interface DecisionFacts {
   readonly idempotent: boolean;
   readonly remainingUs: number;
-  // How many extra sends the budget allows now.
+  // How many retries the budget allows now.
   readonly availableRetries: number;
   readonly prefillWorkers: number;
   readonly decodeWorkers: number;
   readonly retryAfter: number;
 }
+/** What to do next. */
 export type DecisionStep =
   { readonly do: 'prefill' } | { readonly do: 'decode' } | { readonly do: 'fail'; readonly failure: Failure };
 
-export function decide(l: AttemptLedger, f: DecisionFacts): DecisionStep {
-  function fail(x: Failure): DecisionStep {
+/** Decides the next step after each attempt. */
+export function decide(ledger: AttemptLedger, facts: DecisionFacts): DecisionStep {
+  function failWith(x: Failure): DecisionStep {
     return { do: 'fail', failure: x };
   }
-  const last = l.attempts.at(-1);
-  // Once a decode was sent, a new prefill will take an extra decode with it.
-  const again = l.attempts.some((s) => s.phase === 'decode') ? 2 : 1;
-  const untouched = noAttemptStarted(l);
-  if (l.firstByteSent)
-    return fail(failure('answer_cut', 'The worker broke off after the answer had begun.', f.retryAfter));
-  if (last?.outcome === 'pending') return fail(failure('outcome_unknown', 'A send is still open.'));
-  if (f.remainingUs <= 0) {
-    return fail(
-      untouched
-        ? failure('overloaded', 'Its patience ran out before a worker took it.', f.retryAfter)
-        : failure('budget_spent', 'Its patience ran out.', f.retryAfter),
+  const last = ledger.attempts.at(-1);
+  // Once a decode has been attempted, a new prefill costs a repeated decode as well.
+  const neededRetries = ledger.attempts.some((s) => s.phase === 'decode') ? 2 : 1;
+  const nothingStarted = noAttemptStarted(ledger);
+  if (ledger.firstByteSent)
+    return failWith(failure('answer_cut', 'The worker failed after the response had begun.', facts.retryAfter));
+  if (last?.outcome === 'pending') return failWith(failure('outcome_unknown', 'An attempt has not ended yet.'));
+  if (facts.remainingUs <= 0) {
+    return failWith(
+      nothingStarted
+        ? failure('overloaded', 'The request timed out before a worker accepted it.', facts.retryAfter)
+        : failure('budget_spent', 'The request timed out.', facts.retryAfter),
     );
   }
   if (last?.phase === 'prefill' && last.outcome === 'done') {
-    if (f.decodeWorkers > 0) return { do: 'decode' };
-    return fail(
+    if (facts.decodeWorkers > 0) return { do: 'decode' };
+    return failWith(
       failure(
-        f.idempotent ? 'workers_failed' : 'outcome_unknown',
-        'No worker is ready to decode; the prompt has been read.',
-        f.retryAfter,
+        facts.idempotent ? 'workers_failed' : 'outcome_unknown',
+        'No worker is available for decode; the prefill is complete.',
+        facts.retryAfter,
       ),
     );
   }
-  if (last?.phase === 'decode' && last.outcome === 'notStarted' && f.availableRetries >= 1 && f.decodeWorkers > 0)
+  if (
+    last?.phase === 'decode' &&
+    last.outcome === 'notStarted' &&
+    facts.availableRetries >= 1 &&
+    facts.decodeWorkers > 0
+  )
     return { do: 'decode' };
-  if (untouched) {
-    if (f.prefillWorkers === 0 || f.decodeWorkers === 0)
-      return fail(failure('no_workers', 'No worker is ready for it.', f.retryAfter));
-    if (last === undefined || f.availableRetries >= again) return { do: 'prefill' };
-    return fail(
-      failure('workers_refused', 'Workers would not take it and no more sends are allowed now.', f.retryAfter),
+  if (nothingStarted) {
+    if (facts.prefillWorkers === 0 || facts.decodeWorkers === 0)
+      return failWith(failure('no_workers', 'No worker is available for this request.', facts.retryAfter));
+    if (last === undefined || facts.availableRetries >= neededRetries) return { do: 'prefill' };
+    return failWith(
+      failure('workers_refused', 'Workers refused the request and the retry budget is exhausted.', facts.retryAfter),
     );
   }
-  if (!f.idempotent)
-    return fail(failure('outcome_unknown', 'It may not be repeated and may have run in part.', f.retryAfter));
-  if (f.availableRetries >= again && f.prefillWorkers > 0 && f.decodeWorkers > 0) return { do: 'prefill' };
-  return fail(failure('workers_failed', 'Workers failed it and no more sends are allowed now.', f.retryAfter));
+  if (!facts.idempotent)
+    return failWith(
+      failure('outcome_unknown', 'The request is not idempotent and may have run in part.', facts.retryAfter),
+    );
+  if (facts.availableRetries >= neededRetries && facts.prefillWorkers > 0 && facts.decodeWorkers > 0)
+    return { do: 'prefill' };
+  return failWith(failure('workers_failed', 'Workers failed and the request cannot be retried now.', facts.retryAfter));
 }
 
 if (import.meta.vitest) {
@@ -78,7 +89,7 @@
     retryAfter: fc.constant(1),
   });
   const { failureKinds } = await import('./failure.js');
-  it('never sends again what may have started and may not be repeated, nor refuses what may have run', () => {
+  it('never retries a request that may have started and is not idempotent, nor reports as not run one that may have run', () => {
     fc.assert(
       fc.property(fc.array(send, { maxLength: 5 }), fc.boolean(), facts, (sends, firstByte, f) => {
         const l: AttemptLedger = { attempts: sends, firstByteSent: firstByte };
--- a/programs/request-router/src/failure.ts
+++ b/programs/request-router/src/failure.ts
@@ -1,9 +1,10 @@
 /**
- * The typed ways in which a request ends without a whole answer. Each kind has its HTTP status, says
- * whether anything may have run, and carries the remedy. `refused` kinds are only ever given before
- * any send; once something may have run the kind says so.
+ * The typed failures with which a request can end. Each kind has its HTTP status, says whether a worker may have run the
+ * request, and carries the remedy. Kinds with `ran: 'no'` are given only if no worker can have begun; otherwise the kind
+ * says so.
  */
 
+/** All kinds of failure; the remedies are documented in docs/requests.md. */
 export const failureKinds = {
   bad_request: { status: 400, ran: 'no', remedy: 'Correct the request; the message names the field.' },
   unknown_tenant: { status: 404, ran: 'no', remedy: 'Name a tenant of the desired state in x-tansypost-tenant.' },
@@ -27,14 +28,17 @@
   workers_failed: { status: 502, ran: 'maybe', remedy: 'Come back after the time given; it may be repeated.' },
   answer_cut: { status: 502, ran: 'maybe', remedy: 'The answer so far is not whole; ask again if it may be repeated.' },
 } as const;
+/** The name of a kind, as clients see it. */
 export type FailureKind = keyof typeof failureKinds;
 
+/** One failure; `retryAfter` is in seconds. */
 export interface Failure {
   readonly kind: FailureKind;
   readonly message: string;
   readonly retryAfter?: number;
 }
 
+/** Creates a failure. One with a status of 502 to 504 may be retried after a second if nothing else is said. */
 export function failure(kind: FailureKind, message: string, retryAfter?: number): Failure {
   const status: number = failureKinds[kind].status;
   return {
@@ -44,43 +48,44 @@
   };
 }
 
-// Reads the error that another router gave, and makes a typed one of whatever is not ours.
+/** Parses the error body of another router; a body that is no such error becomes `outcome_unknown`. */
 export function parseFailure(text: string, status?: number): Failure {
   try {
-    const e = (JSON.parse(text) as { error?: { kind?: unknown; message?: unknown; retry_after?: unknown } }).error;
-    if (typeof e?.kind === 'string' && Object.hasOwn(failureKinds, e.kind)) {
+    const error = (JSON.parse(text) as { error?: { kind?: unknown; message?: unknown; retry_after?: unknown } }).error;
+    if (typeof error?.kind === 'string' && Object.hasOwn(failureKinds, error.kind)) {
       return failure(
-        e.kind as FailureKind,
-        String(e.message ?? ''),
-        typeof e.retry_after === 'number' ? e.retry_after : undefined,
+        error.kind as FailureKind,
+        String(error.message ?? ''),
+        typeof error.retry_after === 'number' ? error.retry_after : undefined,
       );
     }
   } catch {
-    // Falls through to the typed answer below.
+    // Handled as an untyped error below.
   }
   return failure(
     'outcome_unknown',
-    `The router it was sent on to gave no typed error${status === undefined ? '' : ` but status ${status}`}.`,
+    `The router that the request was forwarded to returned no typed error${status === undefined ? '' : ` but status ${status}`}.`,
   );
 }
 
-export function failureBody(f: Failure, request: string): object {
-  const k = failureKinds[f.kind];
+/** The JSON body of a failure. */
+export function failureBody(failure: Failure, request: string): object {
+  const kind = failureKinds[failure.kind];
   return {
     error: {
-      kind: f.kind,
-      message: f.message,
-      remedy: k.remedy,
-      ran: k.ran,
+      kind: failure.kind,
+      message: failure.message,
+      remedy: kind.remedy,
+      ran: kind.ran,
       request_id: request,
-      retry_after: f.retryAfter,
+      retry_after: failure.retryAfter,
     },
   };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('docs/requests.md lists every kind as it is, and every refusal that may be tried again says when', async () => {
+  it('docs/requests.md lists every kind as it is, and every failure that may be retried says when', async () => {
     const { readFileSync } = await import('node:fs');
     const page = readFileSync(new URL('../../../docs/requests.md', import.meta.url), 'utf8');
     for (const [k, v] of Object.entries(failureKinds)) {
@@ -88,7 +93,7 @@
       if (v.status >= 502) expect(failure(k as FailureKind, '').retryAfter).toBeGreaterThanOrEqual(1);
     }
   });
-  it('makes a typed failure of whatever another router says', () => {
+  it('turns any body of another router into a typed failure', () => {
     expect(parseFailure(JSON.stringify(failureBody(failure('overloaded', 'm', 4), 'q')))).toEqual(
       failure('overloaded', 'm', 4),
     );
--- a/programs/request-router/src/http-worker-client.ts
+++ b/programs/request-router/src/http-worker-client.ts
@@ -1,13 +1,14 @@
 /**
- * The way to the workers over HTTP/1.1. Only a connection that never came about, or the worker's own
- * `started: false`, counts as not started; every other failure is unknown.
+ * Calls the workers over HTTP/1.1. A request counts as not started only if no connection was established or the worker
+ * answered `started: false`; after any other failure its state is unknown.
  */
 import { Agent, request } from 'undici';
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 import type { DecodeResult, KvTransferParams, PrefillResult, WorkerRequest, WorkerClient } from './worker-client.js';
 
-const neverConnected = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
+const notConnectedCodes = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'UND_ERR_CONNECT_TIMEOUT']);
 
+/** Creates a client with its own connection pool; `close` ends all connections. */
 export function createHttpWorkerClient(): WorkerClient & { readonly close: () => Promise<void> } {
   const agent = new Agent({
     connect: { timeout: 1500 },
@@ -17,104 +18,117 @@
     bodyTimeout: 15_000,
   });
 
-  function post(m: WorkerStateEntry, j: WorkerRequest, body: object, signal: AbortSignal): ReturnType<typeof request> {
-    return request(`http://${m.address}/v1/completions`, {
+  function post(
+    worker: WorkerStateEntry,
+    job: WorkerRequest,
+    body: object,
+    signal: AbortSignal,
+  ): ReturnType<typeof request> {
+    return request(`http://${worker.address}/v1/completions`, {
       method: 'POST',
       dispatcher: agent,
       signal,
       headers: {
         'content-type': 'application/json',
-        'x-request-id': j.request,
-        'x-worker-incarnation': `${m.incarnation}`,
+        'x-request-id': job.request,
+        'x-worker-incarnation': `${worker.incarnation}`,
       },
-      body: JSON.stringify({ ...j.sampling, model: j.model, prompt: j.prompt, ...body }),
+      body: JSON.stringify({ ...job.sampling, model: job.model, prompt: job.prompt, ...body }),
     });
   }
-  function broke(e: unknown): { tag: 'notStarted' | 'unknown'; reason: string } {
-    const code = (e as { code?: string }).code ?? '';
-    return { tag: neverConnected.has(code) ? 'notStarted' : 'unknown', reason: code === '' ? String(e) : code };
+  function connectionError(error: unknown): { tag: 'notStarted' | 'unknown'; reason: string } {
+    const code = (error as { code?: string }).code ?? '';
+    return { tag: notConnectedCodes.has(code) ? 'notStarted' : 'unknown', reason: code === '' ? String(error) : code };
   }
-  async function refusal(
+  async function parseRejection(
     text: string,
     status: number,
   ): Promise<{ tag: 'notStarted' | 'unknown' | 'lapsed'; reason: string }> {
     try {
-      const x = JSON.parse(text) as { error?: { kind?: string; started?: boolean } };
-      const reason = x.error?.kind ?? `status ${status}`;
-      if (x.error?.started !== false) return { tag: 'unknown', reason };
+      const body = JSON.parse(text) as { error?: { kind?: string; started?: boolean } };
+      const reason = body.error?.kind ?? `status ${status}`;
+      if (body.error?.started !== false) return { tag: 'unknown', reason };
       return { tag: reason.startsWith('memory_') ? 'lapsed' : 'notStarted', reason };
     } catch {
       return { tag: 'unknown', reason: `status ${status} without a typed error` };
     }
   }
 
-  async function prefill(m: WorkerStateEntry, j: WorkerRequest, signal: AbortSignal): Promise<PrefillResult> {
+  async function prefill(worker: WorkerStateEntry, job: WorkerRequest, signal: AbortSignal): Promise<PrefillResult> {
     try {
-      const r = await post(
-        m,
-        j,
+      const response = await post(
+        worker,
+        job,
         { max_tokens: 1, stream: false, kv_transfer_params: { do_remote_decode: true, do_remote_prefill: false } },
         signal,
       );
-      const text = await r.body.text();
-      if (r.statusCode !== 200) {
-        const x = await refusal(text, r.statusCode);
-        return x.tag === 'lapsed' ? { tag: 'unknown', reason: x.reason } : { tag: x.tag, reason: x.reason };
+      const text = await response.body.text();
+      if (response.statusCode !== 200) {
+        const rejection = await parseRejection(text, response.statusCode);
+        return rejection.tag === 'lapsed'
+          ? { tag: 'unknown', reason: rejection.reason }
+          : { tag: rejection.tag, reason: rejection.reason };
       }
-      const h = (JSON.parse(text) as { kv_transfer_params?: KvTransferParams }).kv_transfer_params;
-      if (h === undefined || !Array.isArray(h.remote_block_ids) || typeof h.remote_host !== 'string')
-        return { tag: 'unknown', reason: 'no handle in the answer' };
-      return { tag: 'done', handle: h };
-    } catch (e) {
-      return broke(e);
+      const kvTransferParams = (JSON.parse(text) as { kv_transfer_params?: KvTransferParams }).kv_transfer_params;
+      if (
+        kvTransferParams === undefined ||
+        !Array.isArray(kvTransferParams.remote_block_ids) ||
+        typeof kvTransferParams.remote_host !== 'string'
+      )
+        return { tag: 'unknown', reason: 'no KV handle in the response' };
+      return { tag: 'done', handle: kvTransferParams };
+    } catch (error) {
+      return connectionError(error);
     }
   }
 
   async function decode(
-    m: WorkerStateEntry,
-    j: WorkerRequest,
-    h: KvTransferParams,
-    chunk: (t: string) => void | Promise<void>,
+    worker: WorkerStateEntry,
+    job: WorkerRequest,
+    kvTransferParams: KvTransferParams,
+    writeChunk: (t: string) => void | Promise<void>,
     signal: AbortSignal,
   ): Promise<DecodeResult> {
     try {
-      const r = await post(
-        m,
-        j,
+      const response = await post(
+        worker,
+        job,
         {
-          max_tokens: j.maxTokens,
+          max_tokens: job.maxTokens,
           stream: true,
-          kv_transfer_params: { ...h, do_remote_prefill: true, do_remote_decode: false },
+          kv_transfer_params: { ...kvTransferParams, do_remote_prefill: true, do_remote_decode: false },
         },
         signal,
       );
-      if (r.statusCode !== 200) return await refusal(await r.body.text(), r.statusCode);
-      return await readCompletionStream(r.body, chunk, signal);
-    } catch (e) {
-      return broke(e);
+      if (response.statusCode !== 200) return await parseRejection(await response.body.text(), response.statusCode);
+      return await readCompletionStream(response.body, writeChunk, signal);
+    } catch (error) {
+      return connectionError(error);
     }
   }
   return { prefill, decode, close: () => agent.destroy() };
 }
 
-// Reads a worker's event stream. It is whole only if every event was sound, a finish reason came, and [DONE]
-// after it. While a requester reads slowly nothing is read from the worker, so the stream is held back by TCP; the
-// wait ends with the signal at the latest.
+/**
+ * Reads a worker's event stream. It is complete only if every event was valid and a finish reason and then [DONE] came.
+ * While the client reads slowly nothing is read from the worker, so that TCP applies the backpressure to the worker; the
+ * wait ends at the latest when the signal is aborted.
+ */
 export async function readCompletionStream(
   body: AsyncIterable<Buffer | string>,
-  chunk: (t: string) => void | Promise<void>,
+  writeChunk: (t: string) => void | Promise<void>,
   signal?: AbortSignal,
 ): Promise<DecodeResult> {
-  // A signal made of others is held in memory for as long as somebody listens to it, so the listener must go.
-  const ends: (() => void)[] = [];
-  const off = new Promise<void>((ok) => ends.push(ok));
+  // A signal made by `AbortSignal.any` stays in memory as long as it has a listener, so the listener must be removed.
+  const stopWaiting: (() => void)[] = [];
+  const aborted = new Promise<void>((ok) => stopWaiting.push(ok));
   function stop(): void {
-    for (const f of ends) f();
+    for (const resolve of stopWaiting) resolve();
   }
   if (signal?.aborted === true) stop();
   signal?.addEventListener('abort', stop);
   try {
-    return await readEvents(body, chunk, off, signal);
+    return await readEvents(body, writeChunk, aborted, signal);
   } finally {
     signal?.removeEventListener('abort', stop);
   }
@@ -122,41 +136,42 @@
 
 async function readEvents(
   body: AsyncIterable<Buffer | string>,
-  chunk: (t: string) => void | Promise<void>,
-  off: Promise<void>,
+  writeChunk: (t: string) => void | Promise<void>,
+  aborted: Promise<void>,
   signal?: AbortSignal,
 ): Promise<DecodeResult> {
-  let held = '';
-  let finished: string | undefined;
-  const d = new TextDecoder();
-  for await (const b of body) {
-    held += typeof b === 'string' ? b : d.decode(b, { stream: true });
-    for (let i = held.indexOf('\n\n'); i >= 0; i = held.indexOf('\n\n')) {
-      const line = held.slice(0, i);
-      held = held.slice(i + 2);
-      if (!line.startsWith('data: ')) return { tag: 'unknown', reason: 'nonsense instead of an event' };
-      const data = line.slice(6);
+  let buffered = '';
+  let finishReason: string | undefined;
+  const decoder = new TextDecoder();
+  for await (const part of body) {
+    buffered += typeof part === 'string' ? part : decoder.decode(part, { stream: true });
+    for (let i = buffered.indexOf('\n\n'); i >= 0; i = buffered.indexOf('\n\n')) {
+      const frame = buffered.slice(0, i);
+      buffered = buffered.slice(i + 2);
+      if (!frame.startsWith('data: ')) return { tag: 'unknown', reason: 'line is not a server-sent event' };
+      const data = frame.slice(6);
       if (data === '[DONE]')
-        return finished !== undefined
-          ? { tag: 'done', finish: finished }
+        return finishReason !== undefined
+          ? { tag: 'done', finish: finishReason }
           : { tag: 'unknown', reason: '[DONE] without a finish reason' };
-      let e: { choices?: { text?: unknown; finish_reason?: unknown }[] };
+      let event: { choices?: { text?: unknown; finish_reason?: unknown }[] };
       try {
-        e = JSON.parse(data) as typeof e;
+        event = JSON.parse(data) as typeof event;
       } catch {
-        return { tag: 'unknown', reason: 'an event that is not JSON' };
+        return { tag: 'unknown', reason: 'event is not valid JSON' };
       }
-      const x = e.choices?.[0];
-      if (x === undefined || typeof x.text !== 'string' || finished !== undefined)
-        return { tag: 'unknown', reason: 'an event without its choice' };
-      const slow = x.text === '' ? undefined : chunk(x.text);
-      if (slow !== undefined) await Promise.race([slow, off]);
+      const choice = event.choices?.[0];
+      if (choice === undefined || typeof choice.text !== 'string' || finishReason !== undefined)
+        return { tag: 'unknown', reason: 'event has no text choice' };
+      const backpressure = choice.text === '' ? undefined : writeChunk(choice.text);
+      if (backpressure !== undefined) await Promise.race([backpressure, aborted]);
       if (signal?.aborted === true) return { tag: 'unknown', reason: 'aborted' };
-      if (x.finish_reason !== null && x.finish_reason !== undefined) finished = String(x.finish_reason);
+      if (choice.finish_reason !== null && choice.finish_reason !== undefined)
+        finishReason = String(choice.finish_reason);
     }
-    if (held.length > 1_000_000) return { tag: 'unknown', reason: 'an event without end' };
+    if (buffered.length > 1_000_000) return { tag: 'unknown', reason: 'event exceeds 1 MB' };
   }
-  return { tag: 'unknown', reason: 'the stream ended before [DONE]' };
+  return { tag: 'unknown', reason: 'stream ended before [DONE]' };
 }
 
 if (import.meta.vitest) {
@@ -168,7 +183,7 @@
     return `data: ${JSON.stringify({ choices: [{ text, finish_reason: end }] })}\n\n`;
   }
   const whole = [ev('a'), ev('b'), ev('', 'stop'), 'data: [DONE]\n\n'];
-  it('leaves no listener on its signal, however the stream ends', async () => {
+  it('removes its abort listener however the stream ends', async () => {
     const { EventEmitter } = await import('node:events');
     for (const s of [whole.join(''), whole[0]!, '%%\n\n']) {
       const signal = AbortSignal.any([new AbortController().signal]);
@@ -176,7 +191,7 @@
       expect(EventEmitter.getEventListeners(signal, 'abort').length).toBe(0);
     }
   });
-  it('calls a stream whole only if it is, with one event dropped, altered or moved at a time', async () => {
+  it('accepts a stream only if it is complete: every truncation and each dropped, altered or moved event is detected', async () => {
     let got = '';
     expect(
       (
--- a/programs/request-router/src/main.ts
+++ b/programs/request-router/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// The request-router as a process.
+/** Runs the request router as a process. */
 import { randomBytes } from 'node:crypto';
 import { Agent } from 'undici';
 import { RouterSettings, runProgram } from '@tansypost/boot';
@@ -11,45 +11,54 @@
 
 await runProgram({
   name: 'request-router',
-  about: 'Takes requests and streams their answers from a pair of workers.',
+  about: 'Accepts completion requests and streams the responses from a prefill and a decode worker.',
   schema: RouterSettings,
   flags: Object.keys(RouterSettings.properties),
-  start: async (b, log) => {
-    const real = await createRealWorld(b.listen as Address, log);
-    const workers = createHttpWorkerClient();
-    const others = new Agent({ connect: { timeout: 500 }, connections: 64, pipelining: 1, bodyTimeout: 60_000 });
+  start: async (settings, log) => {
+    const real = await createRealWorld(settings.listen as Address, log);
+    const workerClient = createHttpWorkerClient();
+    const peerConnections = new Agent({
+      connect: { timeout: 500 },
+      connections: 64,
+      pipelining: 1,
+      bodyTimeout: 60_000,
+    });
     const core = createRouterCore(
       real.world,
       {
         ...routerDefaults,
-        routerId: `${b.member}#${randomBytes(4).toString('hex')}`,
-        httpAddress: b.http,
-        agentAddress: b.agent as Address,
-        service: b.service ?? 'main',
-        ...(b.feedTenureMs === undefined ? {} : { leaseDurationUs: b.feedTenureMs * 1000 }),
-        ...(b.promptLimit === undefined ? {} : { maxPromptTokens: b.promptLimit }),
-        placement: { ...routerDefaults.placement, ...(b.explore === undefined ? {} : { explore: b.explore }) },
+        routerId: `${settings.member}#${randomBytes(4).toString('hex')}`,
+        httpAddress: settings.http,
+        agentAddress: settings.agent as Address,
+        service: settings.service ?? 'main',
+        ...(settings.feedTenureMs === undefined ? {} : { leaseDurationUs: settings.feedTenureMs * 1000 }),
+        ...(settings.promptLimit === undefined ? {} : { maxPromptTokens: settings.promptLimit }),
+        placement: {
+          ...routerDefaults.placement,
+          ...(settings.explore === undefined ? {} : { explore: settings.explore }),
+        },
       },
       {
-        workerClient: workers,
-        digestPrompt: (p) => digest(p).slice(0, 32),
-        forward: (to, r, reply, gone) => forwardOverHttp(to, r, reply, gone, others),
+        workerClient,
+        digestPrompt: (prompt) => digest(prompt).slice(0, 32),
+        forward: (router, request, response, clientGone) =>
+          forwardOverHttp(router, request, response, clientGone, peerConnections),
       },
     );
-    real.onMessage((m) => core.receive(m));
+    real.onMessage((message) => core.receive(message));
     const app = createApp({
       core,
-      bodyLimit: b.bodyLimit ?? 1024 * 1024,
+      bodyLimit: settings.bodyLimit ?? 1024 * 1024,
       metricsText: () => formatMetrics(core.metrics()),
     });
-    await app.listen(splitAddress(b.http));
+    await app.listen(splitAddress(settings.http));
     async function stop(): Promise<void> {
       core.stopAccepting();
-      while (core.activeRequests() > 0) await new Promise((ok) => setTimeout(ok, 50));
+      while (core.activeRequests() > 0) await new Promise((resolve) => setTimeout(resolve, 50));
       await app.close();
       core.stop();
-      await new Promise((ok) => setTimeout(ok, 100));
-      await Promise.all([workers.close(), others.destroy(), real.transport.close()]);
+      await new Promise((resolve) => setTimeout(resolve, 100));
+      await Promise.all([workerClient.close(), peerConnections.destroy(), real.transport.close()]);
     }
     return { stop };
   },
--- a/programs/request-router/src/metrics.ts
+++ b/programs/request-router/src/metrics.ts
@@ -1,14 +1,16 @@
-/** The router's figures as text for a scraper: numbers as they are, tables of counts with a label. */
+/** The router's metrics in the Prometheus text format. */
 
-export function formatMetrics(f: Record<string, unknown>): string {
-  const out: string[] = [];
-  for (const [k, v] of Object.entries(f)) {
-    const name = `tansypost_${k.replace(/[A-Z]/g, (c) => `_${c.toLowerCase()}`)}`;
-    if (typeof v === 'number') out.push(`${name} ${v}`);
-    else if (typeof v === 'boolean') out.push(`${name} ${v ? 1 : 0}`);
-    else if (typeof v === 'object' && v !== null) {
-      for (const [l, n] of Object.entries(v)) if (typeof n === 'number') out.push(`${name}{of="${l}"} ${n}`);
+/** Formats numbers and booleans as single values, and tables of counts as one value for each label `of`. */
+export function formatMetrics(values: Record<string, unknown>): string {
+  const lines: string[] = [];
+  for (const [key, value] of Object.entries(values)) {
+    const name = `tansypost_${key.replace(/[A-Z]/g, (c) => `_${c.toLowerCase()}`)}`;
+    if (typeof value === 'number') lines.push(`${name} ${value}`);
+    else if (typeof value === 'boolean') lines.push(`${name} ${value ? 1 : 0}`);
+    else if (typeof value === 'object' && value !== null) {
+      for (const [label, count] of Object.entries(value))
+        if (typeof count === 'number') lines.push(`${name}{of="${label}"} ${count}`);
     }
   }
-  return `${out.join('\n')}\n`;
+  return `${lines.join('\n')}\n`;
 }
--- a/programs/request-router/src/retry-budget.ts
+++ b/programs/request-router/src/retry-budget.ts
@@ -1,77 +1,87 @@
 /**
- * The one budget for extra sends and probes: a fifth of the first sends of the last ten seconds. Half of
- * it is granted to the zone's home agent for fetching reports as traffic flows; what is granted
- * counts as spent, whether or not it was used. What is not spent is saved only up to two sends (a prompt
- * read again and its decode) and a fiftieth of the
- * first sends of the last ten seconds: else the savings of a crowd would be spent when it has gone, and the
- * ten seconds after it would hold far more than a fifth.
+ * The common budget of retries and load probes: a fifth of the first attempts of the last ten seconds. Half of it is
+ * granted to the zone leader for fetching load reports as traffic flows; what is granted counts as spent, whether or not it
+ * is used. Unspent budget is saved only up to two retries (a repeated prefill and its decode) plus a fiftieth of the first
+ * attempts of the last ten seconds. Otherwise the savings of a burst would be spent after it has ended, and the ten seconds
+ * after it would hold far more retries than a fifth.
  */
 import type { Micros } from '@tansypost/inner-protocol';
 
+/** Counts first attempts and limits retries and probes by them. */
 export interface RetryBudget {
   readonly recordFirstAttempt: () => void;
-  // How many extra sends are allowed now.
+  /** How many retries are allowed now. */
   readonly availableRetries: () => number;
   readonly recordRetry: () => void;
+  /** Grants the probes that are due; returns the total granted so far. */
   readonly grantProbes: () => number;
   readonly totals: () => { first: number; extra: number };
 }
 const budgetWindowUs = 10_000_000;
 const slotUs = 100_000;
-// A router begins with one, as a worker may die before it has sent anything.
+// A router begins with one retry, as a worker may fail before the first attempts have earned any budget.
 const initialRetries = 1;
+/** How many retries can be saved, however little traffic there is. */
 export const maxSavedRetries = 2;
+/** How many more can be saved, as a share of the first attempts within the budget window. */
 export const savedRetryRatio = 0.02;
 
-export function createRetryBudget(now: () => Micros, share = 0.2, probeShare = 0.1): RetryBudget {
-  const slots: { at: number; first: number; spent: number }[] = [];
-  let [first, extra, probes] = [0, 0, 0];
-  let saved = initialRetries;
-  function here(): { at: number; first: number; spent: number } {
-    const at = Math.floor(now() / slotUs);
-    while (slots.length > 0 && slots[0]!.at <= at - budgetWindowUs / slotUs) slots.shift();
-    if (slots.at(-1)?.at !== at) slots.push({ at, first: 0, spent: 0 });
+/** Creates a budget of `retryRatio` of the first attempts, of which probes get `probeRatio`. */
+export function createRetryBudget(now: () => Micros, retryRatio = 0.2, probeRatio = 0.1): RetryBudget {
+  const slots: { slotNumber: number; firstAttempts: number; spent: number }[] = [];
+  let [firstAttempts, retries, probes] = [0, 0, 0];
+  let savedRetries = initialRetries;
+  function currentSlot(): { slotNumber: number; firstAttempts: number; spent: number } {
+    const slotNumber = Math.floor(now() / slotUs);
+    while (slots.length > 0 && slots[0]!.slotNumber <= slotNumber - budgetWindowUs / slotUs) slots.shift();
+    if (slots.at(-1)?.slotNumber !== slotNumber) slots.push({ slotNumber, firstAttempts: 0, spent: 0 });
     return slots.at(-1)!;
   }
-  function sums(): { first: number; spent: number } {
-    here();
-    return slots.reduce((a, s) => ({ first: a.first + s.first, spent: a.spent + s.spent }), { first: 0, spent: 0 });
+  function sums(): { firstAttempts: number; spent: number } {
+    currentSlot();
+    return slots.reduce(
+      (sum, slot) => ({ firstAttempts: sum.firstAttempts + slot.firstAttempts, spent: sum.spent + slot.spent }),
+      { firstAttempts: 0, spent: 0 },
+    );
   }
-  function room(): number {
-    const s = sums();
-    return Math.max(0, Math.floor(Math.min(saved, share * s.first + initialRetries - s.spent) + 1e-9));
+  function availableRetries(): number {
+    const total = sums();
+    return Math.max(
+      0,
+      Math.floor(Math.min(savedRetries, retryRatio * total.firstAttempts + initialRetries - total.spent) + 1e-9),
+    );
   }
-  function spend(): void {
-    saved -= 1;
-    here().spent += 1;
+  function spendRetry(): void {
+    savedRetries -= 1;
+    currentSlot().spent += 1;
   }
   return {
     recordFirstAttempt: () => {
-      first += 1;
-      here().first += 1;
-      saved = Math.min(saved + share, maxSavedRetries + savedRetryRatio * sums().first);
+      firstAttempts += 1;
+      currentSlot().firstAttempts += 1;
+      savedRetries = Math.min(savedRetries + retryRatio, maxSavedRetries + savedRetryRatio * sums().firstAttempts);
     },
-    availableRetries: room,
+    availableRetries,
     recordRetry: () => {
-      extra += 1;
-      spend();
+      retries += 1;
+      spendRetry();
     },
     grantProbes: () => {
-      const due = Math.floor(first * probeShare);
-      while (probes < due && room() > 0) {
+      const due = Math.floor(firstAttempts * probeRatio);
+      while (probes < due && availableRetries() > 0) {
         probes += 1;
-        spend();
+        spendRetry();
       }
       return probes;
     },
-    totals: () => ({ first, extra }),
+    totals: () => ({ first: firstAttempts, extra: retries }),
   };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { createSeededRandom, micros } = await import('@tansypost/inner-protocol');
-  it('holds a fifth over every ten seconds, whatever the order of calls', () => {
+  it('spends at most a fifth of the first attempts of any ten seconds, in any order of calls', () => {
     const r = createSeededRandom(8);
     let t = 0;
     const b = createRetryBudget(() => micros(t));
@@ -99,7 +109,7 @@
       expect(sum.s).toBeLessThanOrEqual(0.2 * all + 2);
     }
   });
-  it('keeps near a fifth in the ten seconds after a crowd has gone, too', () => {
+  it('stays near a fifth also in the ten seconds after a burst', () => {
     let t = 0;
     const b = createRetryBudget(() => micros(t));
     for (let i = 0; i < 400; i += 1) {
--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -1,7 +1,7 @@
 /**
- * The request-router without its sockets: takes a request, asks for admission, asks the decision what to
- * do, and obeys it until the answer is whole or given up on. The program passes HTTP and the clock, the
- * simulator passes virtual ones; the code is the same.
+ * The request router without its sockets. For each request it obtains admission, then executes the steps that
+ * `decide` returns until the response is complete or the request is rejected. The program passes HTTP and the real clock,
+ * the simulator passes virtual ones; the code is the same.
  */
 import { appliedAllVersions, every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import { kindOf, type KindTemplate } from '@tansypost/desired-state';
@@ -41,6 +41,7 @@
 import { createConcurrencyWindow } from './concurrency-window.js';
 import { createWorkerTable, type WorkerTable } from './worker-table.js';
 
+/** Settings of one request router. */
 export interface RouterOptions {
   readonly routerId: string;
   readonly httpAddress: string;
@@ -51,8 +52,9 @@
   readonly maxWorkerQueueLength: number;
   readonly placement: PlacementOptions;
 }
-// How long a router without a tenure looks for one that takes a request, or for its own tenure to come back.
-const sendOnFor = 1_500_000;
+// How long a router without a lease tries to forward a request to another router, or waits to regain its own lease.
+const forwardTimeoutUs = 1_500_000;
+/** Defaults of the settings that need not be given. */
 export const routerDefaults = {
   leaseDurationUs: 10_000_000,
   maxPromptTokens: 32_768,
@@ -60,6 +62,7 @@
   placement: placementDefaults,
 };
 
+/** A validated completion request of a client, or of another router that forwarded it. */
 export interface IncomingRequest {
   readonly id: string;
   readonly tenant: string;
@@ -70,15 +73,19 @@
   readonly forwarded: boolean;
   readonly idempotencyKey?: string;
   readonly sampling?: Sampling;
-  // What of its patience went by at routers before this one.
+  // Time that the request has already spent at the router that forwarded it; it counts against the timeout.
   readonly elapsedUs?: number;
 }
-// A promise from `chunk` means that the requester reads slowly; nothing more is read from the worker until it is kept.
+/**
+ * Writes the response to the client. A promise returned by `chunk` signals backpressure: nothing more is read from the
+ * worker until it resolves.
+ */
 export interface ResponseWriter {
   readonly chunk: (text: string) => void | Promise<void>;
   readonly end: (finish: string) => void;
-  readonly fail: (f: Failure) => void;
+  readonly fail: (failure: Failure) => void;
 }
+/** What the router needs from its surroundings. */
 export interface RouterPorts {
   readonly workerClient: WorkerClient;
   readonly digestPrompt: (prompt: string) => string;
@@ -86,14 +93,25 @@
     request: string,
     worker: string,
     phase: 'prefill' | 'decode',
-    extra: boolean,
-    version: number,
+    isRetry: boolean,
+    desiredVersion: number,
   ) => void;
-  readonly forward: (to: string, r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<boolean>;
+  /** Forwards a request to another router. False means that the router did not accept it and the next one may be tried. */
+  readonly forward: (
+    router: string,
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+  ) => Promise<boolean>;
 }
+/** The running router. */
 export interface RouterCore {
-  readonly handleRequest: (r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal) => Promise<void>;
-  readonly receive: (m: Message) => void;
+  readonly handleRequest: (
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+  ) => Promise<void>;
+  readonly receive: (message: Message) => void;
   readonly feed: ConfigurationFeed;
   readonly workerTable: WorkerTable;
   readonly metrics: () => Record<string, unknown>;
@@ -102,522 +120,642 @@
   readonly stop: () => void;
 }
 
-interface Course {
-  readonly r: IncomingRequest;
-  readonly reply: ResponseWriter;
-  kind: KindTemplate;
+// The state of one admitted request.
+interface RequestContext {
+  readonly request: IncomingRequest;
+  readonly response: ResponseWriter;
+  template: KindTemplate;
   readonly ledger: AttemptLedger;
   readonly facts: PromptFacts;
-  readonly job: WorkerRequest;
-  readonly arrived: number;
-  limit: number;
-  unarm: () => void;
-  readonly arm: Arm;
-  readonly tried: Set<string>;
-  readonly abort: AbortController;
-  // The version of the desired state that its template is of.
-  version: number;
-  handle: { h: KvTransferParams; from: WorkerStateEntry } | undefined;
-  assigned: Assignment | undefined;
-  sentAt: number;
-  firstAt: number;
-  chunks: number;
+  readonly workerRequest: WorkerRequest;
+  readonly arrivedAt: number;
+  deadline: number;
+  cancelDeadlineTimer: () => void;
+  readonly cohort: Arm;
+  readonly triedWorkers: Set<string>;
+  readonly abortController: AbortController;
+  // The version of the desired state that `template` comes from.
+  templateVersion: number;
+  kvHandle: { params: KvTransferParams; source: WorkerStateEntry } | undefined;
+  assignment: Assignment | undefined;
+  prefillSentAt: number;
+  firstChunkAt: number;
+  chunkCount: number;
 }
 
-export function createRouterCore(w: World, o: RouterOptions, p: RouterPorts): RouterCore {
+/** Starts a router: it reports its state to the agent at once and every 100 ms from then on. */
+export function createRouterCore(world: World, options: RouterOptions, ports: RouterPorts): RouterCore {
   const feed = createConfigurationFeed({
-    service: o.service,
-    leaseDurationUs: o.leaseDurationUs,
-    now: w.now,
-    log: w.log,
+    service: options.service,
+    leaseDurationUs: options.leaseDurationUs,
+    now: world.now,
+    log: world.log,
   });
   const paces = createPaces();
-  const table = createWorkerTable(w.now, paces);
-  const tree = createRadixTree();
-  const budget = createRetryBudget(w.now);
-  const window = createConcurrencyWindow(w.now, readTarget);
-  const admission = createAdmission(w, room, () => feed.hasLease());
-  const claims = createIdempotencyClaims(w, o.agentAddress, o.routerId);
-  const reasons = new Map<string, number>();
-  const ends = new Map<string, number>();
-  const arms = new Map<string, CohortStatistics>();
+  const workerTable = createWorkerTable(world.now, paces);
+  const prefixTree = createRadixTree();
+  const retryBudget = createRetryBudget(world.now);
+  const prefillWindow = createConcurrencyWindow(world.now, prefillTargetUs);
+  const admission = createAdmission(world, hasRoom, () => feed.hasLease());
+  const idempotencyClaims = createIdempotencyClaims(world, options.agentAddress, options.routerId);
+  const placementCounts = new Map<string, number>();
+  const outcomeCounts = new Map<string, number>();
+  const cohortStatistics = new Map<string, CohortStatistics>();
   let samples: Sample[] = [];
-  let flushedAt = w.now() as number;
-  let taking = true;
-  let active = 0;
-  let paceUs = 300_000;
+  let samplesFlushedAt = world.now() as number;
+  let accepting = true;
+  let activeCount = 0;
+  let meanRequestTimeUs = 300_000;
 
-  function note(m: Map<string, number>, k: string): void {
-    m.set(k, (m.get(k) ?? 0) + 1);
+  function increment(counts: Map<string, number>, key: string): void {
+    counts.set(key, (counts.get(key) ?? 0) + 1);
   }
 
-  function partFor(arm: Arm): (m: WorkerStateEntry, reported: Part | undefined) => Part {
-    const rec = feed.rehearsalRecord();
-    const run = rec.running?.subject;
-    return function part(m, reported) {
-      if (run?.type === 'part' && run.shift.worker === m.worker && run.shift.incarnation === m.incarnation) {
-        return arm === 'slice' ? run.shift.to : run.shift.from;
+  // The stage that requests of this cohort see a worker in: while a stage shift is rehearsed, the treatment cohort sees
+  // the new stage and all others the old one.
+  function stageFor(cohort: Arm): (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part {
+    const record = feed.rehearsalRecord();
+    const subject = record.running?.subject;
+    return function stage(entry, reportedStage) {
+      if (
+        subject?.type === 'part' &&
+        subject.shift.worker === entry.worker &&
+        subject.shift.incarnation === entry.incarnation
+      ) {
+        return cohort === 'slice' ? subject.shift.to : subject.shift.from;
       }
-      const e = rec.parts[m.worker];
-      return e !== undefined && e.incarnation === m.incarnation ? e.part : (reported ?? 'both');
+      const assigned = record.parts[entry.worker];
+      return assigned !== undefined && assigned.incarnation === entry.incarnation
+        ? assigned.part
+        : (reportedStage ?? 'both');
     };
   }
 
-  function candidates(phase: 'prefill' | 'decode', arm: Arm, without: ReadonlySet<string>): Candidate[] {
-    return table.candidates(phase, partFor(arm), without);
+  function candidates(phase: 'prefill' | 'decode', cohort: Arm, excluded: ReadonlySet<string>): Candidate[] {
+    return workerTable.candidates(phase, stageFor(cohort), excluded);
   }
 
-  // Reading a prompt should take no more than a fifth of the least patience in force.
-  function readTarget(): number {
-    const ps = (feed.desiredState()?.templates ?? []).flatMap((t) => Object.values(t.kinds).map((k) => k.patienceMs));
-    return 200 * Math.max(2500, Math.min(10_000, ...ps));
+  // The target for one prefill is a fifth of the shortest timeout in force.
+  function prefillTargetUs(): number {
+    const timeoutsMs = (feed.desiredState()?.templates ?? []).flatMap((t) =>
+      Object.values(t.kinds).map((k) => k.patienceMs),
+    );
+    return 200 * Math.max(2500, Math.min(10_000, ...timeoutsMs));
   }
 
-  // Room for one more: the window is open and some prefill worker's queue is short enough.
-  function room(granted: number): boolean {
-    if (!window.hasRoom(granted)) return false;
-    if (window.isIdle() && granted === 0) return true;
-    const cs = candidates('prefill', 'none', new Set());
+  // There is room for one more request if the prefill window allows it and at least one prefill worker's queue is short
+  // enough. Without any prefill worker it returns true, so that the request is rejected as `no_workers` at once.
+  function hasRoom(grantedSlots: number): boolean {
+    if (!prefillWindow.hasRoom(grantedSlots)) return false;
+    if (prefillWindow.isIdle() && grantedSlots === 0) return true;
+    const prefillCandidates = candidates('prefill', 'none', new Set());
     return (
-      cs.length === 0 ||
-      cs.some((c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < o.maxWorkerQueueLength)
+      prefillCandidates.length === 0 ||
+      prefillCandidates.some(
+        (c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < options.maxWorkerQueueLength,
+      )
     );
   }
 
-  function modelFor(arm: Arm): Model | undefined {
-    const rec = feed.rehearsalRecord();
-    const s = rec.running?.subject;
-    if (arm === 'slice' && s?.type === 'model') return feed.model(s.model);
-    // While a model that went live is watched, the control arm stays with the one before.
+  function modelFor(cohort: Arm): Model | undefined {
+    const record = feed.rehearsalRecord();
+    const subject = record.running?.subject;
+    if (cohort === 'slice' && subject?.type === 'model') return feed.model(subject.model);
+    // While a newly promoted model is being watched, the control cohort keeps the previous model.
     return feed.model(
-      arm === 'control' && rec.running?.state === 'watched' && s?.type === 'model' ? rec.before : rec.live,
+      cohort === 'control' && record.running?.state === 'watched' && subject?.type === 'model'
+        ? record.before
+        : record.live,
     );
   }
 
-  // Everything under way counts as active, what was sent on to another router too: a stop waits for all of it.
-  async function serve(r: IncomingRequest, reply: ResponseWriter, gone: AbortSignal): Promise<void> {
-    active += 1;
-    const arrived = w.now() - (r.elapsedUs ?? 0);
+  // Forwarded requests count as active too, since a graceful stop waits for all of them.
+  async function handleRequest(
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+  ): Promise<void> {
+    activeCount += 1;
+    const arrivedAt = world.now() - (request.elapsedUs ?? 0);
     try {
-      const f = await refusalBefore(r, reply, gone, arrived);
-      if (f === undefined) await serveHere(r, reply, gone, arrived);
-      else if (f !== 'sent on') giveUp(r, reply, f);
-    } catch (e) {
-      w.log(5105, { request: r.id, why: e instanceof Error ? e.message : String(e) });
-      giveUp(r, reply, failure('internal_error', 'Something unforeseen went wrong inside this router.'));
+      const rejection = await checkOrForward(request, response, clientGone, arrivedAt);
+      if (rejection === undefined) await serveLocally(request, response, clientGone, arrivedAt);
+      else if (rejection !== 'forwarded to peer') rejectRequest(request, response, rejection);
+    } catch (error) {
+      world.log(5105, { request: request.id, why: error instanceof Error ? error.message : String(error) });
+      rejectRequest(request, response, failure('internal_error', 'An unexpected error occurred in this router.'));
     } finally {
-      active -= 1;
+      activeCount -= 1;
     }
   }
 
-  async function serveHere(
-    r: IncomingRequest,
-    reply: ResponseWriter,
-    gone: AbortSignal,
-    arrived: number,
+  async function serveLocally(
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+    arrivedAt: number,
   ): Promise<void> {
-    const k = kindOf(feed.desiredState()!, r.tenant, r.kind);
+    const template = kindOf(feed.desiredState()!, request.tenant, request.kind);
     const version = feed.appliedVersion();
-    if (typeof k === 'string')
-      return giveUp(
-        r,
-        reply,
+    if (typeof template === 'string')
+      return rejectRequest(
+        request,
+        response,
         failure(
-          k,
-          k === 'unknown_tenant' ? `There is no tenant ${r.tenant}.` : `Tenant ${r.tenant} has no kind ${r.kind}.`,
+          template,
+          template === 'unknown_tenant'
+            ? `There is no tenant ${request.tenant}.`
+            : `Tenant ${request.tenant} has no kind ${request.kind}.`,
         ),
       );
     try {
-      if (r.idempotencyKey === undefined) await admitAndRun(r, reply, k, gone, arrived, version);
-      else await claimAndRun(r, r.idempotencyKey, reply, k, gone, arrived, version);
+      if (request.idempotencyKey === undefined)
+        await admitAndRun(request, response, template, clientGone, arrivedAt, version);
+      else
+        await runWithIdempotencyKey(
+          request,
+          request.idempotencyKey,
+          response,
+          template,
+          clientGone,
+          arrivedAt,
+          version,
+        );
     } finally {
       admission.requestFinished();
     }
   }
 
-  // A claim that was won but led to no send is given back, so that the requester may come again with its key.
-  async function claimAndRun(
-    r: IncomingRequest,
+  // A claim whose request was never sent to a worker is released, so that the client may retry with the same key.
+  async function runWithIdempotencyKey(
+    request: IncomingRequest,
     key: string,
-    reply: ResponseWriter,
-    kind: KindTemplate,
-    gone: AbortSignal,
-    arrived: number,
+    response: ResponseWriter,
+    template: KindTemplate,
+    clientGone: AbortSignal,
+    arrivedAt: number,
     version: number,
   ): Promise<void> {
-    const whole = `${r.tenant}/${key}`;
-    const c = await claims.claim(
-      whole,
-      r.id,
-      Math.max(0, Math.min(3_000_000, (arrived + kind.patienceMs * 1000 - w.now()) / 2)),
+    const claimKey = `${request.tenant}/${key}`;
+    const claimResult = await idempotencyClaims.claim(
+      claimKey,
+      request.id,
+      Math.max(0, Math.min(3_000_000, (arrivedAt + template.patienceMs * 1000 - world.now()) / 2)),
     );
-    if (c.tag === 'taken') return giveUp(r, reply, failure('claimed', `This key is taken: ${c.known}`));
-    if (c.tag === 'failed') {
-      claims.reportResult('release', whole, r.id, '');
-      return giveUp(r, reply, failure('claim_failed', 'The core did not answer the claim in time.', 2));
+    if (claimResult.tag === 'taken')
+      return rejectRequest(
+        request,
+        response,
+        failure('claimed', `This Idempotency-Key is already in use: ${claimResult.known}`),
+      );
+    if (claimResult.tag === 'failed') {
+      idempotencyClaims.reportResult('release', claimKey, request.id, '');
+      return rejectRequest(
+        request,
+        response,
+        failure('claim_failed', 'The control cluster did not answer the Idempotency-Key claim in time.', 2),
+      );
     }
-    const end = await admitAndRun(r, reply, kind, gone, arrived, version);
-    if (end === 'not sent') claims.reportResult('release', whole, r.id, '');
-    else claims.reportResult('ended', whole, r.id, end);
+    const outcome = await admitAndRun(request, response, template, clientGone, arrivedAt, version);
+    if (outcome === 'not sent') idempotencyClaims.reportResult('release', claimKey, request.id, '');
+    else idempotencyClaims.reportResult('ended', claimKey, request.id, outcome);
   }
 
-  function ready(): boolean {
-    return taking && feed.hasLease() && feed.desiredState() !== undefined;
+  function isReady(): boolean {
+    return accepting && feed.hasLease() && feed.desiredState() !== undefined;
   }
 
-  async function refusalBefore(
-    r: IncomingRequest,
-    reply: ResponseWriter,
-    gone: AbortSignal,
-    arrived: number,
-  ): Promise<Failure | 'sent on' | undefined> {
-    const t = promptFacts(r.prompt).tokens;
-    if (t > o.maxPromptTokens)
-      return failure('prompt_too_long', `The prompt has ${t} tokens; the limit is ${o.maxPromptTokens}.`);
-    if (ready()) return undefined;
-    if (!r.forwarded) {
-      const at = Math.floor(w.random() * 64);
-      const all = feed.otherRouters();
-      const until = w.now() + sendOnFor;
-      const known = feed.desiredState() === undefined ? 'unknown_kind' : kindOf(feed.desiredState()!, r.tenant, r.kind);
-      const limit = arrived + (typeof known === 'string' ? 30_000_000 : known.patienceMs * 1000);
-      for (let i = 0; i < all.length && !gone.aborted && w.now() < Math.min(until, limit); i += 1) {
-        if (await sendOn(all[(at + i) % all.length]!, r, reply, gone, arrived, limit)) return 'sent on';
+  // Returns a failure, or undefined if this router may handle the request itself. A router that is not ready forwards the
+  // request, unless it was forwarded already.
+  async function checkOrForward(
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+    arrivedAt: number,
+  ): Promise<Failure | 'forwarded to peer' | undefined> {
+    const promptTokens = promptFacts(request.prompt).tokens;
+    if (promptTokens > options.maxPromptTokens)
+      return failure(
+        'prompt_too_long',
+        `The prompt has ${promptTokens} tokens; the limit is ${options.maxPromptTokens}.`,
+      );
+    if (isReady()) return undefined;
+    if (!request.forwarded) {
+      const firstRouter = Math.floor(world.random() * 64);
+      const routers = feed.otherRouters();
+      const forwardUntil = world.now() + forwardTimeoutUs;
+      const template =
+        feed.desiredState() === undefined ? 'unknown_kind' : kindOf(feed.desiredState()!, request.tenant, request.kind);
+      const deadline = arrivedAt + (typeof template === 'string' ? 30_000_000 : template.patienceMs * 1000);
+      for (
+        let i = 0;
+        i < routers.length && !clientGone.aborted && world.now() < Math.min(forwardUntil, deadline);
+        i += 1
+      ) {
+        if (
+          await forwardTo(
+            routers[(firstRouter + i) % routers.length]!,
+            request,
+            response,
+            clientGone,
+            arrivedAt,
+            deadline,
+          )
+        )
+          return 'forwarded to peer';
       }
-      // Nobody took it. A router that is just starting, or whose agent is, decides again within a moment.
-      while (taking && !ready() && !gone.aborted && w.now() < Math.min(until, limit))
+      // No router accepted it. A router that is just starting, or whose agent is, usually becomes ready within this time.
+      while (accepting && !isReady() && !clientGone.aborted && world.now() < Math.min(forwardUntil, deadline))
         await new Promise<void>((ok) => {
-          w.after(micros(50_000), ok);
+          world.after(micros(50_000), ok);
         });
-      if (ready()) return undefined;
+      if (isReady()) return undefined;
     }
-    if (!taking) return failure('stopping', 'This router is stopping.');
+    if (!accepting) return failure('stopping', 'This router is shutting down.');
     return failure(
       'no_tenure',
       feed.hasLease()
         ? 'No desired state has been submitted yet.'
-        : 'This router has lost touch with the control state.',
+        : 'This router has no current lease from the control cluster.',
     );
   }
 
-  // The next router gets what is left of the patience, and no answer of its comes after that.
-  function sendOn(
-    to: string,
-    r: IncomingRequest,
-    reply: ResponseWriter,
-    gone: AbortSignal,
-    arrived: number,
-    limit: number,
+  // The other router gets the time that is left until the deadline; nothing it sends after the deadline is passed on.
+  function forwardTo(
+    router: string,
+    request: IncomingRequest,
+    response: ResponseWriter,
+    clientGone: AbortSignal,
+    arrivedAt: number,
+    deadline: number,
   ): Promise<boolean> {
-    return new Promise((ok, no) => {
-      let [over, begun] = [false, false];
-      const late = new AbortController();
-      function end(taken: boolean, f: () => void): void {
-        if (over) return;
-        over = true;
-        cancel();
-        f();
-        ok(taken);
+    return new Promise((resolve, reject) => {
+      let [settled, streaming] = [false, false];
+      const expired = new AbortController();
+      function settle(accepted: boolean, deliver: () => void): void {
+        if (settled) return;
+        settled = true;
+        cancelTimer();
+        deliver();
+        resolve(accepted);
       }
-      const cancel = w.after(micros(limit - w.now()), () =>
-        end(true, () => {
-          giveUp(
-            r,
-            reply,
+      const cancelTimer = world.after(micros(deadline - world.now()), () =>
+        settle(true, () => {
+          rejectRequest(
+            request,
+            response,
             failure(
-              begun ? 'answer_cut' : 'budget_spent',
-              'Its patience ran out at the router it was sent on to.',
-              Math.max(1, Math.ceil(paceUs / 1e6)),
+              streaming ? 'answer_cut' : 'budget_spent',
+              'The request timed out at the router it was forwarded to.',
+              Math.max(1, Math.ceil(meanRequestTimeUs / 1e6)),
             ),
           );
-          late.abort();
+          expired.abort();
         }),
       );
-      p.forward(
-        to,
-        { ...r, elapsedUs: w.now() - arrived },
-        {
-          chunk: (t) => {
-            if (over) return undefined;
-            begun = true;
-            return reply.chunk(t);
+      ports
+        .forward(
+          router,
+          { ...request, elapsedUs: world.now() - arrivedAt },
+          {
+            chunk: (text) => {
+              if (settled) return undefined;
+              streaming = true;
+              return response.chunk(text);
+            },
+            end: (finish) => settle(true, () => response.end(finish)),
+            fail: (rejection) => settle(true, () => response.fail(rejection)),
           },
-          end: (finish) => end(true, () => reply.end(finish)),
-          fail: (f) => end(true, () => reply.fail(f)),
-        },
-        AbortSignal.any([gone, late.signal]),
-      ).then((taken) => end(taken, () => undefined), no);
+          AbortSignal.any([clientGone, expired.signal]),
+        )
+        .then((accepted) => settle(accepted, () => undefined), reject);
     });
   }
 
   async function admitAndRun(
-    r: IncomingRequest,
-    reply: ResponseWriter,
-    kind: KindTemplate,
-    gone: AbortSignal,
-    arrived: number,
+    request: IncomingRequest,
+    response: ResponseWriter,
+    initialTemplate: KindTemplate,
+    clientGone: AbortSignal,
+    arrivedAt: number,
     version: number,
   ): Promise<string> {
-    const facts = promptFacts(r.prompt);
-    // The terms are those in force, also for a request that waits through a change of the desired state.
-    const cost = facts.tokens + 4 * r.maxTokens;
-    const waited = w.now() - arrived;
-    let terms = kind;
-    function claimant(): AdmissionRequest {
-      const k = kindOf(feed.desiredState()!, r.tenant, r.kind);
-      if (typeof k !== 'string') terms = k;
+    const facts = promptFacts(request.prompt);
+    // Credits charged for admission: prompt tokens plus four for each output token that is allowed.
+    const cost = facts.tokens + 4 * request.maxTokens;
+    const elapsedUs = world.now() - arrivedAt;
+    let template = initialTemplate;
+    // Uses the template in force, also if the desired state changes while the request is queued.
+    function currentAdmissionRequest(): AdmissionRequest {
+      const current = kindOf(feed.desiredState()!, request.tenant, request.kind);
+      if (typeof current !== 'string') template = current;
       return {
-        fairShareKey: `${r.tenant}/${r.kind}`,
-        share: terms.share,
-        priority: terms.worth,
+        fairShareKey: `${request.tenant}/${request.kind}`,
+        share: template.share,
+        priority: template.worth,
         cost,
-        timeoutUs: terms.patienceMs * 1000,
-        elapsedUs: waited,
+        timeoutUs: template.patienceMs * 1000,
+        elapsedUs,
       };
     }
-    const a = await admission.requestSlot(claimant(), claimant);
-    if (a.tag === 'unable') {
-      // A router that stops still serves what it has taken, so only the tenure is missing. One with a claim is not sent on.
-      const f = r.idempotencyKey === undefined ? await refusalBefore(r, reply, gone, arrived) : undefined;
-      if (f === undefined && feed.hasLease()) return admitAndRun(r, reply, terms, gone, arrived, feed.appliedVersion());
-      if (f !== 'sent on')
-        giveUp(r, reply, f ?? failure('no_tenure', 'This router has lost touch with the control state.'));
+    const admitted = await admission.requestSlot(currentAdmissionRequest(), currentAdmissionRequest);
+    if (admitted.tag === 'unable') {
+      // A router that is shutting down still serves requests that it has accepted, so only the lease can be missing. A
+      // request that holds an idempotency claim is not forwarded.
+      const rejection =
+        request.idempotencyKey === undefined
+          ? await checkOrForward(request, response, clientGone, arrivedAt)
+          : undefined;
+      if (rejection === undefined && feed.hasLease())
+        return admitAndRun(request, response, template, clientGone, arrivedAt, feed.appliedVersion());
+      if (rejection !== 'forwarded to peer')
+        rejectRequest(
+          request,
+          response,
+          rejection ?? failure('no_tenure', 'This router has no current lease from the control cluster.'),
+        );
       return 'not sent';
     }
-    if (a.tag === 'shed') {
-      giveUp(r, reply, failure('overloaded', 'There are more requests than the workers can take.', a.retryAfter));
+    if (admitted.tag === 'shed') {
+      rejectRequest(
+        request,
+        response,
+        failure('overloaded', 'The workers have no capacity for this request at present.', admitted.retryAfter),
+      );
       return 'not sent';
     }
-    const run = feed.rehearsalRecord().running;
-    const c: Course = {
-      r,
-      reply,
-      kind: terms,
+    const rehearsal = feed.rehearsalRecord().running;
+    const context: RequestContext = {
+      request,
+      response,
+      template,
       ledger: createAttemptLedger(),
       facts,
-      arrived,
-      limit: arrived + terms.patienceMs * 1000,
-      unarm: () => undefined,
-      job: {
-        request: r.id,
-        model: r.model,
-        prompt: r.prompt,
-        digest: p.digestPrompt(r.prompt),
-        maxTokens: r.maxTokens,
-        sampling: r.sampling ?? {},
+      arrivedAt,
+      deadline: arrivedAt + template.patienceMs * 1000,
+      cancelDeadlineTimer: () => undefined,
+      workerRequest: {
+        request: request.id,
+        model: request.model,
+        prompt: request.prompt,
+        digest: ports.digestPrompt(request.prompt),
+        maxTokens: request.maxTokens,
+        sampling: request.sampling ?? {},
       },
-      arm: run === undefined ? 'none' : armOf(armsOf(run), r.id, run.slice),
-      tried: new Set(),
-      abort: new AbortController(),
-      version,
-      handle: undefined,
-      assigned: undefined,
-      sentAt: 0,
-      firstAt: 0,
-      chunks: 0,
+      cohort: rehearsal === undefined ? 'none' : armOf(armsOf(rehearsal), request.id, rehearsal.slice),
+      triedWorkers: new Set(),
+      abortController: new AbortController(),
+      templateVersion: version,
+      kvHandle: undefined,
+      assignment: undefined,
+      prefillSentAt: 0,
+      firstChunkAt: 0,
+      chunkCount: 0,
     };
-    const rehearsal = run === undefined ? undefined : armsOf(run);
-    armLimit(c);
-    function left(): void {
-      c.abort.abort();
+    const rehearsalId = rehearsal === undefined ? undefined : armsOf(rehearsal);
+    startDeadlineTimer(context);
+    function onClientGone(): void {
+      context.abortController.abort();
     }
-    gone.addEventListener('abort', left);
-    let end: FailureKind | 'whole' | 'gone' = 'whole';
+    clientGone.addEventListener('abort', onClientGone);
+    let outcome: FailureKind | 'whole' | 'gone' = 'whole';
     try {
-      end = await run1(c, gone, a.started);
+      outcome = await executeSteps(context, clientGone, admitted.started);
     } finally {
-      a.started();
-      c.unarm();
-      gone.removeEventListener('abort', left);
-      if (end === 'whole' || end === 'gone') note(ends, end);
-      if (rehearsal !== undefined && c.arm !== 'none' && end !== 'gone') count(rehearsal, c, end);
+      admitted.started();
+      context.cancelDeadlineTimer();
+      clientGone.removeEventListener('abort', onClientGone);
+      if (outcome === 'whole' || outcome === 'gone') increment(outcomeCounts, outcome);
+      if (rehearsalId !== undefined && context.cohort !== 'none' && outcome !== 'gone')
+        recordOutcome(rehearsalId, context, outcome);
     }
-    return c.ledger.attempts.length === 0 ? 'not sent' : end;
+    return context.ledger.attempts.length === 0 ? 'not sent' : outcome;
   }
 
-  async function run1(c: Course, gone: AbortSignal, begun: () => void): Promise<FailureKind | 'whole' | 'gone'> {
+  async function executeSteps(
+    context: RequestContext,
+    clientGone: AbortSignal,
+    onStarted: () => void,
+  ): Promise<FailureKind | 'whole' | 'gone'> {
     for (;;) {
-      if (gone.aborted) return 'gone';
-      if (!renew(c) && c.ledger.attempts.length === 0) {
-        const f = failure('unknown_kind', `Tenant ${c.r.tenant} has no kind ${c.r.kind} any more.`);
-        giveUp(c.r, c.reply, f);
-        return f.kind;
+      if (clientGone.aborted) return 'gone';
+      if (!refreshTemplate(context) && context.ledger.attempts.length === 0) {
+        const rejection = failure(
+          'unknown_kind',
+          `Tenant ${context.request.tenant} no longer has a kind ${context.request.kind}.`,
+        );
+        rejectRequest(context.request, context.response, rejection);
+        return rejection.kind;
       }
-      if (c.ledger.attempts.length === 0 && !feed.hasLease()) {
-        const f = failure('no_tenure', 'This router has lost touch with the control state.');
-        giveUp(c.r, c.reply, f);
-        return f.kind;
+      if (context.ledger.attempts.length === 0 && !feed.hasLease()) {
+        const rejection = failure('no_tenure', 'This router has no current lease from the control cluster.');
+        rejectRequest(context.request, context.response, rejection);
+        return rejection.kind;
       }
-      const ps = candidates('prefill', c.arm, c.tried);
-      const ds = candidates('decode', c.arm, c.tried);
-      const step: DecisionStep = decide(c.ledger, {
-        idempotent: c.kind.repeatable,
-        remainingUs: c.abort.signal.aborted ? 0 : c.limit - w.now(),
-        availableRetries: budget.availableRetries(),
-        prefillWorkers: ps.length,
-        decodeWorkers: ds.length,
-        retryAfter: Math.max(1, Math.ceil(paceUs / 1e6)),
+      const prefillWorkers = candidates('prefill', context.cohort, context.triedWorkers);
+      const decodeWorkers = candidates('decode', context.cohort, context.triedWorkers);
+      const step: DecisionStep = decide(context.ledger, {
+        idempotent: context.template.repeatable,
+        remainingUs: context.abortController.signal.aborted ? 0 : context.deadline - world.now(),
+        availableRetries: retryBudget.availableRetries(),
+        prefillWorkers: prefillWorkers.length,
+        decodeWorkers: decodeWorkers.length,
+        retryAfter: Math.max(1, Math.ceil(meanRequestTimeUs / 1e6)),
       });
       if (step.do === 'fail') {
         if (step.failure.kind === 'answer_cut')
-          w.log(5104, { request: c.r.id, worker: c.ledger.attempts.at(-1)?.worker });
-        giveUp(c.r, c.reply, step.failure);
+          world.log(5104, { request: context.request.id, worker: context.ledger.attempts.at(-1)?.worker });
+        rejectRequest(context.request, context.response, step.failure);
         return step.failure.kind;
       }
-      // To carry on with a prompt that was read needs no tenure; to begin anew does.
-      if (!feed.hasLease() && (step.do === 'prefill' || c.ledger.attempts.at(-1)?.phase === 'decode')) {
-        const f = failure(
-          c.kind.repeatable ? 'workers_failed' : 'outcome_unknown',
-          'A worker failed it, and this router has lost touch with the control state.',
+      // Decoding after a completed prefill needs no lease; a new prefill or a repeated decode does.
+      if (!feed.hasLease() && (step.do === 'prefill' || context.ledger.attempts.at(-1)?.phase === 'decode')) {
+        const rejection = failure(
+          context.template.repeatable ? 'workers_failed' : 'outcome_unknown',
+          'A worker failed, and this router has no current lease from the control cluster to retry.',
         );
-        giveUp(c.r, c.reply, f);
-        return f.kind;
+        rejectRequest(context.request, context.response, rejection);
+        return rejection.kind;
       }
       if (step.do === 'prefill') {
-        const done = prefill(c, ps);
-        begun();
-        await done;
-      } else if (await decode(c, ds)) return 'whole';
+        const prefillDone = prefill(context, prefillWorkers);
+        onStarted();
+        await prefillDone;
+      } else if (await decode(context, decodeWorkers)) return 'whole';
     }
   }
 
-  function armLimit(c: Course): void {
-    c.unarm();
-    c.unarm = w.after(micros(Math.max(0, c.limit - w.now())), () => c.abort.abort());
+  function startDeadlineTimer(context: RequestContext): void {
+    context.cancelDeadlineTimer();
+    context.cancelDeadlineTimer = world.after(micros(Math.max(0, context.deadline - world.now())), () =>
+      context.abortController.abort(),
+    );
   }
 
-  // Brings a request under the template in force; false when its kind is there no more, and then nothing begins anew.
-  function renew(c: Course): boolean {
-    if (c.version === feed.appliedVersion()) return true;
-    const k = kindOf(feed.desiredState()!, c.r.tenant, c.r.kind);
-    c.version = feed.appliedVersion();
-    c.kind = typeof k === 'string' ? { ...c.kind, repeatable: false } : k;
-    c.limit = c.arrived + c.kind.patienceMs * 1000;
-    armLimit(c);
-    return typeof k !== 'string';
+  // Applies the template in force to a request. Returns false if its kind was removed: the request then counts as not
+  // idempotent, so that it is not retried.
+  function refreshTemplate(context: RequestContext): boolean {
+    if (context.templateVersion === feed.appliedVersion()) return true;
+    const template = kindOf(feed.desiredState()!, context.request.tenant, context.request.kind);
+    context.templateVersion = feed.appliedVersion();
+    context.template = typeof template === 'string' ? { ...context.template, repeatable: false } : template;
+    context.deadline = context.arrivedAt + context.template.patienceMs * 1000;
+    startDeadlineTimer(context);
+    return typeof template !== 'string';
   }
 
-  function enterSend(c: Course, phase: 'prefill' | 'decode', worker: WorkerId): Attempt {
-    if (c.ledger.attempts.length === 0) budget.recordFirstAttempt();
-    else if (c.ledger.attempts.some((s) => s.phase === phase)) budget.recordRetry();
-    p.onAttempt?.(
-      c.r.id,
+  function recordAttempt(context: RequestContext, phase: 'prefill' | 'decode', worker: WorkerId): Attempt {
+    if (context.ledger.attempts.length === 0) retryBudget.recordFirstAttempt();
+    else if (context.ledger.attempts.some((attempt) => attempt.phase === phase)) retryBudget.recordRetry();
+    ports.onAttempt?.(
+      context.request.id,
       worker,
       phase,
-      c.ledger.attempts.some((x) => x.phase === phase),
-      c.version,
+      context.ledger.attempts.some((attempt) => attempt.phase === phase),
+      context.templateVersion,
     );
-    const s: Attempt = { phase, worker, outcome: 'pending' };
-    c.ledger.attempts.push(s);
-    return s;
+    const newAttempt: Attempt = { phase, worker, outcome: 'pending' };
+    context.ledger.attempts.push(newAttempt);
+    return newAttempt;
   }
 
-  async function prefill(c: Course, ps: Candidate[]): Promise<void> {
-    const hits = tree.hits(c.facts.blocks);
-    const a = assignPrefill(
-      { prompt: c.facts, candidates: ps, hits, model: modelFor(c.arm), now: w.now, random: w.random },
-      o.placement,
+  async function prefill(context: RequestContext, workers: Candidate[]): Promise<void> {
+    const prefixHits = prefixTree.hits(context.facts.blocks);
+    const assignment = assignPrefill(
+      {
+        prompt: context.facts,
+        candidates: workers,
+        hits: prefixHits,
+        model: modelFor(context.cohort),
+        now: world.now,
+        random: world.random,
+      },
+      options.placement,
     )!;
-    note(reasons, a.reason);
-    const n = reasons.get(a.reason)!;
-    if (!['scored', 'explored', 'only'].includes(a.reason) && Number.isInteger(Math.log10(n)))
-      w.log(4001, { reason: a.reason, times: n });
-    const m = table.workerState(a.worker.worker)!;
-    c.assigned = a;
-    c.sentAt = w.now();
-    const s = enterSend(c, 'prefill', a.worker.worker);
-    tree.insert(c.facts.blocks, a.worker.worker, w.now());
-    const end = table.beginRequest(a.worker.worker, 'prefill', c.facts.tokens);
-    const read = window.beginPrefill();
-    const patience = new AbortController();
-    const dark = Math.max(2_000_000, 6_000_000 * (a.predicted ?? 0.5));
-    const cancel = c.kind.repeatable ? w.after(micros(dark), () => patience.abort()) : () => undefined;
-    const x = await p.workerClient.prefill(m, c.job, AbortSignal.any([c.abort.signal, patience.signal]));
-    cancel();
-    end();
-    read(x.tag === 'done' || c.abort.signal.aborted);
-    if (x.tag === 'done' && isHandleFor(x.handle, c.job, m)) {
-      s.outcome = 'done';
-      c.handle = { h: x.handle, from: m };
-      table.recordSuccess(a.worker.worker);
+    increment(placementCounts, assignment.reason);
+    // Logged at the 1st, 10th, 100th, ... occurrence of each reason.
+    const timesCounted = placementCounts.get(assignment.reason)!;
+    if (!['scored', 'explored', 'only'].includes(assignment.reason) && Number.isInteger(Math.log10(timesCounted)))
+      world.log(4001, { reason: assignment.reason, times: timesCounted });
+    const entry = workerTable.workerState(assignment.worker.worker)!;
+    context.assignment = assignment;
+    context.prefillSentAt = world.now();
+    const attempt = recordAttempt(context, 'prefill', assignment.worker.worker);
+    prefixTree.insert(context.facts.blocks, assignment.worker.worker, world.now());
+    const endRequest = workerTable.beginRequest(assignment.worker.worker, 'prefill', context.facts.tokens);
+    const endPrefill = prefillWindow.beginPrefill();
+    // Only an idempotent request is taken from an unresponsive worker before its deadline, as only it may be repeated.
+    const unresponsive = new AbortController();
+    const responseTimeoutUs = Math.max(2_000_000, 6_000_000 * (assignment.predicted ?? 0.5));
+    const cancelTimer = context.template.repeatable
+      ? world.after(micros(responseTimeoutUs), () => unresponsive.abort())
+      : () => undefined;
+    const result = await ports.workerClient.prefill(
+      entry,
+      context.workerRequest,
+      AbortSignal.any([context.abortController.signal, unresponsive.signal]),
+    );
+    cancelTimer();
+    endRequest();
+    endPrefill(result.tag === 'done' || context.abortController.signal.aborted);
+    if (result.tag === 'done' && isHandleFor(result.handle, context.workerRequest, entry)) {
+      attempt.outcome = 'done';
+      context.kvHandle = { params: result.handle, source: entry };
+      workerTable.recordSuccess(assignment.worker.worker);
       paces.saw(
-        a.worker.worker,
-        c.facts.tokens - ((hits.get(a.worker.worker) ?? 0) * c.facts.tokens) / Math.max(1, c.facts.blocks.length),
-        w.now() - c.sentAt,
-        a.worker.running + a.worker.queued,
+        assignment.worker.worker,
+        context.facts.tokens -
+          ((prefixHits.get(assignment.worker.worker) ?? 0) * context.facts.tokens) /
+            Math.max(1, context.facts.blocks.length),
+        world.now() - context.prefillSentAt,
+        assignment.worker.running + assignment.worker.queued,
       );
       return;
     }
-    s.outcome = x.tag === 'notStarted' ? 'notStarted' : 'unknown';
-    c.tried.add(a.worker.worker);
-    if (x.tag === 'notStarted' && (x.reason === 'queue_full' || x.reason === 'wrong_part')) return;
-    if (!c.abort.signal.aborted) blame(c, a.worker.worker, x.tag === 'done' ? 'handle of another request' : x.reason);
+    attempt.outcome = result.tag === 'notStarted' ? 'notStarted' : 'unknown';
+    context.triedWorkers.add(assignment.worker.worker);
+    if (result.tag === 'notStarted' && (result.reason === 'queue_full' || result.reason === 'wrong_part')) return;
+    if (!context.abortController.signal.aborted)
+      recordWorkerFailure(
+        context,
+        assignment.worker.worker,
+        result.tag === 'done' ? 'KV handle belongs to another request' : result.reason,
+      );
   }
 
-  function blame(c: Course, worker: WorkerId, why: string): void {
-    w.log(5103, { request: c.r.id, worker, why });
-    table.recordFailure(worker);
+  function recordWorkerFailure(context: RequestContext, worker: WorkerId, reason: string): void {
+    world.log(5103, { request: context.request.id, worker, why: reason });
+    workerTable.recordFailure(worker);
   }
 
-  // True once the answer is whole. The requester sees nothing of a send that failed before its first byte.
-  async function decode(c: Course, ds: Candidate[]): Promise<boolean> {
-    const d = assignDecode(ds, w.random)!;
-    const m = table.workerState(d.worker)!;
-    const s = enterSend(c, 'decode', d.worker);
-    const end = table.beginRequest(d.worker, 'decode', c.facts.tokens + c.r.maxTokens);
-    const patience = new AbortController();
-    const cancel = c.kind.repeatable ? w.after(micros(3_000_000), () => patience.abort()) : () => undefined;
-    function chunk(text: string): void | Promise<void> {
-      if (c.abort.signal.aborted) return undefined;
-      if (!c.ledger.firstByteSent) {
-        c.ledger.firstByteSent = true;
-        c.firstAt = w.now();
-        cancel();
-        learn(c);
+  // Returns true once the response is complete. The client sees nothing of an attempt that failed before its first byte.
+  async function decode(context: RequestContext, workers: Candidate[]): Promise<boolean> {
+    const worker = assignDecode(workers, world.random)!;
+    const entry = workerTable.workerState(worker.worker)!;
+    const attempt = recordAttempt(context, 'decode', worker.worker);
+    const endRequest = workerTable.beginRequest(
+      worker.worker,
+      'decode',
+      context.facts.tokens + context.request.maxTokens,
+    );
+    const unresponsive = new AbortController();
+    const cancelTimer = context.template.repeatable
+      ? world.after(micros(3_000_000), () => unresponsive.abort())
+      : () => undefined;
+    function writeChunk(text: string): void | Promise<void> {
+      if (context.abortController.signal.aborted) return undefined;
+      if (!context.ledger.firstByteSent) {
+        context.ledger.firstByteSent = true;
+        context.firstChunkAt = world.now();
+        cancelTimer();
+        recordSample(context);
       }
-      c.chunks += 1;
-      return c.reply.chunk(text);
+      context.chunkCount += 1;
+      return context.response.chunk(text);
     }
-    const x = await p.workerClient.decode(
-      m,
-      c.job,
-      c.handle!.h,
-      chunk,
-      AbortSignal.any([c.abort.signal, patience.signal]),
+    const result = await ports.workerClient.decode(
+      entry,
+      context.workerRequest,
+      context.kvHandle!.params,
+      writeChunk,
+      AbortSignal.any([context.abortController.signal, unresponsive.signal]),
     );
-    cancel();
-    end();
-    if (x.tag === 'done') {
-      s.outcome = 'done';
-      table.recordSuccess(d.worker);
-      paceUs += 0.05 * (w.now() - c.arrived - paceUs);
-      if (!c.abort.signal.aborted) c.reply.end(x.finish);
-      w.log(5101, { request: c.r.id, kind: c.r.kind, us: w.now() - c.arrived });
+    cancelTimer();
+    endRequest();
+    if (result.tag === 'done') {
+      attempt.outcome = 'done';
+      workerTable.recordSuccess(worker.worker);
+      meanRequestTimeUs += 0.05 * (world.now() - context.arrivedAt - meanRequestTimeUs);
+      if (!context.abortController.signal.aborted) context.response.end(result.finish);
+      world.log(5101, { request: context.request.id, kind: context.request.kind, us: world.now() - context.arrivedAt });
       return true;
     }
-    s.outcome = x.tag;
-    if (x.tag === 'lapsed') return false;
-    if (x.tag === 'notStarted' && (x.reason === 'queue_full' || x.reason === 'kv_full' || x.reason === 'wrong_part')) {
-      c.tried.add(d.worker);
+    attempt.outcome = result.tag;
+    if (result.tag === 'lapsed') return false;
+    if (
+      result.tag === 'notStarted' &&
+      (result.reason === 'queue_full' || result.reason === 'kv_full' || result.reason === 'wrong_part')
+    ) {
+      context.triedWorkers.add(worker.worker);
       return false;
     }
-    c.tried.add(d.worker);
-    if (!c.abort.signal.aborted) blame(c, d.worker, x.reason);
+    context.triedWorkers.add(worker.worker);
+    if (!context.abortController.signal.aborted) recordWorkerFailure(context, worker.worker, result.reason);
     return false;
   }
 
-  function learn(c: Course): void {
-    if (c.assigned === undefined || c.ledger.attempts.length !== 2) return;
-    samples.push({ x: c.assigned.row, y: -(c.firstAt - c.sentAt) / 1e6 });
-    if (samples.length >= batchSize) flush();
+  function recordSample(context: RequestContext): void {
+    if (context.assignment === undefined || context.ledger.attempts.length !== 2) return;
+    samples.push({ x: context.assignment.row, y: -(context.firstChunkAt - context.prefillSentAt) / 1e6 });
+    if (samples.length >= batchSize) flushSamples();
   }
 
-  function flush(): void {
-    flushedAt = w.now();
+  function flushSamples(): void {
+    samplesFlushedAt = world.now();
     if (samples.length === 0) return;
-    w.send(o.agentAddress, {
+    world.send(options.agentAddress, {
       kind: 'Samples',
-      from: o.routerId,
+      from: options.routerId,
       count: samples.length,
       width,
       rows: encodeSamples(samples, width),
@@ -625,94 +763,96 @@
     samples = [];
   }
 
-  function count(rehearsal: string, c: Course, end: FailureKind | 'whole'): void {
-    const stratum = `${c.r.tenant}/${c.r.kind}`;
-    const k = `${rehearsal}/${c.arm}/${stratum}`;
-    const a = arms.get(k) ?? { rehearsal, ...emptyCounts(c.arm, stratum) };
-    const failed = end !== 'whole';
-    // From arrival, with the waiting here; whoever failed has waited its whole patience.
-    const ttft = failed ? c.kind.patienceMs * 1000 : c.firstAt - c.arrived;
-    const tokenTime = failed || c.chunks <= 1 ? undefined : (w.now() - c.firstAt) / (c.chunks - 1);
-    countAnswer(a, {
+  function recordOutcome(rehearsalId: string, context: RequestContext, outcome: FailureKind | 'whole'): void {
+    const stratum = `${context.request.tenant}/${context.request.kind}`;
+    const key = `${rehearsalId}/${context.cohort}/${stratum}`;
+    const statistics = cohortStatistics.get(key) ?? { rehearsal: rehearsalId, ...emptyCounts(context.cohort, stratum) };
+    const failed = outcome !== 'whole';
+    // Measured from arrival, with the time queued here. A failed request counts with its whole timeout.
+    const ttft = failed ? context.template.patienceMs * 1000 : context.firstChunkAt - context.arrivedAt;
+    const tokenTime =
+      failed || context.chunkCount <= 1 ? undefined : (world.now() - context.firstChunkAt) / (context.chunkCount - 1);
+    countAnswer(statistics, {
       failed,
       logTtft: Math.log(Math.max(1, ttft)),
       logTokenTime: tokenTime === undefined ? undefined : Math.log(Math.max(1, tokenTime)),
     });
-    arms.set(k, a);
-    for (const old of arms.keys()) if (arms.size > 64 && !old.startsWith(rehearsal)) arms.delete(old);
+    cohortStatistics.set(key, statistics);
+    for (const otherKey of cohortStatistics.keys())
+      if (cohortStatistics.size > 64 && !otherKey.startsWith(rehearsalId)) cohortStatistics.delete(otherKey);
   }
 
-  function giveUp(r: IncomingRequest, reply: ResponseWriter, f: Failure): void {
-    w.log(5102, { request: r.id, kind: f.kind, tenant: r.tenant, of: r.kind });
-    note(ends, f.kind);
-    reply.fail(f);
+  function rejectRequest(request: IncomingRequest, response: ResponseWriter, rejection: Failure): void {
+    world.log(5102, { request: request.id, kind: rejection.kind, tenant: request.tenant, of: request.kind });
+    increment(outcomeCounts, rejection.kind);
+    response.fail(rejection);
   }
 
-  function receive(m: Message): void {
-    if (m.kind === 'ClaimAnswer') return claims.receiveAnswer(m);
-    if (m.kind !== 'Feed') return;
-    for (const x of table.mergeStates(m.workers)) {
-      tree.forget(x);
-      paces.forget(x);
+  function receive(message: Message): void {
+    if (message.kind === 'ClaimAnswer') return idempotencyClaims.receiveAnswer(message);
+    if (message.kind !== 'Feed') return;
+    for (const worker of workerTable.mergeStates(message.workers)) {
+      prefixTree.forget(worker);
+      paces.forget(worker);
     }
-    table.mergeReports(m.reports);
-    const before = feed.appliedVersion();
-    feed.receive(m);
-    if (feed.appliedVersion() !== before) tell();
+    workerTable.mergeReports(message.reports);
+    const previousVersion = feed.appliedVersion();
+    feed.receive(message);
+    if (feed.appliedVersion() !== previousVersion) sendRouterState();
   }
 
-  // A router that stops says that it has applied all there will ever be: no change need wait for its tenure.
-  function tell(applied: number = feed.appliedVersion()): void {
-    if (w.now() - flushedAt > 5_000_000) flush();
-    const t = budget.totals();
-    w.send(o.agentAddress, {
+  // A router that stops reports every version as applied, so that no change of the desired state waits for its lease.
+  function sendRouterState(applied: number = feed.appliedVersion()): void {
+    if (world.now() - samplesFlushedAt > 5_000_000) flushSamples();
+    const totals = retryBudget.totals();
+    world.send(options.agentAddress, {
       kind: 'RouterState',
-      router: o.routerId,
-      http: o.httpAddress,
-      asked: w.now(),
+      router: options.routerId,
+      http: options.httpAddress,
+      asked: world.now(),
       applied,
-      first: t.first,
-      extra: t.extra,
-      allowance: budget.grantProbes(),
-      arms: [...arms.values()],
+      first: totals.first,
+      extra: totals.extra,
+      allowance: retryBudget.grantProbes(),
+      arms: [...cohortStatistics.values()],
       have: feed.heldVersions(),
     });
   }
 
-  tell();
-  const stopTelling = every(
-    w,
+  sendRouterState();
+  const stopStateReports = every(
+    world,
     () => micros(100_000),
-    () => tell(),
+    () => sendRouterState(),
   );
   return {
-    handleRequest: serve,
+    handleRequest,
     receive,
     feed,
-    workerTable: table,
+    workerTable,
     metrics: () => ({
-      router: o.routerId,
+      router: options.routerId,
       tenured: feed.hasLease(),
       desiredVersion: feed.appliedVersion(),
       live: feed.rehearsalRecord().live?.version,
       running: feed.rehearsalRecord().running?.id,
-      active,
+      active: activeCount,
       waiting: admission.queueLength(),
-      window: Math.round(window.size()),
-      ends: Object.fromEntries(ends),
-      placement: Object.fromEntries(reasons),
-      ...budget.totals(),
-      probes: budget.grantProbes(),
-      treeBlocks: tree.size(),
+      window: Math.round(prefillWindow.size()),
+      ends: Object.fromEntries(outcomeCounts),
+      placement: Object.fromEntries(placementCounts),
+      ...retryBudget.totals(),
+      probes: retryBudget.grantProbes(),
+      treeBlocks: prefixTree.size(),
     }),
     stopAccepting: () => {
-      taking = false;
+      accepting = false;
     },
-    activeRequests: () => active,
+    activeRequests: () => activeCount,
     stop: () => {
-      stopTelling();
+      stopStateReports();
       admission.stop();
-      tell(appliedAllVersions);
+      sendRouterState(appliedAllVersions);
     },
   };
 }
--- a/programs/request-router/src/worker-client.ts
+++ b/programs/request-router/src/worker-client.ts
@@ -1,9 +1,10 @@
 /**
- * What the executor asks of the way to the workers. A port never throws: each send ends in one of these
- * results, and `notStarted` is claimed only on proof. Programs pass HTTP, the simulator its own links.
+ * The interface through which the router calls workers. A client never throws: each call ends in one of these results, and
+ * `notStarted` is returned only on proof. Programs use HTTP, the simulator its own links.
  */
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 
+/** A completion request as workers get it. */
 export interface WorkerRequest {
   readonly request: string;
   readonly model: string;
@@ -12,13 +13,14 @@
   readonly maxTokens: number;
   readonly sampling: Sampling;
 }
-// Taken from the requester and passed to prefill and decode as it is.
+/** Sampling parameters of the client, passed unchanged to prefill and decode. */
 export interface Sampling {
   readonly temperature?: number;
   readonly top_p?: number;
   readonly seed?: number;
   readonly user?: string;
 }
+/** The prefill worker's handle of the KV cache, which the decode worker fetches it by. */
 export interface KvTransferParams {
   readonly remote_engine_id: string;
   readonly remote_block_ids: readonly string[];
@@ -28,34 +30,39 @@
   readonly prompt_digest: string;
   readonly incarnation: number;
 }
+/** How a prefill ended. */
 export type PrefillResult =
   | { readonly tag: 'done'; readonly handle: KvTransferParams }
   | { readonly tag: 'notStarted'; readonly reason: string }
   | { readonly tag: 'unknown'; readonly reason: string };
+/** How a decode ended; `lapsed` means that the prefill worker no longer had the KV cache. */
 export type DecodeResult =
   | { readonly tag: 'done'; readonly finish: string }
   | { readonly tag: 'notStarted'; readonly reason: string }
   | { readonly tag: 'lapsed'; readonly reason: string }
   | { readonly tag: 'unknown'; readonly reason: string };
 
+/** Calls one worker for one request; chunks of the decode are passed on as they come. */
 export interface WorkerClient {
-  readonly prefill: (m: WorkerStateEntry, j: WorkerRequest, signal: AbortSignal) => Promise<PrefillResult>;
+  readonly prefill: (worker: WorkerStateEntry, request: WorkerRequest, signal: AbortSignal) => Promise<PrefillResult>;
   readonly decode: (
-    m: WorkerStateEntry,
-    j: WorkerRequest,
-    h: KvTransferParams,
-    chunk: (text: string) => void | Promise<void>,
+    worker: WorkerStateEntry,
+    request: WorkerRequest,
+    kvTransferParams: KvTransferParams,
+    writeChunk: (text: string) => void | Promise<void>,
     signal: AbortSignal,
   ) => Promise<DecodeResult>;
 }
 
-// The router's end of the hand-over check: the handle must name the request, the prompt and the very
-// worker and incarnation that was asked to read it.
-export function isHandleFor(h: KvTransferParams, j: WorkerRequest, m: WorkerStateEntry): boolean {
+/**
+ * The router's check of the KV transfer: the handle must name the request, its prompt, and the worker and incarnation that
+ * were asked for the prefill.
+ */
+export function isHandleFor(handle: KvTransferParams, request: WorkerRequest, worker: WorkerStateEntry): boolean {
   return (
-    h.request_id === j.request &&
-    h.prompt_digest === j.digest &&
-    h.remote_engine_id === m.worker &&
-    h.incarnation === m.incarnation
+    handle.request_id === request.request &&
+    handle.prompt_digest === request.digest &&
+    handle.remote_engine_id === worker.worker &&
+    handle.incarnation === worker.incarnation
   );
 }
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -1,12 +1,13 @@
 /**
- * The router's table of workers: marks from the feed, the last report with what this router has done since,
- * its own tokens in flight, and a short memory of failures. It alone says who is a candidate: never a
- * worker that is leaving, gone, or resting after failures.
+ * The router's table of workers: their states from the feed, the last load report corrected by what this router has
+ * started and ended since, its own tokens in flight, and recent failures. It alone decides which workers are candidates:
+ * never one that is leaving or gone, and one that is ejected after failures only if no other is left.
  */
 import type { WorkerStateEntry, Micros, WorkerReport, WorkerId } from '@tansypost/inner-protocol';
 import type { Candidate, Paces } from '@tansypost/placement';
 import type { Part } from '@tansypost/rehearsal';
 
+// A request that this router started (+1) or ended (-1).
 interface LoadChange {
   readonly at: number;
   readonly delta: number;
@@ -14,7 +15,7 @@
 }
 interface Row {
   state: WorkerStateEntry;
-  report: { r: WorkerReport; at: number } | undefined;
+  report: { report: WorkerReport; at: number } | undefined;
   loadChanges: LoadChange[];
   running: number;
   prefillTokens: number;
@@ -24,36 +25,49 @@
   failedAt: number;
   invalidReportAt?: number;
 }
+/** The known workers. */
 export interface WorkerTable {
-  readonly mergeStates: (ms: readonly WorkerStateEntry[]) => string[];
-  readonly mergeReports: (rs: readonly WorkerReport[]) => void;
-  readonly beginRequest: (w: WorkerId, phase: 'prefill' | 'decode', tokens: number) => () => void;
-  readonly recordFailure: (w: WorkerId) => void;
-  readonly recordSuccess: (w: WorkerId) => void;
-  readonly workerState: (w: WorkerId) => WorkerStateEntry | undefined;
-  readonly reportedStage: (w: WorkerId) => Part | undefined;
+  /** Applies worker states; returns the workers that are known under a new incarnation. */
+  readonly mergeStates: (entries: readonly WorkerStateEntry[]) => string[];
+  readonly mergeReports: (reports: readonly WorkerReport[]) => void;
+  /** Counts a request at a worker; the returned function ends it. */
+  readonly beginRequest: (worker: WorkerId, phase: 'prefill' | 'decode', tokens: number) => () => void;
+  readonly recordFailure: (worker: WorkerId) => void;
+  readonly recordSuccess: (worker: WorkerId) => void;
+  readonly workerState: (worker: WorkerId) => WorkerStateEntry | undefined;
+  readonly reportedStage: (worker: WorkerId) => Part | undefined;
   readonly candidates: (
     phase: 'prefill' | 'decode',
-    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
-    without: ReadonlySet<string>,
+    stageOf: (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part,
+    excluded: ReadonlySet<string>,
   ) => Candidate[];
+  /** The table for operators. */
   readonly snapshot: () => object[];
 }
 
-export function isPlausibleReport(r: WorkerReport): boolean {
-  return r.queued >= 0 && r.active >= 0 && r.queued < 1e6 && r.active < 1e6 && r.kvUsed >= 0 && r.kvUsed <= 1;
+/** Whether the figures of a report are possible at all. */
+export function isPlausibleReport(report: WorkerReport): boolean {
+  return (
+    report.queued >= 0 &&
+    report.active >= 0 &&
+    report.queued < 1e6 &&
+    report.active < 1e6 &&
+    report.kvUsed >= 0 &&
+    report.kvUsed <= 1
+  );
 }
 
+/** Creates an empty table; `paces` gives the workers' measured speed. */
 export function createWorkerTable(now: () => Micros, paces: Paces): WorkerTable {
   const rows = new Map<string, Row>();
 
-  function marks(ms: readonly WorkerStateEntry[]): string[] {
-    const renewed: string[] = [];
-    for (const m of ms) {
-      const r = rows.get(m.worker);
-      if (r === undefined || m.incarnation > r.state.incarnation) {
-        rows.set(m.worker, {
-          state: m,
+  function mergeStates(entries: readonly WorkerStateEntry[]): string[] {
+    const restarted: string[] = [];
+    for (const entry of entries) {
+      const row = rows.get(entry.worker);
+      if (row === undefined || entry.incarnation > row.state.incarnation) {
+        rows.set(entry.worker, {
+          state: entry,
           report: undefined,
           loadChanges: [],
           running: 0,
@@ -63,119 +77,126 @@
           ejectedUntil: 0,
           failedAt: -Infinity,
         });
-        if (r !== undefined) renewed.push(m.worker);
-      } else if (m.incarnation === r.state.incarnation && m.state > r.state.state) r.state = m;
+        if (row !== undefined) restarted.push(entry.worker);
+      } else if (entry.incarnation === row.state.incarnation && entry.state > row.state.state) row.state = entry;
     }
-    return renewed;
+    return restarted;
   }
 
-  function reports(rs: readonly WorkerReport[]): void {
-    for (const r of rs) {
-      const x = rows.get(r.worker);
-      const at = now() - r.age;
-      if (x === undefined || r.incarnation !== x.state.incarnation || (x.report !== undefined && at <= x.report.at))
+  function mergeReports(incoming: readonly WorkerReport[]): void {
+    for (const report of incoming) {
+      const row = rows.get(report.worker);
+      const measuredAt = now() - report.age;
+      if (
+        row === undefined ||
+        report.incarnation !== row.state.incarnation ||
+        (row.report !== undefined && measuredAt <= row.report.at)
+      )
         continue;
-      if (!isPlausibleReport(r)) {
-        if (at > (x.invalidReportAt ?? -Infinity)) failed(r.worker as WorkerId);
-        x.invalidReportAt = at;
+      if (!isPlausibleReport(report)) {
+        if (measuredAt > (row.invalidReportAt ?? -Infinity)) recordFailure(report.worker as WorkerId);
+        row.invalidReportAt = measuredAt;
         continue;
       }
-      x.report = { r, at };
-      x.loadChanges = x.loadChanges.filter((d) => d.at > at);
+      row.report = { report, at: measuredAt };
+      row.loadChanges = row.loadChanges.filter((change) => change.at > measuredAt);
     }
   }
 
-  function began(w: WorkerId, phase: 'prefill' | 'decode', tokens: number): () => void {
-    const x = rows.get(w);
-    if (x === undefined) return () => undefined;
-    x.running += 1;
-    if (phase === 'prefill') x.prefillTokens += tokens;
-    else x.decodeTokens += tokens;
-    deed(x, 1);
-    let over = false;
+  function beginRequest(worker: WorkerId, phase: 'prefill' | 'decode', tokens: number): () => void {
+    const row = rows.get(worker);
+    if (row === undefined) return () => undefined;
+    row.running += 1;
+    if (phase === 'prefill') row.prefillTokens += tokens;
+    else row.decodeTokens += tokens;
+    recordLoadChange(row, 1);
+    let ended = false;
     return function end() {
-      if (over) return;
-      over = true;
-      x.running -= 1;
-      if (phase === 'prefill') x.prefillTokens -= tokens;
-      else x.decodeTokens -= tokens;
-      deed(x, -1);
+      if (ended) return;
+      ended = true;
+      row.running -= 1;
+      if (phase === 'prefill') row.prefillTokens -= tokens;
+      else row.decodeTokens -= tokens;
+      recordLoadChange(row, -1);
     };
   }
-  function deed(x: Row, by: number): void {
-    if (x.loadChanges.length > 4000) x.loadChanges.shift();
-    x.loadChanges.push({ at: now(), delta: by, kv: 0 });
+  function recordLoadChange(row: Row, delta: number): void {
+    if (row.loadChanges.length > 4000) row.loadChanges.shift();
+    row.loadChanges.push({ at: now(), delta, kv: 0 });
   }
 
-  function failed(w: WorkerId): void {
-    const x = rows.get(w);
-    if (x === undefined) return;
-    x.failures += 1;
-    x.failedAt = now();
-    x.ejectedUntil = now() + Math.min(8_000_000, 500_000 * 2 ** Math.min(4, x.failures - 1));
+  function recordFailure(worker: WorkerId): void {
+    const row = rows.get(worker);
+    if (row === undefined) return;
+    row.failures += 1;
+    row.failedAt = now();
+    row.ejectedUntil = now() + Math.min(8_000_000, 500_000 * 2 ** Math.min(4, row.failures - 1));
   }
-  function went(w: WorkerId): void {
-    const x = rows.get(w);
-    if (x !== undefined) x.failures = 0;
+  function recordSuccess(worker: WorkerId): void {
+    const row = rows.get(worker);
+    if (row !== undefined) row.failures = 0;
   }
-  // After a failure a worker rests; until a report of later than that shows that it answers, it rests four times as long,
-  // as every request that tries it in vain costs an extra send.
-  function resting(x: Row, t: number): boolean {
-    if (x.ejectedUntil > t) return true;
-    const heard = x.report !== undefined && x.report.at > x.failedAt;
-    return !heard && t < x.failedAt + Math.min(8_000_000, 4 * (x.ejectedUntil - x.failedAt));
+  // A worker is ejected for a while after a failure. Without a report made after the failure, which shows that it responds
+  // again, the ejection lasts four times as long, as each request that tries it in vain costs a retry.
+  function isEjected(row: Row, at: number): boolean {
+    if (row.ejectedUntil > at) return true;
+    const reportedSinceFailure = row.report !== undefined && row.report.at > row.failedAt;
+    return !reportedSinceFailure && at < row.failedAt + Math.min(8_000_000, 4 * (row.ejectedUntil - row.failedAt));
   }
 
-  function candidate(x: Row): Candidate {
-    // Reports are paid for by traffic, so in a lull they stop; an old one must not go on speaking.
-    const r = x.report !== undefined && now() - x.report.at < 5_000_000 ? x.report.r : undefined;
-    const since = x.loadChanges.reduce((a, d) => a + d.delta, 0);
-    const all = Math.max(x.running, r === undefined ? x.running : r.queued + r.active + since);
-    const queued = r === undefined ? 0 : Math.min(r.queued, all);
+  function candidate(row: Row): Candidate {
+    // Reports are fetched in proportion to traffic and stop when there is none, so a report expires after 5 s.
+    const report = row.report !== undefined && now() - row.report.at < 5_000_000 ? row.report.report : undefined;
+    const changeSinceReport = row.loadChanges.reduce((sum, change) => sum + change.delta, 0);
+    const total = Math.max(
+      row.running,
+      report === undefined ? row.running : report.queued + report.active + changeSinceReport,
+    );
+    const queued = report === undefined ? 0 : Math.min(report.queued, total);
     return {
-      worker: x.state.worker as WorkerId,
-      incarnation: x.state.incarnation,
-      running: Math.max(0, all - queued),
+      worker: row.state.worker as WorkerId,
+      incarnation: row.state.incarnation,
+      running: Math.max(0, total - queued),
       queued,
-      prefillTokens: x.prefillTokens,
-      decodeTokens: x.decodeTokens,
-      kvUsed: r?.kvUsed ?? 0,
-      speedClass: paces.speedClass(x.state.worker),
+      prefillTokens: row.prefillTokens,
+      decodeTokens: row.decodeTokens,
+      kvUsed: report?.kvUsed ?? 0,
+      speedClass: paces.speedClass(row.state.worker),
     };
   }
 
   function candidates(
     phase: 'prefill' | 'decode',
-    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
-    without: ReadonlySet<string>,
+    stageOf: (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part,
+    excluded: ReadonlySet<string>,
   ): Candidate[] {
-    const not = phase === 'prefill' ? 'decode' : 'prefill';
-    const fit = [...rows.values()].filter(
-      (x) => x.state.state === 1 && part(x.state, x.report?.r.part as Part | undefined) !== not,
+    const otherStage = phase === 'prefill' ? 'decode' : 'prefill';
+    const eligible = [...rows.values()].filter(
+      (row) => row.state.state === 1 && stageOf(row.state, row.report?.report.part as Part | undefined) !== otherStage,
     );
-    const t = now();
-    const well = fit.filter((x) => !resting(x, t) && !without.has(x.state.worker));
-    if (well.length > 0) return well.map(candidate);
-    const rest = fit.filter((x) => !without.has(x.state.worker));
-    return (rest.length > 0 ? rest : fit).map(candidate);
+    const at = now();
+    const healthy = eligible.filter((row) => !isEjected(row, at) && !excluded.has(row.state.worker));
+    if (healthy.length > 0) return healthy.map(candidate);
+    const untried = eligible.filter((row) => !excluded.has(row.state.worker));
+    return (untried.length > 0 ? untried : eligible).map(candidate);
   }
 
   return {
-    mergeStates: marks,
-    mergeReports: reports,
-    beginRequest: began,
-    recordFailure: failed,
-    recordSuccess: went,
+    mergeStates,
+    mergeReports,
+    beginRequest,
+    recordFailure,
+    recordSuccess,
     candidates,
-    workerState: (w) => rows.get(w)?.state,
-    reportedStage: (w) => rows.get(w)?.report?.r.part as Part | undefined,
+    workerState: (worker) => rows.get(worker)?.state,
+    reportedStage: (worker) => rows.get(worker)?.report?.report.part as Part | undefined,
     snapshot: () =>
-      [...rows.values()].map((x) => ({
-        ...x.state,
-        running: x.running,
-        failures: x.failures,
-        resting: resting(x, now()),
-        report: x.report?.r,
+      [...rows.values()].map((row) => ({
+        ...row.state,
+        running: row.running,
+        failures: row.failures,
+        resting: isEjected(row, now()),
+        report: row.report?.report,
       })),
   };
 }
@@ -183,7 +204,7 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { micros } = await import('@tansypost/inner-protocol');
-  it('tries a worker that failed sooner once a report of later shows that it answers', () => {
+  it('ends the ejection of a failed worker sooner once a later report shows that it responds', () => {
     let t = 0;
     const table = createWorkerTable(() => micros(t), { speedClass: () => 0 } as unknown as Paces);
     table.mergeStates([1, 2].map((n) => ({ worker: `w${n}`, incarnation: 1, state: 1, address: 'x' })));
