--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -101,7 +101,7 @@
   readonly receive: (m: Message, from: Address) => void;
   readonly applyPlatformStates: (
     ms: readonly WorkerStateEntry[],
-  ) => Promise<{ readonly fresh: WorkerStateEntry[]; readonly confirmed: boolean }>;
+  ) => Promise<{ readonly newEntries: WorkerStateEntry[]; readonly confirmed: boolean }>;
   readonly submit: (base: number, change: string, state: unknown) => Promise<SubmitResult>;
   readonly readDesiredState: () => Promise<AskResult>;
   readonly lookUpChange: (change: string) => Promise<AskResult>;
@@ -117,311 +117,331 @@
 }
 export const singletonRoles = ['parts', 'training', 'rehearsals'] as const;
 
-export function createAgentCore(w: World, o: AgentOptions, p: AgentPorts): AgentCore {
-  let core: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
-    membershipEpoch: o.persisted.membershipEpoch,
-    replicas: o.persisted.replicas,
+export function createAgentCore(world: World, options: AgentOptions, ports: AgentPorts): AgentCore {
+  let controlMembership: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
+    membershipEpoch: options.persisted.membershipEpoch,
+    replicas: options.persisted.replicas,
   };
   let router: MessageOf<'RouterState'> | undefined;
-  let routerAt = -Infinity;
+  let routerStateAt = -Infinity;
   let grants: { asked: number; version: number }[] = [];
-  let grantedAt = -Infinity;
+  let leaseGrantedAt = -Infinity;
   // Marks kept on disk are as old as the stop; so the router may not decide until this agent has compared its marks with
   // a member that is itself current, or, where all have just started, with half of those it hears of.
-  let warm = false;
-  const met = new Set<string>();
+  let isWarm = false;
+  const comparedMembers = new Set<string>();
   const confirmations = new Set<(from: string) => void>();
   let traces: TraceEvent[] = [];
-  const marks = createWorkerStateTable();
-  marks.merge(o.persisted.marks);
+  const workerTable = createWorkerStateTable();
+  workerTable.merge(options.persisted.marks);
 
-  function heardCore(membershipEpoch: number, ps: readonly ReplicaEntry[]): void {
-    if (membershipEpoch > core.membershipEpoch && ps.length === 3) core = { membershipEpoch, replicas: ps };
+  function onControlMembership(membershipEpoch: number, replicas: readonly ReplicaEntry[]): void {
+    if (membershipEpoch > controlMembership.membershipEpoch && replicas.length === 3)
+      controlMembership = { membershipEpoch, replicas };
   }
-  function tenured(): boolean {
-    return w.now() - grantedAt < 5_000_000 && w.now() - routerAt < 2_000_000;
+  function holdsFeedLease(): boolean {
+    return world.now() - leaseGrantedAt < 5_000_000 && world.now() - routerStateAt < 2_000_000;
   }
 
-  const candidates = new Map<string, Candidate>(
+  const roleCandidates = new Map<string, Candidate>(
     singletonRoles.map((d) => [
       d,
-      createCandidate(w, {
+      createCandidate(world, {
         role: d,
-        member: o.member,
-        self: o.self,
-        slot: o.slot,
-        leaseDuration: o.roleLeaseUs,
-        replicas: () => core,
-        isWilling: () => w.now() - started > 1_000_000,
+        member: options.member,
+        self: options.self,
+        slot: options.slot,
+        leaseDuration: options.roleLeaseUs,
+        replicas: () => controlMembership,
+        isWilling: () => world.now() - startedAt > 1_000_000,
         onElected: () => {
-          if (d === 'parts') parts.onElected();
+          if (d === 'parts') stageAssignment.onElected();
         },
         onLeaseLost: () => undefined,
       }),
     ]),
   );
-  const started = w.now();
+  const startedAt = world.now();
 
-  function duties(): SingletonRoleEntry[] {
-    return [...candidates].flatMap(([d, c]) => {
+  function heldRoles(): SingletonRoleEntry[] {
+    return [...roleCandidates].flatMap(([d, c]) => {
       const e = c.heldEpoch();
-      return e === undefined ? [] : [{ duty: d, holder: o.member, address: o.self, epoch: e }];
+      return e === undefined ? [] : [{ duty: d, holder: options.member, address: options.self, epoch: e }];
     });
   }
 
-  const views = createGossipMembership(w, {
-    member: o.member,
-    self: o.self,
-    zone: o.zone,
-    routerHttpAddress: o.routerHttpAddress,
-    incarnation: o.incarnation,
-    seeds: o.seeds,
-    persisted: o.persisted.entries,
+  const membership = createGossipMembership(world, {
+    member: options.member,
+    self: options.self,
+    zone: options.zone,
+    routerHttpAddress: options.routerHttpAddress,
+    incarnation: options.incarnation,
+    seeds: options.seeds,
+    persisted: options.persisted.entries,
     viewSize: 8,
     exchangeInterval: 300_000,
     failureTimeout: 2_500_000,
-    holdsFeedLease: tenured,
-    controlMembership: () => core,
-    heldSingletonRoles: duties,
-    onControlMembership: heardCore,
-    onSingletonRole: (d) => candidates.get(d.duty)?.observeLeader(d),
+    holdsFeedLease,
+    controlMembership: () => controlMembership,
+    heldSingletonRoles: heldRoles,
+    onControlMembership,
+    onSingletonRole: (d) => roleCandidates.get(d.duty)?.observeLeader(d),
     save,
   });
   function save(es: readonly MemberEntry[]): void {
-    p.save({ entries: es, marks: marks.all(), membershipEpoch: core.membershipEpoch, replicas: core.replicas });
+    ports.save({
+      entries: es,
+      marks: workerTable.all(),
+      membershipEpoch: controlMembership.membershipEpoch,
+      replicas: controlMembership.replicas,
+    });
   }
-  const asker = createAgentControlClient(w, o.self, () => core.replicas);
-  const news = createKeyUpdateRelay(w, {
-    self: o.self,
-    member: o.member,
-    service: o.service,
-    zoneMembers: views.zoneMembers,
-    replicas: () => core.replicas,
-    onControlMembership: heardCore,
+  const controlClient = createAgentControlClient(world, options.self, () => controlMembership.replicas);
+  const keyUpdates = createKeyUpdateRelay(world, {
+    self: options.self,
+    member: options.member,
+    service: options.service,
+    zoneMembers: membership.zoneMembers,
+    replicas: () => controlMembership.replicas,
+    onControlMembership,
     onUpdate: (n) => {
-      note('news', n.key, n.version);
-      feed();
+      recordTrace('news', n.key, n.version);
+      sendFeed();
     },
     onLeaseGrant: (g) => {
       grants = [g];
-      grantedAt = w.now();
-      feed();
+      leaseGrantedAt = world.now();
+      sendFeed();
     },
   });
-  const reports = createLoadReports(w, {
-    self: o.self,
-    isZoneLeader: news.isZoneLeader,
-    zoneLeader: news.zoneLeader,
-    zoneLeaders: homes,
-    subscribers: news.subscribers,
-    workers: ready,
-    fetchReport: p.fetchReport,
+  const loadReports = createLoadReports(world, {
+    self: options.self,
+    isZoneLeader: keyUpdates.isZoneLeader,
+    zoneLeader: keyUpdates.zoneLeader,
+    zoneLeaders,
+    subscribers: keyUpdates.subscribers,
+    workers: readyWorkers,
+    fetchReport: ports.fetchReport,
     onChange: () => undefined,
   });
-  function record(): Buffer | undefined {
-    return news.get(`rehearsal/${o.service}`)?.value;
+  function rehearsalRecord(): Buffer | undefined {
+    return keyUpdates.get(`rehearsal/${options.service}`)?.value;
   }
-  const writer = createRecordWriter(w, o.service, asker, (version, epoch, value) =>
-    news.mergeUpdate({ key: `rehearsal/${o.service}`, epoch, version, value }),
+  const recordWriter = createRecordWriter(world, options.service, controlClient, (version, epoch, value) =>
+    keyUpdates.mergeUpdate({ key: `rehearsal/${options.service}`, epoch, version, value }),
   );
-  const parts = createStageAssignment(w, {
-    heldEpoch: () => holds('parts'),
-    record: () => record() ?? Buffer.alloc(0),
-    workers: ready,
-    reports: () => reports.all().filter((r) => r.active >= 0),
-    writer,
-    orderStage: p.orderStage,
-    shiftStages: o.shiftStages,
-    treatmentShare: o.treatmentShare,
-    approval,
-    shiftHoldUs: o.shiftHoldUs,
-    shiftCooldownUs: o.shiftCooldownUs,
+  const stageAssignment = createStageAssignment(world, {
+    heldEpoch: () => heldEpoch('parts'),
+    record: () => rehearsalRecord() ?? Buffer.alloc(0),
+    workers: readyWorkers,
+    reports: () => loadReports.all().filter((r) => r.active >= 0),
+    writer: recordWriter,
+    orderStage: ports.orderStage,
+    shiftStages: options.shiftStages,
+    treatmentShare: options.treatmentShare,
+    approval: approvalMode,
+    shiftHoldUs: options.shiftHoldUs,
+    shiftCooldownUs: options.shiftCooldownUs,
   });
-  const training = createTrainingDuty(w, {
-    service: o.service,
-    holds: () => holds('training'),
-    record,
-    asker,
-    writer,
-    trainer: p.trainer,
-    every: o.samplesPerTraining,
-    slice: o.treatmentShare,
-    approval,
+  const trainingRole = createTrainingDuty(world, {
+    service: options.service,
+    holds: () => heldEpoch('training'),
+    record: rehearsalRecord,
+    asker: controlClient,
+    writer: recordWriter,
+    trainer: ports.trainer,
+    every: options.samplesPerTraining,
+    slice: options.treatmentShare,
+    approval: approvalMode,
   });
-  const keeping = createRehearsalDuty(w, {
-    holds: () => holds('rehearsals'),
-    record,
-    writer,
-    timeLimit: o.rehearsalTimeLimitUs,
-    verdict: o.verdict,
+  const rehearsalRole = createRehearsalDuty(world, {
+    holds: () => heldEpoch('rehearsals'),
+    record: rehearsalRecord,
+    writer: recordWriter,
+    timeLimit: options.rehearsalTimeLimitUs,
+    verdict: options.verdict,
   });
 
-  function holds(d: string): number | undefined {
-    return candidates.get(d)?.heldEpoch();
+  function heldEpoch(d: string): number | undefined {
+    return roleCandidates.get(d)?.heldEpoch();
   }
-  function approval(): 'automatic' | 'operator' {
-    const n = news.get(`desired/${o.service}`);
-    return needsApproval(n === undefined ? undefined : (JSON.parse(n.value.toString()) as DesiredState))
+  function approvalMode(): 'automatic' | 'operator' {
+    const update = keyUpdates.get(`desired/${options.service}`);
+    return needsApproval(update === undefined ? undefined : (JSON.parse(update.value.toString()) as DesiredState))
       ? 'operator'
       : 'automatic';
   }
-  function ready(): WorkerStateEntry[] {
-    return marks.all().filter((m) => m.state === 1);
+  function readyWorkers(): WorkerStateEntry[] {
+    return workerTable.all().filter((m) => m.state === 1);
   }
-  function homes(): Address[] {
-    const zones = new Map<string, MemberEntry[]>();
-    for (const e of [...views.liveMembers(), ...views.zoneMembers()])
-      zones.set(e.zone, [...(zones.get(e.zone) ?? []), e]);
-    return [...zones.values()].map((es) => rendezvous(o.service, es, (x) => x.member)[0]!.address as Address);
+  function zoneLeaders(): Address[] {
+    const membersByZone = new Map<string, MemberEntry[]>();
+    for (const entry of [...membership.liveMembers(), ...membership.zoneMembers()])
+      membersByZone.set(entry.zone, [...(membersByZone.get(entry.zone) ?? []), entry]);
+    return [...membersByZone.values()].map(
+      (es) => rendezvous(options.service, es, (x) => x.member)[0]!.address as Address,
+    );
   }
-  function note(what: string, key: string, version: number): void {
-    traces.push({ at: p.wallClockUs(), what, key, version });
-    if (!key.startsWith('blob/')) p.onTraceEvent?.(traces.at(-1)!);
+  function recordTrace(what: string, key: string, version: number): void {
+    traces.push({ at: ports.wallClockUs(), what, key, version });
+    if (!key.startsWith('blob/')) ports.onTraceEvent?.(traces.at(-1)!);
     if (traces.length > 500) traces = traces.slice(-400);
   }
 
-  function feed(): void {
+  function sendFeed(): void {
     if (router === undefined) return;
-    const at = new Map(router.have.map((h) => [h.key, h]));
-    const out = news.all().filter((n) => {
-      const h = at.get(n.key);
+    const held = new Map(router.have.map((h) => [h.key, h]));
+    const updates = keyUpdates.all().filter((n) => {
+      const h = held.get(n.key);
       return h === undefined || n.version > h.version || (n.version === h.version && n.epoch > h.epoch);
     });
-    w.send(o.routerAddress, {
+    world.send(options.routerAddress, {
       kind: 'Feed',
-      workers: marks.all(),
-      reports: reports.all(),
-      news: out,
-      grants: warm ? grants : [],
-      contact: views.isInContact(),
-      others: views
+      workers: workerTable.all(),
+      reports: loadReports.all(),
+      news: updates,
+      grants: isWarm ? grants : [],
+      contact: membership.isInContact(),
+      others: membership
         .liveMembers()
-        .filter((e) => e.tenured && e.http !== o.routerHttpAddress)
+        .filter((e) => e.tenured && e.http !== options.routerHttpAddress)
         .map((e) => e.http),
     });
   }
 
-  function onRouterState(m: MessageOf<'RouterState'>): void {
-    if (router?.router !== m.router) grants = [];
-    if (m.applied !== appliedAllVersions && router?.applied !== m.applied)
-      note('applied', `desired/${o.service}`, m.applied);
-    router = m;
-    routerAt = w.now();
-    news.requestRouterLease(m.router, m.asked, m.applied);
-    reports.setProbeAllowance(m.router, m.first, m.extra, m.allowance);
-    feed();
+  function onRouterState(state: MessageOf<'RouterState'>): void {
+    if (router?.router !== state.router) grants = [];
+    if (state.applied !== appliedAllVersions && router?.applied !== state.applied)
+      recordTrace('applied', `desired/${options.service}`, state.applied);
+    router = state;
+    routerStateAt = world.now();
+    keyUpdates.requestRouterLease(state.router, state.asked, state.applied);
+    loadReports.setProbeAllowance(state.router, state.first, state.extra, state.allowance);
+    sendFeed();
   }
 
-  function spread(ms: WorkerStateEntry[], but?: Address): void {
-    if (ms.length === 0) return;
-    for (const m of ms) w.log(3003, { worker: m.worker, incarnation: m.incarnation, state: workerStates[m.state] });
-    for (const a of views.neighbours())
-      if (a !== but) w.send(a, { kind: 'Marks', marks: ms, whole: false, warm: false });
-    save(views.liveMembers());
-    feed();
+  function spreadStates(entries: WorkerStateEntry[], except?: Address): void {
+    if (entries.length === 0) return;
+    for (const entry of entries)
+      world.log(3003, { worker: entry.worker, incarnation: entry.incarnation, state: workerStates[entry.state] });
+    for (const neighbour of membership.neighbours())
+      if (neighbour !== except) world.send(neighbour, { kind: 'Marks', marks: entries, whole: false, warm: false });
+    save(membership.liveMembers());
+    sendFeed();
   }
 
-  function current(): boolean {
-    return warm && views.isInContact();
+  function isCurrent(): boolean {
+    return isWarm && membership.isInContact();
   }
-  function digest(answer: boolean): MessageOf<'MarksDigest'> {
-    return { kind: 'MarksDigest', from: o.self, digest: marks.digest(), answer, warm: current() };
+  function createDigest(answer: boolean): MessageOf<'MarksDigest'> {
+    return { kind: 'MarksDigest', from: options.self, digest: workerTable.digest(), answer, warm: isCurrent() };
   }
-  function compared(from: string, theirs: boolean): void {
-    if (warm) return;
-    met.add(from);
-    const live = views.liveMembers();
-    if (theirs || (w.now() - started > 1_500_000 && 2 * live.filter((e) => met.has(e.address)).length >= live.length))
-      warm = true;
-    if (warm) feed();
+  function onCompared(from: string, isPeerCurrent: boolean): void {
+    if (isWarm) return;
+    comparedMembers.add(from);
+    const liveMembers = membership.liveMembers();
+    if (
+      isPeerCurrent ||
+      (world.now() - startedAt > 1_500_000 &&
+        2 * liveMembers.filter((e) => comparedMembers.has(e.address)).length >= liveMembers.length)
+    )
+      isWarm = true;
+    if (isWarm) sendFeed();
   }
   // While cold it asks all its neighbours. A fleet of one agent has nobody to compare with.
-  function warmUp(): void {
-    if (warm) return;
-    for (const a of views.neighbours()) w.send(a, digest(true));
+  function requestComparisons(): void {
+    if (isWarm) return;
+    for (const neighbour of membership.neighbours()) world.send(neighbour, createDigest(true));
     if (
-      w.now() - started > 3_000_000 &&
-      views.liveMembers().length === 0 &&
-      o.persisted.entries.length === 0 &&
-      marks.all().length > 0
+      world.now() - startedAt > 3_000_000 &&
+      membership.liveMembers().length === 0 &&
+      options.persisted.entries.length === 0 &&
+      workerTable.all().length > 0
     )
-      warm = true;
+      isWarm = true;
   }
 
-  function toHolder(d: string, m: Message, self: () => void): void {
-    const h = candidates.get(d)?.leader();
-    if (h === undefined) return;
-    if (h.address === o.self) self();
-    else w.send(h.address as Address, m);
+  function sendToRoleLeader(role: string, message: Message, handleLocally: () => void): void {
+    const leader = roleCandidates.get(role)?.leader();
+    if (leader === undefined) return;
+    if (leader.address === options.self) handleLocally();
+    else world.send(leader.address as Address, message);
   }
 
-  function tellArms(): void {
+  function sendCohortStatistics(): void {
     if (router === undefined || router.arms.length === 0) return;
-    const m: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
-    toHolder('rehearsals', m, () => keeping.arms(m));
+    const message: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
+    sendToRoleLeader('rehearsals', message, () => rehearsalRole.arms(message));
   }
 
-  function receive(m: Message, from: Address): void {
-    switch (m.kind) {
+  function receive(message: Message, from: Address): void {
+    switch (message.kind) {
       case 'Shuffle':
-        return views.receive(m);
+        return membership.receive(message);
       case 'Marks': {
-        spread(marks.merge(m.marks), from);
-        if (m.whole) compared(from, m.warm);
-        return w.send(from, digest(false));
+        spreadStates(workerTable.merge(message.marks), from);
+        if (message.whole) onCompared(from, message.warm);
+        return world.send(from, createDigest(false));
       }
       case 'MarksDigest':
-        return onDigest(m);
+        return onStatesDigest(message);
       case 'Answer':
-        return asker.answer(m);
+        return controlClient.answer(message);
       case 'News':
-        return news.receiveUpdates(m);
+        return keyUpdates.receiveUpdates(message);
       case 'Subscribe':
-        return news.receiveSubscription(m);
+        return keyUpdates.receiveSubscription(message);
       case 'Leases':
-        return news.receiveLeases(m);
+        return keyUpdates.receiveLeases(message);
       case 'BallotVote':
-        return candidates.get(m.duty)?.receiveVote(m);
+        return roleCandidates.get(message.duty)?.receiveVote(message);
       case 'Reports':
-        return reports.receive(m);
+        return loadReports.receive(message);
       case 'Demand':
-        return reports.receiveDemand(m);
+        return loadReports.receiveDemand(message);
       case 'RouterState':
-        return onRouterState(m);
+        return onRouterState(message);
       case 'Samples': {
-        if (from === o.routerAddress) return toHolder('training', m, () => training.samples(m));
-        if (holds('training') !== undefined) training.samples(m);
+        if (from === options.routerAddress)
+          return sendToRoleLeader('training', message, () => trainingRole.samples(message));
+        if (heldEpoch('training') !== undefined) trainingRole.samples(message);
         return undefined;
       }
       case 'Claim':
-        return onClaim(m);
+        return onClaim(message);
       case 'Arms':
-        return keeping.arms(m);
+        return rehearsalRole.arms(message);
       default:
         return undefined;
     }
   }
 
-  function onDigest(m: MessageOf<'MarksDigest'>): void {
-    if (m.digest === marks.digest()) {
-      compared(m.from, m.warm);
-      for (const f of [...confirmations]) f(m.from);
-      if (m.answer) w.send(m.from as Address, digest(false));
+  function onStatesDigest(message: MessageOf<'MarksDigest'>): void {
+    if (message.digest === workerTable.digest()) {
+      onCompared(message.from, message.warm);
+      for (const confirm of [...confirmations]) confirm(message.from);
+      if (message.answer) world.send(message.from as Address, createDigest(false));
       return;
     }
-    w.send(m.from as Address, { kind: 'Marks', marks: marks.all(), whole: true, warm: current() });
-    if (m.answer) w.send(m.from as Address, digest(true));
+    world.send(message.from as Address, { kind: 'Marks', marks: workerTable.all(), whole: true, warm: isCurrent() });
+    if (message.answer) world.send(message.from as Address, createDigest(true));
   }
 
   // A claim is repeated until it is answered or its patience ends; the bucket forgives a holder's own repeat.
-  function onClaim(m: MessageOf<'Claim'>): void {
+  function onClaim(claim: MessageOf<'Claim'>): void {
     const value = Buffer.from(
-      JSON.stringify({ op: m.op, key: m.key, holder: m.holder, request: m.request, ended: m.ended }),
+      JSON.stringify({
+        op: claim.op,
+        key: claim.key,
+        holder: claim.holder,
+        request: claim.request,
+        ended: claim.ended,
+      }),
     );
-    void asker.ask({ op: 'claim', key: claimBucketKey(m.key), value, patience: 2_500_000 }).then((r) => {
+    void controlClient.ask({ op: 'claim', key: claimBucketKey(claim.key), value, patience: 2_500_000 }).then((r) => {
       const known = r.value.toString();
       const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
-      w.send(o.routerAddress, { kind: 'ClaimAnswer', id: m.id, status, known });
+      world.send(options.routerAddress, { kind: 'ClaimAnswer', id: claim.id, status, known });
     });
   }
 
@@ -429,123 +449,126 @@
   // hold them, and a majority of the core answers after it. Whoever else may go on serving in a cut hears one of the two,
   // so a side that has both has all of them. A side that lacks one keeps the marks and passes them on, but the
   // platform should tell another agent too.
-  function platform(ms: readonly WorkerStateEntry[]): Promise<{ fresh: WorkerStateEntry[]; confirmed: boolean }> {
-    const fresh = marks.merge(ms);
-    spread(fresh);
-    for (const e of views.liveMembers()) w.send(e.address as Address, digest(true));
+  function applyPlatformStates(
+    entries: readonly WorkerStateEntry[],
+  ): Promise<{ newEntries: WorkerStateEntry[]; confirmed: boolean }> {
+    const fresh = workerTable.merge(entries);
+    spreadStates(fresh);
+    for (const member of membership.liveMembers()) world.send(member.address as Address, createDigest(true));
     return new Promise((done) => {
-      const holders = new Set<string>();
-      let core = false;
-      const cancel = w.after(micros(600_000), () => end(false));
-      function end(confirmed: boolean): void {
-        cancel();
-        confirmations.delete(holds);
-        done({ fresh, confirmed });
+      const confirmingMembers = new Set<string>();
+      let hasControlQuorum = false;
+      const cancelTimeout = world.after(micros(600_000), () => finish(false));
+      function finish(isConfirmed: boolean): void {
+        cancelTimeout();
+        confirmations.delete(onConfirmation);
+        done({ newEntries: fresh, confirmed: isConfirmed });
       }
-      function look(): void {
-        if (core && 2 * (holders.size + 1) > views.recentCount()) end(true);
+      function checkConfirmed(): void {
+        if (hasControlQuorum && 2 * (confirmingMembers.size + 1) > membership.recentCount()) finish(true);
       }
-      function holds(from: string): void {
-        holders.add(from);
-        look();
+      function onConfirmation(from: string): void {
+        confirmingMembers.add(from);
+        checkConfirmed();
       }
-      confirmations.add(holds);
-      void asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 550_000 }).then((r) => {
-        core = r.status === 'value';
-        look();
+      confirmations.add(onConfirmation);
+      void controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 550_000 }).then((r) => {
+        hasControlQuorum = r.status === 'value';
+        checkConfirmed();
       });
     });
   }
 
-  async function submit(base: number, change: string, state: unknown): Promise<SubmitResult> {
-    const d = checkDesiredState(state);
-    if (E.isLeft(d)) return { answer: 'refused', faults: d.left, change };
-    const r = await asker.ask({
+  async function submit(expectedVersion: number, change: string, state: unknown): Promise<SubmitResult> {
+    const checked = checkDesiredState(state);
+    if (E.isLeft(checked)) return { answer: 'refused', faults: checked.left, change };
+    const result = await controlClient.ask({
       op: 'write',
-      key: `desired/${o.service}`,
+      key: `desired/${options.service}`,
       change,
-      base,
-      value: Buffer.from(JSON.stringify(d.right)),
-      patience: o.submitTimeoutUs ?? 25_000_000,
+      base: expectedVersion,
+      value: Buffer.from(JSON.stringify(checked.right)),
+      patience: options.submitTimeoutUs ?? 25_000_000,
     });
-    if (r.status === 'done') return { answer: 'acknowledged', version: r.version, change };
-    if (r.status === 'lost') return { answer: 'lost the race', version: r.version, change };
-    if (r.status === 'reused') {
-      const why = `this id stands for version ${r.version}, which holds another state; submit under a new id`;
-      return { answer: 'refused', faults: [{ at: '/change', why }], change };
+    if (result.status === 'done') return { answer: 'acknowledged', version: result.version, change };
+    if (result.status === 'lost') return { answer: 'lost the race', version: result.version, change };
+    if (result.status === 'reused') {
+      const reason = `this id stands for version ${result.version}, which holds another state; submit under a new id`;
+      return { answer: 'refused', faults: [{ at: '/change', why: reason }], change };
     }
     return { answer: 'outcome unknown', change };
   }
 
-  async function decide(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
-    let kind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
-    const done = await writer.change(
+  async function decideRehearsal(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
+    let answerKind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
+    const written = await recordWriter.change(
       (r) => {
         const a = answerOperator(r, id, word);
-        kind = a.kind;
+        answerKind = a.kind;
         return a.kind === 'taken' ? a.record : undefined;
       },
       () => true,
     );
-    return done === undefined && kind === 'taken' ? 'outcome_unknown' : kind;
+    return written === undefined && answerKind === 'taken' ? 'outcome_unknown' : answerKind;
   }
 
   const stops = [
     every(
-      w,
+      world,
       () => micros(500_000),
       () => {
-        const to = views.neighbours()[0];
-        if (to !== undefined) w.send(to, digest(true));
+        const to = membership.neighbours()[0];
+        if (to !== undefined) world.send(to, createDigest(true));
       },
     ),
-    every(w, () => micros(100_000), warmUp),
+    every(world, () => micros(100_000), requestComparisons),
     every(
-      w,
+      world,
       () => micros(500_000),
       () => {
-        tellArms();
-        parts.tick();
-        training.tick();
-        keeping.tick();
+        sendCohortStatistics();
+        stageAssignment.tick();
+        trainingRole.tick();
+        rehearsalRole.tick();
       },
     ),
   ];
   return {
     receive,
-    applyPlatformStates: platform,
+    applyPlatformStates,
     submit,
-    decideRehearsal: decide,
-    keyUpdates: news,
-    heldEpoch: holds,
-    readDesiredState: () => asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 8_000_000 }),
-    lookUpChange: (change) => asker.ask({ op: 'lookup', key: `desired/${o.service}`, change, patience: 8_000_000 }),
+    decideRehearsal,
+    keyUpdates,
+    heldEpoch,
+    readDesiredState: () => controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 8_000_000 }),
+    lookUpChange: (change) =>
+      controlClient.ask({ op: 'lookup', key: `desired/${options.service}`, change, patience: 8_000_000 }),
     rehearsalRecord: () => {
-      const b = record();
+      const b = rehearsalRecord();
       return b === undefined ? emptyRecord : readRecord(b);
     },
-    members: () => [...views.liveMembers()],
-    workerStates: () => marks.all(),
+    members: () => [...membership.liveMembers()],
+    workerStates: () => workerTable.all(),
     trace: (k, v) => traces.filter((t) => t.key === k && t.version === v),
     metrics: () => ({
-      member: o.member,
-      zone: o.zone,
-      home: news.zoneLeader(),
-      isHome: news.isZoneLeader(),
-      core,
-      members: views.liveMembers().length,
-      duties: duties(),
-      training: training.figures(),
-      orders: parts.orderCount(),
-      probes: reports.probes(),
-      routerHeard: w.now() - routerAt < 2_000_000,
+      member: options.member,
+      zone: options.zone,
+      home: keyUpdates.zoneLeader(),
+      isHome: keyUpdates.isZoneLeader(),
+      core: controlMembership,
+      members: membership.liveMembers().length,
+      duties: heldRoles(),
+      training: trainingRole.figures(),
+      orders: stageAssignment.orderCount(),
+      probes: loadReports.probes(),
+      routerHeard: world.now() - routerStateAt < 2_000_000,
     }),
     stop: () => {
       stops.forEach((s) => s());
-      views.stop();
-      news.stop();
-      reports.stop();
-      for (const c of candidates.values()) c.stop();
+      membership.stop();
+      keyUpdates.stop();
+      loadReports.stop();
+      for (const c of roleCandidates.values()) c.stop();
     },
   };
 }
--- a/programs/router-agent/src/agent-state-file.ts
+++ b/programs/router-agent/src/agent-state-file.ts
@@ -15,28 +15,28 @@
 export function createAgentStateFile(folder: string | undefined): AgentStateFile {
   if (folder === undefined) return { read: () => agentDefaults.persisted, save: () => undefined };
   mkdirSync(folder, { recursive: true });
-  const name = join(folder, 'views.json');
-  let last = '';
+  const path = join(folder, 'views.json');
+  let lastWritten = '';
   return {
     read: () => {
       try {
-        return { ...agentDefaults.persisted, ...(JSON.parse(readFileSync(name, 'utf8')) as AgentOptions['persisted']) };
+        return { ...agentDefaults.persisted, ...(JSON.parse(readFileSync(path, 'utf8')) as AgentOptions['persisted']) };
       } catch {
         return agentDefaults.persisted;
       }
     },
     save: (p) => {
       const s = JSON.stringify({ ...p, entries: p.entries.map((e) => ({ ...e, beat: 0 })) });
-      if (s === last) return;
+      if (s === lastWritten) return;
       try {
-        const fd = openSync(`${name}.next`, 'w');
+        const fd = openSync(`${path}.next`, 'w');
         writeSync(fd, s);
         fsyncSync(fd);
         closeSync(fd);
-        renameSync(`${name}.next`, name);
-        last = s;
+        renameSync(`${path}.next`, path);
+        lastWritten = s;
       } catch {
-        last = '';
+        lastWritten = '';
       }
     },
   };
--- a/programs/router-agent/src/app.ts
+++ b/programs/router-agent/src/app.ts
@@ -34,17 +34,17 @@
   readonly sinkStatistics?: EventSink['statistics'];
 }
 
-export function createAgentApp(o: AgentAppOptions): FastifyInstance {
+export function createAgentApp(options: AgentAppOptions): FastifyInstance {
   const app = fastify({ bodyLimit: 4 * 1024 * 1024, forceCloseConnections: true });
-  const { core } = o;
-  const desiredKey = `desired/${o.service}`;
+  const { core } = options;
+  const desiredKey = `desired/${options.service}`;
 
-  function bad(a: FastifyReply, message: string, remedy: string): FastifyReply {
+  function sendBadRequest(a: FastifyReply, message: string, remedy: string): FastifyReply {
     return (a.statusCode >= 400 ? a : a.code(400)).send({ error: { kind: 'bad_request', message, remedy } });
   }
   app.setErrorHandler((e: { message: string; statusCode?: number }, _q, a) => {
     if (e.statusCode !== undefined && e.statusCode < 500)
-      return bad(a.code(e.statusCode), e.message, 'Correct the call.');
+      return sendBadRequest(a.code(e.statusCode), e.message, 'Correct the call.');
     return a.code(500).send({
       error: {
         kind: 'internal_error',
@@ -56,12 +56,12 @@
 
   app.post('/platform/workers', async (q, a) => {
     const e = [...Value.Errors(WorkerCall, q.body)][0];
-    if (e !== undefined) return bad(a, `${e.path}: ${e.message}`, 'Correct the field named.');
+    if (e !== undefined) return sendBadRequest(a, `${e.path}: ${e.message}`, 'Correct the field named.');
     const b = q.body as Static<typeof WorkerCall>;
     const r = await core.applyPlatformStates([
       { worker: b.worker, incarnation: b.incarnation, state: workerStates.indexOf(b.state), address: b.address },
     ]);
-    if (r.confirmed || core.members().length === 0) return { taken: r.fresh.length > 0 };
+    if (r.confirmed || core.members().length === 0) return { taken: r.newEntries.length > 0 };
     return a
       .code(503)
       .header('retry-after', '1')
@@ -78,7 +78,7 @@
   app.post('/desired-state', async (q, a) => {
     const e = [...Value.Errors(Submission, q.body)][0];
     if (e !== undefined)
-      return bad(a, `${e.path}: ${e.message}`, 'Send {base, change, state}; base is the version you read.');
+      return sendBadRequest(a, `${e.path}: ${e.message}`, 'Send {base, change, state}; base is the version you read.');
     const b = q.body as Static<typeof Submission>;
     const r = await core.submit(b.base, b.change ?? randomUUID(), b.state);
     const code = { acknowledged: 200, refused: 422, 'lost the race': 409, 'outcome unknown': 504 }[r.answer];
@@ -106,7 +106,8 @@
   app.get('/rehearsals', async () => core.rehearsalRecord());
   app.post<{ Params: { id: string; word: string } }>('/rehearsals/:id/:word', async (q, a) => {
     const { id, word } = q.params;
-    if (word !== 'approve' && word !== 'reject') return bad(a, `There is no word ${word}.`, 'Use approve or reject.');
+    if (word !== 'approve' && word !== 'reject')
+      return sendBadRequest(a, `There is no word ${word}.`, 'Use approve or reject.');
     const kind = await core.decideRehearsal(id, word);
     return a
       .code(
@@ -134,12 +135,12 @@
   app.get('/metrics', async (_q, a) => {
     const f = {
       ...core.metrics(),
-      ...(o.sinkStatistics === undefined
+      ...(options.sinkStatistics === undefined
         ? {}
         : {
-            eventsSent: o.sinkStatistics().sent,
-            eventsLost: o.sinkStatistics().lost,
-            eventsWaiting: o.sinkStatistics().waiting,
+            eventsSent: options.sinkStatistics().sent,
+            eventsLost: options.sinkStatistics().lost,
+            eventsWaiting: options.sinkStatistics().waiting,
           }),
     };
     const lines = Object.entries(f).flatMap(([k, v]) =>
--- a/programs/router-agent/src/control-client.ts
+++ b/programs/router-agent/src/control-client.ts
@@ -6,56 +6,56 @@
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
 import type { Asker, AskRequest, AskResult, AskStatus } from '@tansypost/learning';
 
-const none = Buffer.alloc(0);
+const emptyValue = Buffer.alloc(0);
 
-export function createAgentControlClient(w: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
-  const open = new Map<string, (m: MessageOf<'Answer'>) => void>();
-  let n = Math.floor(w.random() * 1e9);
+export function createAgentControlClient(world: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
+  const pending = new Map<string, (m: MessageOf<'Answer'>) => void>();
+  let requestCount = Math.floor(world.random() * 1e9);
 
-  function ask(r: AskRequest): Promise<AskResult> {
-    const limit = w.now() + r.patience;
-    let turn = Math.floor(w.random() * 3);
+  function ask(request: AskRequest): Promise<AskResult> {
+    const deadline = world.now() + request.patience;
+    let replicaIndex = Math.floor(world.random() * 3);
     // Only a change of the desired state may rightly be long in answering: it waits for the routers.
-    const perTry = r.op === 'write' && r.key.startsWith('desired/') ? 2_500_000 : 600_000;
-    return new Promise((done) => {
-      function once(): void {
-        const ps = replicas();
-        const left = limit - w.now();
-        if (left <= 0) return done({ status: 'unknown', epoch: 0, version: 0, value: none });
-        if (ps.length === 0) return void w.after(micros(Math.min(left, 200_000)), once);
-        n += 1;
-        turn += 1;
-        const id = `${self}/${n}`;
-        let cancel = w.after(micros(Math.min(left, perTry)), again);
-        function again(): void {
-          open.delete(id);
-          cancel();
-          once();
+    const attemptTimeoutUs = request.op === 'write' && request.key.startsWith('desired/') ? 2_500_000 : 600_000;
+    return new Promise((resolve) => {
+      function sendOnce(): void {
+        const targets = replicas();
+        const remainingUs = deadline - world.now();
+        if (remainingUs <= 0) return resolve({ status: 'unknown', epoch: 0, version: 0, value: emptyValue });
+        if (targets.length === 0) return void world.after(micros(Math.min(remainingUs, 200_000)), sendOnce);
+        requestCount += 1;
+        replicaIndex += 1;
+        const requestId = `${self}/${requestCount}`;
+        let cancelTimer = world.after(micros(Math.min(remainingUs, attemptTimeoutUs)), retry);
+        function retry(): void {
+          pending.delete(requestId);
+          cancelTimer();
+          sendOnce();
         }
-        open.set(id, (m) => {
-          cancel();
+        pending.set(requestId, (m) => {
+          cancelTimer();
           if (m.status === 'retry' || m.status === 'unknown') {
-            open.delete(id);
-            cancel = w.after(micros(100_000 + w.random() * 100_000), once);
+            pending.delete(requestId);
+            cancelTimer = world.after(micros(100_000 + world.random() * 100_000), sendOnce);
             return;
           }
-          open.delete(id);
-          done({ status: m.status as AskStatus, epoch: m.epoch, version: m.version, value: m.value });
+          pending.delete(requestId);
+          resolve({ status: m.status as AskStatus, epoch: m.epoch, version: m.version, value: m.value });
         });
-        w.send(ps[turn % ps.length]!.address as Address, {
+        world.send(targets[replicaIndex % targets.length]!.address as Address, {
           kind: 'Ask',
-          id,
+          id: requestId,
           origin: self,
-          key: r.key,
-          op: r.op,
-          change: r.change ?? '',
-          base: r.base ?? 0,
-          value: r.value ?? none,
+          key: request.key,
+          op: request.op,
+          change: request.change ?? '',
+          base: request.base ?? 0,
+          value: request.value ?? emptyValue,
           hops: 0,
         });
       }
-      once();
+      sendOnce();
     });
   }
-  return { ask, answer: (m) => open.get(m.id)?.(m) };
+  return { ask, answer: (m) => pending.get(m.id)?.(m) };
 }
--- a/programs/router-agent/src/event-sink.ts
+++ b/programs/router-agent/src/event-sink.ts
@@ -25,42 +25,44 @@
 const maxBatchEvents = 100;
 const maxTries = 3;
 
-export function cloudEvent(member: string, e: SinkEvent): unknown {
-  const x = new CloudEvent({
-    type: `tansypost.${e.key.split('/')[0]}.${e.what}`,
+export function cloudEvent(member: string, event: SinkEvent): unknown {
+  const cloudEventOfEvent = new CloudEvent({
+    type: `tansypost.${event.key.split('/')[0]}.${event.what}`,
     source: `/agents/${member}`,
-    subject: `${e.key}@${e.version}`,
-    time: new Date(e.at / 1000).toISOString(),
-    data: { key: e.key, version: e.version },
+    subject: `${event.key}@${event.version}`,
+    time: new Date(event.at / 1000).toISOString(),
+    data: { key: event.key, version: event.version },
   });
-  return JSON.parse(HTTP.structured(x).body as string) as unknown;
+  return JSON.parse(HTTP.structured(cloudEventOfEvent).body as string) as unknown;
 }
 
-export function createEventSink(w: Pick<World, 'after' | 'log'>, o: EventSinkOptions): EventSink {
+export function createEventSink(world: Pick<World, 'after' | 'log'>, options: EventSinkOptions): EventSink {
   let queue: SinkEvent[] = [];
   let [sent, lost, tries] = [0, 0, 0];
-  let busy = false;
+  let sending = false;
 
-  function add(e: SinkEvent): void {
-    if (queue.length >= (o.maxQueued ?? 1000)) lost += 1;
-    else queue.push(e);
+  function add(event: SinkEvent): void {
+    if (queue.length >= (options.maxQueued ?? 1000)) lost += 1;
+    else queue.push(event);
   }
   async function send(): Promise<void> {
-    if (busy || queue.length === 0) return;
-    busy = true;
-    const now = queue.slice(0, maxBatchEvents);
-    const ok = await o.post(JSON.stringify(now.map((e) => cloudEvent(o.member, e)))).catch(() => false);
-    busy = false;
-    tries = ok ? 0 : tries + 1;
-    if (!ok && tries < maxTries) return;
-    if (!ok) w.log(3201, { lost: now.length });
-    queue = queue.slice(now.length);
-    if (ok) sent += now.length;
-    else lost += now.length;
+    if (sending || queue.length === 0) return;
+    sending = true;
+    const batch = queue.slice(0, maxBatchEvents);
+    const accepted = await options
+      .post(JSON.stringify(batch.map((e) => cloudEvent(options.member, e))))
+      .catch(() => false);
+    sending = false;
+    tries = accepted ? 0 : tries + 1;
+    if (!accepted && tries < maxTries) return;
+    if (!accepted) world.log(3201, { lost: batch.length });
+    queue = queue.slice(batch.length);
+    if (accepted) sent += batch.length;
+    else lost += batch.length;
     tries = 0;
   }
   const stop = every(
-    w,
+    world,
     () => micros(1_000_000),
     () => void send(),
   );
--- a/programs/router-agent/src/key-update-relay.ts
+++ b/programs/router-agent/src/key-update-relay.ts
@@ -43,118 +43,133 @@
   leaseRequests: MessageOf<'Subscribe'>['tenures'];
 }
 
-export function createKeyUpdateRelay(w: World, o: KeyUpdateRelayOptions): KeyUpdateRelay {
-  const held = new Map<string, KeyUpdate>();
-  const subs = new Map<Address, Subscriber>();
-  let own: { router: string; asked: number; applied: number } | undefined;
-  let ownAt = -Infinity;
-  let lastHome: Address | undefined;
-  let soon = false;
-  const always = [`desired/${o.service}`, `rehearsal/${o.service}`];
+export function createKeyUpdateRelay(world: World, options: KeyUpdateRelayOptions): KeyUpdateRelay {
+  const updates = new Map<string, KeyUpdate>();
+  const subscribersByAddress = new Map<Address, Subscriber>();
+  let ownRequest: { router: string; asked: number; applied: number } | undefined;
+  let ownRequestAt = -Infinity;
+  let lastZoneLeader: Address | undefined;
+  let isSubscribeScheduled = false;
+  const subscribedKeys = [`desired/${options.service}`, `rehearsal/${options.service}`];
 
-  function home(): Address {
-    const e = rendezvous(o.service, o.zoneMembers(), (x) => x.member)[0]!;
-    const a = e.address as Address;
-    if (a !== lastHome) w.log(3004, { home: e.member });
-    lastHome = a;
-    return a;
+  function zoneLeader(): Address {
+    const leader = rendezvous(options.service, options.zoneMembers(), (x) => x.member)[0]!;
+    const address = leader.address as Address;
+    if (address !== lastZoneLeader) world.log(3004, { home: leader.member });
+    lastZoneLeader = address;
+    return address;
   }
-  function isHome(): boolean {
-    return home() === o.self;
+  function isZoneLeader(): boolean {
+    return zoneLeader() === options.self;
   }
-  function live(): [Address, Subscriber][] {
-    for (const [a, s] of subs) if (s.expiresAt < w.now()) subs.delete(a);
-    return [...subs];
+  function liveSubscribers(): [Address, Subscriber][] {
+    for (const [address, subscriber] of subscribersByAddress)
+      if (subscriber.expiresAt < world.now()) subscribersByAddress.delete(address);
+    return [...subscribersByAddress];
   }
-  function have(): { key: string; epoch: number; version: number }[] {
-    const ks = new Set([...always, ...held.keys()]);
-    return [...ks].map((k) => ({ key: k, epoch: held.get(k)?.epoch ?? 0, version: held.get(k)?.version ?? 0 }));
+  function heldVersions(): { key: string; epoch: number; version: number }[] {
+    const keys = new Set([...subscribedKeys, ...updates.keys()]);
+    return [...keys].map((k) => ({ key: k, epoch: updates.get(k)?.epoch ?? 0, version: updates.get(k)?.version ?? 0 }));
   }
 
   function subscribe(): void {
-    const mine = own !== undefined && w.now() - ownAt < 2_000_000 ? [own] : [];
-    const h = home();
-    if (h !== o.self) {
-      w.send(h, { kind: 'Subscribe', from: o.self, have: have(), tenures: mine, relay: false });
+    const ownRequests = ownRequest !== undefined && world.now() - ownRequestAt < 2_000_000 ? [ownRequest] : [];
+    const leader = zoneLeader();
+    if (leader !== options.self) {
+      world.send(leader, {
+        kind: 'Subscribe',
+        from: options.self,
+        have: heldVersions(),
+        tenures: ownRequests,
+        relay: false,
+      });
       return;
     }
-    const all = new Map(mine.map((t) => [t.router, t]));
-    for (const [, s] of live())
-      for (const t of s.leaseRequests) if ((all.get(t.router)?.asked ?? -1) < t.asked) all.set(t.router, t);
-    for (const p of o.replicas()) {
-      w.send(p.address as Address, {
+    const requestsByRouter = new Map(ownRequests.map((request) => [request.router, request]));
+    for (const [, subscriber] of liveSubscribers())
+      for (const t of subscriber.leaseRequests)
+        if ((requestsByRouter.get(t.router)?.asked ?? -1) < t.asked) requestsByRouter.set(t.router, t);
+    for (const replica of options.replicas()) {
+      world.send(replica.address as Address, {
         kind: 'Subscribe',
-        from: o.self,
-        have: have(),
-        tenures: [...all.values()],
+        from: options.self,
+        have: heldVersions(),
+        tenures: [...requestsByRouter.values()],
         relay: true,
       });
     }
   }
 
-  function hurry(): void {
-    if (soon) return;
-    soon = true;
-    w.after(micros(5000), () => {
-      soon = false;
+  function subscribeSoon(): void {
+    if (isSubscribeScheduled) return;
+    isSubscribeScheduled = true;
+    world.after(micros(5000), () => {
+      isSubscribeScheduled = false;
       subscribe();
     });
   }
 
-  function learn(n: KeyUpdate): void {
-    const old = held.get(n.key);
-    if (old !== undefined && (n.version < old.version || (n.version === old.version && n.epoch <= old.epoch))) return;
-    held.set(n.key, n);
-    if (old !== undefined && old.version === n.version) return;
-    o.onUpdate(n);
-    for (const [a] of live()) w.send(a, { kind: 'News', news: [n], membershipEpoch: 0, replicas: [] });
+  function mergeUpdate(update: KeyUpdate): void {
+    const previous = updates.get(update.key);
+    if (
+      previous !== undefined &&
+      (update.version < previous.version || (update.version === previous.version && update.epoch <= previous.epoch))
+    )
+      return;
+    updates.set(update.key, update);
+    if (previous !== undefined && previous.version === update.version) return;
+    options.onUpdate(update);
+    for (const [address] of liveSubscribers())
+      world.send(address, { kind: 'News', news: [update], membershipEpoch: 0, replicas: [] });
   }
 
-  function onNews(m: MessageOf<'News'>): void {
-    if (m.membershipEpoch > 0) o.onControlMembership(m.membershipEpoch, m.replicas);
-    for (const n of m.news) learn(n);
+  function receiveUpdates(message: MessageOf<'News'>): void {
+    if (message.membershipEpoch > 0) options.onControlMembership(message.membershipEpoch, message.replicas);
+    for (const update of message.news) mergeUpdate(update);
   }
 
-  function onSubscribe(m: MessageOf<'Subscribe'>): void {
-    if (m.relay) return;
-    const from = m.from as Address;
-    const old = subs.get(from)?.leaseRequests ?? [];
-    subs.set(from, { expiresAt: w.now() + 3_000_000, leaseRequests: m.tenures });
-    const at = new Map(m.have.map((h) => [h.key, h.version]));
-    const out = [...held.values()].filter((n) => n.version > (at.get(n.key) ?? 0));
-    if (out.length > 0) w.send(from, { kind: 'News', news: out, membershipEpoch: 0, replicas: [] });
-    if (m.tenures.some((t) => old.find((x) => x.router === t.router)?.applied !== t.applied)) hurry();
+  function receiveSubscription(message: MessageOf<'Subscribe'>): void {
+    if (message.relay) return;
+    const from = message.from as Address;
+    const previousRequests = subscribersByAddress.get(from)?.leaseRequests ?? [];
+    subscribersByAddress.set(from, { expiresAt: world.now() + 3_000_000, leaseRequests: message.tenures });
+    const heldVersionsOfSubscriber = new Map(message.have.map((h) => [h.key, h.version]));
+    const missingUpdates = [...updates.values()].filter((n) => n.version > (heldVersionsOfSubscriber.get(n.key) ?? 0));
+    if (missingUpdates.length > 0)
+      world.send(from, { kind: 'News', news: missingUpdates, membershipEpoch: 0, replicas: [] });
+    if (message.tenures.some((t) => previousRequests.find((x) => x.router === t.router)?.applied !== t.applied))
+      subscribeSoon();
   }
 
-  function onTenures(m: MessageOf<'Leases'>): void {
-    for (const g of m.grants) {
-      if (own !== undefined && g.router === own.router) o.onLeaseGrant(g, g.router);
+  function receiveLeases(message: MessageOf<'Leases'>): void {
+    for (const grant of message.grants) {
+      if (ownRequest !== undefined && grant.router === ownRequest.router) options.onLeaseGrant(grant, grant.router);
     }
-    for (const [a, s] of live()) {
-      const gs = m.grants.filter((g) => s.leaseRequests.some((t) => t.router === g.router));
-      if (gs.length > 0) w.send(a, { kind: 'Leases', grants: gs });
+    for (const [address, subscriber] of liveSubscribers()) {
+      const grants = message.grants.filter((g) => subscriber.leaseRequests.some((t) => t.router === g.router));
+      if (grants.length > 0) world.send(address, { kind: 'Leases', grants });
     }
   }
 
-  function routerAsks(router: string, asked: number, applied: number): void {
-    const eager = own === undefined || own.router !== router || own.applied !== applied;
-    own = { router, asked, applied };
-    ownAt = w.now();
-    if (eager) hurry();
+  function requestRouterLease(router: string, askedAt: number, applied: number): void {
+    const isNewRequest = ownRequest === undefined || ownRequest.router !== router || ownRequest.applied !== applied;
+    ownRequest = { router, asked: askedAt, applied };
+    ownRequestAt = world.now();
+    if (isNewRequest) subscribeSoon();
   }
 
-  const stop = every(w, () => micros(300_000), subscribe);
+  const stop = every(world, () => micros(300_000), subscribe);
   return {
-    isZoneLeader: isHome,
-    zoneLeader: home,
-    subscribers: () => live().map(([a]) => a),
-    get: (k) => held.get(k),
-    all: () => [...held.values()],
-    receiveUpdates: onNews,
-    receiveSubscription: onSubscribe,
-    receiveLeases: onTenures,
-    requestRouterLease: routerAsks,
-    mergeUpdate: learn,
+    isZoneLeader,
+    zoneLeader,
+    subscribers: () => liveSubscribers().map(([a]) => a),
+    get: (k) => updates.get(k),
+    all: () => [...updates.values()],
+    receiveUpdates,
+    receiveSubscription,
+    receiveLeases,
+    requestRouterLease,
+    mergeUpdate,
     stop,
   };
 }
--- a/programs/router-agent/src/load-reports.ts
+++ b/programs/router-agent/src/load-reports.ts
@@ -45,108 +45,122 @@
 // worker's vitals, and so know of a dark worker without each losing a request to it.
 export const invalidLoad = { queued: -1, active: -1, kvUsed: 0 };
 
-export function createLoadReports(w: World, o: LoadReportsOptions): LoadReports {
-  const held = new Map<string, { r: WorkerReport; at: number }>();
-  const asked = new Map<string, number>();
-  const totals = new Map<string, number>();
-  let own: MessageOf<'Demand'> | undefined;
-  let pot = 0;
+export function createLoadReports(world: World, options: LoadReportsOptions): LoadReports {
+  const reports = new Map<string, { r: WorkerReport; at: number }>();
+  const lastProbedAt = new Map<string, number>();
+  const allowances = new Map<string, number>();
+  let ownDemand: MessageOf<'Demand'> | undefined;
+  let probeCredits = 0;
   let probes = 0;
 
-  function out(r: { r: WorkerReport; at: number }): WorkerReport {
-    return { ...r.r, age: Math.max(0, w.now() - r.at) };
+  function withAge(held: { r: WorkerReport; at: number }): WorkerReport {
+    return { ...held.r, age: Math.max(0, world.now() - held.at) };
   }
-  function keep(r: WorkerReport): boolean {
-    const at = w.now() - r.age;
-    const old = held.get(r.worker);
+  function mergeReport(report: WorkerReport): boolean {
+    const measuredAt = world.now() - report.age;
+    const previous = reports.get(report.worker);
     if (
-      old !== undefined &&
-      (old.r.incarnation > r.incarnation || (old.r.incarnation === r.incarnation && old.at >= at))
+      previous !== undefined &&
+      (previous.r.incarnation > report.incarnation ||
+        (previous.r.incarnation === report.incarnation && previous.at >= measuredAt))
     )
       return false;
-    held.set(r.worker, { r, at });
+    reports.set(report.worker, { r: report, at: measuredAt });
     return true;
   }
-  function take(m: MessageOf<'Reports'>): void {
-    const fresh = m.reports.filter(keep);
+  function receive(message: MessageOf<'Reports'>): void {
+    const fresh = message.reports.filter(mergeReport);
     if (fresh.length === 0) return;
-    o.onChange();
-    if (m.relay && o.isZoneLeader())
-      for (const a of o.subscribers()) w.send(a, { kind: 'Reports', reports: fresh, relay: false });
+    options.onChange();
+    if (message.relay && options.isZoneLeader())
+      for (const address of options.subscribers())
+        world.send(address, { kind: 'Reports', reports: fresh, relay: false });
   }
-  function demand(m: MessageOf<'Demand'>): void {
-    const had = totals.get(m.from);
-    totals.set(m.from, m.allowance);
-    if (had !== undefined && m.allowance > had) pot = Math.min(pot + m.allowance - had, 2);
+  function receiveDemand(message: MessageOf<'Demand'>): void {
+    const previousAllowance = allowances.get(message.from);
+    allowances.set(message.from, message.allowance);
+    if (previousAllowance !== undefined && message.allowance > previousAllowance)
+      probeCredits = Math.min(probeCredits + message.allowance - previousAllowance, 2);
   }
-  function routerGrants(router: string, first: number, extra: number, allowance: number): void {
-    own = { kind: 'Demand', from: router, first, extra, allowance };
+  function setProbeAllowance(router: string, first: number, extra: number, allowance: number): void {
+    ownDemand = { kind: 'Demand', from: router, first, extra, allowance };
   }
 
   function tick(): void {
-    if (own !== undefined) {
-      if (o.isZoneLeader()) demand(own);
-      else w.send(o.zoneLeader(), own);
+    if (ownDemand !== undefined) {
+      if (options.isZoneLeader()) receiveDemand(ownDemand);
+      else world.send(options.zoneLeader(), ownDemand);
     }
-    if (!o.isZoneLeader()) return;
-    const hs = o.zoneLeaders();
-    const mine = o.workers().filter((m) => rendezvous(m.worker, hs, (a) => a)[0] === o.self);
-    const due = mine
-      .filter((m) => (asked.get(m.worker) ?? -Infinity) <= w.now() - 100_000)
-      .sort((a, b) => (asked.get(a.worker) ?? 0) - (asked.get(b.worker) ?? 0));
+    if (!options.isZoneLeader()) return;
+    const leaders = options.zoneLeaders();
+    const ownWorkers = options
+      .workers()
+      .filter((worker) => rendezvous(worker.worker, leaders, (a) => a)[0] === options.self);
+    const due = ownWorkers
+      .filter((m) => (lastProbedAt.get(m.worker) ?? -Infinity) <= world.now() - 100_000)
+      .sort((a, b) => (lastProbedAt.get(a.worker) ?? 0) - (lastProbedAt.get(b.worker) ?? 0));
     for (const m of due) {
-      if (pot < 1) return;
-      pot -= 1;
+      if (probeCredits < 1) return;
+      probeCredits -= 1;
       probes += 1;
-      asked.set(m.worker, w.now());
+      lastProbedAt.set(m.worker, world.now());
       void fetchOne(m);
     }
   }
 
-  async function fetchOne(m: WorkerStateEntry): Promise<void> {
-    const at = w.now();
-    const f = await o.fetchReport(m);
-    if (f === undefined)
-      return share({ worker: m.worker, incarnation: m.incarnation, ...invalidLoad, part: '', age: 0, fence: 0 });
-    if (f.incarnation !== m.incarnation) return;
-    const r: WorkerReport = {
-      worker: m.worker,
-      incarnation: m.incarnation,
-      queued: f.queued,
-      active: f.active,
-      kvUsed: f.kv_used,
-      part: f.part,
-      age: w.now() - at,
-      fence: f.fence,
+  async function fetchOne(worker: WorkerStateEntry): Promise<void> {
+    const sentAt = world.now();
+    const fetched = await options.fetchReport(worker);
+    if (fetched === undefined)
+      return share({
+        worker: worker.worker,
+        incarnation: worker.incarnation,
+        ...invalidLoad,
+        part: '',
+        age: 0,
+        fence: 0,
+      });
+    if (fetched.incarnation !== worker.incarnation) return;
+    const report: WorkerReport = {
+      worker: worker.worker,
+      incarnation: worker.incarnation,
+      queued: fetched.queued,
+      active: fetched.active,
+      kvUsed: fetched.kv_used,
+      part: fetched.part,
+      age: world.now() - sentAt,
+      fence: fetched.fence,
     };
-    const sound =
-      Number.isInteger(r.queued) &&
-      Number.isInteger(r.active) &&
-      Number.isFinite(r.kvUsed) &&
-      r.queued >= 0 &&
-      r.active >= 0 &&
-      r.kvUsed >= 0 &&
-      r.kvUsed <= 1;
-    if (!sound) {
-      w.log(5103, { worker: m.worker, why: 'impossible figures in its report', report: f });
-      Object.assign(r, invalidLoad);
+    const isPlausible =
+      Number.isInteger(report.queued) &&
+      Number.isInteger(report.active) &&
+      Number.isFinite(report.kvUsed) &&
+      report.queued >= 0 &&
+      report.active >= 0 &&
+      report.kvUsed >= 0 &&
+      report.kvUsed <= 1;
+    if (!isPlausible) {
+      world.log(5103, { worker: worker.worker, why: 'impossible figures in its report', report: fetched });
+      Object.assign(report, invalidLoad);
     }
-    share(r);
+    share(report);
   }
 
-  function share(r: WorkerReport): void {
-    if (!keep(r)) return;
-    o.onChange();
-    for (const a of o.subscribers()) w.send(a, { kind: 'Reports', reports: [r], relay: false });
-    for (const a of o.zoneLeaders()) if (a !== o.self) w.send(a, { kind: 'Reports', reports: [r], relay: true });
+  function share(report: WorkerReport): void {
+    if (!mergeReport(report)) return;
+    options.onChange();
+    for (const address of options.subscribers())
+      world.send(address, { kind: 'Reports', reports: [report], relay: false });
+    for (const a of options.zoneLeaders())
+      if (a !== options.self) world.send(a, { kind: 'Reports', reports: [report], relay: true });
   }
 
-  const stop = every(w, () => micros(100_000), tick);
+  const stop = every(world, () => micros(100_000), tick);
   return {
-    all: () => [...held.values()].map(out),
-    receive: take,
-    receiveDemand: demand,
-    setProbeAllowance: routerGrants,
+    all: () => [...reports.values()].map(withAge),
+    receive,
+    receiveDemand,
+    setProbeAllowance,
     probes: () => probes,
     stop,
   };
--- a/programs/router-agent/src/stage-assignment.ts
+++ b/programs/router-agent/src/stage-assignment.ts
@@ -27,45 +27,60 @@
   readonly orderCount: () => number;
 }
 
-export function assignedStage(r: RehearsalRecord, m: WorkerStateEntry): Part | undefined {
-  const s = r.running?.subject;
-  if (s?.type === 'part' && s.shift.worker === m.worker && s.shift.incarnation === m.incarnation) return 'both';
-  const e = r.parts[m.worker];
-  return e !== undefined && e.incarnation === m.incarnation ? e.part : undefined;
+export function assignedStage(record: RehearsalRecord, worker: WorkerStateEntry): Part | undefined {
+  const subject = record.running?.subject;
+  if (
+    subject?.type === 'part' &&
+    subject.shift.worker === worker.worker &&
+    subject.shift.incarnation === worker.incarnation
+  )
+    return 'both';
+  const assigned = record.parts[worker.worker];
+  return assigned !== undefined && assigned.incarnation === worker.incarnation ? assigned.part : undefined;
 }
 
 // Parts for workers that have none yet; a worker back under a new incarnation keeps the part it had.
-export function assignNewWorkers(r: RehearsalRecord, ms: readonly WorkerStateEntry[]): RehearsalRecord | undefined {
-  const parts: Record<string, PartEntry> = { ...r.parts };
+export function assignNewWorkers(
+  record: RehearsalRecord,
+  workers: readonly WorkerStateEntry[],
+): RehearsalRecord | undefined {
+  const parts: Record<string, PartEntry> = { ...record.parts };
   let changed = false;
-  function n(p: Part): number {
-    return ms.filter((m) => parts[m.worker]?.part === p).length;
+  function countOfStage(stage: Part): number {
+    return workers.filter((worker) => parts[worker.worker]?.part === stage).length;
   }
-  for (const m of [...ms].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
-    const e = parts[m.worker];
-    if (e?.incarnation === m.incarnation) continue;
+  for (const m of [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
+    const assigned = parts[m.worker];
+    if (assigned?.incarnation === m.incarnation) continue;
     changed = true;
     parts[m.worker] = {
       incarnation: m.incarnation,
-      part: ms.length === 1 ? 'both' : (e?.part ?? (n('prefill') <= n('decode') ? 'prefill' : 'decode')),
+      part:
+        workers.length === 1
+          ? 'both'
+          : (assigned?.part ?? (countOfStage('prefill') <= countOfStage('decode') ? 'prefill' : 'decode')),
     };
   }
   for (const p of ['prefill', 'decode'] as const) {
-    if (ms.length > 0 && n(p) + n('both') === 0) {
-      const m = [...ms].sort((a, b) => (a.worker < b.worker ? -1 : 1))[0]!;
+    if (workers.length > 0 && countOfStage(p) + countOfStage('both') === 0) {
+      const m = [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))[0]!;
       parts[m.worker] = { incarnation: m.incarnation, part: 'both' };
       changed = true;
     }
   }
   if (!changed) return undefined;
   // A worker that came back anew has left its rehearsal; what it had gone over to live is rolled back with it.
-  const s = r.running?.subject;
-  const left = s?.type === 'part' && parts[s.shift.worker]?.incarnation !== s.shift.incarnation;
-  if (!left) return { ...r, parts };
-  const ended = end({ ...r, parts }, 'superseded');
+  const subject = record.running?.subject;
+  const hasLeftRehearsal =
+    subject?.type === 'part' && parts[subject.shift.worker]?.incarnation !== subject.shift.incarnation;
+  if (!hasLeftRehearsal) return { ...record, parts };
+  const ended = end({ ...record, parts }, 'superseded');
   return {
     ...ended,
-    parts: { ...parts, [s.shift.worker]: { incarnation: parts[s.shift.worker]!.incarnation, part: s.shift.from } },
+    parts: {
+      ...parts,
+      [subject.shift.worker]: { incarnation: parts[subject.shift.worker]!.incarnation, part: subject.shift.from },
+    },
   };
 }
 
@@ -74,127 +89,133 @@
   readonly decode: number;
 }
 export function stageLoad(
-  r: RehearsalRecord,
-  ms: readonly WorkerStateEntry[],
-  rs: readonly WorkerReport[],
+  record: RehearsalRecord,
+  workers: readonly WorkerStateEntry[],
+  reports: readonly WorkerReport[],
 ): StageLoad | undefined {
-  const at = new Map(rs.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]));
-  function mean(p: Part, f: (x: WorkerReport) => number): number | undefined {
-    const xs = ms
-      .filter((m) => assignedStage(r, m) === p)
-      .map((m) => at.get(`${m.worker}/${m.incarnation}`))
+  const reportByWorker = new Map(
+    reports.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]),
+  );
+  function mean(prefill: Part, loadOf: (x: WorkerReport) => number): number | undefined {
+    const stageReports = workers
+      .filter((m) => assignedStage(record, m) === prefill)
+      .map((m) => reportByWorker.get(`${m.worker}/${m.incarnation}`))
       .filter((x) => x !== undefined);
-    return xs.length === 0 ? undefined : xs.reduce((a, x) => a + f(x), 0) / xs.length;
+    return stageReports.length === 0
+      ? undefined
+      : stageReports.reduce((a, x) => a + loadOf(x), 0) / stageReports.length;
   }
   const p = mean('prefill', (x) => x.queued + x.active);
-  const d = mean('decode', (x) => Math.max(x.active / 12, 2 * x.kvUsed));
-  return p === undefined || d === undefined ? undefined : { prefill: p, decode: d };
+  const decode = mean('decode', (x) => Math.max(x.active / 12, 2 * x.kvUsed));
+  return p === undefined || decode === undefined ? undefined : { prefill: p, decode };
 }
 
-export function createStageAssignment(w: World, o: StageAssignmentOptions): StageAssignment {
-  const ordered = new Map<string, { epoch: number; part: Part | '' }>();
-  let busy = false;
-  let fencing: number | undefined;
-  let orders = 0;
-  let lean: { to: Part; since: number } | undefined;
-  let restUntil = 0;
+export function createStageAssignment(world: World, options: StageAssignmentOptions): StageAssignment {
+  const confirmedOrders = new Map<string, { epoch: number; part: Part | '' }>();
+  let working = false;
+  let fencingEpoch: number | undefined;
+  let orderCount = 0;
+  let imbalance: { to: Part; since: number } | undefined;
+  let cooldownUntil = 0;
 
-  async function send(m: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
-    if (o.heldEpoch() !== epoch) return;
-    orders += 1;
+  async function sendOrder(worker: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
+    if (options.heldEpoch() !== epoch) return;
+    orderCount += 1;
     // A cut link may hold an order and deliver it long after this tenure, to a worker that no later holder could reach. So
     // a part is ordered only right after the worker has answered a fence, which changes nothing when it comes late.
-    if (part !== '' && ((await o.orderStage(m, epoch, '')) !== true || o.heldEpoch() !== epoch)) return;
-    const ok = await o.orderStage(m, epoch, part);
-    if (ok === true) {
-      ordered.set(`${m.worker}/${m.incarnation}`, { epoch, part });
-      w.log(4103, { worker: m.worker, part, epoch });
+    if (part !== '' && ((await options.orderStage(worker, epoch, '')) !== true || options.heldEpoch() !== epoch))
+      return;
+    const accepted = await options.orderStage(worker, epoch, part);
+    if (accepted === true) {
+      confirmedOrders.set(`${worker.worker}/${worker.incarnation}`, { epoch, part });
+      world.log(4103, { worker: worker.worker, part, epoch });
     }
   }
 
-  function won(): void {
-    ordered.clear();
-    lean = undefined;
-    restUntil = w.now() + 10_000_000;
-    const e = o.heldEpoch();
-    if (e === undefined) return;
-    fencing = e;
-    void Promise.all(o.workers().map((m) => send(m, e, ''))).finally(() => {
-      if (fencing === e) fencing = undefined;
+  function onElected(): void {
+    confirmedOrders.clear();
+    imbalance = undefined;
+    cooldownUntil = world.now() + 10_000_000;
+    const epoch = options.heldEpoch();
+    if (epoch === undefined) return;
+    fencingEpoch = epoch;
+    void Promise.all(options.workers().map((m) => sendOrder(m, epoch, ''))).finally(() => {
+      if (fencingEpoch === epoch) fencingEpoch = undefined;
     });
   }
 
   function tick(): void {
-    const epoch = o.heldEpoch();
-    const b = o.record();
-    if (epoch === undefined || b === undefined || busy || fencing === epoch) return;
-    const r = readRecord(b);
-    const ms = o.workers();
-    busy = true;
-    void work(r, ms, epoch).finally(() => {
-      w.after(micros(200_000), () => {
-        busy = false;
+    const epoch = options.heldEpoch();
+    const value = options.record();
+    if (epoch === undefined || value === undefined || working || fencingEpoch === epoch) return;
+    const record = readRecord(value);
+    const workers = options.workers();
+    working = true;
+    void applyAssignments(record, workers, epoch).finally(() => {
+      world.after(micros(200_000), () => {
+        working = false;
       });
     });
   }
 
-  async function work(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
-    if (ms.length > 0 && assignNewWorkers(r, ms) !== undefined) {
-      await o.writer.change(
-        (x) => assignNewWorkers(x, ms),
-        () => o.heldEpoch() === epoch,
+  async function applyAssignments(record: RehearsalRecord, workers: WorkerStateEntry[], epoch: number): Promise<void> {
+    if (workers.length > 0 && assignNewWorkers(record, workers) !== undefined) {
+      await options.writer.change(
+        (x) => assignNewWorkers(x, workers),
+        () => options.heldEpoch() === epoch,
       );
       return;
     }
     await Promise.all(
-      ms.map(async (m) => {
-        const want = assignedStage(r, m) ?? '';
-        const had = ordered.get(`${m.worker}/${m.incarnation}`);
-        if (had === undefined || had.epoch !== epoch || (want !== '' && had.part !== want)) await send(m, epoch, want);
+      workers.map(async (m) => {
+        const want = assignedStage(record, m) ?? '';
+        const had = confirmedOrders.get(`${m.worker}/${m.incarnation}`);
+        if (had === undefined || had.epoch !== epoch || (want !== '' && had.part !== want))
+          await sendOrder(m, epoch, want);
       }),
     );
-    await propose(r, ms, epoch);
+    await proposeShift(record, workers, epoch);
   }
 
-  async function propose(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
-    const p = stageLoad(r, ms, o.reports());
-    if (!o.shiftStages || r.running !== undefined || p === undefined || w.now() < restUntil) {
-      lean = undefined;
+  async function proposeShift(record: RehearsalRecord, workers: WorkerStateEntry[], epoch: number): Promise<void> {
+    const load = stageLoad(record, workers, options.reports());
+    if (!options.shiftStages || record.running !== undefined || load === undefined || world.now() < cooldownUntil) {
+      imbalance = undefined;
       return;
     }
-    const to: Part | undefined =
-      p.prefill > 2 && p.prefill > 2.5 * p.decode
+    const toStage: Part | undefined =
+      load.prefill > 2 && load.prefill > 2.5 * load.decode
         ? 'prefill'
-        : p.decode > 1 && p.decode > 2.5 * p.prefill
+        : load.decode > 1 && load.decode > 2.5 * load.prefill
           ? 'decode'
           : undefined;
-    if (to === undefined) {
-      lean = undefined;
+    if (toStage === undefined) {
+      imbalance = undefined;
       return;
     }
-    if (lean?.to !== to) lean = { to, since: w.now() };
-    if (w.now() - lean.since < (o.shiftHoldUs ?? 8_000_000)) return;
-    const from: Part = to === 'prefill' ? 'decode' : 'prefill';
-    const give = ms.filter((m) => assignedStage(r, m) === from);
-    if (give.length < 2) return;
-    const m = give[0]!;
-    restUntil = w.now() + (o.shiftCooldownUs ?? 60_000_000);
-    const shift = { worker: m.worker, incarnation: m.incarnation, from, to };
-    await o.writer.change(
+    if (imbalance?.to !== toStage) imbalance = { to: toStage, since: world.now() };
+    if (world.now() - imbalance.since < (options.shiftHoldUs ?? 8_000_000)) return;
+    const fromStage: Part = toStage === 'prefill' ? 'decode' : 'prefill';
+    const donors = workers.filter((worker) => assignedStage(record, worker) === fromStage);
+    if (donors.length < 2) return;
+    const m = donors[0]!;
+    cooldownUntil = world.now() + (options.shiftCooldownUs ?? 60_000_000);
+    const shift = { worker: m.worker, incarnation: m.incarnation, from: fromStage, to: toStage };
+    await options.writer.change(
       (x) =>
-        x.running === undefined && assignedStage(x, m) === from
+        x.running === undefined && assignedStage(x, m) === fromStage
           ? begin(
               x,
-              `part-${epoch}-${m.worker}-${Math.floor(w.random() * 1e6)}`,
+              `part-${epoch}-${m.worker}-${Math.floor(world.random() * 1e6)}`,
               { type: 'part', shift },
-              o.treatmentShare,
-              o.approval(),
+              options.treatmentShare,
+              options.approval(),
             )
           : undefined,
-      () => o.heldEpoch() === epoch,
+      () => options.heldEpoch() === epoch,
     );
   }
-  return { onElected: won, tick, orderCount: () => orders };
+  return { onElected, tick, orderCount: () => orderCount };
 }
 
 if (import.meta.vitest) {
--- a/programs/router-agent/src/trainer-port.ts
+++ b/programs/router-agent/src/trainer-port.ts
@@ -7,31 +7,31 @@
 
 export function createThreadTrainer(): TrainerPort & { readonly close: () => Promise<void> } {
   let worker: Worker | undefined;
-  let n = 0;
-  const open = new Map<number, { ok: (b: Buffer) => void; no: (e: Error) => void }>();
-  function thread(): Worker {
+  let requestCount = 0;
+  const pending = new Map<number, { ok: (b: Buffer) => void; no: (e: Error) => void }>();
+  function startedThread(): Worker {
     if (worker !== undefined) return worker;
     const x = new Worker(new URL('./trainer-thread.js', import.meta.url));
     x.unref();
     x.on('message', (m: { id: number; bytes: Uint8Array }) => {
-      open.get(m.id)?.ok(Buffer.from(m.bytes));
-      open.delete(m.id);
+      pending.get(m.id)?.ok(Buffer.from(m.bytes));
+      pending.delete(m.id);
     });
     x.on('error', (e) => {
-      for (const o of open.values()) o.no(e);
-      open.clear();
+      for (const o of pending.values()) o.no(e);
+      pending.clear();
       worker = undefined;
     });
     worker = x;
     return x;
   }
   return {
-    add: (samples) => thread().postMessage({ do: 'add', samples }),
+    add: (samples) => startedThread().postMessage({ do: 'add', samples }),
     train: (version) =>
       new Promise((ok, no) => {
-        n += 1;
-        open.set(n, { ok, no });
-        thread().postMessage({ do: 'train', id: n, version });
+        requestCount += 1;
+        pending.set(requestCount, { ok, no });
+        startedThread().postMessage({ do: 'train', id: requestCount, version });
       }),
     close: async () => {
       await worker?.terminate();
