--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -1,49 +1,56 @@
 /**
- * Keeps a keeper core running on its disk without anybody's help. When the disk fails a write, the core is dropped and
- * its state is read afresh, as after a restart, and written whole to a new file before it votes again; that is tried for
- * as long as it takes. A damaged file is put aside by whoever opens the disk, and the place comes back blank. The
- * programs pass a file, the simulator its own disk. A place that was replaced, and that nobody needs any more, begins
- * anew as a blank machine that asks for a place, where it may.
+ * Keeps a control node running on its disk without an operator. If a write fails, the node is stopped, its state is read
+ * again as after a restart, and written to a new file before the node votes again; this is retried until it succeeds.
+ * Whoever opens the disk quarantines a damaged file, and the replica then starts empty. The programs pass a file, the
+ * simulator its own disk. A replica that was replaced and is no longer needed restarts as an empty node and asks to join
+ * again, where that is allowed.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { ControlNode, Disk, LeaveResult, JournalRecord } from '@tansypost/control-state';
 import { every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import { createVotingControlNode, type VotingControlNodeOptions } from './voting-control-node.js';
 
+/** A disk that was opened, and what was stored on it. */
 export interface OpenDisk {
   readonly disk: Disk;
   readonly storedRecords: readonly JournalRecord[];
   readonly truncatedBytes: number;
-  // Why the file that was there was put aside, where it was.
+  /** Why the previous file was quarantined, if it was. */
   readonly quarantineReason?: string;
   readonly close?: () => Promise<void>;
 }
+/** Settings of the host. */
 export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'found' | 'newDiskId'> {
-  // `afresh` asks that what is found be written to a new file and synced before it is handed over.
-  // `blank` asks that what is found be thrown away.
+  /**
+   * Opens the disk. With `rewrite` the stored records are written to a new file and synced before they are returned; with
+   * `discard` they are deleted.
+   */
   readonly open: (rewrite: boolean, discard: boolean) => Promise<E.Either<Error, OpenDisk>>;
   readonly newDiskId: () => string;
-  // Whether a place that was replaced asks for another one.
+  /** Whether a replica that was replaced asks to join again. */
   readonly rejoinsWhenSuperseded?: boolean;
   readonly initialRetryDelayUs?: number;
   readonly maxRetryDelayUs?: number;
 }
+/** The host of a control node. */
 export interface ControlNodeHost {
-  readonly receive: (m: Message, from: Address) => void;
+  readonly receive: (message: Message, from: Address) => void;
   readonly controlNode: () => ControlNode | undefined;
   readonly diskBytes: () => number;
-  // The first opening: an error here is for the program to report, as nothing has run yet.
+  /** Opens the disk for the first time. The program reports an error here, as nothing has run yet. */
   readonly start: () => Promise<E.Either<Error, void>>;
-  // Leaves within `limit` microseconds; without a sound disk there is nothing to hand over.
-  readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
+  /** Leaves gracefully within `timeoutUs`. Without a working disk there is nothing to transfer, and it is incomplete. */
+  readonly leave: (timeoutUs: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => Promise<void>;
 }
+
+/** Creates a host whose disk is not opened yet. */
 export function createControlNodeHost(world: World, options: ControlNodeHostOptions): ControlNodeHost {
   let controlNode: ControlNode | undefined;
   let openDisk: OpenDisk | undefined;
-  const firstPause = options.initialRetryDelayUs ?? 1_000_000;
-  const longestPause = options.maxRetryDelayUs ?? 10_000_000;
-  let retryDelayUs = firstPause;
+  const initialRetryDelayUs = options.initialRetryDelayUs ?? 1_000_000;
+  const maxRetryDelayUs = options.maxRetryDelayUs ?? 10_000_000;
+  let retryDelayUs = initialRetryDelayUs;
   let retryAt = Infinity;
   let isOpening = false;
 
@@ -62,8 +69,8 @@
       disk: openDisk.disk,
       found: openDisk.storedRecords,
       newDiskId: options.newDiskId(),
-      onStateChange: (s) => {
-        if (s === 'failed') world.after(micros(0), check);
+      onStateChange: (state) => {
+        if (state === 'failed') world.after(micros(0), check);
       },
     });
     return E.right(undefined);
@@ -98,25 +105,25 @@
 
   function reopen(discard: boolean): void {
     retryAt = Infinity;
-    void openNode(true, discard).then((r) => {
-      if (E.isRight(r)) {
+    void openNode(true, discard).then((opened) => {
+      if (E.isRight(opened)) {
         world.log(2010, { afterMs: retryDelayUs / 1000 });
-        retryDelayUs = firstPause;
+        retryDelayUs = initialRetryDelayUs;
         return;
       }
-      retryDelayUs = Math.min(longestPause, 2 * retryDelayUs);
+      retryDelayUs = Math.min(maxRetryDelayUs, 2 * retryDelayUs);
       retryAt = world.now() + retryDelayUs;
-      world.log(2011, { why: r.left.message, againMs: retryDelayUs / 1000 });
+      world.log(2011, { why: opened.left.message, againMs: retryDelayUs / 1000 });
     });
   }
 
   const stop = every(world, () => micros(250_000), check);
   return {
-    receive: (m, from) => controlNode?.receive(m, from),
+    receive: (message, from) => controlNode?.receive(message, from),
     controlNode: () => controlNode,
     diskBytes: () => openDisk?.disk.size() ?? 0,
     start: () => openNode(false, false),
-    leave: (limit, done) => (controlNode === undefined ? done('incomplete') : controlNode.leave(limit, done)),
+    leave: (timeoutUs, done) => (controlNode === undefined ? done('incomplete') : controlNode.leave(timeoutUs, done)),
     stop: async () => {
       stop();
       controlNode?.stop();
--- a/programs/control-node/src/file-disk.ts
+++ b/programs/control-node/src/file-disk.ts
@@ -1,8 +1,8 @@
 /**
- * The disk of a place: one append-only file. Records that wait together are written and synced together.
- * A rewrite goes to a second file, is synced, and takes the first one's name. Any error is final for
- * this opening: what a disk did after a failed sync is not known, so the next one writes all that it finds to a new
- * file. A damaged file is put aside under another name and never served.
+ * The disk of a replica: one append-only journal. Queued records are written and synced together. A rewrite goes to a
+ * second file, which is synced and renamed to the journal. After an error the open journal accepts no more writes: what
+ * the disk holds after a failed sync is unknown, so the next opening writes all records that it finds to a new file. A
+ * damaged file is renamed and never used again.
  */
 import { dirname, join, resolve } from 'node:path';
 import * as E from 'fp-ts/lib/Either.js';
@@ -18,10 +18,11 @@
 import type { OpenDisk } from './control-node-host.js';
 import { nodeFiles, type FileSystem, type OpenFile } from './file-system.js';
 
+/** An open journal. */
 export type FileDisk = OpenDisk & { readonly close: () => Promise<void> };
 type WriteJob =
-  | { readonly rewrite: false; readonly b: Buffer; readonly done: (e?: Error) => void }
-  | { readonly rewrite: true; readonly rs: readonly JournalRecord[]; readonly done: (e?: Error) => void };
+  | { readonly rewrite: false; readonly bytes: Buffer; readonly done: (error?: Error) => void }
+  | { readonly rewrite: true; readonly records: readonly JournalRecord[]; readonly done: (error?: Error) => void };
 
 async function syncFolder(files: FileSystem, folder: string): Promise<void> {
   const handle = await files.open(folder, 'r');
@@ -32,7 +33,7 @@
   }
 }
 
-// A folder lasts once the one above it was synced; so do those above it that were made with it.
+// A created folder is durable once its parent has been synced; this holds for each parent that was created with it.
 async function makeFolder(files: FileSystem, folder: string): Promise<void> {
   const uppermost = await files.mkdir(folder, { recursive: true });
   if (uppermost === undefined) return;
@@ -44,11 +45,11 @@
   }
 }
 
-// Gives the damaged file another name; of those put aside the newest two are kept.
+// Renames the damaged file. Of all quarantined files the newest two are kept.
 async function quarantineFile(files: FileSystem, folder: string, path: string): Promise<string> {
   const numbers = (await files.readdir(folder))
-    .filter((f) => f.startsWith('place.journal.damaged.'))
-    .map((f) => Number(f.split('.').at(-1)))
+    .filter((name) => name.startsWith('place.journal.damaged.'))
+    .map((name) => Number(name.split('.').at(-1)))
     .sort((a, b) => a - b);
   const target = `${path}.damaged.${(numbers.at(-1) ?? 0) + 1}`;
   await files.rename(path, target);
@@ -60,13 +61,13 @@
 async function readOrEmpty(files: FileSystem, path: string): Promise<Buffer> {
   try {
     return await files.readFile(path);
-  } catch (e) {
-    if ((e as NodeJS.ErrnoException).code === 'ENOENT') return Buffer.alloc(0);
-    throw e;
+  } catch (error) {
+    if ((error as NodeJS.ErrnoException).code === 'ENOENT') return Buffer.alloc(0);
+    throw error;
   }
 }
 
-// `afresh` writes what is found to a new file; `blank` throws it away.
+/** Opens the journal in `folder`. `rewrite` writes the stored records to a new file; `discard` deletes them. */
 export async function openFileDisk(
   folder: string,
   rewrite = false,
@@ -75,10 +76,10 @@
 ): Promise<E.Either<Error, FileDisk>> {
   try {
     return E.right(await openJournal(files, folder, rewrite, discard));
-  } catch (e) {
+  } catch (error) {
     return E.left(
       new FailedDiskError(
-        `The data folder ${folder} cannot be used: ${e instanceof Error ? e.message : String(e)}. Give the keeper a folder on a sound disk that it may write to.`,
+        `The data folder ${folder} cannot be used: ${error instanceof Error ? error.message : String(error)}. Configure a folder on a healthy disk that the control node may write to.`,
       ),
     );
   }
@@ -90,12 +91,13 @@
   if (discard) await files.rm(path, { force: true });
   const read = readJournal(await readOrEmpty(files, path));
   const quarantineReason = E.isLeft(read)
-    ? `${read.left.message} It is now ${await quarantineFile(files, folder, path)}.`
+    ? `${read.left.message} It was renamed to ${await quarantineFile(files, folder, path)}.`
     : undefined;
   const journal = E.isLeft(read) ? { right: { records: [], validBytes: 0, tornBytes: 0 } } : read;
   if (journal.right.tornBytes > 0) await files.truncate(path, journal.right.validBytes);
   let file: OpenFile = await files.open(path, 'a');
-  // The process before may have been killed before its sync: what is found is told to others, so it must last first.
+  // The previous process may have been killed before its sync. The records found are sent to other nodes, so they must be
+  // durable first.
   await file.datasync();
   await syncFolder(files, folder);
   let size = journal.right.validBytes;
@@ -113,17 +115,17 @@
       queue = queue.slice(batch.length);
       try {
         if (failure !== undefined) throw failure;
-        if (batch[0]!.rewrite) await rewriteFile(batch[0]!.rs);
+        if (batch[0]!.rewrite) await rewriteFile(batch[0]!.records);
         else {
-          const bytes = joinRecords(batch.map((j) => (j as { b: Buffer }).b));
+          const bytes = joinRecords(batch.map((job) => (job as { bytes: Buffer }).bytes));
           await file.appendFile(bytes);
           await file.datasync();
           size += bytes.length;
         }
-        for (const j of batch) j.done();
+        for (const job of batch) job.done();
       } catch (error) {
         failure = error instanceof Error ? error : new Error(String(error));
-        for (const j of batch) j.done(failure);
+        for (const job of batch) job.done(failure);
       }
     }
     isWorking = false;
@@ -142,14 +144,14 @@
     size = bytes.length;
   }
 
-  function enqueue(j: WriteJob): void {
-    queue.push(j);
+  function enqueue(job: WriteJob): void {
+    queue.push(job);
     if (!isWorking) busy = runQueue();
   }
 
   const disk: Disk = {
-    append: (x, done) => enqueue({ rewrite: false, b: encodeRecord(x), done }),
-    rewrite: (rs, done) => enqueue({ rewrite: true, rs, done }),
+    append: (record, done) => enqueue({ rewrite: false, bytes: encodeRecord(record), done }),
+    rewrite: (records, done) => enqueue({ rewrite: true, records, done }),
     size: () => size,
   };
   if (rewrite) await rewriteFile(journal.right.records);
--- a/programs/control-node/src/file-system.ts
+++ b/programs/control-node/src/file-system.ts
@@ -1,10 +1,10 @@
 /**
- * The calls of the file system that the journal of a replica is written with. `nodeFiles` are those of the machine; tests
+ * The calls of the file system that the journal of a replica is written with. `nodeFiles` uses the machine's file system; tests
  * pass a model that can lose power between any two calls.
  */
 import { mkdir, open, readFile, readdir, rename, rm, truncate } from 'node:fs/promises';
 
-/** An open file or folder. Writes may be lost with the power until `sync` or `datasync` has ended. */
+/** An open file or folder. Writes may be lost in a power failure until `sync` or `datasync` has ended. */
 export interface OpenFile {
   readonly appendFile: (bytes: Buffer) => Promise<void>;
   readonly writeFile: (bytes: Buffer) => Promise<void>;
@@ -13,9 +13,12 @@
   readonly close: () => Promise<void>;
 }
 
-/** Each call rejects as its namesake of `node:fs/promises` does. A changed name is durable once its folder was synced. */
+/**
+ * Each call rejects like the function of the same name in `node:fs/promises`. A created, renamed or removed name is durable
+ * once its folder has been synced.
+ */
 export interface FileSystem {
-  /** Makes the folder and those above it; gives the uppermost one that was made. */
+  /** Creates the folder and its missing parents; returns the uppermost folder that was created. */
   readonly mkdir: (folder: string, options: { readonly recursive: true }) => Promise<string | undefined>;
   readonly open: (path: string, flags: 'r' | 'a' | 'w') => Promise<OpenFile>;
   readonly readFile: (path: string) => Promise<Buffer>;
@@ -25,4 +28,5 @@
   readonly truncate: (path: string, length: number) => Promise<void>;
 }
 
+/** The file system of the machine. */
 export const nodeFiles: FileSystem = { mkdir, open, readFile, readdir, rename, rm, truncate };
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// The control-node as a process: one core place on its own disk.
+/** Runs a control node as a process: one replica of the control state on its own disk. */
 import { randomBytes } from 'node:crypto';
 import fastify from 'fastify';
 import * as E from 'fp-ts/lib/Either.js';
@@ -8,27 +8,27 @@
 import { openFileDisk } from './file-disk.js';
 import { createControlNodeHost } from './control-node-host.js';
 
-/** How long a stopping node may take to hand over what it holds, in microseconds. */
+/** How long a stopping node may take to transfer what it leads, in microseconds. */
 const leaveTimeoutUs = 3_000_000;
 
 await runProgram({
   name: 'control-node',
-  about: 'Holds one of the three places of the control state.',
+  about: 'Runs one of the three replicas of the control state.',
   schema: ControlNodeSettings,
   flags: Object.keys(ControlNodeSettings.properties),
-  start: async (b, log) => {
-    const self = (b.advertise ?? b.listen) as Address;
-    const real = await createRealWorld(b.listen as Address, log, self);
+  start: async (settings, log) => {
+    const self = (settings.advertise ?? settings.listen) as Address;
+    const real = await createRealWorld(settings.listen as Address, log, self);
     const traces: { at: number; what: string; key: string; version: number }[] = [];
     const host = createControlNodeHost(real.world, {
-      slot: b.slot,
+      slot: settings.slot,
       self,
-      bootstrapMembers: b.core as Address[],
-      seeds: b.seeds as Address[],
-      open: (afresh, blank) => openFileDisk(b.data, afresh, blank),
+      bootstrapMembers: settings.core as Address[],
+      seeds: settings.seeds as Address[],
+      open: (rewrite, discard) => openFileDisk(settings.data, rewrite, discard),
       newDiskId: () => randomBytes(8).toString('hex'),
-      routerLeaseUs: (b.feedTenureMs ?? 10_000) * 1000,
-      roleLeaseUs: (b.dutyTenureMs ?? 3000) * 1000,
+      routerLeaseUs: (settings.feedTenureMs ?? 10_000) * 1000,
+      roleLeaseUs: (settings.dutyTenureMs ?? 3000) * 1000,
       observe: (what, key, version) => {
         if (!key.startsWith('desired/')) return;
         traces.push({ at: Date.now() * 1000, what, key, version });
@@ -39,29 +39,29 @@
     if (E.isLeft(opened)) throw opened.left;
     real.onMessage(host.receive);
     const app = fastify();
-    app.get('/vitals', async (_q, a) => {
-      const core = host.controlNode();
-      const ok = core?.replica.state() === 'voting';
-      return a.code(ok ? 200 : 503).send({
+    app.get('/vitals', async (_request, reply) => {
+      const node = host.controlNode();
+      const ok = node?.replica.state() === 'voting';
+      return reply.code(ok ? 200 : 503).send({
         ok,
-        state: core?.replica.state() ?? 'failed',
-        disk: core?.replica.diskId(),
-        core: core?.replica.membership(),
-        owned: core?.ledKeys(),
+        state: node?.replica.state() ?? 'failed',
+        disk: node?.replica.diskId(),
+        core: node?.replica.membership(),
+        owned: node?.ledKeys(),
         bytes: host.diskBytes(),
       });
     });
-    app.get<{ Params: { version: string } }>('/trace/:version', async (q) =>
-      traces.filter((t) => t.version === Number(q.params.version)),
+    app.get<{ Params: { version: string } }>('/trace/:version', async (request) =>
+      traces.filter((event) => event.version === Number(request.params.version)),
     );
-    app.get('/metrics', async (_q, a) =>
-      a
+    app.get('/metrics', async (_request, reply) =>
+      reply
         .type('text/plain; version=0.0.4')
         .send(
           `tansypost_place_voting ${host.controlNode()?.replica.state() === 'voting' ? 1 : 0}\ntansypost_core_generation ${host.controlNode()?.replica.membership().membershipEpoch ?? 0}\ntansypost_keys_owned ${host.controlNode()?.ledKeys().length ?? 0}\ntansypost_file_bytes ${host.diskBytes()}\n`,
         ),
     );
-    await app.listen(splitAddress(b.http));
+    await app.listen(splitAddress(settings.http));
     async function stop(): Promise<void> {
       await new Promise((done) => host.leave(leaveTimeoutUs, done));
       await Promise.all([app.close(), real.transport.close()]);
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -1,6 +1,6 @@
 /**
- * The router-agent without its sockets: membership, worker marks, news, reports and duties, put together.
- * It feeds the router on its machine and speaks for it to the core.
+ * The router agent without its sockets: gossip membership, worker states, key updates, load reports and singleton roles.
+ * It feeds the router on its machine and talks to the control cluster on the router's behalf.
  */
 import {
   appliedAllVersions,
@@ -42,6 +42,7 @@
 import { createStageAssignment } from './stage-assignment.js';
 import { createLoadReports, type FetchedReport } from './load-reports.js';
 
+/** Settings of one agent; `persisted` is what it stored before a restart. */
 export interface AgentOptions {
   readonly member: string;
   readonly self: Address;
@@ -68,6 +69,7 @@
   readonly shiftHoldUs?: number;
   readonly shiftCooldownUs?: number;
 }
+/** Defaults of the settings that need not be given. */
 export const agentDefaults = {
   roleLeaseUs: 3_000_000,
   samplesPerTraining: 1000,
@@ -76,33 +78,38 @@
   rehearsalTimeLimitUs: 600_000_000,
   persisted: { entries: [], marks: [], membershipEpoch: 0, replicas: [] },
 };
+/** What the agent needs from its surroundings. */
 export interface AgentPorts {
-  readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
-  readonly orderStage: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly fetchReport: (worker: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  /** Orders a stage, or only fences the worker if the stage is empty; undefined if the worker did not answer. */
+  readonly orderStage: (worker: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly trainer: TrainerPort;
-  readonly save: (p: AgentOptions['persisted']) => void;
+  readonly save: (persisted: AgentOptions['persisted']) => void;
   readonly wallClockUs: () => number;
-  // Told of each change that this agent sees.
-  readonly onTraceEvent?: (e: TraceEvent) => void;
+  /** Called for each change of a key that this agent sees. */
+  readonly onTraceEvent?: (event: TraceEvent) => void;
 }
+/** A change of a key that was received from the control cluster or applied by the router. */
 export interface TraceEvent {
   readonly at: number;
   readonly what: string;
   readonly key: string;
   readonly version: number;
 }
+/** The answer to a submitted desired state. */
 export type SubmitResult =
   | { readonly answer: 'acknowledged'; readonly version: number; readonly change: string }
   | { readonly answer: 'refused'; readonly faults: readonly Fault[]; readonly change: string }
   | { readonly answer: 'lost the race'; readonly version: number; readonly change: string }
   | { readonly answer: 'outcome unknown'; readonly change: string };
 
+/** The running agent. */
 export interface AgentCore {
-  readonly receive: (m: Message, from: Address) => void;
+  readonly receive: (message: Message, from: Address) => void;
   readonly applyPlatformStates: (
-    ms: readonly WorkerStateEntry[],
+    entries: readonly WorkerStateEntry[],
   ) => Promise<{ readonly newEntries: WorkerStateEntry[]; readonly confirmed: boolean }>;
-  readonly submit: (base: number, change: string, state: unknown) => Promise<SubmitResult>;
+  readonly submit: (expectedVersion: number, change: string, state: unknown) => Promise<SubmitResult>;
   readonly readDesiredState: () => Promise<AskResult>;
   readonly lookUpChange: (change: string) => Promise<AskResult>;
   readonly rehearsalRecord: () => RehearsalRecord;
@@ -111,12 +118,14 @@
   readonly workerStates: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
   readonly keyUpdates: KeyUpdateRelay;
-  readonly heldEpoch: (duty: string) => number | undefined;
+  readonly heldEpoch: (role: string) => number | undefined;
   readonly metrics: () => Record<string, unknown>;
   readonly stop: () => void;
 }
+/** The roles that one agent of the fleet holds at a time. */
 export const singletonRoles = ['parts', 'training', 'rehearsals'] as const;
 
+/** Starts an agent. */
 export function createAgentCore(world: World, options: AgentOptions, ports: AgentPorts): AgentCore {
   let controlMembership: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
     membershipEpoch: options.persisted.membershipEpoch,
@@ -126,8 +135,9 @@
   let routerStateAt = -Infinity;
   let grants: { asked: number; version: number }[] = [];
   let leaseGrantedAt = -Infinity;
-  // Marks kept on disk are as old as the stop; so the router may not decide until this agent has compared its marks with
-  // a member that is itself current, or, where all have just started, with half of those it hears of.
+  // Worker states from disk may have become outdated while the agent was stopped. The router therefore gets no lease until
+  // this agent has compared its worker states with a member that is itself current, or, if all agents have just started,
+  // with half of the live members.
   let isWarm = false;
   const comparedMembers = new Set<string>();
   const confirmations = new Set<(from: string) => void>();
@@ -144,10 +154,10 @@
   }
 
   const roleCandidates = new Map<string, Candidate>(
-    singletonRoles.map((d) => [
-      d,
+    singletonRoles.map((role) => [
+      role,
       createCandidate(world, {
-        role: d,
+        role,
         member: options.member,
         self: options.self,
         slot: options.slot,
@@ -155,7 +165,7 @@
         replicas: () => controlMembership,
         isWilling: () => world.now() - startedAt > 1_000_000,
         onElected: () => {
-          if (d === 'parts') stageAssignment.onElected();
+          if (role === 'parts') stageAssignment.onElected();
         },
         onLeaseLost: () => undefined,
       }),
@@ -164,9 +174,9 @@
   const startedAt = world.now();
 
   function heldRoles(): SingletonRoleEntry[] {
-    return [...roleCandidates].flatMap(([d, c]) => {
-      const e = c.heldEpoch();
-      return e === undefined ? [] : [{ duty: d, holder: options.member, address: options.self, epoch: e }];
+    return [...roleCandidates].flatMap(([role, candidate]) => {
+      const epoch = candidate.heldEpoch();
+      return epoch === undefined ? [] : [{ duty: role, holder: options.member, address: options.self, epoch }];
     });
   }
 
@@ -185,12 +195,12 @@
     controlMembership: () => controlMembership,
     heldSingletonRoles: heldRoles,
     onControlMembership,
-    onSingletonRole: (d) => roleCandidates.get(d.duty)?.observeLeader(d),
+    onSingletonRole: (entry) => roleCandidates.get(entry.duty)?.observeLeader(entry),
     save,
   });
-  function save(es: readonly MemberEntry[]): void {
+  function save(entries: readonly MemberEntry[]): void {
     ports.save({
-      entries: es,
+      entries,
       marks: workerTable.all(),
       membershipEpoch: controlMembership.membershipEpoch,
       replicas: controlMembership.replicas,
@@ -204,12 +214,12 @@
     zoneMembers: membership.zoneMembers,
     replicas: () => controlMembership.replicas,
     onControlMembership,
-    onUpdate: (n) => {
-      recordTrace('news', n.key, n.version);
+    onUpdate: (update) => {
+      recordTrace('news', update.key, update.version);
       sendFeed();
     },
-    onLeaseGrant: (g) => {
-      grants = [g];
+    onLeaseGrant: (grant) => {
+      grants = [grant];
       leaseGrantedAt = world.now();
       sendFeed();
     },
@@ -234,7 +244,7 @@
     heldEpoch: () => heldEpoch('parts'),
     record: () => rehearsalRecord() ?? Buffer.alloc(0),
     workers: readyWorkers,
-    reports: () => loadReports.all().filter((r) => r.active >= 0),
+    reports: () => loadReports.all().filter((report) => report.active >= 0),
     writer: recordWriter,
     orderStage: ports.orderStage,
     shiftStages: options.shiftStages,
@@ -262,8 +272,8 @@
     verdict: options.verdict,
   });
 
-  function heldEpoch(d: string): number | undefined {
-    return roleCandidates.get(d)?.heldEpoch();
+  function heldEpoch(role: string): number | undefined {
+    return roleCandidates.get(role)?.heldEpoch();
   }
   function approvalMode(): 'automatic' | 'operator' {
     const update = keyUpdates.get(`desired/${options.service}`);
@@ -272,14 +282,14 @@
       : 'automatic';
   }
   function readyWorkers(): WorkerStateEntry[] {
-    return workerTable.all().filter((m) => m.state === 1);
+    return workerTable.all().filter((entry) => entry.state === 1);
   }
   function zoneLeaders(): Address[] {
     const membersByZone = new Map<string, MemberEntry[]>();
     for (const entry of [...membership.liveMembers(), ...membership.zoneMembers()])
       membersByZone.set(entry.zone, [...(membersByZone.get(entry.zone) ?? []), entry]);
     return [...membersByZone.values()].map(
-      (es) => rendezvous(options.service, es, (x) => x.member)[0]!.address as Address,
+      (members) => rendezvous(options.service, members, (entry) => entry.member)[0]!.address as Address,
     );
   }
   function recordTrace(what: string, key: string, version: number): void {
@@ -288,12 +298,17 @@
     if (traces.length > 500) traces = traces.slice(-400);
   }
 
+  // Sends the router the whole worker state and those key updates that it does not hold yet.
   function sendFeed(): void {
     if (router === undefined) return;
-    const held = new Map(router.have.map((h) => [h.key, h]));
-    const updates = keyUpdates.all().filter((n) => {
-      const h = held.get(n.key);
-      return h === undefined || n.version > h.version || (n.version === h.version && n.epoch > h.epoch);
+    const held = new Map(router.have.map((version) => [version.key, version]));
+    const updates = keyUpdates.all().filter((update) => {
+      const old = held.get(update.key);
+      return (
+        old === undefined ||
+        update.version > old.version ||
+        (update.version === old.version && update.epoch > old.epoch)
+      );
     });
     world.send(options.routerAddress, {
       kind: 'Feed',
@@ -304,8 +319,8 @@
       contact: membership.isInContact(),
       others: membership
         .liveMembers()
-        .filter((e) => e.tenured && e.http !== options.routerHttpAddress)
-        .map((e) => e.http),
+        .filter((entry) => entry.tenured && entry.http !== options.routerHttpAddress)
+        .map((entry) => entry.http),
     });
   }
 
@@ -343,12 +358,13 @@
     if (
       isPeerCurrent ||
       (world.now() - startedAt > 1_500_000 &&
-        2 * liveMembers.filter((e) => comparedMembers.has(e.address)).length >= liveMembers.length)
+        2 * liveMembers.filter((entry) => comparedMembers.has(entry.address)).length >= liveMembers.length)
     )
       isWarm = true;
     if (isWarm) sendFeed();
   }
-  // While cold it asks all its neighbours. A fleet of one agent has nobody to compare with.
+  // Until its worker states are current, the agent asks all its neighbours for a comparison. The only agent of a fleet has
+  // nobody to compare with and counts as current after 3 s.
   function requestComparisons(): void {
     if (isWarm) return;
     for (const neighbour of membership.neighbours()) world.send(neighbour, createDigest(true));
@@ -427,7 +443,7 @@
     if (message.answer) world.send(message.from as Address, createDigest(true));
   }
 
-  // A claim is repeated until it is answered or its patience ends; the bucket forgives a holder's own repeat.
+  // The claim is repeated until it is answered or times out; a repeat by the same holder does not conflict with itself.
   function onClaim(claim: MessageOf<'Claim'>): void {
     const value = Buffer.from(
       JSON.stringify({
@@ -438,31 +454,33 @@
         ended: claim.ended,
       }),
     );
-    void controlClient.ask({ op: 'claim', key: claimBucketKey(claim.key), value, patience: 2_500_000 }).then((r) => {
-      const known = r.value.toString();
-      const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
-      world.send(options.routerAddress, { kind: 'ClaimAnswer', id: claim.id, status, known });
-    });
+    void controlClient
+      .ask({ op: 'claim', key: claimBucketKey(claim.key), value, patience: 2_500_000 })
+      .then((result) => {
+        const known = result.value.toString();
+        const status = result.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
+        world.send(options.routerAddress, { kind: 'ClaimAnswer', id: claim.id, status, known });
+      });
   }
 
-  // Takes marks from the platform and says whether they are sure to govern: half of all members say after it that they
-  // hold them, and a majority of the core answers after it. Whoever else may go on serving in a cut hears one of the two,
-  // so a side that has both has all of them. A side that lacks one keeps the marks and passes them on, but the
-  // platform should tell another agent too.
+  // Merges worker states from the platform. They are confirmed once half of all members have said that they hold them and a
+  // majority of the control cluster has answered. During a network partition a router can go on serving only if it is in
+  // contact with one of the two, so a side that has both reaches every router that still serves. A side that lacks one keeps
+  // the states and passes them on, but the platform should tell another agent too.
   function applyPlatformStates(
     entries: readonly WorkerStateEntry[],
   ): Promise<{ newEntries: WorkerStateEntry[]; confirmed: boolean }> {
-    const fresh = workerTable.merge(entries);
-    spreadStates(fresh);
+    const newEntries = workerTable.merge(entries);
+    spreadStates(newEntries);
     for (const member of membership.liveMembers()) world.send(member.address as Address, createDigest(true));
-    return new Promise((done) => {
+    return new Promise((resolve) => {
       const confirmingMembers = new Set<string>();
       let hasControlQuorum = false;
       const cancelTimeout = world.after(micros(600_000), () => finish(false));
       function finish(isConfirmed: boolean): void {
         cancelTimeout();
         confirmations.delete(onConfirmation);
-        done({ newEntries: fresh, confirmed: isConfirmed });
+        resolve({ newEntries, confirmed: isConfirmed });
       }
       function checkConfirmed(): void {
         if (hasControlQuorum && 2 * (confirmingMembers.size + 1) > membership.recentCount()) finish(true);
@@ -472,8 +490,8 @@
         checkConfirmed();
       }
       confirmations.add(onConfirmation);
-      void controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 550_000 }).then((r) => {
-        hasControlQuorum = r.status === 'value';
+      void controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 550_000 }).then((result) => {
+        hasControlQuorum = result.status === 'value';
         checkConfirmed();
       });
     });
@@ -493,7 +511,7 @@
     if (result.status === 'done') return { answer: 'acknowledged', version: result.version, change };
     if (result.status === 'lost') return { answer: 'lost the race', version: result.version, change };
     if (result.status === 'reused') {
-      const reason = `this id stands for version ${result.version}, which holds another state; submit under a new id`;
+      const reason = `this change id belongs to version ${result.version}, which has another content; submit with a new change id`;
       return { answer: 'refused', faults: [{ at: '/change', why: reason }], change };
     }
     return { answer: 'outcome unknown', change };
@@ -502,10 +520,10 @@
   async function decideRehearsal(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
     let answerKind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
     const written = await recordWriter.change(
-      (r) => {
-        const a = answerOperator(r, id, word);
-        answerKind = a.kind;
-        return a.kind === 'taken' ? a.record : undefined;
+      (record) => {
+        const answer = answerOperator(record, id, word);
+        answerKind = answer.kind;
+        return answer.kind === 'taken' ? answer.record : undefined;
       },
       () => true,
     );
@@ -517,8 +535,8 @@
       world,
       () => micros(500_000),
       () => {
-        const to = membership.neighbours()[0];
-        if (to !== undefined) world.send(to, createDigest(true));
+        const neighbour = membership.neighbours()[0];
+        if (neighbour !== undefined) world.send(neighbour, createDigest(true));
       },
     ),
     every(world, () => micros(100_000), requestComparisons),
@@ -544,12 +562,12 @@
     lookUpChange: (change) =>
       controlClient.ask({ op: 'lookup', key: `desired/${options.service}`, change, patience: 8_000_000 }),
     rehearsalRecord: () => {
-      const b = rehearsalRecord();
-      return b === undefined ? emptyRecord : readRecord(b);
+      const value = rehearsalRecord();
+      return value === undefined ? emptyRecord : readRecord(value);
     },
     members: () => [...membership.liveMembers()],
     workerStates: () => workerTable.all(),
-    trace: (k, v) => traces.filter((t) => t.key === k && t.version === v),
+    trace: (key, version) => traces.filter((event) => event.key === key && event.version === version),
     metrics: () => ({
       member: options.member,
       zone: options.zone,
@@ -564,25 +582,25 @@
       routerHeard: world.now() - routerStateAt < 2_000_000,
     }),
     stop: () => {
-      stops.forEach((s) => s());
+      stops.forEach((stop) => stop());
       membership.stop();
       keyUpdates.stop();
       loadReports.stop();
-      for (const c of roleCandidates.values()) c.stop();
+      for (const candidate of roleCandidates.values()) candidate.stop();
     },
   };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  function bench(
+  function createFixture(
     marks: readonly WorkerStateEntry[],
     entries: readonly MemberEntry[],
   ): {
     agent: AgentCore;
     step: (us: number) => void;
-    granted: () => boolean;
-    tell: (m: Message, from: string) => void;
+    isLeasePassedOn: () => boolean;
+    deliver: (m: Message, from: string) => void;
   } {
     let t = 0;
     let timers: { at: number; f: () => void }[] = [];
@@ -636,12 +654,12 @@
       }
       t = end;
     }
-    function tell(m: Message, from: string): void {
+    function deliver(m: Message, from: string): void {
       agent.receive(m, from as Address);
     }
-    // Asks for a tenure, is granted it by the core, and looks whether the router is let have it.
-    function granted(): boolean {
-      tell(
+    // The router asks for a lease and the control cluster grants it; tells whether the agent passes it on to the router.
+    function isLeasePassedOn(): boolean {
+      deliver(
         {
           kind: 'RouterState',
           router: 'r1#1',
@@ -656,18 +674,18 @@
         },
         'r1:1',
       );
-      tell({ kind: 'Leases', grants: [{ router: 'r1#1', asked: t, version: 1 }] }, 'keeper0:1');
-      const is = feeds.at(-1)!.grants.length > 0;
+      deliver({ kind: 'Leases', grants: [{ router: 'r1#1', asked: t, version: 1 }] }, 'keeper0:1');
+      const isPassedOn = feeds.at(-1)!.grants.length > 0;
       feeds = [];
-      return is;
+      return isPassedOn;
     }
-    return { agent, step, granted, tell };
+    return { agent, step, isLeasePassedOn, deliver };
   }
-  const kept: WorkerStateEntry = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
+  const storedState: WorkerStateEntry = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
   function entry(member: string, beat: number): MemberEntry {
     return { member, address: `${member}:1`, zone: 'z', born: 1, beat, http: member, tenured: true };
   }
-  function shuffle(beat: number): Message {
+  function gossipExchange(beat: number): Message {
     return {
       kind: 'Shuffle',
       answer: false,
@@ -678,30 +696,30 @@
       duties: [],
     };
   }
-  it('lets its router decide on marks from its disk only once a member that is current has been compared with', () => {
-    const b = bench([kept], [entry('a2', 0), entry('a3', 0)]);
-    b.step(200_000);
-    expect(b.granted()).toBe(false);
-    b.tell(shuffle(1), 'a2:1');
-    b.step(100_000);
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [{ ...kept, worker: 'v' }], whole: false, warm: true }, 'a2:1');
-    b.tell({ kind: 'MarksDigest', from: 'a2:1', digest: 'another', answer: false, warm: true }, 'a2:1');
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [{ ...kept, state: 2 }], whole: true, warm: true }, 'a2:1');
-    expect(b.granted()).toBe(true);
-    expect(b.agent.workerStates().find((m) => m.worker === 'w')!.state).toBe(2);
+  it('gives its router no lease on stored worker states until it has compared them with a current member', () => {
+    const fixture = createFixture([storedState], [entry('a2', 0), entry('a3', 0)]);
+    fixture.step(200_000);
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver(gossipExchange(1), 'a2:1');
+    fixture.step(100_000);
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [{ ...storedState, worker: 'v' }], whole: false, warm: true }, 'a2:1');
+    fixture.deliver({ kind: 'MarksDigest', from: 'a2:1', digest: 'another', answer: false, warm: true }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [{ ...storedState, state: 2 }], whole: true, warm: true }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(true);
+    expect(fixture.agent.workerStates().find((m) => m.worker === 'w')!.state).toBe(2);
   });
-  it('serves after all agents have started together, and as the only agent there is', () => {
-    const b = bench([kept], [entry('a2', 0), entry('a3', 0)]);
-    b.tell(shuffle(1), 'a2:1');
-    b.step(1_600_000);
-    b.tell(shuffle(2), 'a2:1');
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [kept], whole: true, warm: false }, 'a2:1');
-    expect(b.granted()).toBe(true);
-    const lone = bench([kept], []);
-    lone.step(3_200_000);
-    expect(lone.granted()).toBe(true);
+  it('passes leases on after all agents have restarted together, and as the only agent of a fleet', () => {
+    const fixture = createFixture([storedState], [entry('a2', 0), entry('a3', 0)]);
+    fixture.deliver(gossipExchange(1), 'a2:1');
+    fixture.step(1_600_000);
+    fixture.deliver(gossipExchange(2), 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [storedState], whole: true, warm: false }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(true);
+    const single = createFixture([storedState], []);
+    single.step(3_200_000);
+    expect(single.isLeasePassedOn()).toBe(true);
   });
 }
--- a/programs/router-agent/src/agent-state-file.ts
+++ b/programs/router-agent/src/agent-state-file.ts
@@ -1,17 +1,19 @@
 /**
- * The agent's small file: views, worker marks and the last core record, so that a restart finds its
- * neighbours even when the seeds are gone. It is written whole to a second file, synced, and renamed; a file
- * that cannot be read is as good as none, since everything in it can be heard again.
+ * The agent's state file: its partial views, the worker states and the last known control membership, so that a restarted
+ * agent finds its neighbours even if the seeds are gone. It is written to a second file, synced and renamed. A file that
+ * cannot be read counts as missing, since all of its content can be received again.
  */
 import { closeSync, fsyncSync, mkdirSync, openSync, readFileSync, renameSync, writeSync } from 'node:fs';
 import { join } from 'node:path';
 import { agentDefaults, type AgentOptions } from './agent-core.js';
 
+/** The stored state. */
 export interface AgentStateFile {
   readonly read: () => AgentOptions['persisted'];
-  readonly save: (p: AgentOptions['persisted']) => void;
+  readonly save: (persisted: AgentOptions['persisted']) => void;
 }
 
+/** Uses the file in `folder`; without a folder nothing is stored. */
 export function createAgentStateFile(folder: string | undefined): AgentStateFile {
   if (folder === undefined) return { read: () => agentDefaults.persisted, save: () => undefined };
   mkdirSync(folder, { recursive: true });
@@ -25,16 +27,20 @@
         return agentDefaults.persisted;
       }
     },
-    save: (p) => {
-      const s = JSON.stringify({ ...p, entries: p.entries.map((e) => ({ ...e, beat: 0 })) });
-      if (s === lastWritten) return;
+    save: (persisted) => {
+      // Without the heartbeats, so that the file is written only if something else has changed.
+      const text = JSON.stringify({
+        ...persisted,
+        entries: persisted.entries.map((entry) => ({ ...entry, beat: 0 })),
+      });
+      if (text === lastWritten) return;
       try {
         const fd = openSync(`${path}.next`, 'w');
-        writeSync(fd, s);
+        writeSync(fd, text);
         fsyncSync(fd);
         closeSync(fd);
         renameSync(`${path}.next`, path);
-        lastWritten = s;
+        lastWritten = text;
       } catch {
         lastWritten = '';
       }
--- a/programs/router-agent/src/app.ts
+++ b/programs/router-agent/src/app.ts
@@ -1,6 +1,6 @@
 /**
- * The agent's HTTP side: the platform's calls about workers, the operators' desired state and rehearsals, and
- * what tools ask. Bodies are checked before anything happens.
+ * The HTTP API of the agent: worker states from the platform, desired state and rehearsals for operators, and diagnostics
+ * for tools. Bodies are validated first.
  */
 import { randomUUID } from 'node:crypto';
 import { Type, type Static } from '@sinclair/typebox';
@@ -28,88 +28,111 @@
   { additionalProperties: false },
 );
 
+/** What the API serves. */
 export interface AgentAppOptions {
   readonly core: AgentCore;
   readonly service: string;
   readonly sinkStatistics?: EventSink['statistics'];
 }
 
+/** Creates the API; it does not listen yet. */
 export function createAgentApp(options: AgentAppOptions): FastifyInstance {
   const app = fastify({ bodyLimit: 4 * 1024 * 1024, forceCloseConnections: true });
   const { core } = options;
   const desiredKey = `desired/${options.service}`;
 
-  function sendBadRequest(a: FastifyReply, message: string, remedy: string): FastifyReply {
-    return (a.statusCode >= 400 ? a : a.code(400)).send({ error: { kind: 'bad_request', message, remedy } });
+  function sendBadRequest(reply: FastifyReply, message: string, remedy: string): FastifyReply {
+    return (reply.statusCode >= 400 ? reply : reply.code(400)).send({
+      error: { kind: 'bad_request', message, remedy },
+    });
   }
-  app.setErrorHandler((e: { message: string; statusCode?: number }, _q, a) => {
-    if (e.statusCode !== undefined && e.statusCode < 500)
-      return sendBadRequest(a.code(e.statusCode), e.message, 'Correct the call.');
-    return a.code(500).send({
+  app.setErrorHandler((error: { message: string; statusCode?: number }, _request, reply) => {
+    if (error.statusCode !== undefined && error.statusCode < 500)
+      return sendBadRequest(reply.code(error.statusCode), error.message, 'Correct the request.');
+    return reply.code(500).send({
       error: {
         kind: 'internal_error',
-        message: 'Something unforeseen went wrong inside this agent.',
-        remedy: 'Read the outcome back before trying again.',
+        message: 'An unexpected error occurred in this agent.',
+        remedy: 'Check the outcome before you retry.',
       },
     });
   });
 
-  app.post('/platform/workers', async (q, a) => {
-    const e = [...Value.Errors(WorkerCall, q.body)][0];
-    if (e !== undefined) return sendBadRequest(a, `${e.path}: ${e.message}`, 'Correct the field named.');
-    const b = q.body as Static<typeof WorkerCall>;
-    const r = await core.applyPlatformStates([
-      { worker: b.worker, incarnation: b.incarnation, state: workerStates.indexOf(b.state), address: b.address },
+  app.post('/platform/workers', async (request, reply) => {
+    const fault = [...Value.Errors(WorkerCall, request.body)][0];
+    if (fault !== undefined)
+      return sendBadRequest(reply, `${fault.path}: ${fault.message}`, 'Correct the field named.');
+    const body = request.body as Static<typeof WorkerCall>;
+    const result = await core.applyPlatformStates([
+      {
+        worker: body.worker,
+        incarnation: body.incarnation,
+        state: workerStates.indexOf(body.state),
+        address: body.address,
+      },
     ]);
-    if (r.confirmed || core.members().length === 0) return { taken: r.newEntries.length > 0 };
-    return a
+    if (result.confirmed || core.members().length === 0) return { taken: result.newEntries.length > 0 };
+    return reply
       .code(503)
       .header('retry-after', '1')
       .send({
         error: {
           kind: 'not_confirmed',
-          message: 'The mark is kept here, but no neighbour has confirmed it yet.',
-          remedy: 'Tell another agent too; telling twice is harmless.',
+          message: 'The worker state is stored at this agent but not confirmed by other members yet.',
+          remedy: 'Send it to another agent too; sending it twice is harmless.',
         },
       });
   });
-  app.get('/platform/workers', async () => core.workerStates().map((m) => ({ ...m, state: workerStates[m.state] })));
+  app.get('/platform/workers', async () =>
+    core.workerStates().map((entry) => ({ ...entry, state: workerStates[entry.state] })),
+  );
 
-  app.post('/desired-state', async (q, a) => {
-    const e = [...Value.Errors(Submission, q.body)][0];
-    if (e !== undefined)
-      return sendBadRequest(a, `${e.path}: ${e.message}`, 'Send {base, change, state}; base is the version you read.');
-    const b = q.body as Static<typeof Submission>;
-    const r = await core.submit(b.base, b.change ?? randomUUID(), b.state);
-    const code = { acknowledged: 200, refused: 422, 'lost the race': 409, 'outcome unknown': 504 }[r.answer];
-    if (code === 504) a.header('retry-after', '5');
-    return a.code(code).send(r);
+  app.post('/desired-state', async (request, reply) => {
+    const fault = [...Value.Errors(Submission, request.body)][0];
+    if (fault !== undefined)
+      return sendBadRequest(
+        reply,
+        `${fault.path}: ${fault.message}`,
+        'Send {base, change, state}; base is the version you read.',
+      );
+    const body = request.body as Static<typeof Submission>;
+    const result = await core.submit(body.base, body.change ?? randomUUID(), body.state);
+    const code = { acknowledged: 200, refused: 422, 'lost the race': 409, 'outcome unknown': 504 }[result.answer];
+    if (code === 504) reply.header('retry-after', '5');
+    return reply.code(code).send(result);
   });
-  app.get('/desired-state', async (_q, a) => {
-    const r = await core.readDesiredState();
-    if (r.status !== 'value')
-      return a
+  app.get('/desired-state', async (_request, reply) => {
+    const result = await core.readDesiredState();
+    if (result.status !== 'value')
+      return reply
         .code(504)
         .header('retry-after', '2')
         .send({
-          error: { kind: 'outcome_unknown', message: 'The core did not answer in time.', remedy: 'Ask again.' },
+          error: {
+            kind: 'outcome_unknown',
+            message: 'The control cluster did not answer in time.',
+            remedy: 'Retry the request.',
+          },
         });
-    return { version: r.version, state: r.version === 0 ? null : (JSON.parse(r.value.toString()) as unknown) };
+    return {
+      version: result.version,
+      state: result.version === 0 ? null : (JSON.parse(result.value.toString()) as unknown),
+    };
   });
-  app.get<{ Params: { id: string } }>('/changes/:id', async (q, a) => {
-    const r = await core.lookUpChange(q.params.id);
-    if (r.status === 'done') return { change: q.params.id, answer: 'acknowledged', version: r.version };
-    if (r.status === 'none') return { change: q.params.id, answer: 'not in force', version: r.version };
-    return a.code(504).header('retry-after', '2').send({ change: q.params.id, answer: 'outcome unknown' });
+  app.get<{ Params: { id: string } }>('/changes/:id', async (request, reply) => {
+    const result = await core.lookUpChange(request.params.id);
+    if (result.status === 'done') return { change: request.params.id, answer: 'acknowledged', version: result.version };
+    if (result.status === 'none') return { change: request.params.id, answer: 'not in force', version: result.version };
+    return reply.code(504).header('retry-after', '2').send({ change: request.params.id, answer: 'outcome unknown' });
   });
 
   app.get('/rehearsals', async () => core.rehearsalRecord());
-  app.post<{ Params: { id: string; word: string } }>('/rehearsals/:id/:word', async (q, a) => {
-    const { id, word } = q.params;
+  app.post<{ Params: { id: string; word: string } }>('/rehearsals/:id/:word', async (request, reply) => {
+    const { id, word } = request.params;
     if (word !== 'approve' && word !== 'reject')
-      return sendBadRequest(a, `There is no word ${word}.`, 'Use approve or reject.');
+      return sendBadRequest(reply, `Unknown decision ${word}.`, 'Use approve or reject.');
     const kind = await core.decideRehearsal(id, word);
-    return a
+    return reply
       .code(
         { taken: 200, unknown_rehearsal: 404, ended_rehearsal: 409, superseded_rehearsal: 409, outcome_unknown: 504 }[
           kind
@@ -118,22 +141,22 @@
       .send({ rehearsal: id, answer: kind });
   });
 
-  app.get('/vitals', async (_q, a) => {
-    const f = core.metrics();
-    return a.code(f['routerHeard'] === true ? 200 : 503).send({ ok: f['routerHeard'], ...f });
+  app.get('/vitals', async (_request, reply) => {
+    const metrics = core.metrics();
+    return reply.code(metrics['routerHeard'] === true ? 200 : 503).send({ ok: metrics['routerHeard'], ...metrics });
   });
   app.get('/members', async () => core.members());
-  app.get<{ Params: { version: string } }>('/trace/:version', async (q) =>
-    core.trace(desiredKey, Number(q.params.version)),
+  app.get<{ Params: { version: string } }>('/trace/:version', async (request) =>
+    core.trace(desiredKey, Number(request.params.version)),
   );
-  app.get<{ Params: { version: string } }>('/cloudevents/:version', async (q, a) => {
-    const es = core
-      .trace(desiredKey, Number(q.params.version))
-      .map((t) => cloudEvent(String(core.metrics()['member']), t));
-    return a.type('application/cloudevents-batch+json').send(JSON.stringify(es));
+  app.get<{ Params: { version: string } }>('/cloudevents/:version', async (request, reply) => {
+    const events = core
+      .trace(desiredKey, Number(request.params.version))
+      .map((event) => cloudEvent(String(core.metrics()['member']), event));
+    return reply.type('application/cloudevents-batch+json').send(JSON.stringify(events));
   });
-  app.get('/metrics', async (_q, a) => {
-    const f = {
+  app.get('/metrics', async (_request, reply) => {
+    const metrics = {
       ...core.metrics(),
       ...(options.sinkStatistics === undefined
         ? {}
@@ -143,14 +166,14 @@
             eventsWaiting: options.sinkStatistics().waiting,
           }),
     };
-    const lines = Object.entries(f).flatMap(([k, v]) =>
-      typeof v === 'number'
-        ? [`tansypost_agent_${k} ${v}`]
-        : typeof v === 'boolean'
-          ? [`tansypost_agent_${k} ${v ? 1 : 0}`]
+    const lines = Object.entries(metrics).flatMap(([name, value]) =>
+      typeof value === 'number'
+        ? [`tansypost_agent_${name} ${value}`]
+        : typeof value === 'boolean'
+          ? [`tansypost_agent_${name} ${value ? 1 : 0}`]
           : [],
     );
-    return a.type('text/plain; version=0.0.4').send(`${lines.join('\n')}\n`);
+    return reply.type('text/plain; version=0.0.4').send(`${lines.join('\n')}\n`);
   });
   return app;
 }
--- a/programs/router-agent/src/control-client.ts
+++ b/programs/router-agent/src/control-client.ts
@@ -1,21 +1,22 @@
 /**
- * How an agent asks the core: it sends to one place after the other until one answers. A write is repeated under
- * the same change id, which the owner remembers, so repeating it is harmless; what is still open
- * when patience ends is reported as unknown, with the id to ask after.
+ * The agent's client of the control cluster. It sends a request to one replica after the other until one answers. A write
+ * is repeated with the same change id, which the key's leader remembers, so that repeating it is harmless. The outcome of a
+ * request that is unanswered at its deadline is unknown; it can be looked up by its change id.
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
 import type { Asker, AskRequest, AskResult, AskStatus } from '@tansypost/learning';
 
 const emptyValue = Buffer.alloc(0);
 
+/** Creates a client; replicas send their answers to `self`. */
 export function createAgentControlClient(world: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
-  const pending = new Map<string, (m: MessageOf<'Answer'>) => void>();
+  const pending = new Map<string, (message: MessageOf<'Answer'>) => void>();
   let requestCount = Math.floor(world.random() * 1e9);
 
   function ask(request: AskRequest): Promise<AskResult> {
     const deadline = world.now() + request.patience;
     let replicaIndex = Math.floor(world.random() * 3);
-    // Only a change of the desired state may rightly be long in answering: it waits for the routers.
+    // Only a write of the desired state may take long, as it waits until the routers have applied it.
     const attemptTimeoutUs = request.op === 'write' && request.key.startsWith('desired/') ? 2_500_000 : 600_000;
     return new Promise((resolve) => {
       function sendOnce(): void {
@@ -32,15 +33,20 @@
           cancelTimer();
           sendOnce();
         }
-        pending.set(requestId, (m) => {
+        pending.set(requestId, (message) => {
           cancelTimer();
-          if (m.status === 'retry' || m.status === 'unknown') {
+          if (message.status === 'retry' || message.status === 'unknown') {
             pending.delete(requestId);
             cancelTimer = world.after(micros(100_000 + world.random() * 100_000), sendOnce);
             return;
           }
           pending.delete(requestId);
-          resolve({ status: m.status as AskStatus, epoch: m.epoch, version: m.version, value: m.value });
+          resolve({
+            status: message.status as AskStatus,
+            epoch: message.epoch,
+            version: message.version,
+            value: message.value,
+          });
         });
         world.send(targets[replicaIndex % targets.length]!.address as Address, {
           kind: 'Ask',
@@ -57,5 +63,5 @@
       sendOnce();
     });
   }
-  return { ask, answer: (m) => pending.get(m.id)?.(m) };
+  return { ask, answer: (message) => pending.get(message.id)?.(message) };
 }
--- a/programs/router-agent/src/event-sink.ts
+++ b/programs/router-agent/src/event-sink.ts
@@ -1,41 +1,47 @@
 /**
- * Sends CloudEvents of changes to a sink, in batches: of what this agent has seen of the desired state and of rehearsals.
- * The queue is bounded; what finds no room, or is refused three times, is counted as lost and never holds anything up.
+ * Sends CloudEvents to a sink in batches: the changes of the desired state and of rehearsals that this agent has seen. The
+ * queue is bounded. An event that does not fit, or whose batch is refused three times, is counted as lost; events never
+ * delay anything else.
  */
 import { CloudEvent, HTTP } from 'cloudevents';
 import { every, micros, type World } from '@tansypost/inner-protocol';
 
+/** A change of a key; `at` is in microseconds since 1970. */
 export interface SinkEvent {
   readonly at: number;
   readonly what: string;
   readonly key: string;
   readonly version: number;
 }
+/** The queue of events. */
 export interface EventSink {
-  readonly add: (e: SinkEvent) => void;
+  readonly add: (event: SinkEvent) => void;
   readonly statistics: () => { readonly sent: number; readonly lost: number; readonly waiting: number };
   readonly stop: () => void;
 }
+/** Settings of the sink. */
 export interface EventSinkOptions {
   readonly member: string;
-  // Posts one batch; true when the sink took it.
+  /** Posts one batch; true if the sink accepted it. */
   readonly post: (body: string) => Promise<boolean>;
   readonly maxQueued?: number;
 }
 const maxBatchEvents = 100;
 const maxTries = 3;
 
+/** The CloudEvent of a change. */
 export function cloudEvent(member: string, event: SinkEvent): unknown {
-  const cloudEventOfEvent = new CloudEvent({
+  const formatted = new CloudEvent({
     type: `tansypost.${event.key.split('/')[0]}.${event.what}`,
     source: `/agents/${member}`,
     subject: `${event.key}@${event.version}`,
     time: new Date(event.at / 1000).toISOString(),
     data: { key: event.key, version: event.version },
   });
-  return JSON.parse(HTTP.structured(cloudEventOfEvent).body as string) as unknown;
+  return JSON.parse(HTTP.structured(formatted).body as string) as unknown;
 }
 
+/** Starts a sink that sends once a second. */
 export function createEventSink(world: Pick<World, 'after' | 'log'>, options: EventSinkOptions): EventSink {
   let queue: SinkEvent[] = [];
   let [sent, lost, tries] = [0, 0, 0];
@@ -50,7 +56,7 @@
     sending = true;
     const batch = queue.slice(0, maxBatchEvents);
     const accepted = await options
-      .post(JSON.stringify(batch.map((e) => cloudEvent(options.member, e))))
+      .post(JSON.stringify(batch.map((event) => cloudEvent(options.member, event))))
       .catch(() => false);
     sending = false;
     tries = accepted ? 0 : tries + 1;
@@ -71,11 +77,11 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('sends in batches, tries a refused one again, and counts what is lost', async () => {
+  it('sends in batches, retries a refused one, and counts lost events', async () => {
     const ticks: (() => void)[] = [];
     const bodies: string[] = [];
-    let well = true;
-    const s = createEventSink(
+    let isAccepting = true;
+    const sink = createEventSink(
       {
         after: (_d, f) => {
           ticks.push(f);
@@ -86,9 +92,9 @@
       {
         member: 'a1',
         maxQueued: 250,
-        post: async (b) => {
-          bodies.push(b);
-          return well;
+        post: async (body) => {
+          bodies.push(body);
+          return isAccepting;
         },
       },
     );
@@ -96,10 +102,10 @@
       ticks.pop()!();
       for (let i = 0; i < 5; i += 1) await Promise.resolve();
     }
-    for (let i = 1; i <= 300; i += 1) s.add({ at: 1e15, what: 'applied', key: 'desired/main', version: i });
-    expect(s.statistics()).toEqual({ sent: 0, lost: 50, waiting: 250 });
+    for (let i = 1; i <= 300; i += 1) sink.add({ at: 1e15, what: 'applied', key: 'desired/main', version: i });
+    expect(sink.statistics()).toEqual({ sent: 0, lost: 50, waiting: 250 });
     await step();
-    expect(s.statistics()).toEqual({ sent: 100, lost: 50, waiting: 150 });
+    expect(sink.statistics()).toEqual({ sent: 100, lost: 50, waiting: 150 });
     const first = (JSON.parse(bodies[0]!) as Record<string, unknown>[])[0]!;
     expect(first).toMatchObject({
       specversion: '1.0',
@@ -107,14 +113,14 @@
       source: '/agents/a1',
       subject: 'desired/main@1',
     });
-    well = false;
+    isAccepting = false;
     await step();
     await step();
-    expect(s.statistics().waiting).toBe(150);
+    expect(sink.statistics().waiting).toBe(150);
     await step();
-    expect(s.statistics()).toEqual({ sent: 100, lost: 150, waiting: 50 });
-    well = true;
+    expect(sink.statistics()).toEqual({ sent: 100, lost: 150, waiting: 50 });
+    isAccepting = true;
     await step();
-    expect(s.statistics()).toEqual({ sent: 150, lost: 150, waiting: 0 });
+    expect(sink.statistics()).toEqual({ sent: 150, lost: 150, waiting: 0 });
   });
 }
--- a/programs/router-agent/src/key-update-relay.ts
+++ b/programs/router-agent/src/key-update-relay.ts
@@ -1,7 +1,8 @@
 /**
- * How news reaches the routers. In each zone one agent is the home of the service: it subscribes at the core
- * places, and the zone's other agents subscribe with it. Subscriptions carry the routers' askings
- * for their feed tenure one way; news and grants come back the other. What is held here only moves up.
+ * Relays key updates from the control cluster to the agents. In each zone one agent is the zone leader of the service: it
+ * subscribes to the control replicas, and the other agents of the zone subscribe to it. Subscriptions carry the routers'
+ * requests for their feed lease in one direction; updates and lease grants come back in the other. The versions held here
+ * never decrease.
  */
 import {
   every,
@@ -15,27 +16,29 @@
   type World,
 } from '@tansypost/inner-protocol';
 
+/** Settings of the relay. */
 export interface KeyUpdateRelayOptions {
   readonly self: Address;
   readonly member: string;
   readonly service: string;
   readonly zoneMembers: () => MemberEntry[];
   readonly replicas: () => readonly ReplicaEntry[];
-  readonly onControlMembership: (membershipEpoch: number, ps: ReplicaEntry[]) => void;
-  readonly onUpdate: (n: KeyUpdate) => void;
-  readonly onLeaseGrant: (g: { asked: number; version: number }, router: string) => void;
+  readonly onControlMembership: (membershipEpoch: number, replicas: ReplicaEntry[]) => void;
+  readonly onUpdate: (update: KeyUpdate) => void;
+  readonly onLeaseGrant: (grant: { asked: number; version: number }, router: string) => void;
 }
+/** The key updates that this agent holds. */
 export interface KeyUpdateRelay {
   readonly isZoneLeader: () => boolean;
   readonly zoneLeader: () => Address;
   readonly subscribers: () => Address[];
-  readonly get: (k: string) => KeyUpdate | undefined;
+  readonly get: (key: string) => KeyUpdate | undefined;
   readonly all: () => KeyUpdate[];
-  readonly receiveUpdates: (m: MessageOf<'News'>) => void;
-  readonly receiveSubscription: (m: MessageOf<'Subscribe'>) => void;
-  readonly receiveLeases: (m: MessageOf<'Leases'>) => void;
+  readonly receiveUpdates: (message: MessageOf<'News'>) => void;
+  readonly receiveSubscription: (message: MessageOf<'Subscribe'>) => void;
+  readonly receiveLeases: (message: MessageOf<'Leases'>) => void;
   readonly requestRouterLease: (router: string, asked: number, applied: number) => void;
-  readonly mergeUpdate: (n: KeyUpdate) => void;
+  readonly mergeUpdate: (update: KeyUpdate) => void;
   readonly stop: () => void;
 }
 interface Subscriber {
@@ -43,6 +46,7 @@
   leaseRequests: MessageOf<'Subscribe'>['tenures'];
 }
 
+/** Starts a relay, which subscribes every 300 ms, and within 5 ms after a router's lease request has changed. */
 export function createKeyUpdateRelay(world: World, options: KeyUpdateRelayOptions): KeyUpdateRelay {
   const updates = new Map<string, KeyUpdate>();
   const subscribersByAddress = new Map<Address, Subscriber>();
@@ -53,7 +57,7 @@
   const subscribedKeys = [`desired/${options.service}`, `rehearsal/${options.service}`];
 
   function zoneLeader(): Address {
-    const leader = rendezvous(options.service, options.zoneMembers(), (x) => x.member)[0]!;
+    const leader = rendezvous(options.service, options.zoneMembers(), (entry) => entry.member)[0]!;
     const address = leader.address as Address;
     if (address !== lastZoneLeader) world.log(3004, { home: leader.member });
     lastZoneLeader = address;
@@ -69,7 +73,11 @@
   }
   function heldVersions(): { key: string; epoch: number; version: number }[] {
     const keys = new Set([...subscribedKeys, ...updates.keys()]);
-    return [...keys].map((k) => ({ key: k, epoch: updates.get(k)?.epoch ?? 0, version: updates.get(k)?.version ?? 0 }));
+    return [...keys].map((key) => ({
+      key,
+      epoch: updates.get(key)?.epoch ?? 0,
+      version: updates.get(key)?.version ?? 0,
+    }));
   }
 
   function subscribe(): void {
@@ -87,8 +95,9 @@
     }
     const requestsByRouter = new Map(ownRequests.map((request) => [request.router, request]));
     for (const [, subscriber] of liveSubscribers())
-      for (const t of subscriber.leaseRequests)
-        if ((requestsByRouter.get(t.router)?.asked ?? -1) < t.asked) requestsByRouter.set(t.router, t);
+      for (const request of subscriber.leaseRequests)
+        if ((requestsByRouter.get(request.router)?.asked ?? -1) < request.asked)
+          requestsByRouter.set(request.router, request);
     for (const replica of options.replicas()) {
       world.send(replica.address as Address, {
         kind: 'Subscribe',
@@ -133,11 +142,17 @@
     const from = message.from as Address;
     const previousRequests = subscribersByAddress.get(from)?.leaseRequests ?? [];
     subscribersByAddress.set(from, { expiresAt: world.now() + 3_000_000, leaseRequests: message.tenures });
-    const heldVersionsOfSubscriber = new Map(message.have.map((h) => [h.key, h.version]));
-    const missingUpdates = [...updates.values()].filter((n) => n.version > (heldVersionsOfSubscriber.get(n.key) ?? 0));
+    const heldVersionsOfSubscriber = new Map(message.have.map((held) => [held.key, held.version]));
+    const missingUpdates = [...updates.values()].filter(
+      (update) => update.version > (heldVersionsOfSubscriber.get(update.key) ?? 0),
+    );
     if (missingUpdates.length > 0)
       world.send(from, { kind: 'News', news: missingUpdates, membershipEpoch: 0, replicas: [] });
-    if (message.tenures.some((t) => previousRequests.find((x) => x.router === t.router)?.applied !== t.applied))
+    if (
+      message.tenures.some(
+        (request) => previousRequests.find((old) => old.router === request.router)?.applied !== request.applied,
+      )
+    )
       subscribeSoon();
   }
 
@@ -146,7 +161,9 @@
       if (ownRequest !== undefined && grant.router === ownRequest.router) options.onLeaseGrant(grant, grant.router);
     }
     for (const [address, subscriber] of liveSubscribers()) {
-      const grants = message.grants.filter((g) => subscriber.leaseRequests.some((t) => t.router === g.router));
+      const grants = message.grants.filter((grant) =>
+        subscriber.leaseRequests.some((request) => request.router === grant.router),
+      );
       if (grants.length > 0) world.send(address, { kind: 'Leases', grants });
     }
   }
@@ -162,8 +179,8 @@
   return {
     isZoneLeader,
     zoneLeader,
-    subscribers: () => liveSubscribers().map(([a]) => a),
-    get: (k) => updates.get(k),
+    subscribers: () => liveSubscribers().map(([address]) => address),
+    get: (key) => updates.get(key),
     all: () => [...updates.values()],
     receiveUpdates,
     receiveSubscription,
--- a/programs/router-agent/src/load-reports.ts
+++ b/programs/router-agent/src/load-reports.ts
@@ -1,7 +1,7 @@
 /**
- * Reports of the workers' load. Each costs a probe, so they are fetched only as fast as the routers' extra
- * budget grants, each worker by one home agent, and shared with the whole fleet. The grants come as
- * running totals, so that a lost message loses nothing.
+ * Load reports of the workers. Each costs a probe, so they are fetched only as fast as the routers' retry budgets allow,
+ * each worker by one zone leader, and shared with the whole fleet. Routers send their allowances as running totals, so that
+ * a lost message loses nothing.
  */
 import {
   every,
@@ -14,6 +14,7 @@
   type World,
 } from '@tansypost/inner-protocol';
 
+/** A report as the worker's HTTP endpoint gives it. */
 export interface FetchedReport {
   readonly queued: number;
   readonly active: number;
@@ -22,6 +23,7 @@
   readonly incarnation: number;
   readonly fence: number;
 }
+/** Settings of the load reports. */
 export interface LoadReportsOptions {
   readonly self: Address;
   readonly isZoneLeader: () => boolean;
@@ -29,43 +31,47 @@
   readonly zoneLeaders: () => Address[];
   readonly subscribers: () => Address[];
   readonly workers: () => WorkerStateEntry[];
-  readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  readonly fetchReport: (worker: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   readonly onChange: () => void;
 }
+/** The latest report of each worker. */
 export interface LoadReports {
   readonly all: () => WorkerReport[];
-  readonly receive: (m: MessageOf<'Reports'>) => void;
-  readonly receiveDemand: (m: MessageOf<'Demand'>) => void;
+  readonly receive: (message: MessageOf<'Reports'>) => void;
+  readonly receiveDemand: (message: MessageOf<'Demand'>) => void;
   readonly setProbeAllowance: (router: string, first: number, extra: number, allowance: number) => void;
   readonly probes: () => number;
   readonly stop: () => void;
 }
 
-// What stands for a report with impossible figures, or for none where one was asked: routers count it against the
-// worker's vitals, and so know of a dark worker without each losing a request to it.
+/**
+ * Replaces a report with impossible values and the report of a worker that did not answer. Routers count it as a failure of
+ * the worker, so that an unresponsive worker becomes known without a failed request at each router.
+ */
 export const invalidLoad = { queued: -1, active: -1, kvUsed: 0 };
 
+/** Starts the reports; a zone leader probes each of its workers at most every 100 ms. */
 export function createLoadReports(world: World, options: LoadReportsOptions): LoadReports {
-  const reports = new Map<string, { r: WorkerReport; at: number }>();
+  const reports = new Map<string, { report: WorkerReport; at: number }>();
   const lastProbedAt = new Map<string, number>();
   const allowances = new Map<string, number>();
   let ownDemand: MessageOf<'Demand'> | undefined;
   let probeCredits = 0;
   let probes = 0;
 
-  function withAge(held: { r: WorkerReport; at: number }): WorkerReport {
-    return { ...held.r, age: Math.max(0, world.now() - held.at) };
+  function withAge(held: { report: WorkerReport; at: number }): WorkerReport {
+    return { ...held.report, age: Math.max(0, world.now() - held.at) };
   }
   function mergeReport(report: WorkerReport): boolean {
     const measuredAt = world.now() - report.age;
     const previous = reports.get(report.worker);
     if (
       previous !== undefined &&
-      (previous.r.incarnation > report.incarnation ||
-        (previous.r.incarnation === report.incarnation && previous.at >= measuredAt))
+      (previous.report.incarnation > report.incarnation ||
+        (previous.report.incarnation === report.incarnation && previous.at >= measuredAt))
     )
       return false;
-    reports.set(report.worker, { r: report, at: measuredAt });
+    reports.set(report.worker, { report, at: measuredAt });
     return true;
   }
   function receive(message: MessageOf<'Reports'>): void {
@@ -95,16 +101,16 @@
     const leaders = options.zoneLeaders();
     const ownWorkers = options
       .workers()
-      .filter((worker) => rendezvous(worker.worker, leaders, (a) => a)[0] === options.self);
+      .filter((worker) => rendezvous(worker.worker, leaders, (address) => address)[0] === options.self);
     const due = ownWorkers
-      .filter((m) => (lastProbedAt.get(m.worker) ?? -Infinity) <= world.now() - 100_000)
+      .filter((worker) => (lastProbedAt.get(worker.worker) ?? -Infinity) <= world.now() - 100_000)
       .sort((a, b) => (lastProbedAt.get(a.worker) ?? 0) - (lastProbedAt.get(b.worker) ?? 0));
-    for (const m of due) {
+    for (const worker of due) {
       if (probeCredits < 1) return;
       probeCredits -= 1;
       probes += 1;
-      lastProbedAt.set(m.worker, world.now());
-      void fetchOne(m);
+      lastProbedAt.set(worker.worker, world.now());
+      void fetchOne(worker);
     }
   }
 
@@ -140,7 +146,7 @@
       report.kvUsed >= 0 &&
       report.kvUsed <= 1;
     if (!isPlausible) {
-      world.log(5103, { worker: worker.worker, why: 'impossible figures in its report', report: fetched });
+      world.log(5103, { worker: worker.worker, why: 'load report has impossible values', report: fetched });
       Object.assign(report, invalidLoad);
     }
     share(report);
@@ -151,8 +157,8 @@
     options.onChange();
     for (const address of options.subscribers())
       world.send(address, { kind: 'Reports', reports: [report], relay: false });
-    for (const a of options.zoneLeaders())
-      if (a !== options.self) world.send(a, { kind: 'Reports', reports: [report], relay: true });
+    for (const address of options.zoneLeaders())
+      if (address !== options.self) world.send(address, { kind: 'Reports', reports: [report], relay: true });
   }
 
   const stop = every(world, () => micros(100_000), tick);
--- a/programs/router-agent/src/main.ts
+++ b/programs/router-agent/src/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-// The router-agent as a process.
+/** Runs the router agent as a process. */
 import { Agent, request } from 'undici';
 import { AgentSettings, runProgram } from '@tansypost/boot';
 import { createRealWorld, splitAddress, type Address, type WorkerStateEntry } from '@tansypost/inner-protocol';
@@ -12,95 +12,95 @@
 
 await runProgram({
   name: 'router-agent',
-  about: 'Links the router on its machine to the control plane.',
+  about: 'Connects the request router on its machine to the control cluster.',
   schema: AgentSettings,
   flags: Object.keys(AgentSettings.properties),
-  start: async (b, log) => {
-    const self = (b.advertise ?? b.listen) as Address;
-    const real = await createRealWorld(b.listen as Address, log, self);
-    const http = new Agent({ connect: { timeout: 800 }, headersTimeout: 1500, bodyTimeout: 1500 });
+  start: async (settings, log) => {
+    const self = (settings.advertise ?? settings.listen) as Address;
+    const real = await createRealWorld(settings.listen as Address, log, self);
+    const connections = new Agent({ connect: { timeout: 800 }, headersTimeout: 1500, bodyTimeout: 1500 });
     const trainer = createThreadTrainer();
-    const file = createAgentStateFile(b.data);
-    async function fetchReport(m: WorkerStateEntry): Promise<FetchedReport | undefined> {
+    const stateFile = createAgentStateFile(settings.data);
+    async function fetchReport(worker: WorkerStateEntry): Promise<FetchedReport | undefined> {
       try {
-        const r = await request(`http://${m.address}/report`, { dispatcher: http });
-        const x = (await r.body.json()) as FetchedReport;
-        return r.statusCode === 200 &&
-          typeof x.queued === 'number' &&
-          typeof x.active === 'number' &&
-          typeof x.kv_used === 'number'
-          ? x
+        const response = await request(`http://${worker.address}/report`, { dispatcher: connections });
+        const report = (await response.body.json()) as FetchedReport;
+        return response.statusCode === 200 &&
+          typeof report.queued === 'number' &&
+          typeof report.active === 'number' &&
+          typeof report.kv_used === 'number'
+          ? report
           : undefined;
       } catch {
         return undefined;
       }
     }
-    async function order(m: WorkerStateEntry, epoch: number, part: string): Promise<boolean | undefined> {
+    async function orderStage(worker: WorkerStateEntry, epoch: number, stage: string): Promise<boolean | undefined> {
       try {
-        const r = await request(`http://${m.address}/part`, {
+        const response = await request(`http://${worker.address}/part`, {
           method: 'POST',
-          dispatcher: http,
+          dispatcher: connections,
           headers: { 'content-type': 'application/json' },
-          body: JSON.stringify({ epoch, part }),
+          body: JSON.stringify({ epoch, part: stage }),
         });
-        await r.body.dump();
-        return r.statusCode === 200;
+        await response.body.dump();
+        return response.statusCode === 200;
       } catch {
         return undefined;
       }
     }
-    const sinkAt = b.eventSink;
+    const sinkUrl = settings.eventSink;
     const sink =
-      sinkAt === undefined
+      sinkUrl === undefined
         ? undefined
         : createEventSink(real.world, {
-            member: b.member,
+            member: settings.member,
             post: async (body) => {
-              const r = await request(sinkAt, {
+              const response = await request(sinkUrl, {
                 method: 'POST',
-                dispatcher: http,
+                dispatcher: connections,
                 headers: { 'content-type': 'application/cloudevents-batch+json' },
                 body,
               });
-              await r.body.dump();
-              return r.statusCode >= 200 && r.statusCode < 300;
+              await response.body.dump();
+              return response.statusCode >= 200 && response.statusCode < 300;
             },
           });
-    const service = b.service ?? 'main';
+    const service = settings.service ?? 'main';
     const core = createAgentCore(
       real.world,
       {
         ...agentDefaults,
-        member: b.member,
+        member: settings.member,
         self,
-        zone: b.zone,
-        routerAddress: b.router as Address,
-        routerHttpAddress: b.routerHttp,
+        zone: settings.zone,
+        routerAddress: settings.router as Address,
+        routerHttpAddress: settings.routerHttp,
         service,
-        seeds: b.seeds as Address[],
-        slot: b.slot,
+        seeds: settings.seeds as Address[],
+        slot: settings.slot,
         incarnation: Date.now(),
-        persisted: file.read(),
-        ...(b.dutyTenureMs === undefined ? {} : { roleLeaseUs: b.dutyTenureMs * 1000 }),
-        ...(b.trainEvery === undefined ? {} : { samplesPerTraining: b.trainEvery }),
-        ...(b.shiftParts === undefined ? {} : { shiftStages: b.shiftParts }),
+        persisted: stateFile.read(),
+        ...(settings.dutyTenureMs === undefined ? {} : { roleLeaseUs: settings.dutyTenureMs * 1000 }),
+        ...(settings.trainEvery === undefined ? {} : { samplesPerTraining: settings.trainEvery }),
+        ...(settings.shiftParts === undefined ? {} : { shiftStages: settings.shiftParts }),
       },
       {
         fetchReport,
-        orderStage: order,
+        orderStage,
         trainer,
-        save: file.save,
+        save: stateFile.save,
         wallClockUs: () => Date.now() * 1000,
         ...(sink === undefined ? {} : { onTraceEvent: sink.add }),
       },
     );
     real.onMessage(core.receive);
     const app = createAgentApp({ core, service, ...(sink === undefined ? {} : { sinkStatistics: sink.statistics }) });
-    await app.listen(splitAddress(b.http));
+    await app.listen(splitAddress(settings.http));
     async function stop(): Promise<void> {
       core.stop();
       sink?.stop();
-      await Promise.all([app.close(), http.destroy(), trainer.close(), real.transport.close()]);
+      await Promise.all([app.close(), connections.destroy(), trainer.close(), real.transport.close()]);
     }
     return { stop };
   },
--- a/programs/router-agent/src/stage-assignment.ts
+++ b/programs/router-agent/src/stage-assignment.ts
@@ -1,32 +1,35 @@
 /**
- * The duty of assigning parts. A worker seen for the first time gets the part that has fewer; from then on a
- * part changes only by a rehearsal: the worker plays both for the slice's sake, and goes over when the
- * measurement shows no harm. Every order carries the duty's epoch. The first thing a new holder does is to fence
- * every worker, so that whatever an earlier holder still has in hand is refused.
+ * The singleton role that assigns a stage (prefill, decode or both) to each worker. A worker seen for the first time gets
+ * the stage with fewer workers. After that a stage changes only through a rehearsal: the worker runs both stages, the
+ * treatment cohort uses the new one, and the worker moves to it if the measurement shows no harm. Every order carries the
+ * epoch of the role. A new leader first fences every worker, so that orders of earlier leaders still in flight are refused.
  */
 import { micros, type WorkerStateEntry, type WorkerReport, type World } from '@tansypost/inner-protocol';
 import { begin, end, readRecord, type Part, type PartEntry, type RehearsalRecord } from '@tansypost/rehearsal';
 import type { RecordWriter } from '@tansypost/learning';
 
+/** Settings of the role. */
 export interface StageAssignmentOptions {
   readonly heldEpoch: () => number | undefined;
   readonly record: () => Buffer | undefined;
   readonly workers: () => WorkerStateEntry[];
   readonly reports: () => WorkerReport[];
   readonly writer: RecordWriter;
-  readonly orderStage: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly orderStage: (worker: WorkerStateEntry, epoch: number, stage: Part | '') => Promise<boolean | undefined>;
   readonly shiftStages: boolean;
   readonly treatmentShare: number;
   readonly approval: () => 'automatic' | 'operator';
   readonly shiftHoldUs?: number;
   readonly shiftCooldownUs?: number;
 }
+/** The role at this agent; it acts only while the agent leads it. */
 export interface StageAssignment {
   readonly onElected: () => void;
   readonly tick: () => void;
   readonly orderCount: () => number;
 }
 
+/** The stage that a worker is to have by the record. */
 export function assignedStage(record: RehearsalRecord, worker: WorkerStateEntry): Part | undefined {
   const subject = record.running?.subject;
   if (
@@ -39,7 +42,10 @@
   return assigned !== undefined && assigned.incarnation === worker.incarnation ? assigned.part : undefined;
 }
 
-// Parts for workers that have none yet; a worker back under a new incarnation keeps the part it had.
+/**
+ * Assigns stages to workers that have none yet; a worker with a new incarnation keeps the stage it had. Returns undefined if
+ * nothing changes.
+ */
 export function assignNewWorkers(
   record: RehearsalRecord,
   workers: readonly WorkerStateEntry[],
@@ -49,27 +55,27 @@
   function countOfStage(stage: Part): number {
     return workers.filter((worker) => parts[worker.worker]?.part === stage).length;
   }
-  for (const m of [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
-    const assigned = parts[m.worker];
-    if (assigned?.incarnation === m.incarnation) continue;
+  for (const worker of [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
+    const assigned = parts[worker.worker];
+    if (assigned?.incarnation === worker.incarnation) continue;
     changed = true;
-    parts[m.worker] = {
-      incarnation: m.incarnation,
+    parts[worker.worker] = {
+      incarnation: worker.incarnation,
       part:
         workers.length === 1
           ? 'both'
           : (assigned?.part ?? (countOfStage('prefill') <= countOfStage('decode') ? 'prefill' : 'decode')),
     };
   }
-  for (const p of ['prefill', 'decode'] as const) {
-    if (workers.length > 0 && countOfStage(p) + countOfStage('both') === 0) {
-      const m = [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))[0]!;
-      parts[m.worker] = { incarnation: m.incarnation, part: 'both' };
+  for (const stage of ['prefill', 'decode'] as const) {
+    if (workers.length > 0 && countOfStage(stage) + countOfStage('both') === 0) {
+      const worker = [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))[0]!;
+      parts[worker.worker] = { incarnation: worker.incarnation, part: 'both' };
       changed = true;
     }
   }
   if (!changed) return undefined;
-  // A worker that came back anew has left its rehearsal; what it had gone over to live is rolled back with it.
+  // A worker that restarted has left its rehearsal. The rehearsal ends, and the worker's stage is rolled back.
   const subject = record.running?.subject;
   const hasLeftRehearsal =
     subject?.type === 'part' && parts[subject.shift.worker]?.incarnation !== subject.shift.incarnation;
@@ -84,32 +90,37 @@
   };
 }
 
+/** The mean load of the workers of each stage. */
 export interface StageLoad {
   readonly prefill: number;
   readonly decode: number;
 }
+/** The mean load by recent reports; undefined if a stage has no recent report. */
 export function stageLoad(
   record: RehearsalRecord,
   workers: readonly WorkerStateEntry[],
   reports: readonly WorkerReport[],
 ): StageLoad | undefined {
   const reportByWorker = new Map(
-    reports.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]),
+    reports
+      .filter((report) => report.age < 5_000_000)
+      .map((report) => [`${report.worker}/${report.incarnation}`, report]),
   );
-  function mean(prefill: Part, loadOf: (x: WorkerReport) => number): number | undefined {
+  function mean(stage: Part, loadOf: (report: WorkerReport) => number): number | undefined {
     const stageReports = workers
-      .filter((m) => assignedStage(record, m) === prefill)
-      .map((m) => reportByWorker.get(`${m.worker}/${m.incarnation}`))
-      .filter((x) => x !== undefined);
+      .filter((worker) => assignedStage(record, worker) === stage)
+      .map((worker) => reportByWorker.get(`${worker.worker}/${worker.incarnation}`))
+      .filter((report) => report !== undefined);
     return stageReports.length === 0
       ? undefined
-      : stageReports.reduce((a, x) => a + loadOf(x), 0) / stageReports.length;
+      : stageReports.reduce((sum, report) => sum + loadOf(report), 0) / stageReports.length;
   }
-  const p = mean('prefill', (x) => x.queued + x.active);
-  const decode = mean('decode', (x) => Math.max(x.active / 12, 2 * x.kvUsed));
-  return p === undefined || decode === undefined ? undefined : { prefill: p, decode };
+  const prefill = mean('prefill', (report) => report.queued + report.active);
+  const decode = mean('decode', (report) => Math.max(report.active / 12, 2 * report.kvUsed));
+  return prefill === undefined || decode === undefined ? undefined : { prefill, decode };
 }
 
+/** Creates the role; `tick` is to be called regularly. */
 export function createStageAssignment(world: World, options: StageAssignmentOptions): StageAssignment {
   const confirmedOrders = new Map<string, { epoch: number; part: Part | '' }>();
   let working = false;
@@ -121,8 +132,9 @@
   async function sendOrder(worker: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
     if (options.heldEpoch() !== epoch) return;
     orderCount += 1;
-    // A cut link may hold an order and deliver it long after this tenure, to a worker that no later holder could reach. So
-    // a part is ordered only right after the worker has answered a fence, which changes nothing when it comes late.
+    // A broken link may hold an order back and deliver it long after this leader's term, to a worker that no later leader
+    // could reach. A stage is therefore ordered only right after the worker has answered a fence, which changes nothing if
+    // it arrives late.
     if (part !== '' && ((await options.orderStage(worker, epoch, '')) !== true || options.heldEpoch() !== epoch))
       return;
     const accepted = await options.orderStage(worker, epoch, part);
@@ -139,7 +151,7 @@
     const epoch = options.heldEpoch();
     if (epoch === undefined) return;
     fencingEpoch = epoch;
-    void Promise.all(options.workers().map((m) => sendOrder(m, epoch, ''))).finally(() => {
+    void Promise.all(options.workers().map((worker) => sendOrder(worker, epoch, ''))).finally(() => {
       if (fencingEpoch === epoch) fencingEpoch = undefined;
     });
   }
@@ -161,17 +173,17 @@
   async function applyAssignments(record: RehearsalRecord, workers: WorkerStateEntry[], epoch: number): Promise<void> {
     if (workers.length > 0 && assignNewWorkers(record, workers) !== undefined) {
       await options.writer.change(
-        (x) => assignNewWorkers(x, workers),
+        (current) => assignNewWorkers(current, workers),
         () => options.heldEpoch() === epoch,
       );
       return;
     }
     await Promise.all(
-      workers.map(async (m) => {
-        const want = assignedStage(record, m) ?? '';
-        const had = confirmedOrders.get(`${m.worker}/${m.incarnation}`);
-        if (had === undefined || had.epoch !== epoch || (want !== '' && had.part !== want))
-          await sendOrder(m, epoch, want);
+      workers.map(async (worker) => {
+        const wanted = assignedStage(record, worker) ?? '';
+        const confirmed = confirmedOrders.get(`${worker.worker}/${worker.incarnation}`);
+        if (confirmed === undefined || confirmed.epoch !== epoch || (wanted !== '' && confirmed.part !== wanted))
+          await sendOrder(worker, epoch, wanted);
       }),
     );
     await proposeShift(record, workers, epoch);
@@ -198,15 +210,15 @@
     const fromStage: Part = toStage === 'prefill' ? 'decode' : 'prefill';
     const donors = workers.filter((worker) => assignedStage(record, worker) === fromStage);
     if (donors.length < 2) return;
-    const m = donors[0]!;
+    const donor = donors[0]!;
     cooldownUntil = world.now() + (options.shiftCooldownUs ?? 60_000_000);
-    const shift = { worker: m.worker, incarnation: m.incarnation, from: fromStage, to: toStage };
+    const shift = { worker: donor.worker, incarnation: donor.incarnation, from: fromStage, to: toStage };
     await options.writer.change(
-      (x) =>
-        x.running === undefined && assignedStage(x, m) === fromStage
+      (current) =>
+        current.running === undefined && assignedStage(current, donor) === fromStage
           ? begin(
-              x,
-              `part-${epoch}-${m.worker}-${Math.floor(world.random() * 1e6)}`,
+              current,
+              `part-${epoch}-${donor.worker}-${Math.floor(world.random() * 1e6)}`,
               { type: 'part', shift },
               options.treatmentShare,
               options.approval(),
@@ -221,30 +233,34 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { emptyRecord } = await import('@tansypost/rehearsal');
-  function mark(worker: string, incarnation = 1): WorkerStateEntry {
+  function workerState(worker: string, incarnation = 1): WorkerStateEntry {
     return { worker, incarnation, state: 1, address: 'x' };
   }
-  it('splits new workers evenly, keeps the part over a new incarnation, and never leaves a part empty', () => {
-    const ms = ['a', 'b', 'c', 'd', 'e'].map((x) => mark(x));
-    const r = assignNewWorkers(emptyRecord, ms)!;
-    expect(Object.values(r.parts).filter((p) => p.part === 'prefill').length).toBe(3);
-    expect(assignNewWorkers(r, ms)).toBeUndefined();
-    expect(assignNewWorkers(r, [mark('b', 2), ...ms.filter((m) => m.worker !== 'b')])!.parts['b']).toEqual({
+  it('splits new workers evenly, keeps the stage of a new incarnation, and leaves no stage without workers', () => {
+    const workers = ['a', 'b', 'c', 'd', 'e'].map((worker) => workerState(worker));
+    const record = assignNewWorkers(emptyRecord, workers)!;
+    expect(Object.values(record.parts).filter((entry) => entry.part === 'prefill').length).toBe(3);
+    expect(assignNewWorkers(record, workers)).toBeUndefined();
+    expect(
+      assignNewWorkers(record, [workerState('b', 2), ...workers.filter((other) => other.worker !== 'b')])!.parts['b'],
+    ).toEqual({
       incarnation: 2,
       part: 'decode',
     });
-    const left = ms.filter((m) => r.parts[m.worker]!.part === 'decode');
-    expect(Object.values(assignNewWorkers(r, left)!.parts).some((p) => p.part === 'both')).toBe(true);
+    const decodeWorkers = workers.filter((worker) => record.parts[worker.worker]!.part === 'decode');
+    expect(Object.values(assignNewWorkers(record, decodeWorkers)!.parts).some((entry) => entry.part === 'both')).toBe(
+      true,
+    );
   });
-  it('orders a part only of a worker that has just answered a fence', async () => {
-    const asked: string[] = [];
+  it('orders a stage only from a worker that has just answered a fence', async () => {
+    const ordered: string[] = [];
     const record = Buffer.from(
       JSON.stringify({
         ...emptyRecord,
         parts: { a: { part: 'prefill', incarnation: 1 }, b: { part: 'decode', incarnation: 1 } },
       }),
     );
-    const d = createStageAssignment(
+    const assignment = createStageAssignment(
       {
         now: () => micros(0),
         random: () => 0,
@@ -255,20 +271,20 @@
       {
         heldEpoch: () => 64,
         record: () => record,
-        workers: () => [mark('a'), mark('b')],
+        workers: () => [workerState('a'), workerState('b')],
         reports: () => [],
         writer: { change: async () => undefined },
-        orderStage: async (m, _epoch, part) => {
-          asked.push(`${m.worker} ${part === '' ? 'fence' : part}`);
-          return m.worker === 'a' ? true : undefined;
+        orderStage: async (worker, _epoch, stage) => {
+          ordered.push(`${worker.worker} ${stage === '' ? 'fence' : stage}`);
+          return worker.worker === 'a' ? true : undefined;
         },
         shiftStages: false,
         treatmentShare: 0.1,
         approval: () => 'automatic',
       },
     );
-    d.tick();
+    assignment.tick();
     for (let i = 0; i < 20; i += 1) await Promise.resolve();
-    expect(asked.sort()).toEqual(['a fence', 'a prefill', 'b fence']);
+    expect(ordered.sort()).toEqual(['a fence', 'a prefill', 'b fence']);
   });
 }
