--- a/packages/control-state/src/anti-entropy.ts
+++ b/packages/control-state/src/anti-entropy.ts
@@ -1,32 +1,35 @@
-/** Reads one key after the other that this node should lead, which repairs old copies, and tells the others of it. */
+/**
+ * Anti-entropy: reads the keys that this node should lead one after the other. Each read repairs outdated replicas of
+ * the key and announces the committed version to the other nodes.
+ */
 import type { NodeContext } from './node-context.js';
 import { isLocalKey } from './node-context.js';
 import { membershipKey } from './membership-record.js';
 import type { Row } from './row.js';
 
-/** What the sweep over the keys needs of its node. */
+/** Dependencies of anti-entropy on its node. */
 export interface AntiEntropyOptions {
-  readonly cluster: NodeContext;
+  readonly node: NodeContext;
   readonly shouldLead: (key: string) => boolean;
-  readonly confirmed: (key: string, row: Row) => void;
+  readonly onConfirmed: (key: string, row: Row) => void;
 }
 
-/** Gives the function that reads the next key. */
+/** Returns a function that reads the next key in turn. */
 export function createAntiEntropy(options: AntiEntropyOptions): () => void {
-  const { replica, leaderOf: leader } = options.cluster;
-  let turn = 0;
+  const { replica, leaderOf } = options.node;
+  let position = 0;
 
-  function isSwept(key: string): boolean {
+  function isCovered(key: string): boolean {
     return key !== membershipKey && !isLocalKey(key) && options.shouldLead(key);
   }
 
-  return function sweepOne(): void {
-    const keys = replica.keys().filter(isSwept).sort();
+  return function readNextKey(): void {
+    const keys = replica.keys().filter(isCovered).sort();
     if (replica.state() !== 'voting' || keys.length === 0) return;
-    turn += 1;
-    const key = keys[turn % keys.length]!;
-    leader(key).read((row) => {
-      if (row !== undefined) options.confirmed(key, row);
+    position += 1;
+    const key = keys[position % keys.length]!;
+    leaderOf(key).read((row) => {
+      if (row !== undefined) options.onConfirmed(key, row);
     });
   };
 }
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -1,6 +1,6 @@
 /**
- * The followers of this node: product agents that subscribe to keys and routers that follow one. They are told what is
- * on a majority, and nothing else, so two of them that are told one version of a key are told the same bytes.
+ * The followers of this node: agents that subscribe to keys, and routers that follow one key. They receive committed
+ * rows only, so two followers that receive the same version of a key receive the same bytes.
  */
 import { micros, type Address, type MessageOf, type KeyUpdate } from '@tansypost/inner-protocol';
 import { isLeasedToRouters, isInternalKey, type NodeContext } from './node-context.js';
@@ -11,69 +11,69 @@
 
 type Subscribe = MessageOf<'Subscribe'>;
 
-/** What a follower is told of a key when it asks. */
+/** The status of a key as reported to a follower. */
 export interface FollowStatus {
   readonly version: number;
   readonly membershipEpoch: number;
   readonly voting: boolean;
-  /** Whether this node holds the lease to hand the key out as current; if not, there may be newer. */
+  /** Whether this node holds the serving lease of the key; if not, a newer version may be committed. */
   readonly leased: boolean;
 }
 
-/** What telling followers needs of the node. */
+/** Dependencies of the followers table on its node. */
 export interface FollowersOptions {
-  readonly cluster: NodeContext;
+  readonly node: NodeContext;
   readonly committed: CommittedRows;
   readonly servingLeases: ServingLeases;
   readonly routerLeases: RouterLeases;
   readonly shouldLead: (key: string) => boolean;
-  /** Whether this node has listened long enough to know who else is there. */
+  /** Whether this node has listened long enough to know which other replicas are alive. */
   readonly isSettled: () => boolean;
-  /** Addresses that are told the membership now and then without asking. */
+  /** Addresses that are sent the membership record periodically without a subscription. */
   readonly seeds: readonly Address[];
 }
 
-/** Tells those who follow this node. */
+/** Sends updates to the followers of this node. */
 export interface Followers {
   readonly subscribe: (request: Subscribe) => void;
-  /** Takes in that somebody follows a key, and sends what is newer than what it has. */
+  /** Registers a follower of a key and sends it the row and the membership record if they are newer than its own. */
   readonly follow: (key: string, version: number, membershipEpoch: number, from: Address) => FollowStatus;
-  /** Tells all followers of a row that is on a majority. */
+  /** Sends a committed row to all followers. */
   readonly push: (key: string, row: Row) => void;
   readonly announceMembership: () => void;
 }
 
-const followedFor = micros(3_000_000);
+const followerTimeoutUs = micros(3_000_000);
 
-/** Makes the table of followers of a node. */
+/** Creates the table of followers of a node. */
 export function createFollowers(options: FollowersOptions): Followers {
-  const { cluster, committed, servingLeases } = options;
-  const { world, replica } = cluster;
+  const { node, committed, servingLeases } = options;
+  const { world, replica } = node;
   const followers = new Map<Address, number>();
 
-  function tell(to: Address, news: KeyUpdate[]): void {
+  function sendUpdates(to: Address, updates: KeyUpdate[]): void {
     const { membershipEpoch, replicas } = replica.membership();
-    world.send(to, { kind: 'News', news, membershipEpoch, replicas: [...replicas] });
+    world.send(to, { kind: 'News', news: updates, membershipEpoch, replicas: [...replicas] });
   }
 
   function push(key: string, row: Row): void {
     if (row.version === 0 || isInternalKey(key)) return;
     for (const [follower, until] of followers) {
       if (until < world.now()) followers.delete(follower);
-      else tell(follower, [newsOf(key, row)]);
+      else sendUpdates(follower, [updateOf(key, row)]);
     }
   }
 
   function follow(key: string, version: number, membershipEpoch: number, from: Address): FollowStatus {
-    followers.set(from, world.now() + followedFor);
+    followers.set(from, world.now() + followerTimeoutUs);
     const record = replica.membership();
     const voting = replica.state() === 'voting';
-    const leader = cluster.leaderOf(key);
+    const leader = node.leaderOf(key);
     if (voting && options.isSettled() && !leader.isLeading() && options.shouldLead(key)) leader.acquire();
-    servingLeases.want(key);
+    servingLeases.keepAlive(key);
     const row = committed.newest(key);
-    if (row.version > version) tell(from, [newsOf(key, row)]);
-    else if (record.membershipEpoch > membershipEpoch) tell(from, []);
+    if (row.version > version) sendUpdates(from, [updateOf(key, row)]);
+    else if (record.membershipEpoch > membershipEpoch) sendUpdates(from, []);
     return {
       version: row.version,
       membershipEpoch: record.membershipEpoch,
@@ -85,35 +85,35 @@
   function subscribe(request: Subscribe): void {
     const from = request.from as Address;
     if (replica.state() !== 'voting') return;
-    followers.set(from, world.now() + followedFor);
-    const news: KeyUpdate[] = [];
-    for (const had of request.have) {
-      const leader = cluster.leaderOf(had.key);
-      if (!leader.isLeading() && options.shouldLead(had.key)) leader.acquire();
+    followers.set(from, world.now() + followerTimeoutUs);
+    const updates: KeyUpdate[] = [];
+    for (const held of request.have) {
+      const leader = node.leaderOf(held.key);
+      if (!leader.isLeading() && options.shouldLead(held.key)) leader.acquire();
       if (!leader.isLeading()) continue;
-      if (leader.row().version > had.version) news.push(newsOf(had.key, leader.row()));
-      if (isLeasedToRouters(had.key) && request.tenures.length > 0) options.routerLeases.grant(had.key, request);
+      if (leader.row().version > held.version) updates.push(updateOf(held.key, leader.row()));
+      if (isLeasedToRouters(held.key) && request.tenures.length > 0) options.routerLeases.grant(held.key, request);
     }
-    news.push(...newsNotNamed(new Set(request.have.map((had) => had.key))));
-    tell(from, news);
+    updates.push(...updatesOfOtherKeys(new Set(request.have.map((held) => held.key))));
+    sendUpdates(from, updates);
   }
 
-  function newsNotNamed(named: ReadonlySet<string>): KeyUpdate[] {
-    const news: KeyUpdate[] = [];
-    for (const [key, leader] of cluster.leaders()) {
-      const told = !named.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
-      if (told) news.push(newsOf(key, leader.row()));
+  function updatesOfOtherKeys(requestedKeys: ReadonlySet<string>): KeyUpdate[] {
+    const updates: KeyUpdate[] = [];
+    for (const [key, leader] of node.leaders()) {
+      const isDue = !requestedKeys.has(key) && leader.isLeading() && leader.row().version > 0 && !isInternalKey(key);
+      if (isDue) updates.push(updateOf(key, leader.row()));
     }
-    return news;
+    return updates;
   }
 
   function announceMembership(): void {
-    if (replica.membership().membershipEpoch > 0) for (const seed of options.seeds) tell(seed, []);
+    if (replica.membership().membershipEpoch > 0) for (const seed of options.seeds) sendUpdates(seed, []);
   }
 
   return { subscribe, follow, push, announceMembership };
 }
 
-function newsOf(key: string, row: Row): KeyUpdate {
+function updateOf(key: string, row: Row): KeyUpdate {
   return { key, epoch: row.epoch, version: row.version, value: row.value };
 }
--- a/packages/control-state/src/key-leader.ts
+++ b/packages/control-state/src/key-leader.ts
@@ -1,9 +1,9 @@
 /**
- * The leader's side of one key. It takes the key over under a new epoch (a majority promises it, and the newest value
- * found is written again under that epoch), then writes one change after the other, each synced on a majority before it
- * is answered. Before a read, and before an order is refused, it asks a majority whether its epoch still holds, in a
- * round begun after the question came; on the way it repairs the copies that it finds old. A leader that loses a round
- * steps down.
+ * The leader role of one key. To become leader, it chooses a new epoch, collects promises from a majority, and rewrites
+ * the newest value found under that epoch. It then writes one change at a time, each synced on a majority before it is
+ * answered. Before it answers a read or rejects a write, it confirms its epoch with a majority in a round that starts
+ * after the request arrived, and repairs the outdated replicas that the round shows. A leader that loses a round steps
+ * down.
  */
 import { micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { Vote, VoteRequest } from './acceptor.js';
@@ -14,19 +14,20 @@
 import { emptyRow, mergeRows, isNewer, nextEpoch, type Row } from './row.js';
 
 /**
- * `done`: taken, now or earlier; `lost`: another version is in force; `reused`: the id of the change stands for another
- * value in force; `unknown`: it may or may not be taken; `retry`: not taken, and another replica may know more.
+ * `done`: applied, now or earlier; `lost`: the current version is not the expected one; `reused`: the change id belongs
+ * to the current version, which has a different value; `unknown`: may or may not have been applied; `retry`: not
+ * applied, and another replica may be able to.
  */
 export type WriteStatus = 'done' | 'lost' | 'reused' | 'unknown' | 'retry';
 
-/** How a write ended, and the epoch and version that it is about. */
+/** The outcome of a write, with the epoch and version that the outcome refers to. */
 export interface WriteAnswer {
   readonly status: WriteStatus;
   readonly epoch: number;
   readonly version: number;
 }
 
-/** A conditional write: taken if `base` is the version in force. */
+/** A conditional write, applied if the current version is `expectedVersion`. */
 export interface Write {
   readonly change: string;
   readonly expectedVersion: number;
@@ -34,52 +35,52 @@
   readonly done: (answer: WriteAnswer) => void;
 }
 
-/** A change worked out from the value in force. Those that wait together are written together. */
+/** A change computed from the current value. Mutations that are pending at the same time are written together. */
 export interface Mutation {
   readonly apply: (value: Buffer, epoch: number) => { readonly value: Buffer; readonly result: string };
   readonly done: (status: WriteStatus, result: string) => void;
 }
 
-/** The leader's side of one key. */
+/** The leader role of one key. */
 export interface KeyLeader {
   readonly isLeading: () => boolean;
-  /** Since when it has led, on its own clock. */
+  /** When it became leader, by its own clock; -Infinity if the key had no value then. */
   readonly leadingSince: () => number;
   readonly row: () => Row;
-  /** The version that a change made, if it was taken and is still known. To be asked after a read only. */
+  /** The version that a change produced, if it was applied and is still remembered. Valid only after a read. */
   readonly versionOf: (change: string) => number | undefined;
   readonly acquire: () => void;
   readonly write: (write: Write) => void;
   readonly mutate: (mutation: Mutation) => void;
-  /** Gives the value in force, or undefined if no majority confirmed it. */
+  /** Calls back with the current row, or with undefined if no majority confirmed it. */
   readonly read: (done: (row: Row | undefined) => void) => void;
 }
 
-/** What a leader needs of its node. */
+/** Dependencies of a key leader on its node. */
 export interface KeyLeaderOptions {
   readonly key: string;
   readonly replica: Replica;
   readonly rounds: QuorumRounds;
-  /** Told of every value that a majority holds. */
+  /** Called for every row that a majority holds. */
   readonly onCommitted: (row: Row) => void;
 }
 
 type Role = 'follower' | 'candidate' | 'leader';
 
-const mostTries = 4;
-const leastPause = 20_000;
-const pauseSpread = 80_000;
-const notTaken: WriteAnswer = { status: 'retry', epoch: 0, version: 0 };
+const maxAttempts = 4;
+const minRetryDelayUs = 20_000;
+const retryJitterUs = 80_000;
+const notWritten: WriteAnswer = { status: 'retry', epoch: 0, version: 0 };
 
-/** Makes the leader's side of a key; it takes the key over on first use. */
+/** Creates the leader role of a key; it acquires the leadership on first use. */
 export function createKeyLeader(world: World, options: KeyLeaderOptions): KeyLeader {
   const { key, replica, rounds } = options;
   let role: Role = 'follower';
   let row: Row = emptyRow;
   let history: ChangeHistory = createChangeHistory();
-  let seenEpoch = 0;
-  let since = 0;
-  let tries = 0;
+  let highestEpochSeen = 0;
+  let leadingSince = 0;
+  let attempts = 0;
   let busy = false;
   let checking = false;
   const writes: Write[] = [];
@@ -94,24 +95,24 @@
     reads = [];
     mutations = [];
     for (const done of waitingReads) done(undefined);
-    for (const write of writes.splice(0)) write.done(notTaken);
+    for (const write of writes.splice(0)) write.done(notWritten);
     for (const mutation of waitingMutations) mutation.done('retry', '');
   }
 
-  function noteEpochs(votes: readonly Vote[]): void {
-    for (const vote of votes) seenEpoch = Math.max(seenEpoch, vote.promised);
+  function recordPromisedEpochs(votes: readonly Vote[]): void {
+    for (const vote of votes) highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
   }
 
-  function take(): void {
+  function acquire(): void {
     if (role !== 'follower' || replica.state() !== 'voting') return;
     role = 'candidate';
-    const epoch = nextEpoch(Math.max(seenEpoch, replica.row(key).promised), replica.slot);
+    const epoch = nextEpoch(Math.max(highestEpochSeen, replica.row(key).promised), replica.slot);
     const { membershipEpoch } = replica.membership();
     rounds.start(
       { buildRequest: (id) => ({ kind: 'Prepare', id, from: '', key, epoch, membershipEpoch, ...noReplacement }) },
       (prepared) => {
-        noteEpochs(prepared.votes);
-        if (!prepared.won) return missed();
+        recordPromisedEpochs(prepared.votes);
+        if (!prepared.won) return onAcquireFailed();
         rewriteNewest(prepared, epoch, membershipEpoch);
       },
     );
@@ -120,80 +121,81 @@
   function rewriteNewest(prepared: RoundResult, epoch: number, membershipEpoch: number): void {
     const promises = prepared.votes.filter((vote) => vote.ok);
     const newest = promises.reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
-    const taken: Row = { ...newest, promised: epoch, epoch };
+    const acquired: Row = { ...newest, promised: epoch, epoch };
     const known = historyOf(promises, newest.version);
-    if (newest.version === 0) return lead(taken, known);
-    const last = known.at(newest.version);
-    const changes = last === undefined ? [] : [{ ...last, epoch }];
+    if (newest.version === 0) return becomeLeader(acquired, known);
+    const lastChange = known.at(newest.version);
+    const changes = lastChange === undefined ? [] : [{ ...lastChange, epoch }];
     for (const change of changes) known.add(change);
-    rounds.start({ buildRequest: (id) => accept(id, taken, changes, membershipEpoch) }, (accepted) => {
-      noteEpochs(accepted.votes);
-      if (accepted.won) lead(taken, known);
-      else missed();
+    rounds.start({ buildRequest: (id) => buildAccept(id, acquired, changes, membershipEpoch) }, (accepted) => {
+      recordPromisedEpochs(accepted.votes);
+      if (accepted.won) becomeLeader(acquired, known);
+      else onAcquireFailed();
     });
   }
 
-  function accept(id: string, next: Row, changes: readonly AppliedChange[], membershipEpoch: number): VoteRequest {
+  function buildAccept(id: string, next: Row, changes: readonly AppliedChange[], membershipEpoch: number): VoteRequest {
     const { epoch, version, value } = next;
     return { kind: 'Accept', id, from: '', key, epoch, membershipEpoch, version, value, changes: [...changes] };
   }
 
-  function missed(): void {
+  function onAcquireFailed(): void {
     role = 'follower';
-    tries += 1;
-    if (tries < mostTries && writes.length + reads.length + mutations.length > 0) {
-      world.after(micros((leastPause + world.random() * pauseSpread) * tries), take);
+    attempts += 1;
+    if (attempts < maxAttempts && writes.length + reads.length + mutations.length > 0) {
+      world.after(micros((minRetryDelayUs + world.random() * retryJitterUs) * attempts), acquire);
     } else {
-      tries = 0;
+      attempts = 0;
       stepDown();
     }
   }
 
-  function lead(taken: Row, known: ChangeHistory): void {
+  function becomeLeader(acquired: Row, known: ChangeHistory): void {
     role = 'leader';
-    tries = 0;
-    row = taken;
+    attempts = 0;
+    row = acquired;
     history = known;
-    since = taken.version === 0 ? -Infinity : world.now();
-    world.log(2002, { key, epoch: taken.epoch, version: taken.version });
-    options.onCommitted(taken);
-    nextRead();
-    nextWrite();
+    leadingSince = acquired.version === 0 ? -Infinity : world.now();
+    world.log(2002, { key, epoch: acquired.epoch, version: acquired.version });
+    options.onCommitted(acquired);
+    startNextRead();
+    startNextWrite();
   }
 
   function write(next: Write): void {
     writes.push(next);
-    if (role === 'follower') take();
-    else nextWrite();
+    if (role === 'follower') acquire();
+    else startNextWrite();
   }
 
-  function nextWrite(): void {
+  function startNextWrite(): void {
     if (role !== 'leader' || busy) return;
     const next = writes.shift();
-    if (next === undefined) return nextMutations();
-    const taken = history.versionOf(next.change, row.version);
-    if (taken !== undefined || next.expectedVersion !== row.version) return answerWithoutWriting(next, taken);
-    writeNow(next);
+    if (next === undefined) return startNextMutations();
+    const writtenVersion = history.versionOf(next.change, row.version);
+    if (writtenVersion !== undefined || next.expectedVersion !== row.version)
+      return answerWithoutWriting(next, writtenVersion);
+    writeChange(next);
   }
 
-  /** An order that was taken already, or builds on another version: either is said only after a majority confirmed it. */
-  function answerWithoutWriting(next: Write, taken: number | undefined): void {
+  /** Answers a write that was already applied or expects another version, once a majority has confirmed the epoch. */
+  function answerWithoutWriting(next: Write, writtenVersion: number | undefined): void {
     busy = true;
-    check((ok) => {
+    confirmEpoch((ok) => {
       busy = false;
-      next.done(ok ? outcomeOf(next, taken) : notTaken);
-      nextWrite();
+      next.done(ok ? outcomeOf(next, writtenVersion) : notWritten);
+      startNextWrite();
     });
   }
 
-  function outcomeOf(next: Write, taken: number | undefined): WriteAnswer {
+  function outcomeOf(next: Write, writtenVersion: number | undefined): WriteAnswer {
     const { epoch } = row;
-    if (taken === undefined) return { status: 'lost', epoch, version: row.version };
-    const reused = taken === row.version && !row.value.equals(next.value);
-    return { status: reused ? 'reused' : 'done', epoch, version: taken };
+    if (writtenVersion === undefined) return { status: 'lost', epoch, version: row.version };
+    const reused = writtenVersion === row.version && !row.value.equals(next.value);
+    return { status: reused ? 'reused' : 'done', epoch, version: writtenVersion };
   }
 
-  function writeNow(next: Write): void {
+  function writeChange(next: Write): void {
     const { epoch } = row;
     const version = row.version + 1;
     const written: Row = { promised: epoch, epoch, version, value: next.value };
@@ -204,29 +206,29 @@
     });
   }
 
-  /** Writes a row to a majority. A leader that fails to steps down, as the outcome is then unknown. */
+  /** Writes a row to a majority. If that fails, the outcome is unknown and the leader steps down. */
   function replicate(next: Row, changes: readonly AppliedChange[], done: (won: boolean) => void): void {
     busy = true;
     const { membershipEpoch } = replica.membership();
-    rounds.start({ buildRequest: (id) => accept(id, next, changes, membershipEpoch) }, (accepted) => {
+    rounds.start({ buildRequest: (id) => buildAccept(id, next, changes, membershipEpoch) }, (accepted) => {
       busy = false;
-      noteEpochs(accepted.votes);
+      recordPromisedEpochs(accepted.votes);
       if (accepted.won) {
         row = next;
         for (const change of changes) history.add(change);
       } else stepDown();
       done(accepted.won);
-      nextWrite();
+      startNextWrite();
     });
   }
 
   function mutate(mutation: Mutation): void {
     mutations.push(mutation);
-    if (role === 'follower') take();
-    else nextWrite();
+    if (role === 'follower') acquire();
+    else startNextWrite();
   }
 
-  function nextMutations(): void {
+  function startNextMutations(): void {
     if (mutations.length === 0) return;
     const waiting = mutations;
     mutations = [];
@@ -242,19 +244,19 @@
     });
   }
 
-  /** Asks a majority whether this epoch still holds, and repairs old copies on the way. */
-  function check(done: (ok: boolean) => void): void {
+  /** Confirms this leader's epoch with a majority, and repairs the outdated replicas that the votes show. */
+  function confirmEpoch(done: (ok: boolean) => void): void {
     const checked = row;
     const { membershipEpoch } = replica.membership();
-    function late(vote: Vote): void {
-      seenEpoch = Math.max(seenEpoch, vote.promised);
+    function onLateVote(vote: Vote): void {
+      highestEpochSeen = Math.max(highestEpochSeen, vote.promised);
       if (role === 'leader') repair(checked, [vote], membershipEpoch);
     }
-    function make(id: string): VoteRequest {
+    function buildRequest(id: string): VoteRequest {
       return { kind: 'Check', id, from: '', key, epoch: checked.epoch, membershipEpoch };
     }
-    rounds.start({ buildRequest: make, onLateVote: late }, (confirmed) => {
-      noteEpochs(confirmed.votes);
+    rounds.start({ buildRequest, onLateVote }, (confirmed) => {
+      recordPromisedEpochs(confirmed.votes);
       if (!confirmed.won || role !== 'leader') {
         if (role === 'leader') stepDown();
         return done(false);
@@ -264,11 +266,16 @@
     });
   }
 
-  /** Sends the value in force to those that hold an older one. One that does not answer is repaired once it does. */
+  /** Read repair: sends the current row to replicas with an older one. Late votes are repaired when they arrive. */
   function repair(current: Row, votes: readonly Vote[], membershipEpoch: number): void {
     if (busy || row !== current || current.version === 0) return;
-    const last = history.at(current.version);
-    const request = accept(`repair/${key}`, current, last === undefined ? [] : [last], membershipEpoch);
+    const lastChange = history.at(current.version);
+    const request = buildAccept(
+      `repair/${key}`,
+      current,
+      lastChange === undefined ? [] : [lastChange],
+      membershipEpoch,
+    );
     for (const vote of votes) {
       const entry = replica.membership().replicas.find((member) => member.slot === vote.slot);
       if (entry === undefined || !isNewer(current, vote)) continue;
@@ -280,28 +287,28 @@
 
   function read(done: (row: Row | undefined) => void): void {
     reads.push(done);
-    if (role === 'follower') take();
-    else nextRead();
+    if (role === 'follower') acquire();
+    else startNextRead();
   }
 
-  function nextRead(): void {
+  function startNextRead(): void {
     if (role !== 'leader' || checking || reads.length === 0) return;
     checking = true;
     const waiting = reads;
     reads = [];
-    check((ok) => {
+    confirmEpoch((ok) => {
       checking = false;
       for (const done of waiting) done(ok ? row : undefined);
-      nextRead();
+      startNextRead();
     });
   }
 
   return {
     isLeading: () => role === 'leader',
-    leadingSince: () => since,
+    leadingSince: () => leadingSince,
     row: () => row,
     versionOf: (change) => history.versionOf(change, row.version),
-    acquire: take,
+    acquire,
     write,
     mutate,
     read,
--- a/packages/control-state/src/key-requests.ts
+++ b/packages/control-state/src/key-requests.ts
@@ -1,9 +1,10 @@
 /**
- * Requests for keys. A node that a request reaches first sends it on to the replica that should lead the key; that one
- * answers the origin. What a request asks for twice is told once: a change that was taken is answered as such.
+ * Requests for keys. The node that receives a request first forwards it to the replica that should lead the key, and
+ * that one answers the origin. A repeated request is applied only once: a change that was already applied is answered
+ * as done.
  */
 import type { Address, MessageOf } from '@tansypost/inner-protocol';
-import { applyClaimOperation, type ClaimOperation } from './idempotency-claims.js';
+import { applyClaimOperation, type ClaimOperation } from './claims.js';
 import { isLeasedToRouters, type NodeContext } from './node-context.js';
 import type { KeyLeader, WriteAnswer, WriteStatus } from './key-leader.js';
 import type { RouterLeases } from './router-leases.js';
@@ -11,37 +12,37 @@
 
 type Ask = MessageOf<'Ask'>;
 type AnswerStatus = WriteStatus | 'value' | 'none';
-type Answered = Pick<Row, 'epoch' | 'version' | 'value'>;
+type RowAnswer = Pick<Row, 'epoch' | 'version' | 'value'>;
 
-/** What answering requests needs of the node. */
+/** Dependencies of request handling on the node. */
 export interface KeyRequestsOptions {
-  readonly cluster: NodeContext;
-  /** The slot of the replica that should lead a key. */
+  readonly node: NodeContext;
+  /** Slot of the replica that should lead a key. */
   readonly preferredLeader: (key: string) => number;
   readonly routerLeases: RouterLeases;
-  readonly acknowledged: (key: string, version: number) => void;
+  readonly onAcknowledged: (key: string, version: number) => void;
 }
 
-const mostHops = 2;
-const noBytes = Buffer.alloc(0);
-const nothing: Answered = { epoch: 0, version: 0, value: noBytes };
+const maxHops = 2;
+const emptyBuffer = Buffer.alloc(0);
+const emptyRowAnswer: RowAnswer = { epoch: 0, version: 0, value: emptyBuffer };
 
-/** Gives the function that takes a request in. */
+/** Returns the handler of requests for keys. */
 export function createKeyRequests(options: KeyRequestsOptions): (request: Ask) => void {
-  const { cluster, routerLeases } = options;
-  const { world, replica } = cluster;
+  const { node, routerLeases } = options;
+  const { world, replica } = node;
 
   function receive(request: Ask): void {
     if (replica.state() !== 'voting') return answer(request, 'retry');
     const preferred = options.preferredLeader(request.key);
-    if (preferred !== replica.slot && request.hops < mostHops) return forward(request, preferred);
-    const leader = cluster.leaderOf(request.key);
+    if (preferred !== replica.slot && request.hops < maxHops) return forward(request, preferred);
+    const leader = node.leaderOf(request.key);
     if (request.op === 'write') write(request, leader);
     else if (request.op === 'claim') claim(request, leader);
     else read(request, leader);
   }
 
-  function answer(request: Ask, status: AnswerStatus, row: Answered = nothing): void {
+  function answer(request: Ask, status: AnswerStatus, row: RowAnswer = emptyRowAnswer): void {
     const { epoch, version, value } = row;
     world.send(request.origin as Address, {
       kind: 'Answer',
@@ -61,20 +62,20 @@
 
   function write(request: Ask, leader: KeyLeader): void {
     const { change, base, value } = request;
-    leader.write({ change, expectedVersion: base, value, done: (written) => settle(request, written) });
+    leader.write({ change, expectedVersion: base, value, done: (written) => onWritten(request, written) });
   }
 
-  function settle(request: Ask, written: WriteAnswer): void {
+  function onWritten(request: Ask, written: WriteAnswer): void {
     const { key, change } = request;
     const { status, epoch, version } = written;
-    const told: Answered = { epoch, version, value: noBytes };
+    const rowAnswer: RowAnswer = { epoch, version, value: emptyBuffer };
     if (status === 'lost') world.log(2102, { key, change });
     if (status === 'unknown') world.log(2103, { key, change });
-    if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, told);
+    if (status !== 'done' || !isLeasedToRouters(key)) return answer(request, status, rowAnswer);
     routerLeases.whenApplied(key, version, () => {
-      options.acknowledged(key, version);
+      options.onAcknowledged(key, version);
       world.log(2101, { key, change, version });
-      answer(request, 'done', told);
+      answer(request, 'done', rowAnswer);
     });
   }
 
@@ -90,16 +91,16 @@
     leader.read((row) => {
       if (row === undefined) return answer(request, 'retry');
       if (request.op === 'read') return answer(request, 'value', row);
-      lookUp(request, leader, row);
+      lookUpChange(request, leader, row);
     });
   }
 
-  function lookUp(request: Ask, leader: KeyLeader, row: Row): void {
+  function lookUpChange(request: Ask, leader: KeyLeader, row: Row): void {
     const version = leader.versionOf(request.change);
-    const found: Answered = { epoch: row.epoch, version: version ?? row.version, value: noBytes };
+    const found: RowAnswer = { epoch: row.epoch, version: version ?? row.version, value: emptyBuffer };
     if (version === undefined) return answer(request, 'none', found);
     if (!isLeasedToRouters(request.key)) return answer(request, 'done', found);
-    // A look-up acknowledges as much as the answer it stands for, so it waits for the same.
+    // A lookup acknowledges the change just as the answer to the write does, so it waits for the same condition.
     routerLeases.whenApplied(request.key, version, () => answer(request, 'done', found));
   }
 
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -1,10 +1,10 @@
 /**
- * What one replica keeps on its disk: the identity of the disk, the state of the replica, its rows and the history of
- * changes of each. Everything is written through to the journal; a callback comes once the record is synced. The journal
- * is rewritten as a snapshot when it has grown to several times what it holds.
+ * The durable state of one replica: the id of its disk, the state of the replica, its rows, and the change history of
+ * each row. Everything is written through to the journal, and callbacks run once the record is synced. The journal is
+ * compacted into a snapshot when it has grown to several times the size of its contents.
  *
- * Every row and change bears the sequence number of when this replica took it in, so that a copy can go on from where it
- * stopped. Sequence numbers hold for one opening of the disk, which `copySource` names.
+ * Every row and change has the sequence number at which this replica stored it, so that a copy can resume where it
+ * stopped. Sequence numbers are valid only until the disk is reopened; `copySource` identifies the current opening.
  */
 import type { World } from '@tansypost/inner-protocol';
 import {
@@ -19,25 +19,26 @@
 import { emptyRow, type Row } from './row.js';
 
 /**
- * `blank`: holds no complete copy and does not vote; `voting`: a full member; `fenced`: replaced by another disk;
- * `failed`: its disk refused a write; `unusable`: its membership record cannot be read, or is that of another cluster.
+ * `blank`: has no complete copy and does not vote; `voting`: a full member; `fenced`: replaced by another disk;
+ * `failed`: a write to its disk failed; `unusable`: its membership record cannot be decoded or belongs to another
+ * cluster.
  */
 export type ReplicaState = 'blank' | 'voting' | 'fenced' | 'failed' | 'unusable';
 
-/** What a replica's storage is opened with. */
+/** Settings and callbacks of a replica's storage. */
 export interface ReplicaStorageOptions {
   readonly disk: Disk;
   /** The records read from the journal when it was opened. */
-  readonly found: readonly JournalRecord[];
-  /** The identity that a disk without one gets. */
+  readonly storedRecords: readonly JournalRecord[];
+  /** The id assigned to a disk that has none. */
   readonly newDiskId: string;
-  /** The size of the journal in bytes above which it is rewritten. */
+  /** Size of the journal above which it is compacted. */
   readonly compactAboveBytes?: number;
-  /** Told once, when the disk has refused a write. */
-  readonly failed: (error: Error) => void;
+  /** Called once, when a write to the disk has failed. */
+  readonly onFailed: (error: Error) => void;
 }
 
-/** A row that has changed since a sequence number, with the changes taken in since then. */
+/** A row that was stored after a sequence number, with the changes stored after it. */
 export interface ChangedRow {
   readonly key: string;
   readonly sequence: number;
@@ -45,86 +46,88 @@
   readonly changes: readonly AppliedChange[];
 }
 
-/** Told whether a write is synced (true) or was refused (false). */
-export type Written = (ok: boolean) => void;
+/** Called when a write is synced (true) or has failed (false). */
+export type SyncCallback = (ok: boolean) => void;
 
 /** The durable state of one replica. */
 export interface ReplicaStorage {
   readonly diskId: () => string;
-  /** Names this opening of the disk to those who copy from it. */
+  /** Identifies this opening of the disk to the replicas that copy from it. */
   readonly copySource: string;
-  /** The state that the journal held when it was opened, or that was written last. */
+  /** The state read from the journal when it was opened, or written last. */
   readonly storedState: () => ReplicaState;
-  /** The disks that founded the cluster together with this one, as far as this one took part. */
-  readonly founders: () => readonly string[];
-  readonly setFounders: (disks: readonly string[]) => void;
+  /** The disks that bootstrapped the cluster together with this one; empty if this one took no part. */
+  readonly bootstrapDisks: () => readonly string[];
+  readonly setBootstrapDisks: (disks: readonly string[]) => void;
   readonly row: (key: string) => Row;
   readonly rows: () => ReadonlyMap<string, Row>;
   readonly history: (key: string) => ChangeHistory;
-  /** Takes a row and changes of it in at once and calls back once they are synced, or with false if the disk refused. */
-  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: Written) => void;
-  /** Writes a row once more, unchanged, and calls back once all earlier writes are synced as well. */
-  readonly syncRow: (key: string, done: Written) => void;
-  readonly putState: (state: ReplicaState, done: Written) => void;
-  /** The rows taken in after a sequence number, the earliest first. */
+  /**
+   * Stores a row and its changes in memory at once; calls back when they are synced (true) or the write failed (false).
+   */
+  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
+  /** Rewrites an unchanged row and calls back once it and all earlier writes are synced. */
+  readonly syncRow: (key: string, done: SyncCallback) => void;
+  readonly putState: (state: ReplicaState, done: SyncCallback) => void;
+  /** The rows stored after a sequence number, in the order of their sequence numbers. */
   readonly changedSince: (sequence: number) => ChangedRow[];
-  /** Whether a write has waited for the disk longer than a sound disk takes. */
+  /** Whether a write has been pending for longer than a healthy disk takes, or a write has failed. */
   readonly isSlow: () => boolean;
 }
 
-const slowAfter = 400_000;
-const defaultRewriteOver = 8 * 1024 * 1024;
-const rewriteFactor = 3;
-const rowOverhead = 256;
+const slowWriteUs = 400_000;
+const defaultCompactAboveBytes = 8 * 1024 * 1024;
+const compactionFactor = 3;
+const rowOverheadBytes = 256;
 
-/** Opens the storage on what was found; a disk without an identity is given one. */
+/** Opens the storage with the records found on the disk; a disk without an id is assigned one. */
 export function createReplicaStorage(world: World, options: ReplicaStorageOptions): ReplicaStorage {
   const rows = new Map<string, Row>();
   const histories = new Map<string, ChangeHistory>();
-  const rowSequence = new Map<string, number>();
-  const changeSequence = new Map<string, Map<number, number>>();
-  const pendingSince: number[] = [];
+  const sequenceByKey = new Map<string, number>();
+  const changeSequencesByKey = new Map<string, Map<number, number>>();
+  const pendingWriteTimes: number[] = [];
   const copySource = Math.floor(world.random() * 2 ** 40).toString(36);
   let sequence = 0;
-  let disk = options.newDiskId;
+  let diskId = options.newDiskId;
   let state: ReplicaState = 'blank';
-  let founders: readonly string[] = [];
-  let rewriting = false;
-  let broken = false;
+  let bootstrapDisks: readonly string[] = [];
+  let isCompacting = false;
+  let hasFailed = false;
 
-  for (const record of options.found) load(record);
-  if (options.found.length === 0) append(identityRecord(), () => undefined);
+  for (const record of options.storedRecords) load(record);
+  if (options.storedRecords.length === 0) append(identityRecord(), () => undefined);
 
   function load(record: JournalRecord): void {
-    if (record.kind === 'disk') disk = record.key;
+    if (record.kind === 'disk') diskId = record.key;
     if (record.kind === 'state') {
       state = record.key as ReplicaState;
-      founders = [...record.changes];
+      bootstrapDisks = [...record.changes];
     }
     if (record.kind === 'row') {
       const { promised, epoch, version, value } = record;
-      takeIn(record.key, { promised, epoch, version, value }, record.changes.map(decodeChange));
+      applyRow(record.key, { promised, epoch, version, value }, record.changes.map(decodeChange));
     }
   }
 
-  /** Gives those of the changes that were not known yet. */
-  function takeIn(key: string, row: Row, changes: readonly AppliedChange[]): AppliedChange[] {
+  /** Stores a row in memory; returns those of its changes that were not known before. */
+  function applyRow(key: string, row: Row, changes: readonly AppliedChange[]): AppliedChange[] {
     sequence += 1;
     rows.set(key, row);
-    rowSequence.set(key, sequence);
+    sequenceByKey.set(key, sequence);
     const added = changes.filter((change) => history(key).add(change));
-    for (const change of added) noteChange(key, change.version);
+    for (const change of added) recordChangeSequence(key, change.version);
     return added;
   }
 
-  function noteChange(key: string, version: number): void {
-    let sequences = changeSequence.get(key);
-    if (sequences === undefined) changeSequence.set(key, (sequences = new Map<number, number>()));
+  function recordChangeSequence(key: string, version: number): void {
+    let sequences = changeSequencesByKey.get(key);
+    if (sequences === undefined) changeSequencesByKey.set(key, (sequences = new Map<number, number>()));
     sequences.delete(version);
     sequences.set(version, sequence);
-    for (const old of sequences.keys()) {
-      if (history(key).at(old) !== undefined) break;
-      sequences.delete(old);
+    for (const oldVersion of sequences.keys()) {
+      if (history(key).at(oldVersion) !== undefined) break;
+      sequences.delete(oldVersion);
     }
   }
 
@@ -134,38 +137,38 @@
     return present;
   }
 
-  function append(record: JournalRecord, done: Written): void {
-    if (broken) return done(false);
-    pendingSince.push(world.now());
+  function append(record: JournalRecord, done: SyncCallback): void {
+    if (hasFailed) return done(false);
+    pendingWriteTimes.push(world.now());
     options.disk.append(record, (error) => {
-      pendingSince.shift();
+      pendingWriteTimes.shift();
       if (error !== undefined) {
         fail(error);
         return done(false);
       }
       done(true);
-      rewriteIfLong();
+      compactIfLarge();
     });
   }
 
   function fail(error: Error): void {
-    if (broken) return;
-    broken = true;
-    options.failed(error);
+    if (hasFailed) return;
+    hasFailed = true;
+    options.onFailed(error);
   }
 
   function liveBytes(): number {
     let bytes = 0;
-    for (const row of rows.values()) bytes += row.value.length + rowOverhead;
+    for (const row of rows.values()) bytes += row.value.length + rowOverheadBytes;
     return bytes;
   }
 
-  function rewriteIfLong(): void {
-    const limit = Math.max(options.compactAboveBytes ?? defaultRewriteOver, rewriteFactor * liveBytes());
-    if (rewriting || broken || options.disk.size() < limit) return;
-    rewriting = true;
+  function compactIfLarge(): void {
+    const limit = Math.max(options.compactAboveBytes ?? defaultCompactAboveBytes, compactionFactor * liveBytes());
+    if (isCompacting || hasFailed || options.disk.size() < limit) return;
+    isCompacting = true;
     options.disk.rewrite(snapshot(), (error) => {
-      rewriting = false;
+      isCompacting = false;
       if (error !== undefined) fail(error);
       else world.log(2007, { bytes: options.disk.size() });
     });
@@ -180,18 +183,18 @@
   }
 
   function identityRecord(): JournalRecord {
-    return { kind: 'disk', key: disk, ...emptyRow, changes: [] };
+    return { kind: 'disk', key: diskId, ...emptyRow, changes: [] };
   }
 
   function stateRecord(next: ReplicaState): JournalRecord {
-    return { kind: 'state', key: next, ...emptyRow, changes: [...founders] };
+    return { kind: 'state', key: next, ...emptyRow, changes: [...bootstrapDisks] };
   }
 
-  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: Written): void {
-    append(rowRecord(key, row, takeIn(key, row, changes)), done);
+  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback): void {
+    append(rowRecord(key, row, applyRow(key, row, changes)), done);
   }
 
-  function putState(next: ReplicaState, done: Written): void {
+  function putState(next: ReplicaState, done: SyncCallback): void {
     append(stateRecord(next), (ok) => {
       if (ok) state = next;
       done(ok);
@@ -199,7 +202,7 @@
   }
 
   function changedSince(after: number): ChangedRow[] {
-    return [...rowSequence]
+    return [...sequenceByKey]
       .filter(([, at]) => at > after)
       .sort((left, right) => left[1] - right[1])
       .map(([key, at]) => ({ key, sequence: at, row: rows.get(key)!, changes: changesSince(key, after) }));
@@ -207,7 +210,7 @@
 
   function changesSince(key: string, after: number): AppliedChange[] {
     const found: AppliedChange[] = [];
-    for (const [version, at] of changeSequence.get(key) ?? []) {
+    for (const [version, at] of changeSequencesByKey.get(key) ?? []) {
       const change = at > after ? history(key).at(version) : undefined;
       if (change !== undefined) found.push(change);
     }
@@ -215,12 +218,12 @@
   }
 
   return {
-    diskId: () => disk,
+    diskId: () => diskId,
     copySource,
     storedState: () => state,
-    founders: () => founders,
-    setFounders: (disks) => {
-      founders = [...disks];
+    bootstrapDisks: () => bootstrapDisks,
+    setBootstrapDisks: (disks) => {
+      bootstrapDisks = [...disks];
     },
     row: (key) => rows.get(key) ?? emptyRow,
     rows: () => rows,
@@ -229,7 +232,7 @@
     syncRow: (key, done) => append(rowRecord(key, rows.get(key) ?? emptyRow, []), done),
     putState,
     changedSince,
-    isSlow: () => broken || (pendingSince.length > 0 && world.now() - pendingSince[0]! > slowAfter),
+    isSlow: () => hasFailed || (pendingWriteTimes.length > 0 && world.now() - pendingWriteTimes[0]! > slowWriteUs),
   };
 }
 
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -1,8 +1,8 @@
 /**
- * One replica of the control cluster: the rows on its disk and its vote in the cluster's rounds. A blank replica does not
- * vote: either all founders found the cluster together, or it copies from the others, first as a learner that no record
- * names, then once more what is newer after the membership record names its disk. Which slot it holds is stated in its
- * settings, or else the membership record tells.
+ * One replica of the control cluster: the rows on its disk, and its votes in the quorum rounds. A blank replica does
+ * not vote. It starts to vote either when all bootstrap members bootstrap the cluster together, or after it has copied
+ * from the others: first as a learner that no membership record names, then once more the newer rows after the record
+ * names its disk. Its slot is configured or else follows from the membership record.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { Address, MessageOf, ReplicaEntry, World } from '@tansypost/inner-protocol';
@@ -23,7 +23,7 @@
   createReplicaStorage,
   type ReplicaState,
   type ReplicaStorageOptions,
-  type Written,
+  type SyncCallback,
 } from './replica-storage.js';
 import { defaultBootstrapSize, type BootstrapSize } from './replica-count.js';
 import type { Row } from './row.js';
@@ -31,31 +31,34 @@
 type ReplicaHello = MessageOf<'ReplicaHello'>;
 
 /** The settings of a replica. */
-export interface ReplicaOptions extends Omit<ReplicaStorageOptions, 'failed'> {
-  /** Undefined where the membership record alone says which slot this disk has, if any. */
+export interface ReplicaOptions extends Omit<ReplicaStorageOptions, 'onFailed'> {
+  /** Undefined if only the membership record determines which slot this disk has, if any. */
   readonly slot: number | undefined;
-  /** The slot it has when it founds a cluster, where no slot is stated. */
+  /** Its slot in a cluster that it bootstraps, if no slot is configured. */
   readonly bootstrapSlot?: number;
-  /** Whether it may begin a cluster. */
+  /** Whether it may bootstrap a cluster. */
   readonly mayBootstrap?: boolean;
   readonly self: Address;
-  /** The founders' addresses. */
+  /** Addresses of the bootstrap members. */
   readonly bootstrapMembers: readonly Address[];
-  /** The seeds of the first start, from which founders come whatever the settings name later; `core` where not given. */
+  /**
+   * The seeds of the first start. The bootstrap members come from these whatever the settings name later; defaults to
+   * `bootstrapMembers`.
+   */
   readonly initialSeeds?: readonly Address[];
-  /** With how many machines a cluster is founded where no seed holds state. */
+  /** How many machines bootstrap a cluster when no seed holds control state. */
   readonly bootstrapSize?: BootstrapSize;
-  /** Whether this process has opened its disk before, and so may have told others what it does not know any more. */
+  /** Whether this process has opened its disk before, and so may have told others what it no longer knows. */
   readonly reopened?: boolean;
-  /** Told whenever the state has changed. */
+  /** Called whenever the state has changed. */
   readonly onStateChange?: (state: ReplicaState) => void;
-  /** Told when a learner, which no membership record names yet, has copied enough to become a member. */
-  readonly learned?: () => void;
+  /** Called when a learner, which no membership record names yet, has copied enough to become a member. */
+  readonly onCaughtUp?: () => void;
 }
 
-/** A replica, as its node uses it. */
+/** One replica of the control cluster. */
 export interface Replica extends Acceptor {
-  /** -1 as long as it has none. */
+  /** -1 if it has no slot. */
   readonly slot: number;
   readonly diskId: () => string;
   readonly state: () => ReplicaState;
@@ -66,56 +69,60 @@
   readonly row: (key: string) => Row;
   readonly keys: () => string[];
   readonly history: (key: string) => ChangeHistory;
-  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: Written) => void;
-  /** Whether its disk keeps what waits for it waiting. */
+  readonly putRow: (key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback) => void;
+  /** Whether a write to its disk is pending for too long or has failed. */
   readonly isSlow: () => boolean;
   readonly isLeaving: () => boolean;
   readonly leave: () => void;
-  /** Fenced, and a majority of those in the record that fenced it votes under it: nobody needs this copy. */
+  /**
+   * Whether it is fenced and a majority of the members in the record that fenced it votes: this copy is no longer
+   * needed.
+   */
   readonly isSuperseded: () => boolean;
-  /** Fenced, and the disk that took its slot was heard to vote lately. */
+  /** Whether it is fenced and the disk that took its slot has recently been heard to vote. */
   readonly isSuccessorVoting: () => boolean;
-  /** What it says of itself; a slim one is for those who have the same membership record. */
-  readonly hello: (slim?: boolean) => ReplicaHello;
-  /** Whether a hello comes from another cluster; it is then not to be heard. */
+  /** The hello of this replica; a brief one is for nodes that have the same membership record. */
+  readonly hello: (brief?: boolean) => ReplicaHello;
+  /** Whether a hello comes from another cluster and must be ignored. */
   readonly isFromOtherCluster: (hello: ReplicaHello) => boolean;
   readonly receiveHello: (hello: ReplicaHello) => void;
-  /** A machine among the founders' addresses has said that it holds no state and never will. */
+  /** Records that the machine at the address of a bootstrap member holds no control state and never will. */
   readonly markStateless: (address: Address) => void;
   readonly catchUp: CatchUp;
-  /** Founds a cluster of one, or goes on copying. */
+  /** Bootstraps a cluster of one, or continues to copy. */
   readonly tick: () => void;
-  /** Takes in who else has asked a seed that holds no state, or whom another candidate knows. */
+  /** Handles the candidates that a seed or another candidate knows. */
   readonly receiveCandidates: (message: MessageOf<'FoundingRoster' | 'FoundingView'>) => void;
-  /** What other candidates are to be told as long as there is no cluster. */
-  readonly bootstrapView: DiscoveryBootstrap['greeting'];
-  /** Why this machine holds no replica yet; undefined once it knows a cluster. */
-  readonly waitsFor: () => BootstrapWait | undefined;
+  /** The message to send to other candidates; undefined once this replica knows a cluster. */
+  readonly bootstrapView: DiscoveryBootstrap['viewMessage'];
+  /** What this machine waits for before it holds a replica; undefined once it knows a cluster. */
+  readonly bootstrapWait: () => BootstrapWait | undefined;
 }
 
-const votingHeardFor = 2_000_000;
-/** Only a founding writes the membership record under it; all later epochs are higher. */
-const foundingEpoch = 1;
-const wrongCluster =
-  'Most machines of the membership record on this disk belong to another cluster. The replica does not vote; bring the disk back to its cluster, or empty the data folder to let the machine join this one.';
+/** A replica counts as voting for this long after its last hello. */
+const voterFreshnessUs = 2_000_000;
+/** Epoch of the membership record that a bootstrap writes; all later epochs are higher. */
+const bootstrapEpoch = 1;
+const foreignClusterMessage =
+  'A majority of the machines in the membership record on this disk belong to another cluster. The replica does not vote; return the disk to its own cluster, or empty the data folder so that the machine joins this one.';
 
-/** Starts a replica on what its disk holds. */
+/** Starts a replica from the contents of its disk. */
 export function createReplica(world: World, options: ReplicaOptions): Replica {
-  const storage = createReplicaStorage(world, { ...options, failed });
+  const storage = createReplicaStorage(world, { ...options, onFailed });
   const diskId = storage.diskId;
-  const votingUnder = new Map<string, number>();
-  const foreign = new Set<string>();
+  const lastHeardVoting = new Map<string, number>();
+  const foreignAddresses = new Set<string>();
   let state: ReplicaState = storage.storedState();
-  let entering: ReplicaState | undefined;
+  let pendingState: ReplicaState | undefined;
   let membership: MembershipRecord = noMembership;
   let votingSince = 0;
   let leaving = false;
   let successor: string | undefined;
-  let learnedUnder = 0;
+  let reportedCaughtUpEpoch = 0;
 
   const acceptor = createAcceptor({
     storage,
-    slot: slotNow,
+    slot: currentSlot,
     state: () => state,
     membershipEpoch: () => membership.membershipEpoch,
     putRow,
@@ -123,27 +130,27 @@
   const catchUp = createCatchUp(world, {
     self: options.self,
     storage,
-    slot: slotNow,
+    slot: currentSlot,
     state: () => state,
     membership: () => membership,
     isMember,
     putRow,
-    copied: () => {
+    onCopied: () => {
       if (state !== 'blank') return;
-      if (isMember()) enter('voting');
-      else noteLearned();
+      if (isMember()) changeState('voting');
+      else reportCaughtUp();
     },
   });
-  const founding = createSeedBootstrap(world, {
+  const seedBootstrap = createSeedBootstrap(world, {
     self: options.self,
-    founders: options.initialSeeds ?? options.bootstrapMembers,
-    mayBegin: options.mayBootstrap ?? true,
+    members: options.initialSeeds ?? options.bootstrapMembers,
+    mayBootstrap: options.mayBootstrap ?? true,
     diskId,
   });
-  const rosterFounding = createDiscoveryBootstrap({
+  const discoveryBootstrap = createDiscoveryBootstrap({
     self: options.self,
     seeds: options.initialSeeds ?? options.bootstrapMembers,
-    mayBegin: (options.mayBootstrap ?? true) && options.reopened !== true,
+    mayBootstrap: (options.mayBootstrap ?? true) && options.reopened !== true,
     diskId,
     ...(options.bootstrapSize ?? defaultBootstrapSize),
   });
@@ -154,13 +161,13 @@
     catchUp.restart();
   }
 
-  function noteLearned(): void {
-    if (learnedUnder === membership.membershipEpoch) return;
-    learnedUnder = membership.membershipEpoch;
-    options.learned?.();
+  function reportCaughtUp(): void {
+    if (reportedCaughtUpEpoch === membership.membershipEpoch) return;
+    reportedCaughtUpEpoch = membership.membershipEpoch;
+    options.onCaughtUp?.();
   }
 
-  function slotNow(): number {
+  function currentSlot(): number {
     if (options.slot !== undefined) return options.slot;
     const entry = membership.replicas.find((replica) => replica.disk === diskId());
     if (entry !== undefined) return entry.slot;
@@ -171,7 +178,7 @@
     return membership.replicas.some((replica) => replica.disk === diskId());
   }
 
-  function failed(error: Error): void {
+  function onFailed(error: Error): void {
     world.log(2005, { why: error.message });
     state = 'failed';
     options.onStateChange?.(state);
@@ -180,7 +187,7 @@
   function refreshMembership(): void {
     const row = storage.row(membershipKey);
     if (row.epoch <= membership.membershipEpoch) return;
-    const slot = slotNow();
+    const slot = currentSlot();
     const decoded = decodeMembership(row.epoch, row.value);
     if (E.isLeft(decoded)) return becomeUnusable(decoded.left.message);
     membership = decoded.right;
@@ -188,37 +195,43 @@
     fenceIfReplaced();
   }
 
-  /** Not written to the disk: a release that can read it, or the right machine, finds it as it was. */
-  function becomeUnusable(why: string): void {
+  /**
+   * This state is not written to disk, so that a release that can decode the record, or the right machine, finds the
+   * disk unchanged.
+   */
+  function becomeUnusable(reason: string): void {
     if (state === 'unusable') return;
-    world.log(2013, { why });
+    world.log(2013, { why: reason });
     state = 'unusable';
   }
 
-  /** A replica that hears another cluster at most of the addresses of its own record has come to the wrong place. */
-  function isForeign(hello: ReplicaHello): boolean {
+  /**
+   * A replica that hears another cluster at a majority of the addresses in its own record is connected to the wrong
+   * cluster.
+   */
+  function isFromOtherCluster(hello: ReplicaHello): boolean {
     const known = membership.cluster;
     if (known === '' || hello.cluster === '' || hello.cluster === known) return false;
-    foreign.add(hello.from);
-    const there = membership.replicas.filter((entry) => foreign.has(entry.address)).length;
-    if (there >= majorityOf(membership.replicas.length)) becomeUnusable(wrongCluster);
+    foreignAddresses.add(hello.from);
+    const foreignCount = membership.replicas.filter((entry) => foreignAddresses.has(entry.address)).length;
+    if (foreignCount >= majorityOf(membership.replicas.length)) becomeUnusable(foreignClusterMessage);
     return true;
   }
 
   function fenceIfReplaced(): void {
-    if (state === 'voting' && !isMember()) enter('fenced');
+    if (state === 'voting' && !isMember()) changeState('fenced');
   }
 
-  function enter(next: ReplicaState): void {
-    if (state === next || entering === next || state === 'failed' || state === 'unusable') return;
-    entering = next;
+  function changeState(next: ReplicaState): void {
+    if (state === next || pendingState === next || state === 'failed' || state === 'unusable') return;
+    pendingState = next;
     storage.putState(next, (ok) => {
-      if (entering === next) entering = undefined;
-      if (ok) entered(next);
+      if (pendingState === next) pendingState = undefined;
+      if (ok) onStateStored(next);
     });
   }
 
-  function entered(next: ReplicaState): void {
+  function onStateStored(next: ReplicaState): void {
     if (state === 'unusable') return;
     state = next;
     votingSince = world.now();
@@ -227,17 +240,17 @@
     fenceIfReplaced();
   }
 
-  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: Written): void {
+  function putRow(key: string, row: Row, changes: readonly AppliedChange[], done: SyncCallback): void {
     storage.putRow(key, row, changes, done);
     if (key === membershipKey) refreshMembership();
   }
 
-  function found(members: readonly ReplicaEntry[]): void {
-    storage.setFounders(members.map((member) => member.disk));
-    const value = encodeMembership(clusterOf(members), members);
-    const row: Row = { promised: foundingEpoch, epoch: foundingEpoch, version: 1, value };
+  function bootstrapWith(members: readonly ReplicaEntry[]): void {
+    storage.setBootstrapDisks(members.map((member) => member.disk));
+    const value = encodeMembership(clusterNameOf(members), members);
+    const row: Row = { promised: bootstrapEpoch, epoch: bootstrapEpoch, version: 1, value };
     putRow(membershipKey, row, [], (ok) => {
-      if (ok) enter('voting');
+      if (ok) changeState('voting');
     });
   }
 
@@ -254,68 +267,71 @@
     putRow(membershipKey, row, [], () => undefined);
   }
 
-  function heard(hello: ReplicaHello): void {
+  function receiveHello(hello: ReplicaHello): void {
     if (state === 'unusable') return;
-    const slot = slotNow();
-    const tellsNewer = hello.membershipEpoch > membership.membershipEpoch && hello.replicas.length > 0;
+    const slot = currentSlot();
+    const hasNewerMembership = hello.membershipEpoch > membership.membershipEpoch && hello.replicas.length > 0;
     if (hello.state === 'voting' && hello.membershipEpoch >= membership.membershipEpoch)
-      votingUnder.set(hello.disk, world.now());
+      lastHeardVoting.set(hello.disk, world.now());
     if (slot >= 0 && hello.slot === slot) {
-      if (hello.disk !== diskId() && state === 'voting' && tellsNewer) adoptMembership(hello);
+      if (hello.disk !== diskId() && state === 'voting' && hasNewerMembership) adoptMembership(hello);
       return;
     }
-    if (isUnfounded()) {
-      const members = founding.heard(hello, slot);
-      if (members !== undefined) return found(members);
+    if (knowsNoCluster()) {
+      const members = seedBootstrap.receiveHello(hello, slot);
+      if (members !== undefined) return bootstrapWith(members);
     }
-    if (tellsNewer) adoptMembership(hello);
+    if (hasNewerMembership) adoptMembership(hello);
   }
 
-  function isUnfounded(): boolean {
+  function knowsNoCluster(): boolean {
     return state === 'blank' && membership.membershipEpoch === 0;
   }
 
-  function candidates(message: MessageOf<'FoundingRoster' | 'FoundingView'>): void {
-    if (!isUnfounded()) return;
-    if (message.kind === 'FoundingRoster') rosterFounding.roster(message);
-    else rosterFounding.view(message);
-    const members = rosterFounding.members();
-    if (members !== undefined) found(members);
+  function receiveCandidates(message: MessageOf<'FoundingRoster' | 'FoundingView'>): void {
+    if (!knowsNoCluster()) return;
+    if (message.kind === 'FoundingRoster') discoveryBootstrap.receiveRoster(message);
+    else discoveryBootstrap.receiveView(message);
+    const members = discoveryBootstrap.members();
+    if (members !== undefined) bootstrapWith(members);
   }
 
-  function waitsFor(): BootstrapWait | undefined {
-    if (!isUnfounded()) return undefined;
+  function bootstrapWait(): BootstrapWait | undefined {
+    if (!knowsNoCluster()) return undefined;
     const isSeed = (options.initialSeeds ?? options.bootstrapMembers).includes(options.self);
-    if (!isSeed || options.mayBootstrap === false) return rosterFounding.waitsFor();
-    return { why: 'founders not heard', machines: founding.silent() };
+    if (!isSeed || options.mayBootstrap === false) return discoveryBootstrap.bootstrapWait();
+    return { why: 'bootstrap members not heard', machines: seedBootstrap.unheardMembers() };
   }
 
   function tick(): void {
-    if (isUnfounded()) {
-      const members = founding.alone();
-      if (members !== undefined) return found(members);
+    if (knowsNoCluster()) {
+      const members = seedBootstrap.soleMember();
+      if (members !== undefined) return bootstrapWith(members);
     }
-    if (state === 'blank' && isFounder()) return enter('voting');
+    if (state === 'blank' && isBootstrapMember()) return changeState('voting');
     catchUp.tick();
   }
 
-  /** A founder's disk that lost power between the record and the state holds all that it has ever voted for: nothing. */
-  function isFounder(): boolean {
-    const founders = membership.membershipEpoch === foundingEpoch ? membership.replicas.length : 0;
-    return isMember() && storage.founders().length + founders > 0;
+  /**
+   * Whether this disk is that of a bootstrap member which lost power between writing the record and the state. It may
+   * vote at once, since it has not voted for anything yet.
+   */
+  function isBootstrapMember(): boolean {
+    const recordedMembers = membership.membershipEpoch === bootstrapEpoch ? membership.replicas.length : 0;
+    return isMember() && storage.bootstrapDisks().length + recordedMembers > 0;
   }
 
-  function hello(slim = false): ReplicaHello {
+  function hello(brief = false): ReplicaHello {
     return {
       kind: 'ReplicaHello',
       from: options.self,
-      slot: slotNow(),
+      slot: currentSlot(),
       disk: diskId(),
       state,
-      founders: slim ? [] : [...storage.founders()],
+      founders: brief ? [] : [...storage.bootstrapDisks()],
       membershipEpoch: membership.membershipEpoch,
       cluster: membership.cluster,
-      replicas: slim ? [] : [...membership.replicas],
+      replicas: brief ? [] : [...membership.replicas],
       leaving,
       ill: storage.isSlow(),
       caughtUp: state === 'blank' && catchUp.isCaughtUp(),
@@ -324,17 +340,17 @@
 
   function isSuperseded(): boolean {
     if (state !== 'fenced') return false;
-    const fresh = membership.replicas.filter((replica) => votesNow(replica.disk));
-    return fresh.length >= majorityOf(membership.replicas.length);
+    const votingReplicas = membership.replicas.filter((replica) => isVotingNow(replica.disk));
+    return votingReplicas.length >= majorityOf(membership.replicas.length);
   }
 
-  function votesNow(disk: string): boolean {
-    return world.now() - (votingUnder.get(disk) ?? -Infinity) < votingHeardFor;
+  function isVotingNow(disk: string): boolean {
+    return world.now() - (lastHeardVoting.get(disk) ?? -Infinity) < voterFreshnessUs;
   }
 
   return {
     get slot() {
-      return slotNow();
+      return currentSlot();
     },
     ...acceptor,
     diskId,
@@ -352,20 +368,20 @@
       leaving = true;
     },
     isSuperseded,
-    isSuccessorVoting: () => state === 'fenced' && successor !== undefined && votesNow(successor),
+    isSuccessorVoting: () => state === 'fenced' && successor !== undefined && isVotingNow(successor),
     hello,
-    isFromOtherCluster: isForeign,
-    receiveHello: heard,
-    markStateless: founding.withoutState,
+    isFromOtherCluster,
+    receiveHello,
+    markStateless: seedBootstrap.markStateless,
     catchUp,
     tick,
-    receiveCandidates: candidates,
-    bootstrapView: () => (isUnfounded() ? rosterFounding.greeting() : undefined),
-    waitsFor,
+    receiveCandidates,
+    bootstrapView: () => (knowsNoCluster() ? discoveryBootstrap.viewMessage() : undefined),
+    bootstrapWait,
   };
 }
 
-/** The name of a cluster that these replicas found; each of them finds the same. */
-function clusterOf(founders: readonly ReplicaEntry[]): string {
-  return founders.map((founder) => founder.disk.slice(0, 8)).join('-');
+/** The name of a cluster with these bootstrap members; the same on all of them. */
+function clusterNameOf(members: readonly ReplicaEntry[]): string {
+  return members.map((member) => member.disk.slice(0, 8)).join('-');
 }
--- a/packages/control-state/src/router-leases.ts
+++ b/packages/control-state/src/router-leases.ts
@@ -1,9 +1,9 @@
 /**
  * Leases that routers hold on a key of the desired state, and the acknowledgements that wait for them. A change is
- * acknowledged only when, beyond the majority, every router whose lease may be live has applied it. Whoever is granted
- * a lease stands in a register, a key beside the desired state's, before the first grant; so a new leader knows whom its
- * predecessor may have granted one, and waits for each of these to apply the change, or for one whole lease after its
- * takeover.
+ * acknowledged only when a majority has stored it and every router whose lease may be valid has applied it. Before a
+ * router is granted its first lease, it is written to a register, which is a key beside the key of the desired state. A
+ * new leader therefore knows which routers its predecessor may have granted a lease, and waits until each of them has
+ * applied the change or a whole lease duration has passed since it became leader.
  */
 import { micros, type Address, type MessageOf } from '@tansypost/inner-protocol';
 import type { NodeContext } from './node-context.js';
@@ -13,13 +13,15 @@
 
 type Subscribe = MessageOf<'Subscribe'>;
 
-/** Grants leases to routers and holds acknowledgements until they govern. */
+/** Grants leases to routers and delays acknowledgements until the routers have applied the change. */
 export interface RouterLeases {
-  /** Grants what a follower asks for on behalf of its routers. */
+  /** Grants the leases that an agent requests on behalf of its routers. */
   readonly grant: (key: string, request: Subscribe) => void;
-  /** Calls back once a version governs at every router that may serve. */
+  /** Calls back once every router that may serve has applied a version. */
   readonly whenApplied: (key: string, version: number, done: () => void) => void;
-  /** Takes those out of the registers that can hold no lease any more, so that the next leader need not wait for them. */
+  /**
+   * Removes routers that can hold no lease any more from the registers, so that the next leader need not wait for them.
+   */
   readonly prune: () => void;
 }
 
@@ -30,7 +32,7 @@
 
 interface Register {
   readonly routers: Set<string>;
-  readonly askedAt: number;
+  readonly requestedAt: number;
 }
 
 interface Acknowledgement {
@@ -38,16 +40,16 @@
   readonly done: () => void;
 }
 
-const clockSlack = 100_000;
-const lookAgainAfter = 100_000;
+const clockSlackUs = 100_000;
+const recheckDelayUs = 100_000;
 
-/** Makes the leases of a node; `leaseLength` is in microseconds. */
-export function createRouterLeases(cluster: NodeContext, leaseLength: number): RouterLeases {
-  const { world } = cluster;
+/** Creates the router leases of a node. */
+export function createRouterLeases(node: NodeContext, leaseDurationUs: number): RouterLeases {
+  const { world } = node;
   const leases = new Map<string, Map<string, RouterLease>>();
   const registers = new Map<string, Register>();
-  const waiting = new Map<string, Acknowledgement[]>();
-  let lookingAgain = false;
+  const pendingAcknowledgements = new Map<string, Acknowledgement[]>();
+  let isRecheckScheduled = false;
 
   function leasesOf(key: string): Map<string, RouterLease> {
     let present = leases.get(key);
@@ -55,58 +57,58 @@
     return present;
   }
 
-  function whenGoverns(key: string, version: number, done: () => void): void {
-    waiting.set(key, [...(waiting.get(key) ?? []), { version, done }]);
+  function whenApplied(key: string, version: number, done: () => void): void {
+    pendingAcknowledgements.set(key, [...(pendingAcknowledgements.get(key) ?? []), { version, done }]);
     acknowledge(key);
-    lookAgain();
+    scheduleRecheck();
   }
 
-  function lookAgain(): void {
-    if (lookingAgain || waiting.size === 0) return;
-    lookingAgain = true;
-    world.after(micros(lookAgainAfter), () => {
-      lookingAgain = false;
-      for (const key of [...waiting.keys()]) acknowledge(key);
-      lookAgain();
+  function scheduleRecheck(): void {
+    if (isRecheckScheduled || pendingAcknowledgements.size === 0) return;
+    isRecheckScheduled = true;
+    world.after(micros(recheckDelayUs), () => {
+      isRecheckScheduled = false;
+      for (const key of [...pendingAcknowledgements.keys()]) acknowledge(key);
+      scheduleRecheck();
     });
   }
 
-  /** Lets go of each acknowledgement whose version every live lease has applied. */
+  /** Sends the acknowledgements of versions that all routers with a valid lease have applied. */
   function acknowledge(key: string): void {
-    const list = waiting.get(key);
+    const list = pendingAcknowledgements.get(key);
     if (list === undefined) return;
-    const left = list.filter(({ version, done }) => {
-      if (!governs(key, version)) return true;
+    const remaining = list.filter(({ version, done }) => {
+      if (!isAppliedByAll(key, version)) return true;
       done();
       return false;
     });
-    if (left.length > 0) waiting.set(key, left);
-    else waiting.delete(key);
+    if (remaining.length > 0) pendingAcknowledgements.set(key, remaining);
+    else pendingAcknowledgements.delete(key);
   }
 
-  function governs(key: string, version: number): boolean {
-    const leader = cluster.leaderOf(key);
+  function isAppliedByAll(key: string, version: number): boolean {
+    const leader = node.leaderOf(key);
     const now = world.now();
     const held = leasesOf(key);
     const applied = [...held.values()].every((lease) => lease.expires <= now || lease.applied >= version);
     if (!leader.isLeading() || !applied) return false;
     if (now >= earlierLeasesEnd(leader)) return true;
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.leadingSince();
+    const known = register !== undefined && register.requestedAt >= leader.leadingSince();
     return known && [...register.routers].every((router) => (held.get(router)?.applied ?? -1) >= version);
   }
 
-  /** When the last lease that an earlier leader may have granted has ended. */
+  /** When the last lease that an earlier leader may have granted expires. */
   function earlierLeasesEnd(leader: KeyLeader): number {
-    return leader.leadingSince() + leaseLength + clockSlack;
+    return leader.leadingSince() + leaseDurationUs + clockSlackUs;
   }
 
   /**
-   * A lease is granted only for the version in force, and only after a majority has said, in a round begun after the
-   * asking, that this leader's epoch still holds.
+   * Grants a lease only for the current version, and only after a majority has confirmed this leader's epoch in a round
+   * that started after the request arrived.
    */
   function grant(key: string, request: Subscribe): void {
-    const leader = cluster.leaderOf(key);
+    const leader = node.leaderOf(key);
     leader.read((row) => {
       if (row !== undefined) grantFor(key, leader, row, request);
     });
@@ -115,8 +117,8 @@
   function grantFor(key: string, leader: KeyLeader, row: Row, request: Subscribe): void {
     const held = leasesOf(key);
     const register = registers.get(key);
-    const known = register !== undefined && register.askedAt >= leader.leadingSince() ? register : undefined;
-    const strangers: string[] = [];
+    const known = register !== undefined && register.requestedAt >= leader.leadingSince() ? register : undefined;
+    const unregistered: string[] = [];
     const grants: { router: string; asked: number; version: number }[] = [];
     for (const asked of request.tenures) {
       const lease = held.get(asked.router) ?? { expires: 0, applied: 0 };
@@ -124,36 +126,39 @@
       held.set(asked.router, lease);
       if (asked.applied !== row.version) continue;
       if (known?.routers.has(asked.router) !== true) {
-        strangers.push(asked.router);
+        unregistered.push(asked.router);
         continue;
       }
-      lease.expires = world.now() + leaseLength;
+      lease.expires = world.now() + leaseDurationUs;
       grants.push({ router: asked.router, asked: asked.asked, version: row.version });
     }
-    if (known === undefined || strangers.length > 0) enrol(key, leader, strangers, request);
+    if (known === undefined || unregistered.length > 0) updateRegister(key, leader, unregistered, request);
     if (grants.length > 0) world.send(request.from as Address, { kind: 'Leases', grants });
     acknowledge(key);
   }
 
-  /** Brings the register up to date, then grants what waited for it. Who can hold no lease any more is dropped. */
-  function enrol(key: string, leader: KeyLeader, strangers: readonly string[], request?: Subscribe): void {
-    const askedAt = world.now();
+  /**
+   * Updates the register, dropping routers that can hold no lease any more, and then grants the request that waited for
+   * it.
+   */
+  function updateRegister(key: string, leader: KeyLeader, unregistered: readonly string[], request?: Subscribe): void {
+    const requestedAt = world.now();
     const held = leasesOf(key);
-    let enrolled: string[] = [];
-    cluster.leaderOf(registerKey(key)).mutate({
+    let registered: string[] = [];
+    node.leaderOf(registerKey(key)).mutate({
       apply: (value) => {
         const listed = decodeRegister(value);
-        const all = askedAt < earlierLeasesEnd(leader);
-        const kept = all ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > askedAt);
-        enrolled = [...new Set([...kept, ...strangers])];
-        // Whoever is dropped must not be granted anything while the write is under way.
-        for (const router of listed) if (!enrolled.includes(router)) registers.get(key)?.routers.delete(router);
-        return { value: encodeRegister(enrolled), result: '' };
+        const mustKeepAll = requestedAt < earlierLeasesEnd(leader);
+        const kept = mustKeepAll ? listed : listed.filter((router) => (held.get(router)?.expires ?? 0) > requestedAt);
+        registered = [...new Set([...kept, ...unregistered])];
+        // A router that is dropped must not be granted a lease while the write is in progress.
+        for (const router of listed) if (!registered.includes(router)) registers.get(key)?.routers.delete(router);
+        return { value: encodeRegister(registered), result: '' };
       },
       done: (status) => {
         if (status !== 'done') return;
-        registers.set(key, { routers: new Set(enrolled), askedAt });
-        if (request !== undefined && leader.isLeading() && askedAt >= leader.leadingSince()) grant(key, request);
+        registers.set(key, { routers: new Set(registered), requestedAt });
+        if (request !== undefined && leader.isLeading() && requestedAt >= leader.leadingSince()) grant(key, request);
       },
     });
   }
@@ -161,19 +166,23 @@
   function prune(): void {
     const now = world.now();
     for (const [key, register] of registers) {
-      const leader = cluster.leaders().get(key);
-      if (leader?.isLeading() !== true || register.askedAt < leader.leadingSince() || now < earlierLeasesEnd(leader))
+      const leader = node.leaders().get(key);
+      if (
+        leader?.isLeading() !== true ||
+        register.requestedAt < leader.leadingSince() ||
+        now < earlierLeasesEnd(leader)
+      )
         continue;
       const held = leasesOf(key);
       const someEnded = [...register.routers].some((router) => (held.get(router)?.expires ?? 0) <= now);
-      if (someEnded) enrol(key, leader, []);
+      if (someEnded) updateRegister(key, leader, []);
     }
   }
 
-  return { grant, whenApplied: whenGoverns, prune };
+  return { grant, whenApplied, prune };
 }
 
-/** The key of the register that belongs to a key. */
+/** The key of the lease register that belongs to a key. */
 export function registerKey(key: string): string {
   return `tenures/${key}`;
 }
--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -20,7 +20,7 @@
   readonly close?: () => Promise<void>;
 }
 /** Settings of the host. */
-export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'found' | 'newDiskId'> {
+export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'storedRecords' | 'newDiskId'> {
   /**
    * Opens the disk. With `rewrite` the stored records are written to a new file and synced before they are returned; with
    * `discard` they are deleted.
@@ -67,7 +67,7 @@
       ...(discard ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
       reopened: rewrite,
       disk: openDisk.disk,
-      found: openDisk.storedRecords,
+      storedRecords: openDisk.storedRecords,
       newDiskId: options.newDiskId(),
       onStateChange: (state) => {
         if (state === 'failed') world.after(micros(0), check);
