--- a/programs/control-node/src/control-node-host.test.ts
+++ b/programs/control-node/src/control-node-host.test.ts
@@ -7,49 +7,49 @@
 
 it('stops the control node when its disk fails, retries until the disk works, and restores what was stored', async () => {
   let now = 0;
-  let timers: { at: number; f: () => void }[] = [];
-  let file: JournalRecord[] = [];
+  let timers: { at: number; task: () => void }[] = [];
+  let stored: JournalRecord[] = [];
   let isBroken = false;
-  const opened: boolean[] = [];
+  const rewrites: boolean[] = [];
   const logged: number[] = [];
   const world: World = {
     now: () => micros(now),
     random: () => 0.5,
     send: () => undefined,
-    log: (n) => logged.push(n),
+    log: (event) => logged.push(event),
     after: (delay, task) => {
-      const x = { at: now + delay, f: task };
-      timers.push(x);
+      const timer = { at: now + delay, task };
+      timers.push(timer);
       return () => {
-        timers = timers.filter((y) => y !== x);
+        timers = timers.filter((other) => other !== timer);
       };
     },
   };
-  async function step(us: number): Promise<void> {
-    const end = now + us;
-    for (let n = next(end); n !== undefined; n = next(end)) {
-      const due = n;
-      timers = timers.filter((x) => x !== due);
+  async function step(durationUs: number): Promise<void> {
+    const end = now + durationUs;
+    for (let timer = next(end); timer !== undefined; timer = next(end)) {
+      const due = timer;
+      timers = timers.filter((timer) => timer !== due);
       now = due.at;
-      due.f();
+      due.task();
       for (let i = 0; i < 5; i += 1) await Promise.resolve();
     }
     now = end;
   }
-  function next(end: number): { at: number; f: () => void } | undefined {
-    return timers.filter((x) => x.at <= end).sort((p, q) => p.at - q.at)[0];
+  function next(end: number): { at: number; task: () => void } | undefined {
+    return timers.filter((timer) => timer.at <= end).sort((left, right) => left.at - right.at)[0];
   }
   const disk: Disk = {
-    append: (r, done) => {
+    append: (record, done) => {
       if (isBroken) return done(new Error('no space left'));
-      file.push(r);
+      stored.push(record);
       done();
     },
-    rewrite: (rs, done) => {
-      file = [...rs];
+    rewrite: (records, done) => {
+      stored = [...records];
       done();
     },
-    size: () => file.length,
+    size: () => stored.length,
   };
   let ids = 0;
   const host = createControlNodeHost(world, {
@@ -60,11 +60,11 @@
     routerLeaseUs: 10_000_000,
     roleLeaseUs: 3_000_000,
     newDiskId: () => `d${(ids += 1)}`,
-    open: async (afresh) => {
-      opened.push(afresh);
+    open: async (rewrite) => {
+      rewrites.push(rewrite);
       return isBroken
         ? E.left(new Error('still full'))
-        : E.right({ disk, storedRecords: [...file], truncatedBytes: 0 });
+        : E.right({ disk, storedRecords: [...stored], truncatedBytes: 0 });
     },
   });
   await host.start();
@@ -77,8 +77,8 @@
     .replica.putRow('k', { promised: 8, epoch: 8, version: 2, value: Buffer.from('w') }, [], () => undefined);
   await step(5_000_000);
   expect(host.controlNode()).toBeUndefined();
-  expect(opened.length).toBeGreaterThan(2);
-  expect(opened.slice(1).every((x) => x)).toBe(true);
+  expect(rewrites.length).toBeGreaterThan(2);
+  expect(rewrites.slice(1).every((rewrite) => rewrite)).toBe(true);
   isBroken = false;
   await step(10_000_000);
   expect(host.controlNode()!.replica.state()).not.toBe('failed');
--- a/programs/request-router/src/admission.ts
+++ b/programs/request-router/src/admission.ts
@@ -70,7 +70,7 @@
     });
   }
   function isOverShare(request: AdmissionRequest): boolean {
-    const shares = new Map(queue.map((x) => [x.request.fairShareKey, x.request.share]));
+    const shares = new Map(queue.map((queued) => [queued.request.fairShareKey, queued.request.share]));
     let totalUsed = 0;
     for (const [key, usage] of creditsUsed) {
       totalUsed += decayedCredits(key);
@@ -82,7 +82,7 @@
     );
   }
   function sortQueue(): void {
-    const overShare = new Map(queue.map((x) => [x, isOverShare(x.request) ? 1 : 0]));
+    const overShare = new Map(queue.map((queued) => [queued, isOverShare(queued.request) ? 1 : 0]));
     queue.sort(
       (a, b) =>
         overShare.get(a)! - overShare.get(b)! || b.request.priority - a.request.priority || a.queuedAt - b.queuedAt,
@@ -155,32 +155,36 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  function createFixture(): { admission: Admission; step: (us: number) => void; freeSlots: (n: number) => void } {
-    let [t, slots] = [0, 0];
-    let timers: { at: number; f: () => void }[] = [];
+  function createFixture(): {
+    admission: Admission;
+    step: (durationUs: number) => void;
+    freeSlots: (count: number) => void;
+  } {
+    let [now, slots] = [0, 0];
+    let timers: { at: number; task: () => void }[] = [];
     const admission = createAdmission(
       {
-        now: () => micros(t),
-        after: (d, f) => {
-          const x = { at: t + d, f };
-          timers.push(x);
+        now: () => micros(now),
+        after: (delay, task) => {
+          const timer = { at: now + delay, task };
+          timers.push(timer);
           return () => {
-            timers = timers.filter((y) => y !== x);
+            timers = timers.filter((other) => other !== timer);
           };
         },
       },
       () => slots > 0 && ((slots -= 1), true),
     );
-    function step(us: number): void {
-      const end = t + us;
+    function step(durationUs: number): void {
+      const end = now + durationUs;
       for (;;) {
-        const n = timers.filter((x) => x.at <= end).sort((p, q) => p.at - q.at)[0];
-        if (n === undefined) break;
-        timers = timers.filter((x) => x !== n);
-        t = n.at;
-        n.f();
+        const next = timers.filter((timer) => timer.at <= end).sort((left, right) => left.at - right.at)[0];
+        if (next === undefined) break;
+        timers = timers.filter((timer) => timer !== next);
+        now = next.at;
+        next.task();
       }
-      t = end;
+      now = end;
     }
     return {
       admission,
@@ -190,42 +194,42 @@
       },
     };
   }
-  function admissionRequest(purse: string, x: Partial<AdmissionRequest> = {}): AdmissionRequest {
-    return { fairShareKey: purse, share: 1, priority: 1, cost: 1, timeoutUs: 4_000_000, elapsedUs: 0, ...x };
+  function admissionRequest(fairShareKey: string, overrides: Partial<AdmissionRequest> = {}): AdmissionRequest {
+    return { fairShareKey, share: 1, priority: 1, cost: 1, timeoutUs: 4_000_000, elapsedUs: 0, ...overrides };
   }
   it('sheds a request that it cannot admit in time, long before its timeout, and says when to retry', async () => {
     const fixture = createFixture();
-    const r = fixture.admission.requestSlot(admissionRequest('p', { timeoutUs: 800_000 }));
-    expect(await r).toMatchObject({ tag: 'shed' });
-    expect(((await r) as { retryAfter: number }).retryAfter).toBeGreaterThanOrEqual(1);
+    const result = fixture.admission.requestSlot(admissionRequest('p', { timeoutUs: 800_000 }));
+    expect(await result).toMatchObject({ tag: 'shed' });
+    expect(((await result) as { retryAfter: number }).retryAfter).toBeGreaterThanOrEqual(1);
   });
   it('keeps no request queued when the router may no longer handle requests', async () => {
-    let able = true;
+    let isAble = true;
     const ticks: (() => void)[] = [];
-    const a = createAdmission(
+    const admission = createAdmission(
       {
         now: () => micros(0),
-        after: (_d, f) => {
-          ticks.push(f);
+        after: (_delay, task) => {
+          ticks.push(task);
           return () => undefined;
         },
       },
       () => false,
-      () => able,
+      () => isAble,
     );
-    const x = a.requestSlot(admissionRequest('p'));
-    for (const f of ticks.splice(0)) f();
-    expect(a.queueLength()).toBe(1);
-    able = false;
-    for (const f of ticks.splice(0)) f();
-    expect(await x).toEqual({ tag: 'unable' });
-    expect(a.queueLength()).toBe(0);
+    const result = admission.requestSlot(admissionRequest('p'));
+    for (const task of ticks.splice(0)) task();
+    expect(admission.queueLength()).toBe(1);
+    isAble = false;
+    for (const task of ticks.splice(0)) task();
+    expect(await result).toEqual({ tag: 'unable' });
+    expect(admission.queueLength()).toBe(0);
   });
   it('uses the template in force, which may change while a request is queued', async () => {
     const fixture = createFixture();
     let priority = 1;
     const admitted: string[] = [];
-    const all = [
+    const results = [
       fixture.admission.requestSlot(admissionRequest('p', { priority: 2 })).then(() => admitted.push('same')),
       fixture.admission
         .requestSlot(admissionRequest('p', { priority }), () => admissionRequest('p', { priority }))
@@ -234,27 +238,27 @@
     priority = 3;
     fixture.freeSlots(1);
     fixture.step(20_000);
-    await Promise.race(all);
+    await Promise.race(results);
     fixture.freeSlots(1);
     fixture.step(20_000);
-    await Promise.all(all);
+    await Promise.all(results);
     expect(admitted).toEqual(['raised', 'same']);
   });
   it('admits requests under their fair share first, then by priority', async () => {
     const fixture = createFixture();
     fixture.freeSlots(8);
     for (let i = 0; i < 8; i += 1) {
-      const x = await fixture.admission.requestSlot(admissionRequest('greedy'));
-      if (x.tag === 'go') x.started();
+      const result = await fixture.admission.requestSlot(admissionRequest('greedy'));
+      if (result.tag === 'go') result.started();
     }
     const admitted: string[] = [];
-    const all = [
+    const results = [
       admissionRequest('greedy', { priority: 9 }),
       admissionRequest('modest', { priority: 1 }),
       admissionRequest('modest', { priority: 5 }),
-    ].map(async (c, i) => {
-      const x = await fixture.admission.requestSlot(c);
-      if (x.tag === 'go') admitted.push(`${c.fairShareKey}${i}`);
+    ].map(async (queued, index) => {
+      const result = await fixture.admission.requestSlot(queued);
+      if (result.tag === 'go') admitted.push(`${queued.fairShareKey}${index}`);
     });
     for (let i = 0; i < 3; i += 1) {
       fixture.freeSlots(1);
@@ -262,7 +266,7 @@
       await Promise.resolve();
       await Promise.resolve();
     }
-    await Promise.all(all);
+    await Promise.all(results);
     expect(admitted).toEqual(['modest2', 'modest1', 'greedy0']);
   });
 }
--- a/programs/request-router/src/concurrency-window.ts
+++ b/programs/request-router/src/concurrency-window.ts
@@ -50,27 +50,27 @@
   const { it, expect } = import.meta.vitest;
   const { micros } = await import('@tansypost/inner-protocol');
   it('shrinks to the number of prefills that finish within the target, and grows again when workers are fast', () => {
-    let t = 0;
-    const w = createConcurrencyWindow(
-      () => micros(t),
+    let now = 0;
+    const window = createConcurrencyWindow(
+      () => micros(now),
       () => 1_000_000,
     );
     // A worker that prefills one prompt at a time, at first in 250 ms each and later in 10 ms.
     const ends: { at: number; end: (succeeded: boolean) => void }[] = [];
     let busy = 0;
     function step(each: number, until: number): void {
-      while (t < until) {
-        while (w.hasRoom()) {
-          busy = Math.max(busy, t) + each;
-          ends.push({ at: busy, end: w.beginPrefill() });
+      while (now < until) {
+        while (window.hasRoom()) {
+          busy = Math.max(busy, now) + each;
+          ends.push({ at: busy, end: window.beginPrefill() });
         }
-        t = ends[0]!.at;
+        now = ends[0]!.at;
         ends.shift()!.end(true);
       }
     }
     step(250_000, 60_000_000);
-    expect(w.size()).toBeLessThan(8);
+    expect(window.size()).toBeLessThan(8);
     step(10_000, 120_000_000);
-    expect(w.size()).toBeGreaterThan(40);
+    expect(window.size()).toBeGreaterThan(40);
   });
 }
--- a/programs/request-router/src/configuration-feed.ts
+++ b/programs/request-router/src/configuration-feed.ts
@@ -78,7 +78,7 @@
       const decoded = findModel(reference);
       if (decoded === undefined) continue;
       const rows = Array.from({ length: 12 }, () => new Float32Array(decoded.predictor.sizes[0]!));
-      for (let n = 0; n < 3; n += 1) scoreAll(decoded, rows);
+      for (let run = 0; run < 3; run += 1) scoreAll(decoded, rows);
     }
   }
 
@@ -140,7 +140,8 @@
     appliedVersion: () => version,
     desiredState: () => desiredState,
     rehearsalRecord: () => rehearsalRecord,
-    heldVersions: () => [...updates.values()].map((n) => ({ key: n.key, epoch: n.epoch, version: n.version })),
+    heldVersions: () =>
+      [...updates.values()].map((update) => ({ key: update.key, epoch: update.epoch, version: update.version })),
     otherRouters: () => otherRouters,
   };
 }
--- a/programs/request-router/src/decision.ts
+++ b/programs/request-router/src/decision.ts
@@ -17,16 +17,18 @@
 }
 /** What to do next. */
 export type DecisionStep =
-  { readonly do: 'prefill' } | { readonly do: 'decode' } | { readonly do: 'fail'; readonly failure: Failure };
+  | { readonly action: 'prefill' }
+  | { readonly action: 'decode' }
+  | { readonly action: 'fail'; readonly failure: Failure };
 
 /** Decides the next step after each attempt. */
 export function decide(ledger: AttemptLedger, facts: DecisionFacts): DecisionStep {
-  function failWith(x: Failure): DecisionStep {
-    return { do: 'fail', failure: x };
+  function failWith(rejection: Failure): DecisionStep {
+    return { action: 'fail', failure: rejection };
   }
   const last = ledger.attempts.at(-1);
   // Once a decode has been attempted, a new prefill costs a repeated decode as well.
-  const neededRetries = ledger.attempts.some((s) => s.phase === 'decode') ? 2 : 1;
+  const neededRetries = ledger.attempts.some((attempt) => attempt.phase === 'decode') ? 2 : 1;
   const nothingStarted = noAttemptStarted(ledger);
   if (ledger.firstByteSent)
     return failWith(failure('answer_cut', 'The worker failed after the response had begun.', facts.retryAfter));
@@ -39,7 +41,7 @@
     );
   }
   if (last?.phase === 'prefill' && last.outcome === 'done') {
-    if (facts.decodeWorkers > 0) return { do: 'decode' };
+    if (facts.decodeWorkers > 0) return { action: 'decode' };
     return failWith(
       failure(
         facts.idempotent ? 'workers_failed' : 'outcome_unknown',
@@ -54,11 +56,11 @@
     facts.availableRetries >= 1 &&
     facts.decodeWorkers > 0
   )
-    return { do: 'decode' };
+    return { action: 'decode' };
   if (nothingStarted) {
     if (facts.prefillWorkers === 0 || facts.decodeWorkers === 0)
       return failWith(failure('no_workers', 'No worker is available for this request.', facts.retryAfter));
-    if (last === undefined || facts.availableRetries >= neededRetries) return { do: 'prefill' };
+    if (last === undefined || facts.availableRetries >= neededRetries) return { action: 'prefill' };
     return failWith(
       failure('workers_refused', 'Workers refused the request and the retry budget is exhausted.', facts.retryAfter),
     );
@@ -68,7 +70,7 @@
       failure('outcome_unknown', 'The request is not idempotent and may have run in part.', facts.retryAfter),
     );
   if (facts.availableRetries >= neededRetries && facts.prefillWorkers > 0 && facts.decodeWorkers > 0)
-    return { do: 'prefill' };
+    return { action: 'prefill' };
   return failWith(failure('workers_failed', 'Workers failed and the request cannot be retried now.', facts.retryAfter));
 }
 
@@ -91,23 +93,23 @@
   const { failureKinds } = await import('./failure.js');
   it('never retries a request that may have started and is not idempotent, nor reports as not run one that may have run', () => {
     fc.assert(
-      fc.property(fc.array(send, { maxLength: 5 }), fc.boolean(), facts, (sends, firstByte, f) => {
-        const l: AttemptLedger = { attempts: sends, firstByteSent: firstByte };
-        const s = decide(l, f);
-        const started = sends.some((x) => x.phase === 'prefill' && x.outcome !== 'notStarted');
-        if (s.do === 'prefill') expect(f.idempotent || !started).toBe(true);
-        if (s.do !== 'fail') expect(firstByte).toBe(false);
-        if (s.do === 'decode')
-          expect(sends.at(-1)!.outcome === 'done' || sends.at(-1)!.outcome === 'notStarted').toBe(true);
-        if (s.do === 'fail' && failureKinds[s.failure.kind].ran === 'no')
-          expect(sends.every((x) => x.outcome === 'notStarted')).toBe(true);
+      fc.property(fc.array(send, { maxLength: 5 }), fc.boolean(), facts, (attempts, firstByteSent, conditions) => {
+        const ledger: AttemptLedger = { attempts, firstByteSent };
+        const step = decide(ledger, conditions);
+        const started = attempts.some((attempt) => attempt.phase === 'prefill' && attempt.outcome !== 'notStarted');
+        if (step.action === 'prefill') expect(conditions.idempotent || !started).toBe(true);
+        if (step.action !== 'fail') expect(firstByteSent).toBe(false);
+        if (step.action === 'decode')
+          expect(attempts.at(-1)!.outcome === 'done' || attempts.at(-1)!.outcome === 'notStarted').toBe(true);
+        if (step.action === 'fail' && failureKinds[step.failure.kind].ran === 'no')
+          expect(attempts.every((attempt) => attempt.outcome === 'notStarted')).toBe(true);
         if (
-          s.do !== 'fail' &&
-          sends.length > 0 &&
-          !(sends.at(-1)!.phase === 'prefill' && sends.at(-1)!.outcome === 'done')
+          step.action !== 'fail' &&
+          attempts.length > 0 &&
+          !(attempts.at(-1)!.phase === 'prefill' && attempts.at(-1)!.outcome === 'done')
         ) {
-          expect(f.availableRetries).toBeGreaterThanOrEqual(
-            s.do === 'prefill' && sends.some((x) => x.phase === 'decode') ? 2 : 1,
+          expect(conditions.availableRetries).toBeGreaterThanOrEqual(
+            step.action === 'prefill' && attempts.some((attempt) => attempt.phase === 'decode') ? 2 : 1,
           );
         }
       }),
--- a/programs/request-router/src/failure.ts
+++ b/programs/request-router/src/failure.ts
@@ -88,16 +88,16 @@
   it('docs/requests.md lists every kind as it is, and every failure that may be retried says when', async () => {
     const { readFileSync } = await import('node:fs');
     const page = readFileSync(new URL('../../../docs/requests.md', import.meta.url), 'utf8');
-    for (const [k, v] of Object.entries(failureKinds)) {
-      expect(page).toContain(`| ${k} | ${v.status} | ${v.ran} | ${v.remedy} |`);
-      if (v.status >= 502) expect(failure(k as FailureKind, '').retryAfter).toBeGreaterThanOrEqual(1);
+    for (const [kind, properties] of Object.entries(failureKinds)) {
+      expect(page).toContain(`| ${kind} | ${properties.status} | ${properties.ran} | ${properties.remedy} |`);
+      if (properties.status >= 502) expect(failure(kind as FailureKind, '').retryAfter).toBeGreaterThanOrEqual(1);
     }
   });
   it('turns any body of another router into a typed failure', () => {
     expect(parseFailure(JSON.stringify(failureBody(failure('overloaded', 'm', 4), 'q')))).toEqual(
       failure('overloaded', 'm', 4),
     );
-    for (const x of [
+    for (const body of [
       '',
       '<html>',
       'null',
@@ -107,7 +107,7 @@
       '{"error":{"kind":7}}',
       '{"error":{}}',
     ]) {
-      expect(parseFailure(x, 502)).toMatchObject({ kind: 'outcome_unknown', retryAfter: 1 });
+      expect(parseFailure(body, 502)).toMatchObject({ kind: 'outcome_unknown', retryAfter: 1 });
     }
   });
 }
--- a/programs/request-router/src/http-worker-client.ts
+++ b/programs/request-router/src/http-worker-client.ts
@@ -86,7 +86,7 @@
     worker: WorkerStateEntry,
     job: WorkerRequest,
     kvTransferParams: KvTransferParams,
-    writeChunk: (t: string) => void | Promise<void>,
+    writeChunk: (text: string) => void | Promise<void>,
     signal: AbortSignal,
   ): Promise<DecodeResult> {
     try {
@@ -116,7 +116,7 @@
  */
 export async function readCompletionStream(
   body: AsyncIterable<Buffer | string>,
-  writeChunk: (t: string) => void | Promise<void>,
+  writeChunk: (text: string) => void | Promise<void>,
   signal?: AbortSignal,
 ): Promise<DecodeResult> {
   // A signal made by `AbortSignal.any` stays in memory as long as it has a listener, so the listener must be removed.
@@ -136,7 +136,7 @@
 
 async function readEvents(
   body: AsyncIterable<Buffer | string>,
-  writeChunk: (t: string) => void | Promise<void>,
+  writeChunk: (text: string) => void | Promise<void>,
   aborted: Promise<void>,
   signal?: AbortSignal,
 ): Promise<DecodeResult> {
@@ -176,18 +176,18 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  async function* feedOf(s: string, n: number): AsyncGenerator<string> {
-    for (let i = 0; i < s.length; i += n) yield s.slice(i, i + n);
+  async function* feedOf(text: string, chunkSize: number): AsyncGenerator<string> {
+    for (let i = 0; i < text.length; i += chunkSize) yield text.slice(i, i + chunkSize);
   }
-  function ev(text: string, end: string | null = null): string {
+  function formatEvent(text: string, end: string | null = null): string {
     return `data: ${JSON.stringify({ choices: [{ text, finish_reason: end }] })}\n\n`;
   }
-  const whole = [ev('a'), ev('b'), ev('', 'stop'), 'data: [DONE]\n\n'];
+  const whole = [formatEvent('a'), formatEvent('b'), formatEvent('', 'stop'), 'data: [DONE]\n\n'];
   it('removes its abort listener however the stream ends', async () => {
     const { EventEmitter } = await import('node:events');
-    for (const s of [whole.join(''), whole[0]!, '%%\n\n']) {
+    for (const stream of [whole.join(''), whole[0]!, '%%\n\n']) {
       const signal = AbortSignal.any([new AbortController().signal]);
-      await readCompletionStream(feedOf(s, 9), () => undefined, signal);
+      await readCompletionStream(feedOf(stream, 9), () => undefined, signal);
       expect(EventEmitter.getEventListeners(signal, 'abort').length).toBe(0);
     }
   });
@@ -195,8 +195,8 @@
     let got = '';
     expect(
       (
-        await readCompletionStream(feedOf(whole.join(''), 3), (t) => {
-          got += t;
+        await readCompletionStream(feedOf(whole.join(''), 3), (text) => {
+          got += text;
         })
       ).tag,
     ).toBe('done');
@@ -211,7 +211,7 @@
       [whole[0], whole[2], whole[1], whole[3]],
       ['%%\n\n', ...whole],
       ['data: {"x"\n\n', ...whole],
-      [ev(5 as never), ...whole],
+      [formatEvent(5 as never), ...whole],
     ];
     for (const b of bad)
       expect((await readCompletionStream(feedOf(b.join(''), 9), () => undefined)).tag).toBe('unknown');
--- a/programs/request-router/src/idempotency-claims.ts
+++ b/programs/request-router/src/idempotency-claims.ts
@@ -16,7 +16,7 @@
 
 /** Creates the claims of the router `holder`, which go through `agent`. */
 export function createIdempotencyClaims(world: World, agent: Address, holder: string): IdempotencyClaims {
-  const pending = new Map<string, (r: ClaimResult) => void>();
+  const pending = new Map<string, (result: ClaimResult) => void>();
   let claimCount = 0;
   function claim(key: string, request: string, timeoutUs: number): Promise<ClaimResult> {
     claimCount += 1;
--- a/programs/request-router/src/metrics.ts
+++ b/programs/request-router/src/metrics.ts
@@ -4,7 +4,7 @@
 export function formatMetrics(values: Record<string, unknown>): string {
   const lines: string[] = [];
   for (const [key, value] of Object.entries(values)) {
-    const name = `tansypost_${key.replace(/[A-Z]/g, (c) => `_${c.toLowerCase()}`)}`;
+    const name = `tansypost_${key.replace(/[A-Z]/g, (letter) => `_${letter.toLowerCase()}`)}`;
     if (typeof value === 'number') lines.push(`${name} ${value}`);
     else if (typeof value === 'boolean') lines.push(`${name} ${value ? 1 : 0}`);
     else if (typeof value === 'object' && value !== null) {
--- a/programs/request-router/src/retry-budget.ts
+++ b/programs/request-router/src/retry-budget.ts
@@ -82,50 +82,55 @@
   const { it, expect } = import.meta.vitest;
   const { createSeededRandom, micros } = await import('@tansypost/inner-protocol');
   it('spends at most a fifth of the first attempts of any ten seconds, in any order of calls', () => {
-    const r = createSeededRandom(8);
-    let t = 0;
-    const b = createRetryBudget(() => micros(t));
-    const past: { t: number; first: number; spent: number }[] = [];
+    const random = createSeededRandom(8);
+    let now = 0;
+    const budget = createRetryBudget(() => micros(now));
+    const past: { at: number; firstAttempts: number; spent: number }[] = [];
     let probes = 0;
     for (let i = 0; i < 4000; i += 1) {
-      t += Math.floor(r() * 30_000);
-      const burst = Math.floor(t / 3_000_000) % 2 === 0;
-      let [f, s] = [0, 0];
-      if (r() < (burst ? 0.9 : 0.2)) {
-        b.recordFirstAttempt();
-        f = 1;
+      now += Math.floor(random() * 30_000);
+      const burst = Math.floor(now / 3_000_000) % 2 === 0;
+      let [firstAttempts, spent] = [0, 0];
+      if (random() < (burst ? 0.9 : 0.2)) {
+        budget.recordFirstAttempt();
+        firstAttempts = 1;
       }
-      if (b.availableRetries() > 0) {
-        b.recordRetry();
-        s += 1;
+      if (budget.availableRetries() > 0) {
+        budget.recordRetry();
+        spent += 1;
       }
-      const g = b.grantProbes();
-      s += g - probes;
-      probes = g;
-      past.push({ t, first: f, spent: s });
-      const w = past.filter((p) => p.t > t - 9_800_000);
-      const sum = w.reduce((a, p) => ({ f: a.f + p.first, s: a.s + p.spent }), { f: 0, s: 0 });
-      const all = past.filter((p) => p.t > t - 10_200_000).reduce((a, p) => a + p.first, 0);
-      expect(sum.s).toBeLessThanOrEqual(0.2 * all + 2);
+      const granted = budget.grantProbes();
+      spent += granted - probes;
+      probes = granted;
+      past.push({ at: now, firstAttempts, spent });
+      const recent = past.filter((entry) => entry.at > now - 9_800_000);
+      const totals = recent.reduce(
+        (sum, entry) => ({ firstAttempts: sum.firstAttempts + entry.firstAttempts, spent: sum.spent + entry.spent }),
+        { firstAttempts: 0, spent: 0 },
+      );
+      const allFirstAttempts = past
+        .filter((entry) => entry.at > now - 10_200_000)
+        .reduce((sum, entry) => sum + entry.firstAttempts, 0);
+      expect(totals.spent).toBeLessThanOrEqual(0.2 * allFirstAttempts + 2);
     }
   });
   it('stays near a fifth also in the ten seconds after a burst', () => {
-    let t = 0;
-    const b = createRetryBudget(() => micros(t));
+    let now = 0;
+    const budget = createRetryBudget(() => micros(now));
     for (let i = 0; i < 400; i += 1) {
-      t += 25_000;
-      b.recordFirstAttempt();
+      now += 25_000;
+      budget.recordFirstAttempt();
     }
-    let [firsts, spent] = [0, 0];
+    let [firstAttempts, spent] = [0, 0];
     for (let i = 0; i < 10; i += 1) {
-      t += 990_000;
-      b.recordFirstAttempt();
-      firsts += 1;
-      while (b.availableRetries() > 0) {
-        b.recordRetry();
+      now += 990_000;
+      budget.recordFirstAttempt();
+      firstAttempts += 1;
+      while (budget.availableRetries() > 0) {
+        budget.recordRetry();
         spent += 1;
       }
     }
-    expect(spent).toBeLessThanOrEqual(0.2 * firsts + maxSavedRetries + savedRetryRatio * 400);
+    expect(spent).toBeLessThanOrEqual(0.2 * firstAttempts + maxSavedRetries + savedRetryRatio * 400);
   });
 }
--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -197,8 +197,8 @@
 
   // The target for one prefill is a fifth of the shortest timeout in force.
   function prefillTargetUs(): number {
-    const timeoutsMs = (feed.desiredState()?.templates ?? []).flatMap((t) =>
-      Object.values(t.kinds).map((k) => k.patienceMs),
+    const timeoutsMs = (feed.desiredState()?.templates ?? []).flatMap((tenantTemplate) =>
+      Object.values(tenantTemplate.kinds).map((template) => template.patienceMs),
     );
     return 200 * Math.max(2500, Math.min(10_000, ...timeoutsMs));
   }
@@ -212,7 +212,9 @@
     return (
       prefillCandidates.length === 0 ||
       prefillCandidates.some(
-        (c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < options.maxWorkerQueueLength,
+        (candidate) =>
+          candidate.queued + Math.max(0, candidate.prefillTokens > 0 ? candidate.running : 0) <
+          options.maxWorkerQueueLength,
       )
     );
   }
@@ -562,14 +564,14 @@
         decodeWorkers: decodeWorkers.length,
         retryAfter: Math.max(1, Math.ceil(meanRequestTimeUs / 1e6)),
       });
-      if (step.do === 'fail') {
+      if (step.action === 'fail') {
         if (step.failure.kind === 'answer_cut')
           world.log(5104, { request: context.request.id, worker: context.ledger.attempts.at(-1)?.worker });
         rejectRequest(context.request, context.response, step.failure);
         return step.failure.kind;
       }
       // Decoding after a completed prefill needs no lease; a new prefill or a repeated decode does.
-      if (!feed.hasLease() && (step.do === 'prefill' || context.ledger.attempts.at(-1)?.phase === 'decode')) {
+      if (!feed.hasLease() && (step.action === 'prefill' || context.ledger.attempts.at(-1)?.phase === 'decode')) {
         const rejection = failure(
           context.template.repeatable ? 'workers_failed' : 'outcome_unknown',
           'A worker failed, and this router has no current lease from the control cluster to retry.',
@@ -577,7 +579,7 @@
         rejectRequest(context.request, context.response, rejection);
         return rejection.kind;
       }
-      if (step.do === 'prefill') {
+      if (step.action === 'prefill') {
         const prefillDone = prefill(context, prefillWorkers);
         onStarted();
         await prefillDone;
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -205,26 +205,26 @@
   const { it, expect } = import.meta.vitest;
   const { micros } = await import('@tansypost/inner-protocol');
   it('ends the ejection of a failed worker sooner once a later report shows that it responds', () => {
-    let t = 0;
-    const table = createWorkerTable(() => micros(t), { speedClass: () => 0 } as unknown as Paces);
-    table.mergeStates([1, 2].map((n) => ({ worker: `w${n}`, incarnation: 1, state: 1, address: 'x' })));
+    let now = 0;
+    const table = createWorkerTable(() => micros(now), { speedClass: () => 0 } as unknown as Paces);
+    table.mergeStates([1, 2].map((number) => ({ worker: `w${number}`, incarnation: 1, state: 1, address: 'x' })));
     function names(): string {
       return table
         .candidates('prefill', () => 'both', new Set())
-        .map((c) => c.worker)
+        .map((candidate) => candidate.worker)
         .join(' ');
     }
     table.recordFailure('w1' as WorkerId);
-    t = 600_000;
+    now = 600_000;
     expect(names()).toBe('w2');
-    t = 2_100_000;
+    now = 2_100_000;
     expect(names()).toBe('w1 w2');
     table.recordFailure('w1' as WorkerId);
-    t = 3_000_000;
+    now = 3_000_000;
     table.mergeReports([
       { worker: 'w1', incarnation: 1, queued: 0, active: 0, kvUsed: 0, part: 'both', age: 100_000, fence: 0 },
     ]);
-    t = 3_200_000;
+    now = 3_200_000;
     expect(names()).toBe('w1 w2');
   });
 }
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -598,27 +598,27 @@
     entries: readonly MemberEntry[],
   ): {
     agent: AgentCore;
-    step: (us: number) => void;
+    step: (durationUs: number) => void;
     isLeasePassedOn: () => boolean;
-    deliver: (m: Message, from: string) => void;
+    deliver: (message: Message, from: string) => void;
   } {
-    let t = 0;
-    let timers: { at: number; f: () => void }[] = [];
+    let now = 0;
+    let timers: { at: number; task: () => void }[] = [];
     let feeds: MessageOf<'Feed'>[] = [];
     const replicas = [0, 1, 2].map((slot) => ({ slot, address: `keeper${slot}:1`, disk: `d${slot}` }));
     const agent = createAgentCore(
       {
-        now: () => micros(t),
+        now: () => micros(now),
         random: () => 0.3,
         log: () => undefined,
-        send: (_to, m) => {
-          if (m.kind === 'Feed') feeds.push(m);
+        send: (_address, message) => {
+          if (message.kind === 'Feed') feeds.push(message);
         },
-        after: (d, f) => {
-          const x = { at: t + d, f };
-          timers.push(x);
+        after: (delay, task) => {
+          const timer = { at: now + delay, task };
+          timers.push(timer);
           return () => {
-            timers = timers.filter((y) => y !== x);
+            timers = timers.filter((other) => other !== timer);
           };
         },
       },
@@ -640,22 +640,22 @@
         orderStage: async () => undefined,
         trainer: { add: () => undefined, train: async () => Buffer.alloc(0) },
         save: () => undefined,
-        wallClockUs: () => t,
+        wallClockUs: () => now,
       },
     );
-    function step(us: number): void {
-      const end = t + us;
+    function step(durationUs: number): void {
+      const end = now + durationUs;
       for (;;) {
-        const n = timers.filter((x) => x.at <= end).sort((p, q) => p.at - q.at)[0];
-        if (n === undefined) break;
-        timers = timers.filter((x) => x !== n);
-        t = n.at;
-        n.f();
+        const next = timers.filter((timer) => timer.at <= end).sort((left, right) => left.at - right.at)[0];
+        if (next === undefined) break;
+        timers = timers.filter((timer) => timer !== next);
+        now = next.at;
+        next.task();
       }
-      t = end;
+      now = end;
     }
-    function deliver(m: Message, from: string): void {
-      agent.receive(m, from as Address);
+    function deliver(message: Message, from: string): void {
+      agent.receive(message, from as Address);
     }
     // The router asks for a lease and the control cluster grants it; tells whether the agent passes it on to the router.
     function isLeasePassedOn(): boolean {
@@ -664,7 +664,7 @@
           kind: 'RouterState',
           router: 'r1#1',
           http: 'r1',
-          asked: t,
+          asked: now,
           applied: 1,
           first: 0,
           extra: 0,
@@ -674,7 +674,7 @@
         },
         'r1:1',
       );
-      deliver({ kind: 'Leases', grants: [{ router: 'r1#1', asked: t, version: 1 }] }, 'keeper0:1');
+      deliver({ kind: 'Leases', grants: [{ router: 'r1#1', asked: now, version: 1 }] }, 'keeper0:1');
       const isPassedOn = feeds.at(-1)!.grants.length > 0;
       feeds = [];
       return isPassedOn;
@@ -708,7 +708,7 @@
     expect(fixture.isLeasePassedOn()).toBe(false);
     fixture.deliver({ kind: 'Marks', marks: [{ ...storedState, state: 2 }], whole: true, warm: true }, 'a2:1');
     expect(fixture.isLeasePassedOn()).toBe(true);
-    expect(fixture.agent.workerStates().find((m) => m.worker === 'w')!.state).toBe(2);
+    expect(fixture.agent.workerStates().find((entry) => entry.worker === 'w')!.state).toBe(2);
   });
   it('passes leases on after all agents have restarted together, and as the only agent of a fleet', () => {
     const fixture = createFixture([storedState], [entry('a2', 0), entry('a3', 0)]);
--- a/programs/router-agent/src/agent-state-file.ts
+++ b/programs/router-agent/src/agent-state-file.ts
@@ -35,10 +35,10 @@
       });
       if (text === lastWritten) return;
       try {
-        const fd = openSync(`${path}.next`, 'w');
-        writeSync(fd, text);
-        fsyncSync(fd);
-        closeSync(fd);
+        const descriptor = openSync(`${path}.next`, 'w');
+        writeSync(descriptor, text);
+        fsyncSync(descriptor);
+        closeSync(descriptor);
         renameSync(`${path}.next`, path);
         lastWritten = text;
       } catch {
--- a/programs/router-agent/src/app.ts
+++ b/programs/router-agent/src/app.ts
@@ -14,7 +14,7 @@
   {
     worker: Type.String({ minLength: 1, maxLength: 64 }),
     incarnation: Type.Integer({ minimum: 1 }),
-    state: Type.Union(workerStates.map((s) => Type.Literal(s))),
+    state: Type.Union(workerStates.map((state) => Type.Literal(state))),
     address: Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' }),
   },
   { additionalProperties: false },
--- a/programs/router-agent/src/event-sink.ts
+++ b/programs/router-agent/src/event-sink.ts
@@ -83,8 +83,8 @@
     let isAccepting = true;
     const sink = createEventSink(
       {
-        after: (_d, f) => {
-          ticks.push(f);
+        after: (_delay, task) => {
+          ticks.push(task);
           return () => undefined;
         },
         log: () => undefined,
