--- a/programs/request-router/src/http-worker-client.ts
+++ b/programs/request-router/src/http-worker-client.ts
@@ -162,14 +162,14 @@
       }
       const choice = event.choices?.[0];
       if (choice === undefined || typeof choice.text !== 'string' || finishReason !== undefined)
-        return { tag: 'unknown', reason: 'event has no text choice' };
+        return { tag: 'unknown', reason: 'event has no text choice or follows the finish reason' };
       const backpressure = choice.text === '' ? undefined : writeChunk(choice.text);
       if (backpressure !== undefined) await Promise.race([backpressure, aborted]);
       if (signal?.aborted === true) return { tag: 'unknown', reason: 'aborted' };
       if (choice.finish_reason !== null && choice.finish_reason !== undefined)
         finishReason = String(choice.finish_reason);
     }
-    if (buffered.length > 1_000_000) return { tag: 'unknown', reason: 'event exceeds 1 MB' };
+    if (buffered.length > 1_000_000) return { tag: 'unknown', reason: 'event exceeds 1,000,000 characters' };
   }
   return { tag: 'unknown', reason: 'stream ended before [DONE]' };
 }
