--- a/packages/pass-through/src/decision.ts
+++ b/packages/pass-through/src/decision.ts
@@ -1,38 +1,39 @@
 /**
- * Decides the next step of one request from its ledger and the facts of the moment. It is asked, and the executor obeys.
- * What may not be repeated is sent again only while nothing can have run; a refusal that promises that nothing ran is
- * given only then; what has begun is taken up by another worker only where its path allows that, and is cut, never
- * ended, where nobody can.
+ * Decides the next step of one request from its history and the current conditions; a pure function that the attempt
+ * loop follows. A request that is neither idempotent nor resumable is retried only while nothing can have run. A
+ * rejection guarantees that nothing ran only where nothing can have run. A response that has started is resumed at
+ * another worker only where its route allows that; where no worker can resume it, it is aborted, never ended as if
+ * complete.
  */
 
 /** What has happened to the request so far. */
 export interface AttemptHistory {
-  /** How many workers it went to for its run, or for reads beyond the first. */
+  /** Workers that the request was sent to for a run, or for a prefill after the first. */
   readonly attempts: number;
-  /** Whether something may have run. */
+  /** Whether a worker may have run the request. */
   readonly ran: 'no' | 'maybe';
-  /** Whether an answer has begun. */
+  /** Whether a response to the client has started. */
   readonly responseStarted: boolean;
   readonly lastRefused: boolean;
 }
 
-/** What holds at this moment. */
+/** The current conditions. */
 export interface RequestConditions {
-  /** Whether its key, where it needs one, is still that of a tenant. */
+  /** Whether the API key, where one is required, still belongs to a tenant. */
   readonly admitted: boolean;
   readonly clientGone: boolean;
   readonly remainingTime: number;
   readonly idempotent: boolean;
   readonly resumable: boolean;
   readonly maxAttempts: number;
-  /** Whether the budget for extra sends has room. */
+  /** Whether the retry budget allows one more attempt. */
   readonly retryAllowed: boolean;
   /** Whether some worker can be assigned. */
   readonly workerAvailable: boolean;
 }
 
-/** The next step; of runs, `first` is the request's first send, and any later one is extra. */
-export type Step =
+/** The next step. `first` marks the first run of a request; any later run counts against the retry budget. */
+export type NextStep =
   | { readonly step: 'stop' }
   | { readonly step: 'run'; readonly first: boolean }
   | { readonly step: 'resume' }
@@ -43,33 +44,33 @@
       readonly ran: 'no' | 'maybe';
     };
 
-function afterPossibleRun(again: boolean, { idempotent: repeatable, resumable }: RequestConditions): Step {
-  if ((repeatable || resumable) && again) return { step: 'run', first: false };
+function afterPossibleRun(mayRetry: boolean, { idempotent, resumable }: RequestConditions): NextStep {
+  if ((idempotent || resumable) && mayRetry) return { step: 'run', first: false };
   return { step: 'giveUp', kind: 'outcome_unknown', ran: 'maybe' };
 }
 
-/** A key that was taken away is good for no further attempt. */
-function withoutKey({ ran }: AttemptHistory): Step {
+/** A revoked key permits no further attempt. */
+function afterKeyRevoked({ ran }: AttemptHistory): NextStep {
   return { step: 'giveUp', kind: ran === 'no' ? 'unknown_key' : 'outcome_unknown', ran };
 }
 
-function whileNothingRan(
-  again: boolean,
-  { attempts: sends }: AttemptHistory,
-  { workerAvailable: workers }: RequestConditions,
-): Step {
-  if (!workers) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
-  if (sends === 0) return { step: 'run', first: true };
-  return again ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
+function beforeAnyRun(
+  mayRetry: boolean,
+  { attempts }: AttemptHistory,
+  { workerAvailable }: RequestConditions,
+): NextStep {
+  if (!workerAvailable) return { step: 'giveUp', kind: 'no_workers', ran: 'no' };
+  if (attempts === 0) return { step: 'run', first: true };
+  return mayRetry ? { step: 'run', first: false } : { step: 'giveUp', kind: 'workers_refused', ran: 'no' };
 }
 
-/** The only step that is allowed and useful now. */
-export function decideNextStep(ledger: AttemptHistory, facts: RequestConditions): Step {
-  if (facts.clientGone) return { step: 'stop' };
-  const again = facts.maxAttempts > ledger.attempts && facts.retryAllowed && facts.workerAvailable;
-  const mayResume = facts.remainingTime > 0 && facts.resumable && facts.admitted && again;
-  if (ledger.responseStarted) return { step: mayResume ? 'resume' : 'cut' };
-  if (facts.remainingTime <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: ledger.ran };
-  if (!facts.admitted) return withoutKey(ledger);
-  return ledger.ran === 'maybe' ? afterPossibleRun(again, facts) : whileNothingRan(again, ledger, facts);
+/** The only step that is both allowed and useful now. */
+export function decideNextStep(history: AttemptHistory, conditions: RequestConditions): NextStep {
+  if (conditions.clientGone) return { step: 'stop' };
+  const mayRetry = conditions.maxAttempts > history.attempts && conditions.retryAllowed && conditions.workerAvailable;
+  const mayResume = conditions.remainingTime > 0 && conditions.resumable && conditions.admitted && mayRetry;
+  if (history.responseStarted) return { step: mayResume ? 'resume' : 'cut' };
+  if (conditions.remainingTime <= 0) return { step: 'giveUp', kind: 'budget_spent', ran: history.ran };
+  if (!conditions.admitted) return afterKeyRevoked(history);
+  return history.ran === 'maybe' ? afterPossibleRun(mayRetry, conditions) : beforeAnyRun(mayRetry, history, conditions);
 }
--- a/packages/pass-through/src/in-flight-request.ts
+++ b/packages/pass-through/src/in-flight-request.ts
@@ -1,105 +1,105 @@
-/** One request under way: what it asks for and what has been tried for it. */
+/** State of one request in flight: what it asks for and which attempts were made. */
 import type { Route, Service } from '@tansypost/paths';
-import type { SseFramer } from './events.js';
-import type { IncomingRequest } from './incoming.js';
+import type { SseFramer } from './sse-framer.js';
+import type { IncomingRequest } from './incoming-request.js';
 import type { Rejection, CohortAssignment, ResponseWriter, RunResult } from './ports.js';
 import { createRequestTimeline, type RequestTimeline } from './request-timeline.js';
 import type { FleetWorker } from './worker-fleet.js';
 
-/** One that was lost is read by one more reader at most. */
-const mostReads = 2;
+/** A prompt whose first prefill failed is sent to at most one more prefill worker. */
+const maxPrefillAttempts = 2;
 
-/** The facts of a request that do not change. */
-export interface RequestFacts {
-  /** As it came. */
-  readonly received: IncomingRequest;
-  readonly path: Route;
+/** The part of a request's state that does not change. */
+export interface FixedRequestState {
+  /** The request as received. */
+  readonly receivedRequest: IncomingRequest;
+  readonly route: Route;
   readonly service: Service;
-  readonly reply: ResponseWriter;
-  /** Aborted when the requester has left. */
-  readonly gone: AbortSignal;
-  readonly arrived: number;
-  readonly lot: CohortAssignment | undefined;
+  readonly response: ResponseWriter;
+  /** Aborted when the client has disconnected. */
+  readonly clientGone: AbortSignal;
+  readonly arrivedAt: number;
+  readonly cohort: CohortAssignment | undefined;
 }
 
 /** A request with the state of its attempts; times are microseconds. */
-export interface InFlightRequest extends RequestFacts {
-  /** As workers get it: admitted by the tenants known when its last attempt began. */
+export interface InFlightRequest extends FixedRequestState {
+  /** The request as workers receive it, admitted by the tenants known when its last attempt started. */
   request: IncomingRequest;
-  /** The moment at which it is given up on. */
-  limit: number;
-  /** Ends the attempt under way, if there is one. */
+  /** The time at which the request is rejected or its response aborted. */
+  deadline: number;
+  /** Aborts the current attempt, if there is one. */
   abortAttempt: (() => void) | undefined;
-  /** Workers that it went to for its run, or for reads beyond the first. */
-  sends: number;
-  /** Whether something may have run. */
+  /** Workers that the request was sent to for a run, or for a prefill after the first. */
+  attempts: number;
+  /** Whether a worker may have run the request. */
   ran: 'no' | 'maybe';
-  /** Whether an answer has begun to reach the requester. */
-  begun: boolean;
-  cutter: SseFramer | undefined;
+  /** Whether a response to the client has started. */
+  responseStarted: boolean;
+  framer: SseFramer | undefined;
   lastRefused: boolean;
-  readonly tried: Set<string>;
-  /** The workers of its reads and runs, in turn. */
-  readonly workers: string[];
-  /** The worker whose connection broke while it ran the request, to be asked once more as it has the prompt. */
-  holder: FleetWorker | undefined;
-  askedHolder: boolean;
-  /** Attempts of which no byte was sent. */
-  unsent: number;
-  /** Reads begun; any after the first is extra. */
-  reads: number;
-  /** The row and the moment by which its reader was chosen, until the first piece has come. */
-  chosen: { readonly row: Float32Array; readonly at: number } | undefined;
-  firstAt: number;
-  lastPieceAt: number;
-  pieces: number;
-  whole: boolean;
+  readonly triedWorkers: Set<string>;
+  /** The workers of its prefills and runs, in order. */
+  readonly workerIds: string[];
+  /** A worker whose connection broke during the run; it is retried once, as it has the prompt in its KV cache. */
+  sameWorkerRetry: FleetWorker | undefined;
+  sameWorkerRetried: boolean;
+  /** Attempts for which no byte was sent. */
+  unsentAttempts: number;
+  /** Prefills started; any after the first counts against the retry budget. */
+  prefillAttempts: number;
+  /** The feature row and the time of the choice of the prefill worker, until the first chunk has come. */
+  placementSample: { readonly features: Float32Array; readonly chosenAt: number } | undefined;
+  firstChunkAt: number;
+  lastChunkAt: number;
+  chunkCount: number;
+  completed: boolean;
   readonly timeline: RequestTimeline;
-  /** How it was given up on, if it was. */
-  refusal: Rejection | undefined;
-  /** The last answer of a worker that failed, to be passed on where nothing better comes. */
-  failed: Extract<RunResult, { tag: 'failed' }> | undefined;
+  /** How the request was rejected, if it was. */
+  rejection: Rejection | undefined;
+  /** The last error response of a worker, forwarded if no attempt succeeds. */
+  lastFailure: Extract<RunResult, { tag: 'failed' }> | undefined;
 }
 
-/** A request for which nothing has been tried yet. */
-export function createInFlightRequest(facts: RequestFacts & Pick<InFlightRequest, 'request'>): InFlightRequest {
+/** A request for which no attempt was made yet. */
+export function createInFlightRequest(fixed: FixedRequestState & Pick<InFlightRequest, 'request'>): InFlightRequest {
   return {
-    ...facts,
-    limit: facts.arrived + Math.min(facts.request.timeout, facts.path.timeout),
+    ...fixed,
+    deadline: fixed.arrivedAt + Math.min(fixed.request.timeout, fixed.route.timeout),
     abortAttempt: undefined,
-    sends: 0,
+    attempts: 0,
     ran: 'no',
-    begun: false,
-    cutter: undefined,
+    responseStarted: false,
+    framer: undefined,
     lastRefused: false,
-    tried: new Set(),
-    workers: [],
-    holder: undefined,
-    askedHolder: false,
-    unsent: 0,
-    reads: 0,
-    chosen: undefined,
-    firstAt: 0,
-    lastPieceAt: 0,
-    pieces: 0,
-    whole: false,
+    triedWorkers: new Set(),
+    workerIds: [],
+    sameWorkerRetry: undefined,
+    sameWorkerRetried: false,
+    unsentAttempts: 0,
+    prefillAttempts: 0,
+    placementSample: undefined,
+    firstChunkAt: 0,
+    lastChunkAt: 0,
+    chunkCount: 0,
+    completed: false,
     timeline: createRequestTimeline(),
-    refusal: undefined,
-    failed: undefined,
+    rejection: undefined,
+    lastFailure: undefined,
   };
 }
 
-/** Whether one more worker may be asked to read: that and the run after it count among those a request may go to. */
-export function mayReadAgain(inFlight: InFlightRequest): boolean {
-  return inFlight.reads < mostReads && inFlight.sends + 2 <= inFlight.path.maxAttempts;
+/** Whether one more prefill is allowed: it and the run after it both count against the attempts of the route. */
+export function mayPrefillAgain(inFlight: InFlightRequest): boolean {
+  return inFlight.prefillAttempts < maxPrefillAttempts && inFlight.attempts + 2 <= inFlight.route.maxAttempts;
 }
 
-/** Whether another worker may run it or go on with it, though the present one has it. */
-export function mayMove(inFlight: InFlightRequest): boolean {
-  return inFlight.path.resumable || (inFlight.path.idempotent && !inFlight.begun);
+/** Whether another worker may run or resume the request although the current worker may have run it. */
+export function mayReassign(inFlight: InFlightRequest): boolean {
+  return inFlight.route.resumable || (inFlight.route.idempotent && !inFlight.responseStarted);
 }
 
-/** Whether it may still go to one more worker. */
-export function hasSendLeft(inFlight: InFlightRequest): boolean {
-  return inFlight.sends < inFlight.path.maxAttempts;
+/** Whether the route allows one more attempt. */
+export function hasAttemptLeft(inFlight: InFlightRequest): boolean {
+  return inFlight.attempts < inFlight.route.maxAttempts;
 }
--- a/packages/pass-through/src/readiness.ts
+++ b/packages/pass-through/src/readiness.ts
@@ -1,41 +1,40 @@
 /**
- * Requests that come before the router knows its routes and workers.
+ * Holds requests that arrive before the router knows its routes and workers.
  *
- * A router that has just started is told both within moments. A request waits for them, since a refusal would send it
- * to the next router, which may be starting as well; but it is answered while its requester can still be served in
- * time elsewhere.
+ * A router that has just started receives both soon. Requests wait for them, since a rejection would send the client
+ * to another router, which may be starting as well; but they are rejected early enough to be served in time elsewhere.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 
 /**
- * The part of a route's aim for which a request may wait for a router that is starting. A refusal costs nothing within
- * a quarter of the aim; the rest is for the way to the requester.
+ * Maximum wait for a starting router as a share of the route's target latency. A rejection within a quarter of the
+ * target costs nothing; the difference is for the network path to the client.
  */
-const shareOfAim = 1 / 5;
-/** The wait, in microseconds, while the route and so its aim are unknown. */
-const routeUnknownWait = 150_000;
-/** The wait is never longer than this part of what the requester waits. */
-const shareOfPatience = 1 / 4;
+const maxTargetLatencyShare = 1 / 5;
+/** Maximum wait while the route, and so its target latency, is unknown. */
+const unknownRouteWaitMicros = 150_000;
+/** Maximum wait as a share of the client's timeout. */
+const maxClientTimeoutShare = 1 / 4;
 
 /** Lets requests wait until the router is ready. */
 export interface Readiness {
-  /** Routes or workers have become known: those who wait look again. */
-  readonly changed: () => void;
-  /** Ends when the router is ready, or the longest wait since `arrived` is over. */
-  readonly wait: (arrived: number, patience: number, aim: () => number | undefined) => Promise<void>;
+  /** Routes or workers have become known: waiting requests check again. */
+  readonly notifyChanged: () => void;
+  /** Resolves when the router is ready, or when the maximum wait since `arrivedAt` is over. */
+  readonly wait: (arrivedAt: number, clientTimeout: number, targetLatency: () => number | undefined) => Promise<void>;
 }
 
-/** Waits by the clock of `world` for `ready` to hold. */
+/** Lets requests wait for `ready`, by the clock of `world`. */
 export function createReadiness(world: World, ready: () => boolean): Readiness {
   const waiting = new Set<() => void>();
 
-  function changed(): void {
-    for (const lookAgain of [...waiting]) lookAgain();
+  function notifyChanged(): void {
+    for (const recheck of [...waiting]) recheck();
   }
 
-  function changeWithin(longest: number): Promise<void> {
+  function waitForChange(maxWait: number): Promise<void> {
     return new Promise((done) => {
-      const cancel = world.after(micros(longest), end);
+      const cancel = world.after(micros(maxWait), end);
       function end(): void {
         cancel();
         if (waiting.delete(end)) done();
@@ -44,15 +43,22 @@
     });
   }
 
-  async function wait(arrived: number, patience: number, aim: () => number | undefined): Promise<void> {
+  async function wait(
+    arrivedAt: number,
+    clientTimeout: number,
+    targetLatency: () => number | undefined,
+  ): Promise<void> {
     while (!ready()) {
-      const known = aim();
-      const longest = Math.min(known === undefined ? routeUnknownWait : shareOfAim * known, shareOfPatience * patience);
-      const left = arrived + longest - world.now();
-      if (left <= 0) return;
-      await changeWithin(Math.ceil(left));
+      const routeTarget = targetLatency();
+      const maxWait = Math.min(
+        routeTarget === undefined ? unknownRouteWaitMicros : maxTargetLatencyShare * routeTarget,
+        maxClientTimeoutShare * clientTimeout,
+      );
+      const remaining = arrivedAt + maxWait - world.now();
+      if (remaining <= 0) return;
+      await waitForChange(Math.ceil(remaining));
     }
   }
 
-  return { changed, wait };
+  return { notifyChanged, wait };
 }
