--- a/programs/control-node/src/voting-control-node.ts
+++ b/programs/control-node/src/voting-control-node.ts
@@ -1,33 +1,35 @@
 /**
- * The control-node without its sockets and files: the keys' core and, beside it, the voter for duties.
- * The epochs of duties live as rows of the same file that no owner writes.
+ * The control node without its sockets and files: the replica of the control state, and the voter for elections of
+ * singleton roles. The epochs of these roles are stored as rows of the same file, which no key leader writes.
  */
 import { createControlNode, type ControlNode, type ControlNodeOptions } from '@tansypost/control-state';
 import { createVoter } from '@tansypost/duty';
 import type { Address, Message, World } from '@tansypost/inner-protocol';
 
+/** Settings of the node; `roleLeaseUs` is the lease of the leader of a singleton role. */
 export interface VotingControlNodeOptions extends ControlNodeOptions {
-  readonly dutyTenure: number;
+  readonly roleLeaseUs: number;
 }
 
-export function createVotingControlNode(w: World, o: VotingControlNodeOptions): ControlNode {
-  const k = createControlNode(w, o);
-  const voter = createVoter(w, {
-    slot: () => k.replica.slot,
-    diskId: k.replica.diskId,
-    isVoting: () => k.replica.state() === 'voting',
-    votingSince: k.replica.votingSince,
-    membershipEpoch: () => k.replica.membership().membershipEpoch,
-    leaseDuration: o.dutyTenure,
+/** Creates a control node that also votes in elections of singleton roles. */
+export function createVotingControlNode(world: World, options: VotingControlNodeOptions): ControlNode {
+  const node = createControlNode(world, options);
+  const voter = createVoter(world, {
+    slot: () => node.replica.slot,
+    diskId: node.replica.diskId,
+    isVoting: () => node.replica.state() === 'voting',
+    votingSince: node.replica.votingSince,
+    membershipEpoch: () => node.replica.membership().membershipEpoch,
+    leaseDuration: options.roleLeaseUs,
     store: {
-      epoch: (d) => k.replica.row(`~ballot/${d}`).promised,
-      save: (d, epoch, done) =>
-        k.replica.putRow(`~ballot/${d}`, { ...k.replica.row(`~ballot/${d}`), promised: epoch }, [], done),
+      epoch: (role) => node.replica.row(`~ballot/${role}`).promised,
+      save: (role, epoch, done) =>
+        node.replica.putRow(`~ballot/${role}`, { ...node.replica.row(`~ballot/${role}`), promised: epoch }, [], done),
     },
   });
-  function receive(m: Message, from: Address): void {
-    if (m.kind === 'Ballot') voter.requestVote(m, (v) => w.send(m.from as Address, v));
-    else k.receive(m, from);
+  function receive(message: Message, from: Address): void {
+    if (message.kind === 'Ballot') voter.requestVote(message, (vote) => world.send(message.from as Address, vote));
+    else node.receive(message, from);
   }
-  return { ...k, receive };
+  return { ...node, receive };
 }
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -1,6 +1,6 @@
 /**
- * The router-agent without its sockets: membership, worker marks, news, reports and duties, put together.
- * It feeds the router on its machine and speaks for it to the core.
+ * The router agent without its sockets: gossip membership, worker states, key updates, load reports and singleton roles.
+ * It feeds the router on its machine and talks to the control cluster on the router's behalf.
  */
 import {
   appliedAllVersions,
@@ -37,26 +37,27 @@
   type VerdictOptions,
 } from '@tansypost/rehearsal';
 import * as E from 'fp-ts/lib/Either.js';
-import { createAsker } from './ask.js';
-import { createNews, type News } from './news.js';
-import { createPartsDuty } from './parts-duty.js';
-import { createReports, type FetchedReport } from './reports.js';
+import { createAgentControlClient } from './control-client.js';
+import { createKeyUpdateRelay, type KeyUpdateRelay } from './key-update-relay.js';
+import { createStageAssignment } from './stage-assignment.js';
+import { createLoadReports, type FetchedReport } from './load-reports.js';
 
+/** Settings of one agent; `persisted` is what it stored before a restart. */
 export interface AgentOptions {
   readonly member: string;
   readonly self: Address;
   readonly zone: string;
-  readonly router: Address;
-  readonly routerHttp: string;
+  readonly routerAddress: Address;
+  readonly routerHttpAddress: string;
   readonly service: string;
   readonly seeds: readonly Address[];
   readonly slot: number;
-  readonly born: number;
-  readonly dutyTenure: number;
-  readonly trainEvery: number;
-  readonly shiftParts: boolean;
-  readonly slice: number;
-  readonly rehearsalLimit: number;
+  readonly incarnation: number;
+  readonly roleLeaseUs: number;
+  readonly samplesPerTraining: number;
+  readonly shiftStages: boolean;
+  readonly treatmentShare: number;
+  readonly rehearsalTimeLimitUs: number;
   readonly persisted: {
     readonly entries: readonly MemberEntry[];
     readonly marks: readonly WorkerStateEntry[];
@@ -64,520 +65,560 @@
     readonly replicas: readonly ReplicaEntry[];
   };
   readonly verdict?: VerdictOptions;
-  readonly ackPatience?: number;
-  readonly shiftHold?: number;
-  readonly shiftRest?: number;
+  readonly submitTimeoutUs?: number;
+  readonly shiftHoldUs?: number;
+  readonly shiftCooldownUs?: number;
 }
+/** Defaults of the settings that need not be given. */
 export const agentDefaults = {
-  dutyTenure: 3_000_000,
-  trainEvery: 1000,
-  shiftParts: true,
-  slice: 0.1,
-  rehearsalLimit: 600_000_000,
+  roleLeaseUs: 3_000_000,
+  samplesPerTraining: 1000,
+  shiftStages: true,
+  treatmentShare: 0.1,
+  rehearsalTimeLimitUs: 600_000_000,
   persisted: { entries: [], marks: [], membershipEpoch: 0, replicas: [] },
 };
+/** What the agent needs from its surroundings. */
 export interface AgentPorts {
-  readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
-  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly fetchReport: (worker: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  /** Orders a stage, or only fences the worker if the stage is empty; undefined if the worker did not answer. */
+  readonly orderStage: (worker: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly trainer: TrainerPort;
-  readonly save: (p: AgentOptions['persisted']) => void;
-  readonly wall: () => number;
-  // Told of each change that this agent sees.
-  readonly changed?: (e: TraceEvent) => void;
+  readonly save: (persisted: AgentOptions['persisted']) => void;
+  readonly wallClockUs: () => number;
+  /** Called for each change of a key that this agent sees. */
+  readonly onTraceEvent?: (event: TraceEvent) => void;
 }
+/** A change of a key that was received from the control cluster or applied by the router. */
 export interface TraceEvent {
   readonly at: number;
   readonly what: string;
   readonly key: string;
   readonly version: number;
 }
-export type Submitted =
+/** The answer to a submitted desired state. */
+export type SubmitResult =
   | { readonly answer: 'acknowledged'; readonly version: number; readonly change: string }
   | { readonly answer: 'refused'; readonly faults: readonly Fault[]; readonly change: string }
   | { readonly answer: 'lost the race'; readonly version: number; readonly change: string }
   | { readonly answer: 'outcome unknown'; readonly change: string };
 
+/** The running agent. */
 export interface AgentCore {
-  readonly receive: (m: Message, from: Address) => void;
-  readonly platform: (
-    ms: readonly WorkerStateEntry[],
-  ) => Promise<{ readonly fresh: WorkerStateEntry[]; readonly confirmed: boolean }>;
-  readonly submit: (base: number, change: string, state: unknown) => Promise<Submitted>;
-  readonly readDesired: () => Promise<AskResult>;
-  readonly lookup: (change: string) => Promise<AskResult>;
-  readonly rehearsals: () => RehearsalRecord;
-  readonly decide: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
+  readonly receive: (message: Message, from: Address) => void;
+  readonly applyPlatformStates: (
+    entries: readonly WorkerStateEntry[],
+  ) => Promise<{ readonly newEntries: WorkerStateEntry[]; readonly confirmed: boolean }>;
+  readonly submit: (expectedVersion: number, change: string, state: unknown) => Promise<SubmitResult>;
+  readonly readDesiredState: () => Promise<AskResult>;
+  readonly lookUpChange: (change: string) => Promise<AskResult>;
+  readonly rehearsalRecord: () => RehearsalRecord;
+  readonly decideRehearsal: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
   readonly members: () => MemberEntry[];
-  readonly marks: () => WorkerStateEntry[];
+  readonly workerStates: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
-  readonly news: News;
-  readonly holds: (duty: string) => number | undefined;
-  readonly figures: () => Record<string, unknown>;
+  readonly keyUpdates: KeyUpdateRelay;
+  readonly heldEpoch: (role: string) => number | undefined;
+  readonly metrics: () => Record<string, unknown>;
   readonly stop: () => void;
 }
-export const dutyNames = ['parts', 'training', 'rehearsals'] as const;
+/** The roles that one agent of the fleet holds at a time. */
+export const singletonRoles = ['parts', 'training', 'rehearsals'] as const;
 
-export function createAgentCore(w: World, o: AgentOptions, p: AgentPorts): AgentCore {
-  let core: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
-    membershipEpoch: o.persisted.membershipEpoch,
-    replicas: o.persisted.replicas,
+/** Starts an agent. */
+export function createAgentCore(world: World, options: AgentOptions, ports: AgentPorts): AgentCore {
+  let controlMembership: { membershipEpoch: number; replicas: readonly ReplicaEntry[] } = {
+    membershipEpoch: options.persisted.membershipEpoch,
+    replicas: options.persisted.replicas,
   };
   let router: MessageOf<'RouterState'> | undefined;
-  let routerAt = -Infinity;
+  let routerStateAt = -Infinity;
   let grants: { asked: number; version: number }[] = [];
-  let grantedAt = -Infinity;
-  // Marks kept on disk are as old as the stop; so the router may not decide until this agent has compared its marks with
-  // a member that is itself current, or, where all have just started, with half of those it hears of.
-  let warm = false;
-  const met = new Set<string>();
+  let leaseGrantedAt = -Infinity;
+  // Worker states from disk may have become outdated while the agent was stopped. The router therefore gets no lease until
+  // this agent has compared its worker states with a member that is itself current, or, if all agents have just started,
+  // with half of the live members.
+  let isWarm = false;
+  const comparedMembers = new Set<string>();
   const confirmations = new Set<(from: string) => void>();
   let traces: TraceEvent[] = [];
-  const marks = createWorkerStateTable();
-  marks.merge(o.persisted.marks);
+  const workerTable = createWorkerStateTable();
+  workerTable.merge(options.persisted.marks);
 
-  function heardCore(membershipEpoch: number, ps: readonly ReplicaEntry[]): void {
-    if (membershipEpoch > core.membershipEpoch && ps.length === 3) core = { membershipEpoch, replicas: ps };
+  function onControlMembership(membershipEpoch: number, replicas: readonly ReplicaEntry[]): void {
+    if (membershipEpoch > controlMembership.membershipEpoch && replicas.length === 3)
+      controlMembership = { membershipEpoch, replicas };
   }
-  function tenured(): boolean {
-    return w.now() - grantedAt < 5_000_000 && w.now() - routerAt < 2_000_000;
+  function holdsFeedLease(): boolean {
+    return world.now() - leaseGrantedAt < 5_000_000 && world.now() - routerStateAt < 2_000_000;
   }
 
-  const candidates = new Map<string, Candidate>(
-    dutyNames.map((d) => [
-      d,
-      createCandidate(w, {
-        role: d,
-        member: o.member,
-        self: o.self,
-        slot: o.slot,
-        leaseDuration: o.dutyTenure,
-        replicas: () => core,
-        isWilling: () => w.now() - started > 1_000_000,
+  const roleCandidates = new Map<string, Candidate>(
+    singletonRoles.map((role) => [
+      role,
+      createCandidate(world, {
+        role,
+        member: options.member,
+        self: options.self,
+        slot: options.slot,
+        leaseDuration: options.roleLeaseUs,
+        replicas: () => controlMembership,
+        isWilling: () => world.now() - startedAt > 1_000_000,
         onElected: () => {
-          if (d === 'parts') parts.won();
+          if (role === 'parts') stageAssignment.onElected();
         },
         onLeaseLost: () => undefined,
       }),
     ]),
   );
-  const started = w.now();
+  const startedAt = world.now();
 
-  function duties(): SingletonRoleEntry[] {
-    return [...candidates].flatMap(([d, c]) => {
-      const e = c.heldEpoch();
-      return e === undefined ? [] : [{ duty: d, holder: o.member, address: o.self, epoch: e }];
+  function heldRoles(): SingletonRoleEntry[] {
+    return [...roleCandidates].flatMap(([role, candidate]) => {
+      const epoch = candidate.heldEpoch();
+      return epoch === undefined ? [] : [{ duty: role, holder: options.member, address: options.self, epoch }];
     });
   }
 
-  const views = createGossipMembership(w, {
-    member: o.member,
-    self: o.self,
-    zone: o.zone,
-    routerHttpAddress: o.routerHttp,
-    incarnation: o.born,
-    seeds: o.seeds,
-    persisted: o.persisted.entries,
+  const membership = createGossipMembership(world, {
+    member: options.member,
+    self: options.self,
+    zone: options.zone,
+    routerHttpAddress: options.routerHttpAddress,
+    incarnation: options.incarnation,
+    seeds: options.seeds,
+    persisted: options.persisted.entries,
     viewSize: 8,
     exchangeInterval: 300_000,
     failureTimeout: 2_500_000,
-    holdsFeedLease: tenured,
-    controlMembership: () => core,
-    heldSingletonRoles: duties,
-    onControlMembership: heardCore,
-    onSingletonRole: (d) => candidates.get(d.duty)?.observeLeader(d),
+    holdsFeedLease,
+    controlMembership: () => controlMembership,
+    heldSingletonRoles: heldRoles,
+    onControlMembership,
+    onSingletonRole: (entry) => roleCandidates.get(entry.duty)?.observeLeader(entry),
     save,
   });
-  function save(es: readonly MemberEntry[]): void {
-    p.save({ entries: es, marks: marks.all(), membershipEpoch: core.membershipEpoch, replicas: core.replicas });
+  function save(entries: readonly MemberEntry[]): void {
+    ports.save({
+      entries,
+      marks: workerTable.all(),
+      membershipEpoch: controlMembership.membershipEpoch,
+      replicas: controlMembership.replicas,
+    });
   }
-  const asker = createAsker(w, o.self, () => core.replicas);
-  const news = createNews(w, {
-    self: o.self,
-    member: o.member,
-    service: o.service,
-    zone: views.zoneMembers,
-    replicas: () => core.replicas,
-    heardCore,
-    changed: (n) => {
-      note('news', n.key, n.version);
-      feed();
+  const controlClient = createAgentControlClient(world, options.self, () => controlMembership.replicas);
+  const keyUpdates = createKeyUpdateRelay(world, {
+    self: options.self,
+    member: options.member,
+    service: options.service,
+    zoneMembers: membership.zoneMembers,
+    replicas: () => controlMembership.replicas,
+    onControlMembership,
+    onUpdate: (update) => {
+      recordTrace('news', update.key, update.version);
+      sendFeed();
     },
-    granted: (g) => {
-      grants = [g];
-      grantedAt = w.now();
-      feed();
+    onLeaseGrant: (grant) => {
+      grants = [grant];
+      leaseGrantedAt = world.now();
+      sendFeed();
     },
   });
-  const reports = createReports(w, {
-    self: o.self,
-    isHome: news.isHome,
-    home: news.home,
-    homes,
-    subscribers: news.subscribers,
-    workers: ready,
-    fetch: p.fetchReport,
-    changed: () => undefined,
+  const loadReports = createLoadReports(world, {
+    self: options.self,
+    isZoneLeader: keyUpdates.isZoneLeader,
+    zoneLeader: keyUpdates.zoneLeader,
+    zoneLeaders,
+    subscribers: keyUpdates.subscribers,
+    workers: readyWorkers,
+    fetchReport: ports.fetchReport,
+    onChange: () => undefined,
   });
-  function record(): Buffer | undefined {
-    return news.get(`rehearsal/${o.service}`)?.value;
+  function rehearsalRecord(): Buffer | undefined {
+    return keyUpdates.get(`rehearsal/${options.service}`)?.value;
   }
-  const writer = createRecordWriter(w, o.service, asker, (version, epoch, value) =>
-    news.learn({ key: `rehearsal/${o.service}`, epoch, version, value }),
+  const recordWriter = createRecordWriter(world, options.service, controlClient, (version, epoch, value) =>
+    keyUpdates.mergeUpdate({ key: `rehearsal/${options.service}`, epoch, version, value }),
   );
-  const parts = createPartsDuty(w, {
-    holds: () => holds('parts'),
-    record: () => record() ?? Buffer.alloc(0),
-    workers: ready,
-    reports: () => reports.all().filter((r) => r.active >= 0),
-    writer,
-    order: p.order,
-    shift: o.shiftParts,
-    slice: o.slice,
-    approval,
-    hold: o.shiftHold,
-    rest: o.shiftRest,
+  const stageAssignment = createStageAssignment(world, {
+    heldEpoch: () => heldEpoch('parts'),
+    record: () => rehearsalRecord() ?? Buffer.alloc(0),
+    workers: readyWorkers,
+    reports: () => loadReports.all().filter((report) => report.active >= 0),
+    writer: recordWriter,
+    orderStage: ports.orderStage,
+    shiftStages: options.shiftStages,
+    treatmentShare: options.treatmentShare,
+    approval: approvalMode,
+    shiftHoldUs: options.shiftHoldUs,
+    shiftCooldownUs: options.shiftCooldownUs,
   });
-  const training = createTrainingDuty(w, {
-    service: o.service,
-    holds: () => holds('training'),
-    record,
-    asker,
-    writer,
-    trainer: p.trainer,
-    every: o.trainEvery,
-    slice: o.slice,
-    approval,
+  const trainingRole = createTrainingDuty(world, {
+    service: options.service,
+    holds: () => heldEpoch('training'),
+    record: rehearsalRecord,
+    asker: controlClient,
+    writer: recordWriter,
+    trainer: ports.trainer,
+    every: options.samplesPerTraining,
+    slice: options.treatmentShare,
+    approval: approvalMode,
   });
-  const keeping = createRehearsalDuty(w, {
-    holds: () => holds('rehearsals'),
-    record,
-    writer,
-    timeLimit: o.rehearsalLimit,
-    verdict: o.verdict,
+  const rehearsalRole = createRehearsalDuty(world, {
+    holds: () => heldEpoch('rehearsals'),
+    record: rehearsalRecord,
+    writer: recordWriter,
+    timeLimit: options.rehearsalTimeLimitUs,
+    verdict: options.verdict,
   });
 
-  function holds(d: string): number | undefined {
-    return candidates.get(d)?.heldEpoch();
+  function heldEpoch(role: string): number | undefined {
+    return roleCandidates.get(role)?.heldEpoch();
   }
-  function approval(): 'automatic' | 'operator' {
-    const n = news.get(`desired/${o.service}`);
-    return needsApproval(n === undefined ? undefined : (JSON.parse(n.value.toString()) as DesiredState))
+  function approvalMode(): 'automatic' | 'operator' {
+    const update = keyUpdates.get(`desired/${options.service}`);
+    return needsApproval(update === undefined ? undefined : (JSON.parse(update.value.toString()) as DesiredState))
       ? 'operator'
       : 'automatic';
   }
-  function ready(): WorkerStateEntry[] {
-    return marks.all().filter((m) => m.state === 1);
+  function readyWorkers(): WorkerStateEntry[] {
+    return workerTable.all().filter((entry) => entry.state === 1);
   }
-  function homes(): Address[] {
-    const zones = new Map<string, MemberEntry[]>();
-    for (const e of [...views.liveMembers(), ...views.zoneMembers()])
-      zones.set(e.zone, [...(zones.get(e.zone) ?? []), e]);
-    return [...zones.values()].map((es) => rendezvous(o.service, es, (x) => x.member)[0]!.address as Address);
+  function zoneLeaders(): Address[] {
+    const membersByZone = new Map<string, MemberEntry[]>();
+    for (const entry of [...membership.liveMembers(), ...membership.zoneMembers()])
+      membersByZone.set(entry.zone, [...(membersByZone.get(entry.zone) ?? []), entry]);
+    return [...membersByZone.values()].map(
+      (members) => rendezvous(options.service, members, (entry) => entry.member)[0]!.address as Address,
+    );
   }
-  function note(what: string, key: string, version: number): void {
-    traces.push({ at: p.wall(), what, key, version });
-    if (!key.startsWith('blob/')) p.changed?.(traces.at(-1)!);
+  function recordTrace(what: string, key: string, version: number): void {
+    traces.push({ at: ports.wallClockUs(), what, key, version });
+    if (!key.startsWith('blob/')) ports.onTraceEvent?.(traces.at(-1)!);
     if (traces.length > 500) traces = traces.slice(-400);
   }
 
-  function feed(): void {
+  // Sends the router the whole worker state and those key updates that it does not hold yet.
+  function sendFeed(): void {
     if (router === undefined) return;
-    const at = new Map(router.have.map((h) => [h.key, h]));
-    const out = news.all().filter((n) => {
-      const h = at.get(n.key);
-      return h === undefined || n.version > h.version || (n.version === h.version && n.epoch > h.epoch);
+    const held = new Map(router.have.map((version) => [version.key, version]));
+    const updates = keyUpdates.all().filter((update) => {
+      const old = held.get(update.key);
+      return (
+        old === undefined ||
+        update.version > old.version ||
+        (update.version === old.version && update.epoch > old.epoch)
+      );
     });
-    w.send(o.router, {
+    world.send(options.routerAddress, {
       kind: 'Feed',
-      workers: marks.all(),
-      reports: reports.all(),
-      news: out,
-      grants: warm ? grants : [],
-      contact: views.isInContact(),
-      others: views
+      workers: workerTable.all(),
+      reports: loadReports.all(),
+      news: updates,
+      grants: isWarm ? grants : [],
+      contact: membership.isInContact(),
+      others: membership
         .liveMembers()
-        .filter((e) => e.tenured && e.http !== o.routerHttp)
-        .map((e) => e.http),
+        .filter((entry) => entry.tenured && entry.http !== options.routerHttpAddress)
+        .map((entry) => entry.http),
     });
   }
 
-  function onRouterState(m: MessageOf<'RouterState'>): void {
-    if (router?.router !== m.router) grants = [];
-    if (m.applied !== appliedAllVersions && router?.applied !== m.applied)
-      note('applied', `desired/${o.service}`, m.applied);
-    router = m;
-    routerAt = w.now();
-    news.routerAsks(m.router, m.asked, m.applied);
-    reports.routerGrants(m.router, m.first, m.extra, m.allowance);
-    feed();
+  function onRouterState(state: MessageOf<'RouterState'>): void {
+    if (router?.router !== state.router) grants = [];
+    if (state.applied !== appliedAllVersions && router?.applied !== state.applied)
+      recordTrace('applied', `desired/${options.service}`, state.applied);
+    router = state;
+    routerStateAt = world.now();
+    keyUpdates.requestRouterLease(state.router, state.asked, state.applied);
+    loadReports.setProbeAllowance(state.router, state.first, state.extra, state.allowance);
+    sendFeed();
   }
 
-  function spread(ms: WorkerStateEntry[], but?: Address): void {
-    if (ms.length === 0) return;
-    for (const m of ms) w.log(3003, { worker: m.worker, incarnation: m.incarnation, state: workerStates[m.state] });
-    for (const a of views.neighbours())
-      if (a !== but) w.send(a, { kind: 'Marks', marks: ms, whole: false, warm: false });
-    save(views.liveMembers());
-    feed();
+  function spreadStates(entries: WorkerStateEntry[], except?: Address): void {
+    if (entries.length === 0) return;
+    for (const entry of entries)
+      world.log(3003, { worker: entry.worker, incarnation: entry.incarnation, state: workerStates[entry.state] });
+    for (const neighbour of membership.neighbours())
+      if (neighbour !== except) world.send(neighbour, { kind: 'Marks', marks: entries, whole: false, warm: false });
+    save(membership.liveMembers());
+    sendFeed();
   }
 
-  function current(): boolean {
-    return warm && views.isInContact();
+  function isCurrent(): boolean {
+    return isWarm && membership.isInContact();
   }
-  function digest(answer: boolean): MessageOf<'MarksDigest'> {
-    return { kind: 'MarksDigest', from: o.self, digest: marks.digest(), answer, warm: current() };
+  function createDigest(answer: boolean): MessageOf<'MarksDigest'> {
+    return { kind: 'MarksDigest', from: options.self, digest: workerTable.digest(), answer, warm: isCurrent() };
   }
-  function compared(from: string, theirs: boolean): void {
-    if (warm) return;
-    met.add(from);
-    const live = views.liveMembers();
-    if (theirs || (w.now() - started > 1_500_000 && 2 * live.filter((e) => met.has(e.address)).length >= live.length))
-      warm = true;
-    if (warm) feed();
+  function onCompared(from: string, isPeerCurrent: boolean): void {
+    if (isWarm) return;
+    comparedMembers.add(from);
+    const liveMembers = membership.liveMembers();
+    if (
+      isPeerCurrent ||
+      (world.now() - startedAt > 1_500_000 &&
+        2 * liveMembers.filter((entry) => comparedMembers.has(entry.address)).length >= liveMembers.length)
+    )
+      isWarm = true;
+    if (isWarm) sendFeed();
   }
-  // While cold it asks all its neighbours. A fleet of one agent has nobody to compare with.
-  function warmUp(): void {
-    if (warm) return;
-    for (const a of views.neighbours()) w.send(a, digest(true));
+  // Until its worker states are current, the agent asks all its neighbours for a comparison. The only agent of a fleet has
+  // nobody to compare with and counts as current after 3 s.
+  function requestComparisons(): void {
+    if (isWarm) return;
+    for (const neighbour of membership.neighbours()) world.send(neighbour, createDigest(true));
     if (
-      w.now() - started > 3_000_000 &&
-      views.liveMembers().length === 0 &&
-      o.persisted.entries.length === 0 &&
-      marks.all().length > 0
+      world.now() - startedAt > 3_000_000 &&
+      membership.liveMembers().length === 0 &&
+      options.persisted.entries.length === 0 &&
+      workerTable.all().length > 0
     )
-      warm = true;
+      isWarm = true;
   }
 
-  function toHolder(d: string, m: Message, self: () => void): void {
-    const h = candidates.get(d)?.leader();
-    if (h === undefined) return;
-    if (h.address === o.self) self();
-    else w.send(h.address as Address, m);
+  function sendToRoleLeader(role: string, message: Message, handleLocally: () => void): void {
+    const leader = roleCandidates.get(role)?.leader();
+    if (leader === undefined) return;
+    if (leader.address === options.self) handleLocally();
+    else world.send(leader.address as Address, message);
   }
 
-  function tellArms(): void {
+  function sendCohortStatistics(): void {
     if (router === undefined || router.arms.length === 0) return;
-    const m: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
-    toHolder('rehearsals', m, () => keeping.arms(m));
+    const message: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
+    sendToRoleLeader('rehearsals', message, () => rehearsalRole.arms(message));
   }
 
-  function receive(m: Message, from: Address): void {
-    switch (m.kind) {
+  function receive(message: Message, from: Address): void {
+    switch (message.kind) {
       case 'Shuffle':
-        return views.receive(m);
+        return membership.receive(message);
       case 'Marks': {
-        spread(marks.merge(m.marks), from);
-        if (m.whole) compared(from, m.warm);
-        return w.send(from, digest(false));
+        spreadStates(workerTable.merge(message.marks), from);
+        if (message.whole) onCompared(from, message.warm);
+        return world.send(from, createDigest(false));
       }
       case 'MarksDigest':
-        return onDigest(m);
+        return onStatesDigest(message);
       case 'Answer':
-        return asker.answer(m);
+        return controlClient.answer(message);
       case 'News':
-        return news.onNews(m);
+        return keyUpdates.receiveUpdates(message);
       case 'Subscribe':
-        return news.onSubscribe(m);
+        return keyUpdates.receiveSubscription(message);
       case 'Leases':
-        return news.onTenures(m);
+        return keyUpdates.receiveLeases(message);
       case 'BallotVote':
-        return candidates.get(m.duty)?.receiveVote(m);
+        return roleCandidates.get(message.duty)?.receiveVote(message);
       case 'Reports':
-        return reports.take(m);
+        return loadReports.receive(message);
       case 'Demand':
-        return reports.demand(m);
+        return loadReports.receiveDemand(message);
       case 'RouterState':
-        return onRouterState(m);
+        return onRouterState(message);
       case 'Samples': {
-        if (from === o.router) return toHolder('training', m, () => training.samples(m));
-        if (holds('training') !== undefined) training.samples(m);
+        if (from === options.routerAddress)
+          return sendToRoleLeader('training', message, () => trainingRole.samples(message));
+        if (heldEpoch('training') !== undefined) trainingRole.samples(message);
         return undefined;
       }
       case 'Claim':
-        return onClaim(m);
+        return onClaim(message);
       case 'Arms':
-        return keeping.arms(m);
+        return rehearsalRole.arms(message);
       default:
         return undefined;
     }
   }
 
-  function onDigest(m: MessageOf<'MarksDigest'>): void {
-    if (m.digest === marks.digest()) {
-      compared(m.from, m.warm);
-      for (const f of [...confirmations]) f(m.from);
-      if (m.answer) w.send(m.from as Address, digest(false));
+  function onStatesDigest(message: MessageOf<'MarksDigest'>): void {
+    if (message.digest === workerTable.digest()) {
+      onCompared(message.from, message.warm);
+      for (const confirm of [...confirmations]) confirm(message.from);
+      if (message.answer) world.send(message.from as Address, createDigest(false));
       return;
     }
-    w.send(m.from as Address, { kind: 'Marks', marks: marks.all(), whole: true, warm: current() });
-    if (m.answer) w.send(m.from as Address, digest(true));
+    world.send(message.from as Address, { kind: 'Marks', marks: workerTable.all(), whole: true, warm: isCurrent() });
+    if (message.answer) world.send(message.from as Address, createDigest(true));
   }
 
-  // A claim is repeated until it is answered or its patience ends; the bucket forgives a holder's own repeat.
-  function onClaim(m: MessageOf<'Claim'>): void {
+  // The claim is repeated until it is answered or times out; a repeat by the same holder does not conflict with itself.
+  function onClaim(claim: MessageOf<'Claim'>): void {
     const value = Buffer.from(
-      JSON.stringify({ op: m.op, key: m.key, holder: m.holder, request: m.request, ended: m.ended }),
+      JSON.stringify({
+        op: claim.op,
+        key: claim.key,
+        holder: claim.holder,
+        request: claim.request,
+        ended: claim.ended,
+      }),
     );
-    void asker.ask({ op: 'claim', key: claimBucketKey(m.key), value, patience: 2_500_000 }).then((r) => {
-      const known = r.value.toString();
-      const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
-      w.send(o.router, { kind: 'ClaimAnswer', id: m.id, status, known });
-    });
+    void controlClient
+      .ask({ op: 'claim', key: claimBucketKey(claim.key), value, patience: 2_500_000 })
+      .then((result) => {
+        const known = result.value.toString();
+        const status = result.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
+        world.send(options.routerAddress, { kind: 'ClaimAnswer', id: claim.id, status, known });
+      });
   }
 
-  // Takes marks from the platform and says whether they are sure to govern: half of all members say after it that they
-  // hold them, and a majority of the core answers after it. Whoever else may go on serving in a cut hears one of the two,
-  // so a side that has both has all of them. A side that lacks one keeps the marks and passes them on, but the
-  // platform should tell another agent too.
-  function platform(ms: readonly WorkerStateEntry[]): Promise<{ fresh: WorkerStateEntry[]; confirmed: boolean }> {
-    const fresh = marks.merge(ms);
-    spread(fresh);
-    for (const e of views.liveMembers()) w.send(e.address as Address, digest(true));
-    return new Promise((done) => {
-      const holders = new Set<string>();
-      let core = false;
-      const cancel = w.after(micros(600_000), () => end(false));
-      function end(confirmed: boolean): void {
-        cancel();
-        confirmations.delete(holds);
-        done({ fresh, confirmed });
+  // Merges worker states from the platform. They are confirmed once half of all members have said that they hold them and a
+  // majority of the control cluster has answered. During a network partition a router can go on serving only if it is in
+  // contact with one of the two, so a side that has both reaches every router that still serves. A side that lacks one keeps
+  // the states and passes them on, but the platform should tell another agent too.
+  function applyPlatformStates(
+    entries: readonly WorkerStateEntry[],
+  ): Promise<{ newEntries: WorkerStateEntry[]; confirmed: boolean }> {
+    const newEntries = workerTable.merge(entries);
+    spreadStates(newEntries);
+    for (const member of membership.liveMembers()) world.send(member.address as Address, createDigest(true));
+    return new Promise((resolve) => {
+      const confirmingMembers = new Set<string>();
+      let hasControlQuorum = false;
+      const cancelTimeout = world.after(micros(600_000), () => finish(false));
+      function finish(isConfirmed: boolean): void {
+        cancelTimeout();
+        confirmations.delete(onConfirmation);
+        resolve({ newEntries, confirmed: isConfirmed });
       }
-      function look(): void {
-        if (core && 2 * (holders.size + 1) > views.recentCount()) end(true);
+      function checkConfirmed(): void {
+        if (hasControlQuorum && 2 * (confirmingMembers.size + 1) > membership.recentCount()) finish(true);
       }
-      function holds(from: string): void {
-        holders.add(from);
-        look();
+      function onConfirmation(from: string): void {
+        confirmingMembers.add(from);
+        checkConfirmed();
       }
-      confirmations.add(holds);
-      void asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 550_000 }).then((r) => {
-        core = r.status === 'value';
-        look();
+      confirmations.add(onConfirmation);
+      void controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 550_000 }).then((result) => {
+        hasControlQuorum = result.status === 'value';
+        checkConfirmed();
       });
     });
   }
 
-  async function submit(base: number, change: string, state: unknown): Promise<Submitted> {
-    const d = checkDesiredState(state);
-    if (E.isLeft(d)) return { answer: 'refused', faults: d.left, change };
-    const r = await asker.ask({
+  async function submit(expectedVersion: number, change: string, state: unknown): Promise<SubmitResult> {
+    const checked = checkDesiredState(state);
+    if (E.isLeft(checked)) return { answer: 'refused', faults: checked.left, change };
+    const result = await controlClient.ask({
       op: 'write',
-      key: `desired/${o.service}`,
+      key: `desired/${options.service}`,
       change,
-      base,
-      value: Buffer.from(JSON.stringify(d.right)),
-      patience: o.ackPatience ?? 25_000_000,
+      base: expectedVersion,
+      value: Buffer.from(JSON.stringify(checked.right)),
+      patience: options.submitTimeoutUs ?? 25_000_000,
     });
-    if (r.status === 'done') return { answer: 'acknowledged', version: r.version, change };
-    if (r.status === 'lost') return { answer: 'lost the race', version: r.version, change };
-    if (r.status === 'reused') {
-      const why = `this id stands for version ${r.version}, which holds another state; submit under a new id`;
-      return { answer: 'refused', faults: [{ at: '/change', why }], change };
+    if (result.status === 'done') return { answer: 'acknowledged', version: result.version, change };
+    if (result.status === 'lost') return { answer: 'lost the race', version: result.version, change };
+    if (result.status === 'reused') {
+      const reason = `this change id belongs to version ${result.version}, which has another content; submit with a new change id`;
+      return { answer: 'refused', faults: [{ at: '/change', why: reason }], change };
     }
     return { answer: 'outcome unknown', change };
   }
 
-  async function decide(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
-    let kind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
-    const done = await writer.change(
-      (r) => {
-        const a = answerOperator(r, id, word);
-        kind = a.kind;
-        return a.kind === 'taken' ? a.record : undefined;
+  async function decideRehearsal(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
+    let answerKind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
+    const written = await recordWriter.change(
+      (record) => {
+        const answer = answerOperator(record, id, word);
+        answerKind = answer.kind;
+        return answer.kind === 'taken' ? answer.record : undefined;
       },
       () => true,
     );
-    return done === undefined && kind === 'taken' ? 'outcome_unknown' : kind;
+    return written === undefined && answerKind === 'taken' ? 'outcome_unknown' : answerKind;
   }
 
   const stops = [
     every(
-      w,
+      world,
       () => micros(500_000),
       () => {
-        const to = views.neighbours()[0];
-        if (to !== undefined) w.send(to, digest(true));
+        const neighbour = membership.neighbours()[0];
+        if (neighbour !== undefined) world.send(neighbour, createDigest(true));
       },
     ),
-    every(w, () => micros(100_000), warmUp),
+    every(world, () => micros(100_000), requestComparisons),
     every(
-      w,
+      world,
       () => micros(500_000),
       () => {
-        tellArms();
-        parts.tick();
-        training.tick();
-        keeping.tick();
+        sendCohortStatistics();
+        stageAssignment.tick();
+        trainingRole.tick();
+        rehearsalRole.tick();
       },
     ),
   ];
   return {
     receive,
-    platform,
+    applyPlatformStates,
     submit,
-    decide,
-    news,
-    holds,
-    readDesired: () => asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 8_000_000 }),
-    lookup: (change) => asker.ask({ op: 'lookup', key: `desired/${o.service}`, change, patience: 8_000_000 }),
-    rehearsals: () => {
-      const b = record();
-      return b === undefined ? emptyRecord : readRecord(b);
+    decideRehearsal,
+    keyUpdates,
+    heldEpoch,
+    readDesiredState: () => controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 8_000_000 }),
+    lookUpChange: (change) =>
+      controlClient.ask({ op: 'lookup', key: `desired/${options.service}`, change, patience: 8_000_000 }),
+    rehearsalRecord: () => {
+      const value = rehearsalRecord();
+      return value === undefined ? emptyRecord : readRecord(value);
     },
-    members: () => [...views.liveMembers()],
-    marks: () => marks.all(),
-    trace: (k, v) => traces.filter((t) => t.key === k && t.version === v),
-    figures: () => ({
-      member: o.member,
-      zone: o.zone,
-      home: news.home(),
-      isHome: news.isHome(),
-      core,
-      members: views.liveMembers().length,
-      duties: duties(),
-      training: training.figures(),
-      orders: parts.orders(),
-      probes: reports.probes(),
-      routerHeard: w.now() - routerAt < 2_000_000,
+    members: () => [...membership.liveMembers()],
+    workerStates: () => workerTable.all(),
+    trace: (key, version) => traces.filter((event) => event.key === key && event.version === version),
+    metrics: () => ({
+      member: options.member,
+      zone: options.zone,
+      home: keyUpdates.zoneLeader(),
+      isHome: keyUpdates.isZoneLeader(),
+      core: controlMembership,
+      members: membership.liveMembers().length,
+      duties: heldRoles(),
+      training: trainingRole.figures(),
+      orders: stageAssignment.orderCount(),
+      probes: loadReports.probes(),
+      routerHeard: world.now() - routerStateAt < 2_000_000,
     }),
     stop: () => {
-      stops.forEach((s) => s());
-      views.stop();
-      news.stop();
-      reports.stop();
-      for (const c of candidates.values()) c.stop();
+      stops.forEach((stop) => stop());
+      membership.stop();
+      keyUpdates.stop();
+      loadReports.stop();
+      for (const candidate of roleCandidates.values()) candidate.stop();
     },
   };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  function bench(
+  function createFixture(
     marks: readonly WorkerStateEntry[],
     entries: readonly MemberEntry[],
   ): {
     agent: AgentCore;
-    step: (us: number) => void;
-    granted: () => boolean;
-    tell: (m: Message, from: string) => void;
+    step: (durationUs: number) => void;
+    isLeasePassedOn: () => boolean;
+    deliver: (message: Message, from: string) => void;
   } {
-    let t = 0;
-    let timers: { at: number; f: () => void }[] = [];
+    let now = 0;
+    let timers: { at: number; task: () => void }[] = [];
     let feeds: MessageOf<'Feed'>[] = [];
     const replicas = [0, 1, 2].map((slot) => ({ slot, address: `keeper${slot}:1`, disk: `d${slot}` }));
     const agent = createAgentCore(
       {
-        now: () => micros(t),
+        now: () => micros(now),
         random: () => 0.3,
         log: () => undefined,
-        send: (_to, m) => {
-          if (m.kind === 'Feed') feeds.push(m);
+        send: (_address, message) => {
+          if (message.kind === 'Feed') feeds.push(message);
         },
-        after: (d, f) => {
-          const x = { at: t + d, f };
-          timers.push(x);
+        after: (delay, task) => {
+          const timer = { at: now + delay, task };
+          timers.push(timer);
           return () => {
-            timers = timers.filter((y) => y !== x);
+            timers = timers.filter((other) => other !== timer);
           };
         },
       },
@@ -586,44 +627,44 @@
         member: 'a1',
         self: 'a1:1' as Address,
         zone: 'z',
-        router: 'r1:1' as Address,
-        routerHttp: 'r1',
+        routerAddress: 'r1:1' as Address,
+        routerHttpAddress: 'r1',
         service: 'main',
         seeds: [],
         slot: 1,
-        born: 9,
+        incarnation: 9,
         persisted: { entries, marks, membershipEpoch: 1, replicas },
       },
       {
         fetchReport: async () => undefined,
-        order: async () => undefined,
+        orderStage: async () => undefined,
         trainer: { add: () => undefined, train: async () => Buffer.alloc(0) },
         save: () => undefined,
-        wall: () => t,
+        wallClockUs: () => now,
       },
     );
-    function step(us: number): void {
-      const end = t + us;
+    function step(durationUs: number): void {
+      const end = now + durationUs;
       for (;;) {
-        const n = timers.filter((x) => x.at <= end).sort((p, q) => p.at - q.at)[0];
-        if (n === undefined) break;
-        timers = timers.filter((x) => x !== n);
-        t = n.at;
-        n.f();
+        const next = timers.filter((timer) => timer.at <= end).sort((left, right) => left.at - right.at)[0];
+        if (next === undefined) break;
+        timers = timers.filter((timer) => timer !== next);
+        now = next.at;
+        next.task();
       }
-      t = end;
+      now = end;
     }
-    function tell(m: Message, from: string): void {
-      agent.receive(m, from as Address);
+    function deliver(message: Message, from: string): void {
+      agent.receive(message, from as Address);
     }
-    // Asks for a tenure, is granted it by the core, and looks whether the router is let have it.
-    function granted(): boolean {
-      tell(
+    // The router asks for a lease and the control cluster grants it; tells whether the agent passes it on to the router.
+    function isLeasePassedOn(): boolean {
+      deliver(
         {
           kind: 'RouterState',
           router: 'r1#1',
           http: 'r1',
-          asked: t,
+          asked: now,
           applied: 1,
           first: 0,
           extra: 0,
@@ -633,18 +674,18 @@
         },
         'r1:1',
       );
-      tell({ kind: 'Leases', grants: [{ router: 'r1#1', asked: t, version: 1 }] }, 'keeper0:1');
-      const is = feeds.at(-1)!.grants.length > 0;
+      deliver({ kind: 'Leases', grants: [{ router: 'r1#1', asked: now, version: 1 }] }, 'keeper0:1');
+      const isPassedOn = feeds.at(-1)!.grants.length > 0;
       feeds = [];
-      return is;
+      return isPassedOn;
     }
-    return { agent, step, granted, tell };
+    return { agent, step, isLeasePassedOn, deliver };
   }
-  const kept: WorkerStateEntry = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
+  const storedState: WorkerStateEntry = { worker: 'w', incarnation: 1, state: 1, address: 'w:1' };
   function entry(member: string, beat: number): MemberEntry {
     return { member, address: `${member}:1`, zone: 'z', born: 1, beat, http: member, tenured: true };
   }
-  function shuffle(beat: number): Message {
+  function gossipExchange(beat: number): Message {
     return {
       kind: 'Shuffle',
       answer: false,
@@ -655,30 +696,30 @@
       duties: [],
     };
   }
-  it('lets its router decide on marks from its disk only once a member that is current has been compared with', () => {
-    const b = bench([kept], [entry('a2', 0), entry('a3', 0)]);
-    b.step(200_000);
-    expect(b.granted()).toBe(false);
-    b.tell(shuffle(1), 'a2:1');
-    b.step(100_000);
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [{ ...kept, worker: 'v' }], whole: false, warm: true }, 'a2:1');
-    b.tell({ kind: 'MarksDigest', from: 'a2:1', digest: 'another', answer: false, warm: true }, 'a2:1');
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [{ ...kept, state: 2 }], whole: true, warm: true }, 'a2:1');
-    expect(b.granted()).toBe(true);
-    expect(b.agent.marks().find((m) => m.worker === 'w')!.state).toBe(2);
+  it('gives its router no lease on stored worker states until it has compared them with a current member', () => {
+    const fixture = createFixture([storedState], [entry('a2', 0), entry('a3', 0)]);
+    fixture.step(200_000);
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver(gossipExchange(1), 'a2:1');
+    fixture.step(100_000);
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [{ ...storedState, worker: 'v' }], whole: false, warm: true }, 'a2:1');
+    fixture.deliver({ kind: 'MarksDigest', from: 'a2:1', digest: 'another', answer: false, warm: true }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [{ ...storedState, state: 2 }], whole: true, warm: true }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(true);
+    expect(fixture.agent.workerStates().find((entry) => entry.worker === 'w')!.state).toBe(2);
   });
-  it('serves after all agents have started together, and as the only agent there is', () => {
-    const b = bench([kept], [entry('a2', 0), entry('a3', 0)]);
-    b.tell(shuffle(1), 'a2:1');
-    b.step(1_600_000);
-    b.tell(shuffle(2), 'a2:1');
-    expect(b.granted()).toBe(false);
-    b.tell({ kind: 'Marks', marks: [kept], whole: true, warm: false }, 'a2:1');
-    expect(b.granted()).toBe(true);
-    const lone = bench([kept], []);
-    lone.step(3_200_000);
-    expect(lone.granted()).toBe(true);
+  it('passes leases on after all agents have restarted together, and as the only agent of a fleet', () => {
+    const fixture = createFixture([storedState], [entry('a2', 0), entry('a3', 0)]);
+    fixture.deliver(gossipExchange(1), 'a2:1');
+    fixture.step(1_600_000);
+    fixture.deliver(gossipExchange(2), 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(false);
+    fixture.deliver({ kind: 'Marks', marks: [storedState], whole: true, warm: false }, 'a2:1');
+    expect(fixture.isLeasePassedOn()).toBe(true);
+    const single = createFixture([storedState], []);
+    single.step(3_200_000);
+    expect(single.isLeasePassedOn()).toBe(true);
   });
 }
--- a/tests/rehearsal.test.ts
+++ b/tests/rehearsal.test.ts
@@ -23,21 +23,21 @@
   let live: string | undefined;
   sim.engine.at(92_000_000, () => {
     const agentCore = sim.agents[0]!.core!;
-    const rehearsals = agentCore.rehearsals();
+    const rehearsals = agentCore.rehearsalRecord();
     const last =
       rehearsals.running?.state === 'watched'
         ? rehearsals.running
         : rehearsals.ended.find((rehearsal) => rehearsal.outcome === 'live');
-    live = agentCore.rehearsals().live?.hash;
+    live = agentCore.rehearsalRecord().live?.hash;
     if (last === undefined) return;
-    void agentCore.decide(last.id, 'reject').then((answer) => decisions.push(answer));
-    void agentCore.decide('no-such', 'approve').then((answer) => decisions.push(answer));
+    void agentCore.decideRehearsal(last.id, 'reject').then((answer) => decisions.push(answer));
+    void agentCore.decideRehearsal('no-such', 'approve').then((answer) => decisions.push(answer));
   });
   const history = await sim.run();
   expect(checkAll(history, { faultless: true, overloaded: false })).toEqual([]);
   expect(live).toBeDefined();
   expect(decisions.sort()).toEqual(['taken', 'unknown_rehearsal']);
-  const finalRehearsals = sim.agents[1]!.core!.rehearsals();
+  const finalRehearsals = sim.agents[1]!.core!.rehearsalRecord();
   expect(
     finalRehearsals.ended.some(
       (rehearsal) =>
@@ -55,12 +55,12 @@
   let decidedEarly = false;
   function poll(): void {
     const agentCore = sim.agents[0]!.core!;
-    const rehearsals = agentCore.rehearsals();
+    const rehearsals = agentCore.rehearsalRecord();
     if (rehearsals.running !== undefined)
       observed.push(`${rehearsals.running.state} ${rehearsals.live === undefined ? 'nothing live' : 'live'}`);
     if (rehearsals.running?.state === 'running' && !decidedEarly) {
       decidedEarly = true;
-      void agentCore.decide(rehearsals.running.id, 'approve');
+      void agentCore.decideRehearsal(rehearsals.running.id, 'approve');
     }
     if (sim.engine.now() < 90e6) sim.engine.at(sim.engine.now() + 500_000, poll);
   }
--- a/tests/requests.test.ts
+++ b/tests/requests.test.ts
@@ -18,11 +18,11 @@
 } from '../packages/inner-protocol/src/index.js';
 import {
   createApp,
-  createHttpWorkers,
+  createHttpWorkerClient,
   createRouterCore,
   failure,
   routerDefaults,
-  sendOnHttp,
+  forwardOverHttp,
   type RouterCore,
 } from '../programs/request-router/src/index.js';
 
@@ -114,15 +114,15 @@
     send: () => undefined,
     log: () => undefined,
   };
-  const workers = createHttpWorkers();
+  const workers = createHttpWorkerClient();
   const others = new Agent({ connect: { timeout: 1000 } });
   const core = createRouterCore(
     world,
-    { ...routerDefaults, router: 'r#1', http: 'r', agent: 'a:1' as Address, service: 'main' },
+    { ...routerDefaults, routerId: 'r#1', httpAddress: 'r', agentAddress: 'a:1' as Address, service: 'main' },
     {
-      workers,
-      digest: (prompt) => digest(prompt).slice(0, 32),
-      sendOn: (to, forwarded, reply, signal) => sendOnHttp(to, forwarded, reply, signal, others),
+      workerClient: workers,
+      digestPrompt: (prompt) => digest(prompt).slice(0, 32),
+      forward: (to, forwarded, reply, signal) => forwardOverHttp(to, forwarded, reply, signal, others),
     },
   );
   const value = Buffer.from(
@@ -150,7 +150,7 @@
   }
   feed();
   const beat = setInterval(feed, 200);
-  const http = await listen(createApp({ core, bodyLimit: 1_000_000, metrics: () => '' }));
+  const http = await listen(createApp({ core, bodyLimit: 1_000_000, metricsText: () => '' }));
   closing.push(async () => {
     clearInterval(beat);
     core.stop();
@@ -223,24 +223,24 @@
   socket.pause();
   await worker.clientGone;
   expect(worker.written()).toBeLessThan(100_000_000);
-  expect((router.core.figures() as { ends: Record<string, number> }).ends).toMatchObject({ answer_cut: 1 });
+  expect((router.core.metrics() as { ends: Record<string, number> }).ends).toMatchObject({ answer_cut: 1 });
   socket.destroy();
 });
 
 it('reports an internal error by its type and without a stack', async () => {
   const router = await startRouter('127.0.0.1:1');
-  router.core.table.candidates = (() => {
+  router.core.workerTable.candidates = (() => {
     throw new Error('secret at line 12');
   }) as never;
   const app = createApp({
     core: {
       ...router.core,
-      serve: () => {
+      handleRequest: () => {
         throw new Error('secret at line 12');
       },
     },
     bodyLimit: 1000,
-    metrics: () => {
+    metricsText: () => {
       throw new Error('secret');
     },
   });
