--- a/packages/model-checker/src/alternatives.ts
+++ b/packages/model-checker/src/alternatives.ts
@@ -7,13 +7,13 @@
 const shortUs = 300_000;
 const longUs = 2_500_000;
 /** How late a timer may be because its process was slow to wake, beside the drift of its clock. */
-const timersLateUs = 10_000;
+const maxTimerLatenessUs = 10_000;
 
 /** The choices beside the default one. */
 export function alternativesOf(cluster: Cluster): Move[] {
   const next = cluster.kernel.next();
   if (next === undefined) return [];
-  const early = cluster.kernel.enabled().filter((event) => event !== next && mayComeFirst(cluster, event));
+  const early = cluster.kernel.enabled().filter((event) => event !== next && mayRunEarly(cluster, event));
   const running = cluster.machines.filter((machine) => machine.process.alive);
   return [
     ...early.map((event): Move => ({ kind: 'run', event: event.id })),
@@ -46,11 +46,11 @@
 }
 
 /** A timer may overtake those of other processes by what clocks may run apart, and by a process being slow to wake. */
-function mayComeFirst({ kernel, scope }: Cluster, event: PendingEvent): boolean {
+function mayRunEarly({ kernel, scope }: Cluster, event: PendingEvent): boolean {
   if (event.kind === 'end-of-fault') return false;
   if (event.kind !== 'timer') return true;
   const timers = kernel.enabled().filter((other) => other.kind === 'timer');
-  const slack = timersLateUs + scope.drift * (event.planned - kernel.now());
+  const slack = maxTimerLatenessUs + scope.clockDrift * (event.plannedAt - kernel.now());
   const isFirstOfOwner = timers.find((other) => other.owner === event.owner) === event;
-  return isFirstOfOwner && event.planned - timers[0]!.planned <= slack;
+  return isFirstOfOwner && event.plannedAt - timers[0]!.plannedAt <= slack;
 }
--- a/packages/model-checker/src/make-move.ts
+++ b/packages/model-checker/src/apply-move.ts
@@ -3,15 +3,15 @@
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 import { isEventMove, type EventMove, type Fault, type Move } from './moves.js';
-import type { Cut } from './process.js';
+import type { Partition } from './process.js';
 
 /** As the shipped program: the time that the platform gives, less what the calls under way need. */
-const handOverUs = 6_500_000;
-const endsAfterUs = 100_000;
+const leaveTimeoutUs = 6_500_000;
+const exitDelayUs = 100_000;
 
 /** Makes a move; false where it is not possible in this state, which then stays as it was. */
-export async function makeMove(cluster: Cluster, move: Move): Promise<boolean> {
-  return isEventMove(move) ? moveEvent(cluster, move) : bringAbout(cluster, move);
+export async function applyMove(cluster: Cluster, move: Move): Promise<boolean> {
+  return isEventMove(move) ? moveEvent(cluster, move) : applyFault(cluster, move);
 }
 
 async function moveEvent({ kernel }: Cluster, move: EventMove): Promise<boolean> {
@@ -20,12 +20,12 @@
   if (event === undefined) return false;
   if (move.kind === 'run') await kernel.run(event, true);
   else if (move.kind === 'lose') kernel.remove(event);
-  else if (move.kind === 'double') kernel.double(event);
+  else if (move.kind === 'double') kernel.duplicate(event);
   else kernel.delay(event, move.forUs);
   return true;
 }
 
-function bringAbout(cluster: Cluster, fault: Fault): boolean {
+function applyFault(cluster: Cluster, fault: Fault): boolean {
   switch (fault.kind) {
     case 'crash':
       return crash(cluster, cluster.machine(fault.machine), fault.kept, fault.forUs);
@@ -34,7 +34,7 @@
     case 'wipe':
       return wipe(cluster, cluster.machine(fault.machine), fault.forUs);
     case 'cut':
-      return cutOff(cluster, fault.cut, fault.forUs);
+      return startPartition(cluster, fault.cut, fault.forUs);
     case 'freeze':
       return freeze(cluster, cluster.machine(fault.machine), fault.forUs);
     case 'leave':
@@ -46,7 +46,7 @@
   }
 }
 
-function whenEnds(cluster: Cluster, fault: string, delay: number, run: () => void): void {
+function scheduleFaultEnd(cluster: Cluster, fault: string, delay: number, run: () => void): void {
   cluster.kernel.schedule({ kind: 'end-of-fault', label: `end of ${fault}`, owner: '', delay, run });
 }
 
@@ -57,59 +57,59 @@
 function crash(cluster: Cluster, machine: ControlMachine, kept: number, forUs: number): boolean {
   if (!machine.process.alive) return false;
   machine.crash(kept);
-  whenEnds(cluster, `crash of ${machine.name}`, forUs, () => restart(machine));
+  scheduleFaultEnd(cluster, `crash of ${machine.name}`, forUs, () => restart(machine));
   return true;
 }
 
 function wipe(cluster: Cluster, machine: ControlMachine, forUs: number): boolean {
-  if (!mayLoseBlank(cluster) && !cluster.invariants.bearsLossOf(machine)) return false;
+  if (!mayLoseEmptyDisk(cluster) && !cluster.invariants.toleratesLossOf(machine)) return false;
   if (machine.process.alive) machine.crash(0);
-  machine.loseDisk();
-  whenEnds(cluster, `loss of ${machine.name}`, forUs, () => restart(machine));
+  machine.eraseDisk();
+  scheduleFaultEnd(cluster, `loss of ${machine.name}`, forUs, () => restart(machine));
   return true;
 }
 
 /** Before a cluster is founded one disk may go, as often as it likes: as many as a founded one bears. */
-function mayLoseBlank(cluster: Cluster): boolean {
-  if (!cluster.scope.statelessSeeds || cluster.isFounded()) return false;
-  cluster.blankLosses += 1;
-  return cluster.blankLosses === 1;
+function mayLoseEmptyDisk(cluster: Cluster): boolean {
+  if (!cluster.scope.statelessSeeds || cluster.isBootstrapped()) return false;
+  cluster.preBootstrapDiskLosses += 1;
+  return cluster.preBootstrapDiskLosses === 1;
 }
 
 function freeze(cluster: Cluster, { name, process }: ControlMachine, forUs: number): boolean {
   if (!process.alive || process.frozen) return false;
   process.frozen = true;
   const { incarnation } = process;
-  whenEnds(cluster, `freeze of ${name}`, forUs, () => {
+  scheduleFaultEnd(cluster, `freeze of ${name}`, forUs, () => {
     if (process.incarnation === incarnation) process.frozen = false;
   });
   return true;
 }
 
-function cutOff(cluster: Cluster, cut: Cut, forUs: number): boolean {
-  cluster.kernel.cut(cut);
-  whenEnds(cluster, 'cut', forUs, () => cluster.kernel.cut(undefined));
+function startPartition(cluster: Cluster, cut: Partition, forUs: number): boolean {
+  cluster.kernel.setPartition(cut);
+  scheduleFaultEnd(cluster, 'cut', forUs, () => cluster.kernel.setPartition(undefined));
   return true;
 }
 
 function leave(cluster: Cluster, machine: ControlMachine, spare: ControlMachine): boolean {
   const host = machine.host();
   if (host === undefined || spare.wasStarted()) return false;
-  if (cluster.scope.statelessSeeds && !cluster.isFounded() && !mayLoseBlank(cluster)) return false;
+  if (cluster.scope.statelessSeeds && !cluster.isBootstrapped() && !mayLoseEmptyDisk(cluster)) return false;
   const { incarnation } = machine.process;
-  host.leave(handOverUs, (result) => {
-    whenEnds(cluster, `stay of ${machine.name}`, endsAfterUs, () => {
-      if (machine.process.incarnation === incarnation) endFor(cluster, machine, result);
+  host.leave(leaveTimeoutUs, (result) => {
+    scheduleFaultEnd(cluster, `stay of ${machine.name}`, exitDelayUs, () => {
+      if (machine.process.incarnation === incarnation) finishLeave(cluster, machine, result);
     });
   });
   return join(spare);
 }
 
 /** Its disk goes with it where the hand-over says that nobody needs it, or where that is a loss that is borne. */
-function endFor(cluster: Cluster, machine: ControlMachine, result: LeaveResult): void {
+function finishLeave(cluster: Cluster, machine: ControlMachine, result: LeaveResult): void {
   machine.crash(0);
-  if (result === 'incomplete' && !cluster.invariants.bearsLossOf(machine)) restart(machine);
-  else machine.loseDisk();
+  if (result === 'incomplete' && !cluster.invariants.toleratesLossOf(machine)) restart(machine);
+  else machine.eraseDisk();
 }
 
 function join(machine: ControlMachine): boolean {
--- a/packages/model-checker/src/founding-schedules.ts
+++ b/packages/model-checker/src/bootstrap-schedules.ts
@@ -18,37 +18,37 @@
   readonly address: Address;
   disk: string;
   /** Whether its process has run since the first start. */
-  first: boolean;
-  founding: DiscoveryBootstrap;
+  sinceFirstStart: boolean;
+  bootstrap: DiscoveryBootstrap;
   record: readonly ReplicaEntry[] | undefined;
 }
 
 const seedCount = 3;
 const stepsOfSchedule = 160;
-const mostInFlight = 24;
+const maxInFlight = 24;
 /** How often a step of a schedule restarts a process; schedules differ in it. */
-const restartShares = [0, 0.02, 0.08] as const;
+const restartProbabilities = [0, 0.02, 0.08] as const;
 
-class FoundingSchedule {
+class BootstrapSchedule {
   private readonly random: () => number;
-  private readonly guides = new Map<Address, ControlGateway>();
+  private readonly gateways = new Map<Address, ControlGateway>();
   private readonly candidates: Candidate[];
   private readonly cuts = new Set<string>();
-  private readonly fewest: number;
-  private readonly seedRestarts: number;
-  private readonly candidateRestarts: number;
-  private flying: InFlight[] = [];
+  private readonly minMembers: number;
+  private readonly seedRestartProbability: number;
+  private readonly candidateRestartProbability: number;
+  private inFlight: InFlight[] = [];
   private diskCount = 0;
   private broken: Violation | undefined;
   private records = 0;
 
   constructor(seed: number) {
     this.random = createSeededRandom(seed * 7907 + 3);
-    this.fewest = this.pick([1, 1, 2, 3]);
-    this.seedRestarts = this.pick(restartShares);
-    this.candidateRestarts = this.pick(restartShares);
+    this.minMembers = this.pick([1, 1, 2, 3]);
+    this.seedRestartProbability = this.pick(restartProbabilities);
+    this.candidateRestartProbability = this.pick(restartProbabilities);
     for (let index = 0; index < seedCount; index += 1) this.startSeed(`s${index}:1` as Address, true);
-    const count = this.fewest + this.below(4);
+    const count = this.minMembers + this.below(4);
     this.candidates = Array.from({ length: count }, (_unused, index) => this.candidate(`c${index}:1` as Address));
   }
 
@@ -59,12 +59,13 @@
   }
 
   private step(): void {
-    if (this.random() < this.seedRestarts) return this.startSeed(this.pick([...this.guides.keys()]), false);
-    if (this.random() < this.candidateRestarts) return this.restart(this.pick(this.candidates), this.random() < 0.2);
+    if (this.random() < this.seedRestartProbability) return this.startSeed(this.pick([...this.gateways.keys()]), false);
+    if (this.random() < this.candidateRestartProbability)
+      return this.restart(this.pick(this.candidates), this.random() < 0.2);
     const draw = this.random();
-    if (draw < 0.25) return this.speak(this.pick(this.candidates));
+    if (draw < 0.25) return this.sendJoin(this.pick(this.candidates));
     if (draw < 0.9) return this.deliver();
-    if (draw < 0.95) return void this.flying.splice(this.below(this.flying.length), 1);
+    if (draw < 0.95) return void this.inFlight.splice(this.below(this.inFlight.length), 1);
     return this.toggleCut();
   }
 
@@ -77,11 +78,11 @@
   }
 
   private startSeed(self: Address, firstStart: boolean): void {
-    const guide = createControlGateway(
+    const gateway = createControlGateway(
       { send: (to, message) => this.send(self, to, message) },
       { self, firstStart, membership: () => ({ membershipEpoch: 0, replicas: [] }) },
     );
-    this.guides.set(self, guide);
+    this.gateways.set(self, gateway);
   }
 
   private newDisk(address: Address): string {
@@ -90,70 +91,71 @@
   }
 
   private candidate(address: Address): Candidate {
-    const made = { address, disk: this.newDisk(address), first: true, record: undefined };
-    const candidate: Candidate = { ...made, founding: this.foundingOf(made) };
+    const made = { address, disk: this.newDisk(address), sinceFirstStart: true, record: undefined };
+    const candidate: Candidate = { ...made, bootstrap: this.createBootstrap(made) };
     return candidate;
   }
 
-  private foundingOf(candidate: Pick<Candidate, 'address' | 'disk' | 'first'>): DiscoveryBootstrap {
-    const { address, disk, first } = candidate;
+  private createBootstrap(candidate: Pick<Candidate, 'address' | 'disk' | 'sinceFirstStart'>): DiscoveryBootstrap {
+    const { address, disk, sinceFirstStart: first } = candidate;
     return createDiscoveryBootstrap({
       self: address,
       diskId: () => disk,
       seeds: Array.from({ length: seedCount }, (_unused, index) => `s${index}:1` as Address),
       mayBootstrap: first,
-      minMembers: this.fewest,
+      minMembers: this.minMembers,
       maxMembers: 9,
     });
   }
 
   private restart(candidate: Candidate, losesDisk: boolean): void {
-    candidate.first = false;
+    candidate.sinceFirstStart = false;
     if (losesDisk) {
       candidate.disk = this.newDisk(candidate.address);
       candidate.record = undefined;
     }
-    candidate.founding = this.foundingOf(candidate);
+    candidate.bootstrap = this.createBootstrap(candidate);
   }
 
-  private speak(candidate: Candidate): void {
+  private sendJoin(candidate: Candidate): void {
     if (candidate.record !== undefined) return;
-    const { address: from, disk, first } = candidate;
-    for (const seed of this.guides.keys()) this.send(from, seed, { kind: 'Join', from, disk, first, caughtUp: false });
-    const view = candidate.founding.viewMessage();
+    const { address: from, disk, sinceFirstStart: first } = candidate;
+    for (const seed of this.gateways.keys())
+      this.send(from, seed, { kind: 'Join', from, disk, first, caughtUp: false });
+    const view = candidate.bootstrap.viewMessage();
     for (const to of view?.to ?? []) this.send(from, to, view!.message);
   }
 
   private send(from: Address, to: Address, message: Message): void {
-    this.flying.push({ from, to, message });
-    if (this.flying.length > mostInFlight) this.flying.splice(this.below(this.flying.length), 1);
+    this.inFlight.push({ from, to, message });
+    if (this.inFlight.length > maxInFlight) this.inFlight.splice(this.below(this.inFlight.length), 1);
   }
 
   private toggleCut(): void {
     const from = this.pick(this.candidates).address;
-    const to = this.pick([...this.guides.keys()]);
+    const to = this.pick([...this.gateways.keys()]);
     const link = `${from} ${to}`;
     if (!this.cuts.delete(link)) this.cuts.add(link);
   }
 
   private deliver(): void {
-    const index = this.below(this.flying.length);
-    const message = this.flying[index];
+    const index = this.below(this.inFlight.length);
+    const message = this.inFlight[index];
     if (message === undefined) return;
-    if (this.random() > 0.1) this.flying.splice(index, 1);
+    if (this.random() > 0.1) this.inFlight.splice(index, 1);
     const { from, to } = message;
     if (this.cuts.has(`${from} ${to}`) || this.cuts.has(`${to} ${from}`)) return;
-    const guide = this.guides.get(to);
-    if (guide !== undefined) return void guide(message.message, from);
+    const gateway = this.gateways.get(to);
+    if (gateway !== undefined) return void gateway(message.message, from);
     const candidate = this.candidates.find((each) => each.address === to);
     if (candidate !== undefined) this.receive(candidate, message.message);
   }
 
   private receive(candidate: Candidate, message: Message): void {
     if (candidate.record !== undefined) return;
-    if (message.kind === 'FoundingRoster') candidate.founding.receiveRoster(message);
-    if (message.kind === 'FoundingView') candidate.founding.receiveView(message);
-    const members = candidate.founding.members();
+    if (message.kind === 'FoundingRoster') candidate.bootstrap.receiveRoster(message);
+    if (message.kind === 'FoundingView') candidate.bootstrap.receiveView(message);
+    const members = candidate.bootstrap.members();
     if (members === undefined) return;
     candidate.record = members;
     this.check(members);
@@ -164,29 +166,29 @@
   private check(members: readonly ReplicaEntry[]): void {
     this.records += 1;
     const record = members.map((member) => member.disk).join(' ');
-    if (members.length < this.fewest)
-      this.broken = { rule: 'enough founders', what: `${record} are fewer than ${this.fewest}` };
+    if (members.length < this.minMembers)
+      this.broken = { rule: 'enough founders', detail: `${record} are fewer than ${this.minMembers}` };
     this.firstRecord ??= record;
     if (this.firstRecord !== record)
-      this.broken = { rule: 'one founding', what: `${this.firstRecord} founded, and ${record} as well` };
+      this.broken = { rule: 'one founding', detail: `${this.firstRecord} founded, and ${record} as well` };
   }
 }
 
 /** What many schedules showed. */
-export interface ScheduleCount {
+export interface BootstrapScheduleResult {
   readonly violation: Violation | undefined;
   readonly seed: number;
   /** Schedules in which a cluster was founded. */
-  readonly founded: number;
+  readonly bootstrapped: number;
 }
 
 /** Plays schedules until one breaks a rule. */
-export function playFoundingSchedules(count: number): ScheduleCount {
-  let founded = 0;
+export function playBootstrapSchedules(count: number): BootstrapScheduleResult {
+  let bootstrapped = 0;
   for (let seed = 1; seed <= count; seed += 1) {
-    const { violation, records } = new FoundingSchedule(seed).play();
-    if (records > 0) founded += 1;
-    if (violation !== undefined) return { violation, seed, founded };
+    const { violation, records } = new BootstrapSchedule(seed).play();
+    if (records > 0) bootstrapped += 1;
+    if (violation !== undefined) return { violation, seed, bootstrapped: bootstrapped };
   }
-  return { violation: undefined, seed: count, founded };
+  return { violation: undefined, seed: count, bootstrapped: bootstrapped };
 }
--- a/packages/model-checker/src/finder.ts
+++ b/packages/model-checker/src/check-model.ts
@@ -3,10 +3,10 @@
  * up. It counts steps and not time, so its verdict is the same on every machine.
  */
 import type { Scope } from './cluster.js';
-import { playFoundingSchedules } from './founding-schedules.js';
+import { playBootstrapSchedules } from './bootstrap-schedules.js';
 import type { Violation } from './quorum-checks.js';
 import type { PlacedMove } from './schedule.js';
-import { foundingPlaces, foundingScope, searchScope, walkScope } from './scopes.js';
+import { bootstrapReplicaCount, bootstrapScope, searchScope, walkScope } from './scopes.js';
 import { search } from './search.js';
 import { walk } from './walk.js';
 
@@ -21,27 +21,27 @@
 }
 
 /** How a hunt went. */
-export interface Hunt {
+export interface CheckResult {
   readonly finding: Finding | undefined;
   readonly steps: number;
 }
 
 /** How far a hunt goes. */
-export interface HuntOptions {
+export interface CheckOptions {
   readonly walks: number;
   readonly walkLengthUs: number;
   readonly searchDepth: number;
   readonly searchDeviations: number;
   /** Seeds of walks to leave out, as the code breaks on them with every mechanism in place. */
-  readonly without?: readonly number[];
+  readonly excludedSeeds?: readonly number[];
   /** Walks over the first start with seeds that hold no state. */
-  readonly foundingWalks?: number;
+  readonly bootstrapWalks?: number;
   /** Rules that the code breaks now and then with every mechanism in place; breaking them shows nothing then. */
-  readonly ignored?: readonly string[];
+  readonly ignoredRules?: readonly string[];
 }
 
 /** The hunt of the command. */
-export const usualHunt: HuntOptions = {
+export const defaultCheckOptions: CheckOptions = {
   walks: 150,
   walkLengthUs: 30_000_000,
   searchDepth: 20,
@@ -49,42 +49,42 @@
 };
 
 /** A walk that breaks a rule with every mechanism in place. */
-export interface KnownBreak {
+export interface BaselineViolation {
   readonly seed: number;
   readonly rule: string;
 }
 
 /** All walks that break a rule. */
-export async function knownBreaks(options: HuntOptions): Promise<KnownBreak[]> {
-  const broken: KnownBreak[] = [];
+export async function findBaselineViolations(options: CheckOptions): Promise<BaselineViolation[]> {
+  const baseline: BaselineViolation[] = [];
   for (let seed = 1; seed <= options.walks; seed += 1) {
-    const scope = walkScope(placesOf(seed), seed);
+    const scope = walkScope(replicaCountFor(seed), seed);
     const { violation } = await walk({ scope, seed, lengthUs: options.walkLengthUs });
-    if (violation !== undefined) broken.push({ seed, rule: violation.rule });
+    if (violation !== undefined) baseline.push({ seed, rule: violation.rule });
   }
-  return broken;
+  return baseline;
 }
 
 /** Every fourth walk has five places. */
-function placesOf(seed: number): number {
+function replicaCountFor(seed: number): number {
   return seed % 4 === 3 ? 5 : 3;
 }
 
-const foundingWalkUs = 8_000_000;
-const schedulesAWalk = 1000;
-const fewestPlaces = 3;
+const bootstrapWalkUs = 8_000_000;
+const schedulesPerWalk = 1000;
+const minReplicas = 3;
 
 /** Plays short schedules and then walks over the first start until something is found. */
-export async function huntFounding(walks: number): Promise<Hunt> {
+export async function checkBootstrap(walks: number): Promise<CheckResult> {
   let steps = 0;
-  const { violation: split, seed: schedule } = playFoundingSchedules(schedulesAWalk * walks);
-  if (split !== undefined) {
-    const found = { violation: split, by: 'founding schedule', seed: schedule };
-    return { finding: { ...found, scope: foundingScope(fewestPlaces, schedule), moves: [] }, steps };
+  const { violation: scheduleViolation, seed: schedule } = playBootstrapSchedules(schedulesPerWalk * walks);
+  if (scheduleViolation !== undefined) {
+    const found = { violation: scheduleViolation, by: 'founding schedule', seed: schedule };
+    return { finding: { ...found, scope: bootstrapScope(minReplicas, schedule), moves: [] }, steps };
   }
   for (let seed = 1; seed <= walks; seed += 1) {
-    const scope = foundingScope(foundingPlaces(seed), seed);
-    const walked = await walk({ scope, seed, lengthUs: foundingWalkUs });
+    const scope = bootstrapScope(bootstrapReplicaCount(seed), seed);
+    const walked = await walk({ scope, seed, lengthUs: bootstrapWalkUs });
     const { violation, moves } = walked;
     steps += walked.steps;
     if (violation !== undefined) return { finding: { violation, by: 'founding walk', seed, scope, moves }, steps };
@@ -93,8 +93,8 @@
 }
 
 /** Hunts until something is found. */
-export async function hunt(options: HuntOptions): Promise<Hunt> {
-  if (options.foundingWalks !== undefined) return huntFounding(options.foundingWalks);
+export async function checkModel(options: CheckOptions): Promise<CheckResult> {
+  if (options.bootstrapWalks !== undefined) return checkBootstrap(options.bootstrapWalks);
   let steps = 0;
   const scope = searchScope(3);
   const searched = await search({
@@ -102,22 +102,22 @@
     seed: 1,
     depth: options.searchDepth,
     deviations: options.searchDeviations,
-    goesOn: () => true,
+    shouldContinue: () => true,
   });
   steps += searched.steps;
   if (searched.violation !== undefined)
     return { finding: { violation: searched.violation, by: 'search', seed: 1, scope, moves: searched.moves }, steps };
   for (let seed = 1; seed <= options.walks; seed += 1) {
-    if (options.without?.includes(seed) === true) continue;
-    const walked = walkScope(placesOf(seed), seed);
+    if (options.excludedSeeds?.includes(seed) === true) continue;
+    const walked = walkScope(replicaCountFor(seed), seed);
     const {
       violation,
       moves,
       steps: walkedSteps,
     } = await walk({ scope: walked, seed, lengthUs: options.walkLengthUs });
     steps += walkedSteps;
-    if (violation !== undefined && options.ignored?.includes(violation.rule) !== true)
-      return { finding: { violation, by: `walk of ${walked.places}`, seed, scope: walked, moves }, steps };
+    if (violation !== undefined && options.ignoredRules?.includes(violation.rule) !== true)
+      return { finding: { violation, by: `walk of ${walked.replicas}`, seed, scope: walked, moves }, steps };
   }
   return { finding: undefined, steps };
 }
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -17,28 +17,28 @@
 
 /** What is built and how large it is. */
 export interface Scope {
-  readonly places: number;
+  readonly replicas: number;
   readonly spares: number;
   readonly followers: number;
   readonly operators: number;
   /** How far clocks run apart: the rate of each lies within 1 ± drift. */
-  readonly drift: number;
+  readonly clockDrift: number;
   readonly jitterUs: number;
   readonly orderedLinks: boolean;
   /** Whether the machines start blank and found the core, or on disks of a core that was founded before. */
-  readonly founding: boolean;
+  readonly bootstraps: boolean;
   /** Whether the seeds are followers, which hold no control state, in place of the first machines. */
   readonly statelessSeeds: boolean;
-  readonly thinkUs: number;
+  readonly thinkTimeUs: number;
   readonly readsPercent: number;
-  readonly sendsAgain: number;
+  readonly maxRetries: number;
 }
 
 /** The disks of a core that was founded, by the name of the machine. */
-export type FoundedDisks = ReadonlyMap<string, readonly JournalRecord[]>;
+export type BootstrappedDisks = ReadonlyMap<string, readonly JournalRecord[]>;
 
-const foundingSeats = 3;
-const widestOffsetUs = 5_000_000;
+const seedCount = 3;
+const maxClockOffsetUs = 5_000_000;
 
 function namesOf(prefix: string, count: number): string[] {
   return Array.from({ length: count }, (_unused, index) => `${prefix}${index}`);
@@ -55,7 +55,7 @@
   readonly invariants: Invariants;
   private readonly random: () => number;
   /** How many disks were to be lost before a cluster was founded. */
-  blankLosses = 0;
+  preBootstrapDiskLosses = 0;
   private position = 0;
 
   constructor(
@@ -65,10 +65,10 @@
   ) {
     this.random = createSeededRandom(seed);
     this.kernel = new Kernel({ seed, jitter: scope.jitterUs, orderedLinks: scope.orderedLinks });
-    const seeds = namesOf(scope.statelessSeeds ? 'r' : 'c', foundingSeats).map((name) => `${name}:1` as Address);
-    this.machines = this.addMachines('c', scope.places, seeds);
+    const seeds = namesOf(scope.statelessSeeds ? 'r' : 'c', seedCount).map((name) => `${name}:1` as Address);
+    this.machines = this.addMachines('c', scope.replicas, seeds);
     this.spares = this.addMachines('s', scope.spares, seeds);
-    this.invariants = new Invariants(this.kernel, () => this.allMachines(), scope.places);
+    this.invariants = new Invariants(this.kernel, () => this.allMachines(), scope.replicas);
     this.followers = namesOf('r', scope.followers).map((name) => this.addFollower(name, seeds));
     this.operators = namesOf('op', scope.operators).map((name) => this.addOperator(name));
   }
@@ -79,7 +79,7 @@
   }
 
   /** Whether any disk holds a record of a founded cluster. */
-  isFounded(): boolean {
+  isBootstrapped(): boolean {
     return this.allMachines().some((machine) => membershipOf(machine.disk.durable()) !== undefined);
   }
 
@@ -89,18 +89,18 @@
   }
 
   /** Starts machines, on the disks given or blank ones that found a core, and operators and followers. */
-  start(founded: FoundedDisks | undefined): void {
+  start(disks: BootstrappedDisks | undefined): void {
     for (const machine of this.machines) {
-      machine.disk.load(founded?.get(machine.name) ?? []);
-      machine.start(founded === undefined);
+      machine.disk.load(disks?.get(machine.name) ?? []);
+      machine.start(disks === undefined);
     }
-    for (const follower of this.followers) follower.start(founded === undefined);
+    for (const follower of this.followers) follower.start(disks === undefined);
     for (const operator of this.operators) operator.start();
   }
 
   private addProcess(name: string): Process {
-    const rate = 1 + this.scope.drift * (2 * this.random() - 1);
-    const clock: ClockSettings = { rate, offset: Math.floor(this.random() * widestOffsetUs) };
+    const rate = 1 + this.scope.clockDrift * (2 * this.random() - 1);
+    const clock: ClockSettings = { rate, offset: Math.floor(this.random() * maxClockOffsetUs) };
     return this.kernel.add(name, clock);
   }
 
@@ -113,40 +113,40 @@
       this.kernel,
       this.addProcess(name),
       seeds,
-      (feed) => this.invariants.told(name, feed),
+      (feed) => this.invariants.observeConfiguration(name, feed),
       this.scope.statelessSeeds,
     );
   }
 
   private addOperator(name: string): Operator {
-    const { thinkUs, sendsAgain, readsPercent } = this.scope;
+    const { thinkTimeUs: thinkUs, maxRetries: sendsAgain, readsPercent } = this.scope;
     return new Operator(this.kernel, {
       process: this.addProcess(name),
       machines: () => this.allMachines().filter((machine) => machine.wasStarted()),
       calls: this.calls,
       record: (operation) => this.history.push(operation),
       tick: () => (this.position += 1),
-      acknowledged: (order) => this.invariants.acknowledged(order),
-      thinkUs,
-      sendsAgain,
+      onAcknowledged: (request) => this.invariants.observeAcknowledgement(request),
+      thinkTimeUs: thinkUs,
+      maxRetries: sendsAgain,
       readsPercent,
     });
   }
 }
 
-const foundingTakesUs = 6_000_000;
-const made = new Map<number, FoundedDisks>();
+const bootstrapTimeUs = 6_000_000;
+const disksByReplicaCount = new Map<number, BootstrappedDisks>();
 
 /** Founds a core of so many places once, without any trouble, and keeps its disks for later runs. */
-export async function foundedDisks(scope: Scope): Promise<FoundedDisks> {
-  const present = made.get(scope.places);
+export async function bootstrappedDisks(scope: Scope): Promise<BootstrappedDisks> {
+  const present = disksByReplicaCount.get(scope.replicas);
   if (present !== undefined) return present;
   const cluster = new Cluster({ ...scope, followers: 0, operators: 0, spares: 0 }, 1);
   const { kernel } = cluster;
   cluster.start(undefined);
-  for (let event = kernel.next(); event !== undefined && event.planned < foundingTakesUs; event = kernel.next())
+  for (let event = kernel.next(); event !== undefined && event.plannedAt < bootstrapTimeUs; event = kernel.next())
     await kernel.run(event);
   const disks = new Map(cluster.machines.map((machine) => [machine.name, [...machine.disk.records()]]));
-  made.set(scope.places, disks);
+  disksByReplicaCount.set(scope.replicas, disks);
   return disks;
 }
--- a/packages/model-checker/src/commands.ts
+++ b/packages/model-checker/src/commands.ts
@@ -1,7 +1,7 @@
 /** The commands of the checker, to be registered with the simulator's. */
 import { Command, Option } from 'clipanion';
 export { DutiesCommand } from './duties/duty-command.js';
-import { knownBreaks, usualHunt } from './finder.js';
+import { findBaselineViolations, defaultCheckOptions } from './check-model.js';
 import { mutations, type Mutation } from './mutations.js';
 import { runMutant, type MutantResult } from './mutants.js';
 import { describeCounterexample, shrinkCounterexample, type Counterexample } from './report.js';
@@ -20,8 +20,8 @@
   return describeCounterexample(await shrinkCounterexample(example));
 }
 
-function isSize(places: number): boolean {
-  return places === 3 || places === 5;
+function isSize(replicas: number): boolean {
+  return replicas === 3 || replicas === 5;
 }
 
 /** Bounded exhaustive search. */
@@ -30,7 +30,7 @@
   static override usage = Command.Usage({
     description: 'Search all schedules of the control state up to a depth. Ends with 1 when a rule is broken.',
   });
-  places = Option.String('--places', '3', { description: '3 or 5' });
+  replicas = Option.String('--places', '3', { description: '3 or 5' });
   depth = Option.String('--depth', '40', { description: 'steps of each schedule' });
   deviations = Option.String('--deviations', '2', {
     description: 'choices beside the default order; as many as the depth for the full search',
@@ -40,23 +40,23 @@
 
   async execute(): Promise<number> {
     const { stdout, stderr } = this.context;
-    if (!isSize(Number(this.places))) {
+    if (!isSize(Number(this.replicas))) {
       stderr.write('simulator: --places is 3 or 5\n');
       return usageExit;
     }
     const started = Date.now();
-    const scope = searchScope(Number(this.places));
+    const scope = searchScope(Number(this.replicas));
     const seed = Number(this.seed);
     const result = await search({
       scope,
       seed,
       depth: Number(this.depth),
       deviations: Number(this.deviations),
-      goesOn: () => Date.now() - started < 1000 * Number(this.limit),
+      shouldContinue: () => Date.now() - started < 1000 * Number(this.limit),
     });
     stdout.write(
       `${result.schedules} schedules, ${result.steps} steps (${perSecond(result.steps, started)} a second), ${result.states} states, ${result.situations} situations; ` +
-        `all schedules of ${this.depth} steps with up to ${Math.max(0, result.completeTo)} deviations were played\n`,
+        `all schedules of ${this.depth} steps with up to ${Math.max(0, result.completedDeviations)} deviations were played\n`,
     );
     if (result.violation === undefined) return 0;
     stdout.write(await explain({ scope, seed, moves: result.moves, untilUs: Infinity, maxSteps: result.steps }));
@@ -70,7 +70,7 @@
   static override usage = Command.Usage({
     description: 'Walk at random through faults of the control state. Ends with 1 when a rule is broken.',
   });
-  places = Option.String('--places', '3', { description: '3 or 5' });
+  replicas = Option.String('--places', '3', { description: '3 or 5' });
   from = Option.String('--from', '1', { description: 'the first seed' });
   count = Option.String('--seeds', '20', { description: 'how many seeds' });
   length = Option.String('--length', '30', { description: 'virtual seconds of each walk' });
@@ -78,8 +78,8 @@
 
   async execute(): Promise<number> {
     const { stdout, stderr } = this.context;
-    const places = Number(this.places);
-    if (!isSize(places)) {
+    const replicas = Number(this.replicas);
+    if (!isSize(replicas)) {
       stderr.write('simulator: --places is 3 or 5\n');
       return usageExit;
     }
@@ -90,7 +90,7 @@
     let [walks, steps, broken] = [0, 0, 0];
     while (walks < Number(this.count) && Date.now() - started < 1000 * Number(this.limit)) {
       const seed = first + walks;
-      const scope = walkScope(places, seed);
+      const scope = walkScope(replicas, seed);
       const outcome = await walk({ scope, seed, lengthUs, situations });
       walks += 1;
       steps += outcome.steps;
@@ -105,13 +105,13 @@
   }
 }
 
-function rowOf({ mutation, hunt }: MutantResult): string {
+function rowOf({ mutation, outcome: outcome }: MutantResult): string {
   const where = `${mutation.name} | \`${mutation.file}\``;
-  if ('error' in hunt) return `| ${where} | error: ${hunt.error} | |\n`;
-  const { finding, steps } = hunt;
+  if ('error' in outcome) return `| ${where} | error: ${outcome.error} | |\n`;
+  const { finding, steps } = outcome;
   if (finding === undefined) return `| ${where} | **nothing** | ${steps} |\n`;
   const { violation, by, seed } = finding;
-  return `| ${where} | ${violation.rule} (${by}, seed ${seed}): ${violation.what} | ${steps} |\n`;
+  return `| ${where} | ${violation.rule} (${by}, seed ${seed}): ${violation.detail} | ${steps} |\n`;
 }
 
 /** Takes mechanisms away and shows what finds that. */
@@ -121,34 +121,40 @@
     description: 'Remove mechanisms of the control state one by one; ends with 1 when a removal is not found.',
   });
   only = Option.String('--only', '', { description: 'mutations whose name contains this text' });
-  walks = Option.String('--walks', `${usualHunt.walks}`, { description: 'walks at most, for each' });
+  walks = Option.String('--walks', `${defaultCheckOptions.walks}`, { description: 'walks at most, for each' });
   threads = Option.String('--threads', '3');
   limit = Option.String('--seconds', '300', { description: 'at most, for each' });
 
   async execute(): Promise<number> {
     const { stdout } = this.context;
-    const hunt = { ...usualHunt, walks: Number(this.walks) };
-    const known = await knownBreaks(hunt);
-    const without = known.map((each) => each.seed);
-    const ignored = [...new Set(known.map((each) => each.rule))];
-    const told = known.map((each) => `${each.seed} (${each.rule})`).join(', ') || 'none';
-    stdout.write(`seeds that break a rule with every mechanism in place: ${told}; these rules do not count\n`);
+    const options = { ...defaultCheckOptions, walks: Number(this.walks) };
+    const known = await findBaselineViolations(options);
+    const excludedSeeds = known.map((each) => each.seed);
+    const ignoredRules = [...new Set(known.map((each) => each.rule))];
+    const listed = known.map((each) => `${each.seed} (${each.rule})`).join(', ') || 'none';
+    stdout.write(`seeds that break a rule with every mechanism in place: ${listed}; these rules do not count\n`);
     stdout.write('| mechanism | file | found by | steps |\n|---|---|---|---|\n');
-    const left = mutations.filter((mutation) => mutation.name.includes(this.only));
+    const queue = mutations.filter((mutation) => mutation.name.includes(this.only));
     const results: MutantResult[] = [];
     const limitMs = 1000 * Number(this.limit);
     async function work(): Promise<void> {
-      for (let next: Mutation | undefined = left.shift(); next !== undefined; next = left.shift()) {
+      for (let next: Mutation | undefined = queue.shift(); next !== undefined; next = queue.shift()) {
         const name = `mutant-${mutations.indexOf(next)}`;
         const result = {
           mutation: next,
-          hunt: await runMutant(process.cwd(), name, next, { ...hunt, without, ignored }, limitMs),
+          outcome: await runMutant(
+            process.cwd(),
+            name,
+            next,
+            { ...options, excludedSeeds: excludedSeeds, ignoredRules: ignoredRules },
+            limitMs,
+          ),
         };
         results.push(result);
         stdout.write(rowOf(result));
       }
     }
     await Promise.all(Array.from({ length: Number(this.threads) }, work));
-    return results.some((result) => 'error' in result.hunt || result.hunt.finding === undefined) ? brokenExit : 0;
+    return results.some((result) => 'error' in result.outcome || result.outcome.finding === undefined) ? brokenExit : 0;
   }
 }
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -17,7 +17,7 @@
 import type { Process } from './process.js';
 
 /** How an operator's call reaches the core through one machine. */
-export interface CoreAccess {
+export interface ControlAccess {
   readonly ask: (question: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
@@ -36,7 +36,7 @@
   readonly name: string;
   readonly disk: ModelDisk;
   private node: ControlNodeHost | undefined;
-  private coreAccess: CoreAccess | undefined;
+  private coreAccess: ControlAccess | undefined;
 
   constructor(
     private readonly kernel: Kernel,
@@ -53,7 +53,7 @@
   }
 
   /** The way for operators' calls, while the machine runs. */
-  access(): CoreAccess | undefined {
+  access(): ControlAccess | undefined {
     return this.coreAccess;
   }
 
@@ -63,14 +63,14 @@
   }
 
   /** Starts the program; `founds` says whether it may found a core. */
-  start(founds: boolean): void {
+  start(mayBootstrap: boolean): void {
     const { kernel, process, seeds } = this;
     const self = process.address;
     kernel.start(process);
     const world = kernel.world(process);
-    const node = this.createNode(world, founds);
+    const node = this.createNode(world, mayBootstrap);
     const replicas = createReplicaAddressList(node.core, self, () => seeds);
-    const asker = createControlClient(world, self, replicas);
+    const controlClient = createControlClient(world, self, replicas);
     const feed = createFeedServer(world, {
       self,
       zone: 'z',
@@ -79,11 +79,14 @@
       fetchWorkerList: async () => undefined,
     });
     process.receive = (message, from) => {
-      if (message.kind === 'Answer') asker.handleAnswer(message);
+      if (message.kind === 'Answer') controlClient.handleAnswer(message);
       else if (!feed.receive(message, from)) node.receive(message, from);
     };
     this.node = node;
-    this.coreAccess = { ask: (question) => new Promise((done) => asker.request(question, done)), now: world.now };
+    this.coreAccess = {
+      ask: (question) => new Promise((done) => controlClient.request(question, done)),
+      now: world.now,
+    };
     void node.begin();
   }
 
@@ -97,19 +100,19 @@
   }
 
   /** Empties the disk. */
-  loseDisk(): void {
+  eraseDisk(): void {
     this.process.inputs.addText('disk lost');
-    this.disk.lose();
+    this.disk.erase();
   }
 
-  private createNode(world: World, founds: boolean): ControlNodeHost {
+  private createNode(world: World, mayBootstrap: boolean): ControlNodeHost {
     const { process, seeds } = this;
     const self = process.address;
     return createControlNodeHost(world, {
       ...settings,
       slot: undefined,
       bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
-      mayBootstrap: founds,
+      mayBootstrap: mayBootstrap,
       rejoins: true,
       self,
       bootstrapMembers: seeds,
@@ -120,7 +123,7 @@
   }
 
   private async openDisk(afresh: boolean, blank: boolean): Promise<E.Either<Error, OpenDisk>> {
-    if (blank) this.disk.lose();
+    if (blank) this.disk.erase();
     const found = [...this.disk.records()];
     const disk = this.disk.open(this.process);
     if (afresh) await new Promise<void>((done) => disk.rewrite(found, () => done()));
--- a/packages/model-checker/src/draws.ts
+++ b/packages/model-checker/src/draws.ts
@@ -104,7 +104,7 @@
 export const moveKinds = Object.keys(draws) as MoveKind[];
 
 /** How often a kind is drawn where all are equally rare. */
-export const usualWeights: { readonly [K in MoveKind]: number } = {
+export const defaultWeights: { readonly [K in MoveKind]: number } = {
   run: 4,
   lose: 6,
   double: 4,
--- a/packages/model-checker/src/durable-state.ts
+++ b/packages/model-checker/src/durable-state.ts
@@ -30,7 +30,7 @@
 }
 
 /** Takes one more synced record in. */
-export function takeRecord(state: DurableState, record: JournalRecord): void {
+export function applyRecord(state: DurableState, record: JournalRecord): void {
   if (record.kind === 'disk') state.disk = record.key;
   if (record.kind === 'state') state.state = record.key;
   if (record.kind !== 'row') return;
--- a/packages/model-checker/src/duties/duty-hunt.ts
+++ b/packages/model-checker/src/duties/check-duties.ts
@@ -1,10 +1,10 @@
 /** Plays schedules of the duties from seed to seed until one breaks a rule. */
-import { playDuties } from './duty-schedule.js';
+import { playDutySchedule } from './duty-schedule.js';
 import type { BrokenRule } from './rules.js';
 import { scopeOf } from './scope.js';
 
 /** Which seeds to play. */
-export interface DutyHuntOptions {
+export interface DutyCheckOptions {
   readonly firstSeed: number;
   readonly seeds: number;
   /** From one seed to the next; `kindsOfScope` keeps to one kind of schedule. */
@@ -12,7 +12,7 @@
 }
 
 /** What a hunt met. */
-export interface DutyHunt {
+export interface DutyCheckResult {
   /** The first broken rule. */
   readonly finding: (BrokenRule & { readonly seed: number }) | undefined;
   readonly schedules: number;
@@ -23,11 +23,11 @@
 }
 
 /** Plays the seeds in their order, up to the first that breaks a rule. */
-export async function huntDuties({ firstSeed, seeds, stride }: DutyHuntOptions): Promise<DutyHunt> {
-  let hunt: DutyHunt = { finding: undefined, schedules: 0, steps: 0, calls: 0, fenced: 0, takeovers: 0 };
+export async function checkDuties({ firstSeed, seeds, stride }: DutyCheckOptions): Promise<DutyCheckResult> {
+  let hunt: DutyCheckResult = { finding: undefined, schedules: 0, steps: 0, calls: 0, fenced: 0, takeovers: 0 };
   for (let index = 0; index < seeds && hunt.finding === undefined; index += 1) {
     const seed = firstSeed + stride * index;
-    const { broken, steps, calls, fenced, takeovers } = await playDuties(scopeOf(seed));
+    const { broken, steps, calls, fenced, takeovers } = await playDutySchedule(scopeOf(seed));
     hunt = {
       finding: broken && { ...broken, seed },
       schedules: hunt.schedules + 1,
--- a/packages/model-checker/src/duties/draw.ts
+++ b/packages/model-checker/src/duties/draw.ts
@@ -7,7 +7,7 @@
   readonly number: () => number;
   readonly chance: (probability: number) => boolean;
   /** The same while there are troubles; false in the calm after them. */
-  readonly mishap: (probability: number) => boolean;
+  readonly faultChance: (probability: number) => boolean;
   readonly between: (least: number, most: number) => number;
   readonly oneOf: <Item>(items: readonly Item[]) => Item;
 }
@@ -18,7 +18,7 @@
   return {
     number,
     chance: (probability) => number() < probability,
-    mishap: (probability) => number() < probability && !isCalm(),
+    faultChance: (probability) => number() < probability && !isCalm(),
     between: (least, most) => least + (most - least) * number(),
     oneOf: (items) => items[Math.floor(number() * items.length)]!,
   };
--- a/packages/model-checker/src/duties/duty-command.ts
+++ b/packages/model-checker/src/duties/duty-command.ts
@@ -1,15 +1,16 @@
 /** The command that plays schedules of the duties, and takes their guards away. */
 import { Command, Option } from 'clipanion';
-import { huntDuties, type DutyHunt } from './duty-hunt.js';
+import { checkDuties, type DutyCheckResult } from './check-duties.js';
 import { runDutyMutant } from './duty-mutants.js';
 import { dutyMutations } from './duty-mutations.js';
-import { kindsOfScope } from './scope.js';
+import { scopeKindCount } from './scope.js';
 
 const brokenExit = 1;
 const mutantLimitMs = 600_000;
 
-function tell({ finding, schedules, steps, calls, fenced, takeovers }: DutyHunt): string {
-  const found = finding === undefined ? 'none broke a rule' : `seed ${finding.seed}: ${finding.rule}: ${finding.what}`;
+function tell({ finding, schedules, steps, calls, fenced, takeovers }: DutyCheckResult): string {
+  const found =
+    finding === undefined ? 'none broke a rule' : `seed ${finding.seed}: ${finding.rule}: ${finding.detail}`;
   const counts = `${steps} steps, ${calls} calls, ${fenced} not accepted, ${takeovers} takeovers`;
   return `${schedules} schedules, ${found}; ${counts}\n`;
 }
@@ -29,7 +30,7 @@
   async execute(): Promise<number> {
     const seeds = Number(this.seeds);
     if (this.mutants) return this.huntMutants(seeds);
-    const hunt = await huntDuties({ firstSeed: Number(this.from), seeds, stride: 1 });
+    const hunt = await checkDuties({ firstSeed: Number(this.from), seeds, stride: 1 });
     this.context.stdout.write(tell(hunt));
     return hunt.finding === undefined ? 0 : brokenExit;
   }
@@ -37,7 +38,7 @@
   private async huntMutants(seeds: number): Promise<number> {
     let missed = 0;
     for (const [index, mutation] of dutyMutations.entries()) {
-      const options = { firstSeed: kindsOfScope + mutation.kind, seeds, stride: kindsOfScope };
+      const options = { firstSeed: scopeKindCount + mutation.kind, seeds, stride: scopeKindCount };
       const hunt = await runDutyMutant(process.cwd(), `duty-${index}`, mutation, options, mutantLimitMs);
       if ('error' in hunt || hunt.finding === undefined) missed += 1;
       this.context.stdout.write(`${mutation.name}: ${'error' in hunt ? `${hunt.error}\n` : tell(hunt)}`);
--- a/packages/model-checker/src/duties/duty-mutants.ts
+++ b/packages/model-checker/src/duties/duty-mutants.ts
@@ -1,19 +1,19 @@
 /** Takes guards of the duties away, and hunts on what is left. */
-import { bundleMutant, runInThread, type HuntError } from '../mutants.js';
+import { bundleMutant, runInThread, type CheckError } from '../mutants.js';
 import type { Mutation } from '../mutations.js';
-import type { DutyHunt, DutyHuntOptions } from './duty-hunt.js';
+import type { DutyCheckResult, DutyCheckOptions } from './check-duties.js';
 
 /** Hunts on the sources of a checkout with one mutation, or with none. */
 export async function runDutyMutant(
   root: string,
   name: string,
   mutation: Mutation | undefined,
-  options: DutyHuntOptions,
+  options: DutyCheckOptions,
   limitMs: number,
-): Promise<DutyHunt | HuntError> {
+): Promise<DutyCheckResult | CheckError> {
   try {
     const file = await bundleMutant(root, 'duties/duty-mutant-worker.ts', name, mutation);
-    return await runInThread<DutyHunt>(file, options, limitMs);
+    return await runInThread<DutyCheckResult>(file, options, limitMs);
   } catch (error) {
     return { error: error instanceof Error ? error.message : String(error) };
   }
--- a/packages/model-checker/src/duties/duty-node.ts
+++ b/packages/model-checker/src/duties/duty-node.ts
@@ -6,7 +6,7 @@
 import { createDutyRunner, type CallOutcome, type DutyCall, type DutyRunner } from '@tansypost/duty-log';
 import type { Address, Cancel, Message, Micros, World } from '@tansypost/inner-protocol';
 import type { Draw } from './draw.js';
-import { createOrders, createReports } from './played-duties.js';
+import { createOrders, createReports } from './sample-duties.js';
 import type { Scheduler } from './scheduler.js';
 import { callsPerSecond, times } from './scope.js';
 import type { StoredRecords } from './stored-record.js';
@@ -16,12 +16,12 @@
   readonly scheduler: Scheduler;
   readonly draw: Draw;
   readonly records: StoredRecords;
-  readonly wanted: ReadonlyMap<string, number>;
-  readonly mostOpenReports: number;
+  readonly desiredNumbers: ReadonlyMap<string, number>;
+  readonly maxOpenReports: number;
   readonly membership: () => VoterGroup;
   readonly send: (from: DutyNode, to: Address, message: Message) => void;
   /** A step of a duty was done at the node. */
-  readonly stepped: (node: DutyNode) => void;
+  readonly onStep: (node: DutyNode) => void;
   readonly call: (from: DutyNode, call: DutyCall, answer: (outcome: CallOutcome) => void) => void;
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** A span of time in which something befell a node. */
-export interface TroubleSpan {
+export interface FaultSpan {
   readonly from: number;
   until: number;
 }
@@ -46,15 +46,15 @@
   disk: NodeDisk;
   alive: boolean;
   frozen: boolean;
-  cutFromCore: boolean;
+  cutFromControlCluster: boolean;
   cutFromPlatform: boolean;
   /** Its ballots and votes are lost, while it reaches the control state. */
   cutFromVoters: boolean;
   /** Rises with each end of its process. */
   incarnation: number;
   /** What runs at the thaw. */
-  readonly held: (() => void)[];
-  readonly troubles: TroubleSpan[];
+  readonly heldCallbacks: (() => void)[];
+  readonly faults: FaultSpan[];
   voter: Voter | undefined;
   runner: DutyRunner | undefined;
 }
@@ -69,12 +69,12 @@
     disk: { id: `${name}/1`, epochs: new Map() },
     alive: false,
     frozen: false,
-    cutFromCore: false,
+    cutFromControlCluster: false,
     cutFromPlatform: false,
     cutFromVoters: false,
     incarnation: 0,
-    held: [],
-    troubles: [],
+    heldCallbacks: [],
+    faults: [],
     voter: undefined,
     runner: undefined,
   };
@@ -85,7 +85,7 @@
   const { incarnation } = node;
   return function deliver(run) {
     if (!node.alive || node.incarnation !== incarnation) return;
-    if (node.frozen) node.held.push(run);
+    if (node.frozen) node.heldCallbacks.push(run);
     else run();
   };
 }
@@ -94,7 +94,7 @@
 export function startNode(cluster: DutyCluster, node: DutyNode, votingSince: number): void {
   node.alive = true;
   node.frozen = false;
-  node.held.length = 0;
+  node.heldCallbacks.length = 0;
   const { scheduler, draw } = cluster;
   const deliver = inProcess(node);
   function after(delay: number, run: () => void): Cancel {
@@ -114,10 +114,10 @@
   };
   const caller = {
     name: node.name,
-    reaches: () => !node.cutFromCore,
+    isConnected: () => !node.cutFromControlCluster,
     inProcess: deliver,
     after,
-    stepped: () => cluster.stepped(node),
+    onStep: () => cluster.onStep(node),
   };
   startVoter(cluster, node, world, votingSince);
   node.runner = createDutyRunner(world, {
@@ -127,10 +127,10 @@
     replicas: cluster.membership,
     isEligible: () => true,
     leaseDuration: times.leaseDuration,
-    minTakeoverGap: times.betweenHolders,
+    minTakeoverGap: times.minTakeoverGap,
     callsPerSecond,
-    callTimeout: times.callPatience,
-    duties: [createReports(scheduler.now, draw, cluster.mostOpenReports), createOrders(cluster.wanted)],
+    callTimeout: times.callTimeout,
+    duties: [createReports(scheduler.now, draw, cluster.maxOpenReports), createOrders(cluster.desiredNumbers)],
     record: (key) => cluster.records.value(key, caller),
     port: { call: (call) => new Promise((done) => cluster.call(node, call, done)) },
   });
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -4,12 +4,12 @@
 import { createDraw, type Draw } from './draw.js';
 import { createDutyNode, inProcess, startNode, type DutyCluster, type DutyNode } from './duty-node.js';
 import { createPlatformModel, type PlatformModel } from './platform-model.js';
-import { orderSubjects } from './played-duties.js';
-import { createRuleWatch, type BrokenRule, type RuleWatch } from './rules.js';
+import { orderSubjects } from './sample-duties.js';
+import { createRuleChecker, type BrokenRule, type RuleChecker } from './rules.js';
 import { createScheduler, type Scheduler } from './scheduler.js';
 import { times, type DutyScope } from './scope.js';
 import { createStoredRecords } from './stored-record.js';
-import { letTroublesCome, troubleAfterStep, type TroubledRun } from './troubles.js';
+import { scheduleFaults, maybeInjectFault, type FaultInjectionRun } from './faults.js';
 
 /** What became of a schedule. */
 export interface DutyVerdict {
@@ -22,10 +22,10 @@
   readonly takeovers: number;
 }
 
-interface Run extends TroubledRun {
+interface Run extends FaultInjectionRun {
   readonly scheduler: Scheduler;
   readonly draw: Draw;
-  readonly watch: RuleWatch;
+  readonly watch: RuleChecker;
   readonly platform: PlatformModel;
 }
 
@@ -41,11 +41,11 @@
 const ordersChange = { least: 0.5 * second, most: 12 * second } as const;
 
 /** Plays a schedule to its end, or to the first broken rule. */
-export async function playDuties(scope: DutyScope): Promise<DutyVerdict> {
+export async function playDutySchedule(scope: DutyScope): Promise<DutyVerdict> {
   const wanted = new Map<string, number>(orderSubjects.map((subject) => [subject, 1]));
   const run = createRun(scope, wanted);
   for (const node of run.nodes) startNode(run.cluster, node, -times.leaseDuration);
-  letTroublesCome(run);
+  scheduleFaults(run);
   letOrdersChange(run, wanted);
   await run.scheduler.runUntil(times.end, () => run.watch.broken() !== undefined);
   if (run.watch.broken() === undefined) run.watch.end(times.end, wanted);
@@ -73,9 +73,9 @@
 
 function createRun(scope: DutyScope, wanted: ReadonlyMap<string, number>): Run {
   const scheduler = createScheduler();
-  const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= times.calmFrom);
+  const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= times.faultsEndAt);
   const nodes = Array.from({ length: scope.nodes }).map((_empty, slot) => createDutyNode(slot));
-  const watch = createRuleWatch(scope, (holder, from, until) => wasInTouch(nodes, holder, from, until));
+  const watch = createRuleChecker(scope, (holder, from, until) => wasInTouch(nodes, holder, from, until));
   const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, watch.arrived);
   const records = createStoredRecords(scheduler, draw, watch.written, watch.read);
   let membershipEpoch = 1;
@@ -83,15 +83,15 @@
     scheduler,
     draw,
     records,
-    wanted,
-    mostOpenReports: draw.oneOf(openReports),
+    desiredNumbers: wanted,
+    maxOpenReports: draw.oneOf(openReports),
     membership: () => ({
       membershipEpoch,
       replicas: nodes.map(({ slot, address, disk }) => ({ slot, address, disk: disk.id })),
     }),
     send: (from, to, message) => send(run, from, to, message),
     call: (from, call, answer) => makeCall(run, from, call, answer),
-    stepped: (node) => troubleAfterStep(run, node),
+    onStep: (node) => maybeInjectFault(run, node),
   };
   function membershipChanged(): void {
     membershipEpoch += 1;
@@ -102,13 +102,13 @@
 
 function wasInTouch(nodes: readonly DutyNode[], holder: string, from: number, until: number): boolean {
   const node = nodes.find((each) => each.name === holder);
-  return node !== undefined && node.troubles.every((span) => span.until < from || span.from > until);
+  return node !== undefined && node.faults.every((span) => span.until < from || span.from > until);
 }
 
 function send({ nodes, scheduler, draw }: Run, from: DutyNode, to: Address, message: Message): void {
   const target = nodes.find((node) => node.address === to);
-  const isCut = target !== from && [from, target].some((node) => node?.cutFromCore || node?.cutFromVoters);
-  if (target === undefined || !from.alive || isCut || draw.mishap(messageLost)) return;
+  const isCut = target !== from && [from, target].some((node) => node?.cutFromControlCluster || node?.cutFromVoters);
+  if (target === undefined || !from.alive || isCut || draw.faultChance(messageLost)) return;
   scheduler.after(draw.between(oneWay.least, oneWay.most), () => {
     if (target.alive) inProcess(target)(() => receive(target, message));
   });
@@ -129,11 +129,11 @@
   const { scheduler, draw, watch, platform } = run;
   const sentAt = scheduler.now();
   watch.sent(call, sentAt, `${from.name}/${from.incarnation}`);
-  const most = draw.mishap(callOneWay.lateChance) ? callOneWay.late : callOneWay.most;
+  const most = draw.faultChance(callOneWay.lateChance) ? callOneWay.late : callOneWay.most;
   const deliver = inProcess(from);
   const mayBeHeld = draw.chance(heldByFreeze);
   scheduler.after(draw.between(callOneWay.least, most), arrive);
-  troubleAfterStep(run, from);
+  maybeInjectFault(run, from);
 
   function arrive(): void {
     const isHeld = (from.frozen && mayBeHeld) || from.cutFromPlatform;
@@ -142,19 +142,19 @@
     platform.arrive(call, sentAt, wasHeld, (outcome) => {
       if (!from.cutFromPlatform) deliver(() => receiveAnswer(outcome));
     });
-    troubleAfterStep(run, from);
+    maybeInjectFault(run, from);
   }
 
   function receiveAnswer(outcome: CallOutcome): void {
     if (outcome === 'fenced') watch.fenced(call);
     answer(outcome);
-    troubleAfterStep(run, from);
+    maybeInjectFault(run, from);
   }
 }
 
 function letOrdersChange({ scheduler, draw }: Run, wanted: Map<string, number>): void {
   function change(): void {
-    if (scheduler.now() >= times.calmFrom) return;
+    if (scheduler.now() >= times.faultsEndAt) return;
     wanted.set(draw.oneOf(orderSubjects), 1 + Math.floor(draw.number() * largestOrder));
     scheduler.after(draw.between(ordersChange.least, ordersChange.most), change);
   }
--- a/packages/model-checker/src/duties/duty-walk.test.ts
+++ b/packages/model-checker/src/duties/duty-walk.test.ts
@@ -5,11 +5,11 @@
  */
 import { fileURLToPath } from 'node:url';
 import { beforeAll, describe, expect, it } from 'vitest';
-import { huntDuties, type DutyHunt } from './duty-hunt.js';
+import { checkDuties, type DutyCheckResult } from './check-duties.js';
 import { runDutyMutant } from './duty-mutants.js';
 import { dutyMutations } from './duty-mutations.js';
-import { playDuties } from './duty-schedule.js';
-import { kindsOfScope, scopeOf } from './scope.js';
+import { playDutySchedule } from './duty-schedule.js';
+import { scopeKindCount, scopeOf } from './scope.js';
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 /** More by DUTY_SCHEDULES=N. */
@@ -18,7 +18,7 @@
 it(
   'breaks no rule in schedules with troubles between any two steps',
   async () => {
-    const hunt = await huntDuties({ firstSeed: 1, seeds: schedules, stride: 1 });
+    const hunt = await checkDuties({ firstSeed: 1, seeds: schedules, stride: 1 });
     expect(hunt.finding).toBeUndefined();
     expect(hunt.schedules).toBe(schedules);
     // The schedules bring about what they are for.
@@ -30,21 +30,21 @@
 );
 
 it('plays a seed alike each time', async () => {
-  expect(await playDuties(scopeOf(7))).toEqual(await playDuties(scopeOf(7)));
+  expect(await playDutySchedule(scopeOf(7))).toEqual(await playDutySchedule(scopeOf(7)));
 });
 
 describe('finds that a guard is missing', () => {
   const seeds = 480;
   const threads = 3;
   const limitMs = 60_000;
-  const hunts = new Map<string, DutyHunt | { readonly error: string }>();
+  const hunts = new Map<string, DutyCheckResult | { readonly error: string }>();
 
   beforeAll(async () => {
     const left = [...dutyMutations.entries()];
     async function work(): Promise<void> {
       for (let next = left.shift(); next !== undefined; next = left.shift()) {
         const [index, mutation] = next;
-        const options = { firstSeed: kindsOfScope + mutation.kind, seeds, stride: kindsOfScope };
+        const options = { firstSeed: scopeKindCount + mutation.kind, seeds, stride: scopeKindCount };
         hunts.set(mutation.name, await runDutyMutant(root, `test-duty-${index}`, mutation, options, limitMs));
       }
     }
--- a/packages/model-checker/src/duties/platform-model.ts
+++ b/packages/model-checker/src/duties/platform-model.ts
@@ -7,7 +7,7 @@
 import type { Scheduler } from './scheduler.js';
 
 /** How the platform treats the calls of one duty. `deaf`: it carries them out and does not answer. */
-export type PlatformMood = 'well' | 'busy' | 'slow' | 'down' | 'deaf';
+export type PlatformCondition = 'well' | 'busy' | 'slow' | 'down' | 'deaf';
 
 /** A call as it arrived. */
 export interface ArrivedCall extends DutyCall {
@@ -20,7 +20,7 @@
 
 /** The platform. */
 export interface PlatformModel {
-  readonly moods: Map<string, PlatformMood>;
+  readonly conditions: Map<string, PlatformCondition>;
   readonly calls: readonly ArrivedCall[];
   /** Takes in a call now, and gives the answer later or never. */
   readonly arrive: (call: DutyCall, sentAt: number, wasHeld: boolean, answer: (outcome: CallOutcome) => void) => void;
@@ -37,7 +37,7 @@
   fenceChecked: boolean,
   arrived: (call: ArrivedCall) => void,
 ): PlatformModel {
-  const moods = new Map<string, PlatformMood>();
+  const moods = new Map<string, PlatformCondition>();
   const calls: ArrivedCall[] = [];
   const highestFence = new Map<string, number>();
 
@@ -55,10 +55,10 @@
     const seen = { ...call, sentAt, at: scheduler.now(), isAccepted: outcome === 'accepted', wasHeld };
     calls.push(seen);
     arrived(seen);
-    if (mood === 'deaf' || draw.mishap(answerLost)) return;
+    if (mood === 'deaf' || draw.faultChance(answerLost)) return;
     const { least, most } = mood === 'slow' ? slowAnswer : usualAnswer;
     scheduler.after(draw.between(least, most), () => answer(outcome));
   }
 
-  return { moods, calls, arrive };
+  return { conditions: moods, calls, arrive };
 }
--- a/packages/model-checker/src/duties/rules.ts
+++ b/packages/model-checker/src/duties/rules.ts
@@ -3,7 +3,7 @@
 import { decodeDutyRecord, type DutyCall } from '@tansypost/duty-log';
 import * as E from 'fp-ts/lib/Either.js';
 import type { ArrivedCall } from './platform-model.js';
-import { lastEndedWindow, orders, orderSubjects, reportOf, reports } from './played-duties.js';
+import { lastEndedWindow, orderDuty, orderSubjects, reportOf, reportDuty } from './sample-duties.js';
 import { callsPerSecond, times, type DutyScope } from './scope.js';
 
 /** A broken rule. */
@@ -20,11 +20,11 @@
     | 'owed'
     | 'in order'
     | 'newest last';
-  readonly what: string;
+  readonly detail: string;
 }
 
 /** Watches a run. */
-export interface RuleWatch {
+export interface RuleChecker {
   readonly broken: () => BrokenRule | undefined;
   /** A record was written. */
   readonly written: (key: string, stored: StoredVersion) => void;
@@ -61,10 +61,10 @@
 const slack = 6 * second;
 
 /** A watch; `wasInTouch` tells whether nothing befell a holder in a span of time. */
-export function createRuleWatch(
+export function createRuleChecker(
   scope: DutyScope,
   wasInTouch: (holder: string, from: number, until: number) => boolean,
-): RuleWatch {
+): RuleChecker {
   const state: WatchState = {
     scope,
     wasInTouch,
@@ -89,8 +89,8 @@
   };
 }
 
-function breakRule(state: WatchState, rule: BrokenRule['rule'], what: string): void {
-  state.broken ??= { rule, what };
+function breakRule(state: WatchState, rule: BrokenRule['rule'], detail: string): void {
+  state.broken ??= { rule, detail: detail };
 }
 
 function termOf({ duty, fence, holder }: Pick<DutyCall, 'duty' | 'fence' | 'holder'>): string {
@@ -142,7 +142,7 @@
   if (!call.isAccepted) return;
   const before = state.accepted.filter((other) => other.duty === call.duty && other.subject === call.subject);
   state.accepted.push(call);
-  if (call.duty === reports) checkReport(state, call, before);
+  if (call.duty === reportDuty) checkReport(state, call, before);
   else checkNewest(state, call, before);
   checkTurns(state, call, before);
   if (!state.scope.leasesOverlap) checkLease(state, call, before);
@@ -169,12 +169,12 @@
 
 /** No A, B, A within the time between holders, while both are in touch. */
 function checkTurns(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
-  const recent = before.filter((other) => call.at - other.at < times.betweenHolders && !other.wasHeld);
+  const recent = before.filter((other) => call.at - other.at < times.minTakeoverGap && !other.wasHeld);
   if (call.wasHeld || recent.length === 0) return;
   const first = recent.find((other) => other.holder === call.holder);
   const between = recent.find((other) => other.holder !== call.holder && first !== undefined && other.at >= first.at);
   if (first === undefined || between === undefined) return;
-  const from = first.at - times.contact;
+  const from = first.at - times.contactWindow;
   const inTouch = [call.holder, between.holder].every((holder) => state.wasInTouch(holder, from, call.at));
   if (inTouch) breakRule(state, 'turns', `${told(first)}; ${told(between)}; ${told(call)}`);
 }
@@ -184,19 +184,21 @@
   const last = before.filter((other) => !other.wasHeld).at(-1);
   if (last === undefined || call.wasHeld) return;
   if (call.fence < last.fence) breakRule(state, 'rising fences', `${told(last)}; ${told(call)}`);
-  if (last.holder === call.holder || call.at - last.at >= times.betweenHolders) return;
+  if (last.holder === call.holder || call.at - last.at >= times.minTakeoverGap) return;
   breakRule(state, 'between holders', `${told(last)}; ${(call.at - last.at) / second} s later ${told(call)}`);
 }
 
 function checkEnd(state: WatchState, now: number, wanted: ReadonlyMap<string, number>): void {
-  const reported = state.accepted.filter((call) => call.duty === reports).map((call) => reportOf(call.content).window);
+  const reported = state.accepted
+    .filter((call) => call.duty === reportDuty)
+    .map((call) => reportOf(call.content).window);
   const newest = Math.max(-1, ...reported);
   const due = lastEndedWindow(now - slack);
   if (newest < due) breakRule(state, 'owed', `windows after ${newest} up to ${due}`);
   // Where fences are not compared, an order that was overtaken may arrive last.
   if (!state.scope.fenceChecked) return;
   for (const subject of orderSubjects) {
-    const calls = state.accepted.filter((call) => call.duty === orders && call.subject === subject);
+    const calls = state.accepted.filter((call) => call.duty === orderDuty && call.subject === subject);
     const newestFence = Math.max(...calls.map((call) => call.fence));
     const last = calls.filter((call) => call.fence === newestFence).at(-1)?.content;
     const owed = JSON.stringify({ number: wanted.get(subject) });
--- a/packages/model-checker/src/duties/played-duties.ts
+++ b/packages/model-checker/src/duties/sample-duties.ts
@@ -7,9 +7,9 @@
 import { times } from './scope.js';
 
 /** Names of the duties. */
-export const reports = 'usage';
+export const reportDuty = 'usage';
 /** Orders of a wanted number. */
-export const orders = 'scale';
+export const orderDuty = 'scale';
 /** The one subject of the reports. */
 export const reportSubject = 'all windows';
 /** Subjects of the orders. */
@@ -23,7 +23,7 @@
 
 const counts = 1_000_000;
 /** Windows planned at once at most. */
-const mostPlanned = 8;
+const maxPlanned = 8;
 
 /** The newest window that has ended. */
 export function lastEndedWindow(now: number): number {
@@ -41,7 +41,7 @@
     if (record.open.length >= mostOpen) return [];
     const known = [...record.open, ...record.outcomes].map((entry) => reportOf(entry.content).window);
     const first = Math.max(-1, ...known) + 1;
-    const last = Math.min(lastEndedWindow(now()), first + mostPlanned - 1);
+    const last = Math.min(lastEndedWindow(now()), first + maxPlanned - 1);
     const planned: PlannedCall[] = [];
     for (let window = first; window <= last; window += 1) {
       const report: WindowReport = { window, count: Math.floor(draw.number() * counts) };
@@ -49,7 +49,7 @@
     }
     return planned;
   }
-  return { name: reports, maySupersede: false, plan };
+  return { name: reportDuty, maySupersede: false, plan };
 }
 
 /** Orders of the numbers wanted now, where they differ from what was ordered last. */
@@ -64,5 +64,5 @@
     }
     return planned;
   }
-  return { name: orders, maySupersede: true, plan };
+  return { name: orderDuty, maySupersede: true, plan };
 }
--- a/packages/model-checker/src/duties/scope.ts
+++ b/packages/model-checker/src/duties/scope.ts
@@ -17,22 +17,22 @@
 /** Kinds of schedules, by the remainder of their seed. */
 export const scopeKinds = { fencesChecked: 0, fencesUnchecked: 1, leasesOverlap: 2 } as const;
 /** How many kinds there are. */
-export const kindsOfScope = 3;
+export const scopeKindCount = 3;
 const fewestNodes = 3;
 const sizes = 3;
 
 /** The times of all schedules. */
 export const times = {
   leaseDuration: 4.5 * second,
-  betweenHolders: 3 * second,
+  minTakeoverGap: 3 * second,
   /** Troubles end here, and what is owed is caught up in the rest. */
-  calmFrom: 40 * second,
+  faultsEndAt: 40 * second,
   end: 70 * second,
   /** Without trouble for so long, a holder counts as in touch. */
-  contact: 4 * second,
+  contactWindow: 4 * second,
   usageWindow: 2 * second,
-  callPatience: 1.5 * second,
-  storePatience: 1.5 * second,
+  callTimeout: 1.5 * second,
+  storeTimeout: 1.5 * second,
 } as const;
 
 /** Calls that one holder may make a second. */
@@ -40,8 +40,8 @@
 
 /** The schedule of a seed: 3 to 5 nodes, fences checked or not, leases sound or not. */
 export function scopeOf(seed: number): DutyScope {
-  const kind = seed % kindsOfScope;
-  const nodes = fewestNodes + (Math.floor(seed / kindsOfScope) % sizes);
+  const kind = seed % scopeKindCount;
+  const nodes = fewestNodes + (Math.floor(seed / scopeKindCount) % sizes);
   return {
     seed,
     nodes,
--- a/packages/model-checker/src/duties/stored-record.ts
+++ b/packages/model-checker/src/duties/stored-record.ts
@@ -18,11 +18,11 @@
 export interface StoreCaller {
   readonly name: string;
   /** Whether a question or an answer passes between it and a majority now. */
-  readonly reaches: () => boolean;
+  readonly isConnected: () => boolean;
   /** Runs something in the node's process: not if that has ended, and not before it thaws. */
   readonly inProcess: (run: () => void) => void;
   /** A write took effect, or its answer came. */
-  readonly stepped: () => void;
+  readonly onStep: () => void;
   readonly after: (delay: number, run: () => void) => void;
 }
 
@@ -83,18 +83,18 @@
     effect: () => Result,
   ): Promise<Result | undefined> {
     return new Promise((done) => {
-      caller.after(times.storePatience, () => done(undefined));
-      if (!caller.reaches()) return;
-      const isLate = isWrite && draw.mishap(lateEffect.chance);
+      caller.after(times.storeTimeout, () => done(undefined));
+      if (!caller.isConnected()) return;
+      const isLate = isWrite && draw.faultChance(lateEffect.chance);
       scheduler.after(
         isLate ? draw.between(lateEffect.least, lateEffect.most) : draw.between(oneWay.least, oneWay.most),
         () => {
           const result = effect();
-          if (isWrite) caller.stepped();
-          if (draw.mishap(answerLost)) return;
+          if (isWrite) caller.onStep();
+          if (draw.faultChance(answerLost)) return;
           scheduler.after(draw.between(oneWay.least, oneWay.most), () => {
-            if (!caller.reaches()) return;
-            if (isWrite) caller.stepped();
+            if (!caller.isConnected()) return;
+            if (isWrite) caller.onStep();
             caller.inProcess(() => done(result));
           });
         },
--- a/packages/model-checker/src/closing.ts
+++ b/packages/model-checker/src/final-checks.ts
@@ -5,47 +5,47 @@
 import type { Violation } from './quorum-checks.js';
 
 /** Time for the core to heal after the last fault, before it is asked for the last time. */
-const healingUs = 6_000_000;
-const stepsAtMost = 40_000;
+const recoveryTimeUs = 6_000_000;
+const maxSteps = 40_000;
 /** At a first start there are more machines, of which several keep asking to join. */
-const stepsAtMostAtFirstStart = 120_000;
+const maxBootstrapSteps = 120_000;
 
 /** Lets the core heal and judges what it says then, and the whole history. */
-export async function closeRun(cluster: Cluster): Promise<Violation | undefined> {
+export async function runFinalChecks(cluster: Cluster): Promise<Violation | undefined> {
   for (const operator of cluster.operators) operator.stop();
-  const broken = await heal(cluster, lastEndOfFault(cluster) + healingUs);
+  const broken = await recover(cluster, lastEndOfFault(cluster) + recoveryTimeUs);
   if (broken !== undefined) return broken;
-  if (cluster.scope.statelessSeeds && !cluster.isFounded()) return findUnexplained(cluster);
+  if (cluster.scope.statelessSeeds && !cluster.isBootstrapped()) return findUnexplainedWait(cluster);
   const able = cluster.allMachines().filter((machine) => machine.access() !== undefined);
   const reads = await Promise.all(able.map((machine) => readBack(cluster, machine.name)));
   return reads.find((found) => found !== undefined) ?? checkFollowers(cluster) ?? checkHistory(cluster);
 }
 
 /** Where the faults left it unknown whether another cluster was founded, each machine waits and knows for what. */
-function findUnexplained(cluster: Cluster): Violation | undefined {
+function findUnexplainedWait(cluster: Cluster): Violation | undefined {
   const running = cluster.machines.filter((machine) => machine.process.alive);
-  const silent = running.find((machine) => machine.host()?.core()?.replica.bootstrapWait() === undefined);
-  if (silent === undefined) return undefined;
-  return { rule: 'says what it waits for', what: `${silent.name} holds no state and does not say why` };
+  const unexplained = running.find((machine) => machine.host()?.core()?.replica.bootstrapWait() === undefined);
+  if (unexplained === undefined) return undefined;
+  return { rule: 'says what it waits for', detail: `${unexplained.name} holds no state and does not say why` };
 }
 
 function lastEndOfFault({ kernel }: Cluster): number {
   const ends = kernel.pending().filter((event) => event.kind === 'end-of-fault');
-  return Math.max(kernel.now(), ...ends.map((event) => event.planned));
+  return Math.max(kernel.now(), ...ends.map((event) => event.plannedAt));
 }
 
-async function heal({ kernel, invariants, scope }: Cluster, untilUs: number): Promise<Violation | undefined> {
-  const limit = scope.statelessSeeds ? stepsAtMostAtFirstStart : stepsAtMost;
+async function recover({ kernel, invariants, scope }: Cluster, untilUs: number): Promise<Violation | undefined> {
+  const limit = scope.statelessSeeds ? maxBootstrapSteps : maxSteps;
   for (let step = 0; step < limit; step += 1) {
     const event = kernel.next();
-    if (event === undefined || event.planned > untilUs) return undefined;
+    if (event === undefined || event.plannedAt > untilUs) return undefined;
     await kernel.run(event);
     const broken = invariants.check();
     if (broken !== undefined) return broken;
   }
   return {
     rule: 'comes to rest',
-    what: `more than ${limit} steps until ${healingUs / 1e6} s after the last fault`,
+    detail: `more than ${limit} steps until ${recoveryTimeUs / 1e6} s after the last fault`,
   };
 }
 
@@ -58,9 +58,9 @@
   });
   for (let event = kernel.next(); event !== undefined && !answer.ended; event = kernel.next()) await kernel.run(event);
   const newest = invariants.newestAcknowledged();
-  if (answer.seen === undefined) return { rule: 'serves after healing', what: `${name} gives no answer to a read` };
+  if (answer.seen === undefined) return { rule: 'serves after healing', detail: `${name} gives no answer to a read` };
   if (answer.seen.version >= newest) return undefined;
-  return { rule: 'read back', what: `${name} gives version ${answer.seen.version}, ${newest} was acknowledged` };
+  return { rule: 'read back', detail: `${name} gives version ${answer.seen.version}, ${newest} was acknowledged` };
 }
 
 function checkFollowers({ followers, invariants }: Cluster): Violation | undefined {
@@ -68,7 +68,7 @@
   for (const follower of followers) {
     const version = follower.feed()?.configuration()?.version ?? 0;
     if (version < newest)
-      return { rule: 'followers follow', what: `${follower.process.name} has version ${version} of ${newest}` };
+      return { rule: 'followers follow', detail: `${follower.process.name} has version ${version} of ${newest}` };
   }
   return undefined;
 }
@@ -76,5 +76,5 @@
 /** Whether the answers that operators got fit together. */
 export function checkHistory(cluster: Cluster): Violation | undefined {
   if (isLinearizable(cluster.history)) return undefined;
-  return { rule: 'linearizable', what: 'no order of the operations explains their answers' };
+  return { rule: 'linearizable', detail: 'no order of the operations explains their answers' };
 }
--- a/packages/model-checker/src/follower.ts
+++ b/packages/model-checker/src/follower.ts
@@ -20,9 +20,9 @@
     private readonly kernel: Kernel,
     readonly process: Process,
     private readonly seeds: readonly Address[],
-    private readonly changed: (feed: ControlFeed) => void,
+    private readonly onConfigurationChange: (feed: ControlFeed) => void,
     /** Whether it also speaks to machines that begin at it as their seed. */
-    private readonly guides: boolean,
+    private readonly servesAsSeed: boolean,
   ) {}
 
   /** What it knows, while it runs. */
@@ -43,20 +43,20 @@
       seeds,
       fetchWorkerList: async () => undefined,
       onChange: (what) => {
-        if (what === 'configuration') this.changed(feed);
+        if (what === 'configuration') this.onConfigurationChange(feed);
       },
     });
     process.receive = feed.receive;
-    if (this.guides) this.serveAsSeed(world, feed, firstStart);
+    if (this.servesAsSeed) this.serveAsSeed(world, feed, firstStart);
     this.current = feed;
   }
 
   private serveAsSeed(world: World, feed: ControlFeed, firstStart: boolean): void {
     const self = this.process.address;
-    const guide = createControlGateway(world, { self, membership: feed.membership, firstStart });
+    const gateway = createControlGateway(world, { self, membership: feed.membership, firstStart });
     startMembershipRelay(world, { self, seeds: () => this.seeds, membership: feed.membership });
     this.process.receive = (message, from) => {
-      if (!guide(message, from)) feed.receive(message, from);
+      if (!gateway(message, from)) feed.receive(message, from);
     };
   }
 
--- a/packages/model-checker/src/invariants.ts
+++ b/packages/model-checker/src/invariants.ts
@@ -8,12 +8,12 @@
 import type { ControlMachine } from './control-machine.js';
 import { disksOf, type DurableState } from './durable-state.js';
 import type { Kernel } from './kernel.js';
-import type { Order } from './operation-history.js';
+import type { WriteRequest } from './operation-history.js';
 import type { Process } from './process.js';
-import { bearsLoss, findLostValue, findSplit, membershipsOn, type Violation } from './quorum-checks.js';
+import { toleratesLoss, findLostValue, findSplitBrain, membershipsOn, type Violation } from './quorum-checks.js';
 import { VoteChecks } from './vote-checks.js';
 
-type Beat = Extract<Message, { kind: 'Beat' }>;
+type Heartbeat = Extract<Message, { kind: 'Beat' }>;
 
 interface Acknowledgement {
   readonly version: number;
@@ -21,76 +21,79 @@
 }
 
 /** The log event of a key that was taken over; it names the key and the epoch. */
-const takenOverEvent = 2002;
+const takeoverEvent = 2002;
 
 /** The checks of one run, with what they remember of it. */
 export class Invariants {
   private readonly votes = new VoteChecks();
-  private readonly holders = new Map<string, string>();
-  private readonly contents = new Map<number, string>();
-  private readonly takenOn = new Map<number, string>();
-  private readonly memberships = new Map<number, string>();
+  private readonly leaders = new Map<string, string>();
+  private readonly contentByVersion = new Map<number, string>();
+  private readonly changeByBase = new Map<number, string>();
+  private readonly membershipByEpoch = new Map<number, string>();
   private readonly acknowledgements: Acknowledgement[] = [];
-  private newest = 0;
-  private seenChanges = -1;
+  private newestAcknowledgedVersion = 0;
+  private checkedChanges = -1;
   private broken: Violation | undefined;
 
   constructor(
     private readonly kernel: Kernel,
     private readonly machines: () => readonly ControlMachine[],
-    private readonly places: number,
+    private readonly replicaCount: number,
   ) {
-    kernel.observeSends((from, to, message) => this.sent(from, to, message));
-    kernel.observeLogs((process, event, fields) => this.logged(process, event, fields));
+    kernel.observeSends((from, to, message) => this.handleSent(from, to, message));
+    kernel.observeLogs((process, event, fields) => this.handleLogged(process, event, fields));
   }
 
   /** The first rule that was found broken so far. */
   check(): Violation | undefined {
     const changes = this.machines().reduce((sum, machine) => sum + machine.disk.changes(), 0);
-    if (changes === this.seenChanges || this.broken !== undefined) return this.broken;
-    this.seenChanges = changes;
+    if (changes === this.checkedChanges || this.broken !== undefined) return this.broken;
+    this.checkedChanges = changes;
     const states = this.durableStates();
     this.checkMemberships(states);
-    this.note(findSplit(states));
-    this.note(findLostValue(states, this.newest));
+    this.note(findSplitBrain(states));
+    this.note(findLostValue(states, this.newestAcknowledgedVersion));
     return this.broken;
   }
 
   /** Takes in that a machine has said that an order is taken. */
-  acknowledged(order: Order): void {
-    const version = order.base + 1;
-    const other = this.takenOn.get(order.base);
-    if (other !== undefined && other !== order.change)
-      this.fail('one order a base', `${other} and ${order.change} were both taken on version ${order.base}`);
-    this.takenOn.set(order.base, order.change);
+  observeAcknowledgement(request: WriteRequest): void {
+    const version = request.expectedVersion + 1;
+    const other = this.changeByBase.get(request.expectedVersion);
+    if (other !== undefined && other !== request.change)
+      this.fail(
+        'one order a base',
+        `${other} and ${request.change} were both taken on version ${request.expectedVersion}`,
+      );
+    this.changeByBase.set(request.expectedVersion, request.change);
     this.acknowledgements.push({ version, timeUs: this.kernel.now() });
-    this.newest = Math.max(this.newest, version);
-    this.seenChanges = -1;
+    this.newestAcknowledgedVersion = Math.max(this.newestAcknowledgedVersion, version);
+    this.checkedChanges = -1;
   }
 
   /** Takes in what a follower works by from now on. */
-  told(follower: string, feed: ControlFeed): void {
+  observeConfiguration(follower: string, feed: ControlFeed): void {
     const configuration = feed.configuration();
     if (configuration === undefined) return;
     const { version } = configuration;
     const text = configuration.value.toString('latin1');
-    if ((this.contents.get(version) ?? text) !== text)
+    if ((this.contentByVersion.get(version) ?? text) !== text)
       this.fail('same version, same bytes', `${follower} was told another configuration as version ${version}`);
-    this.contents.set(version, text);
+    this.contentByVersion.set(version, text);
   }
 
   /** The newest version that any machine said to be taken. */
   newestAcknowledged(): number {
-    return this.newest;
+    return this.newestAcknowledgedVersion;
   }
 
   /** Whether a majority that votes would be left if the disk of this machine were lost. */
-  bearsLossOf(machine: ControlMachine): boolean {
-    return bearsLoss(this.durableStates(), machine.disk.durable(), this.places);
+  toleratesLossOf(machine: ControlMachine): boolean {
+    return toleratesLoss(this.durableStates(), machine.disk.durable(), this.replicaCount);
   }
 
-  private fail(rule: string, what: string): void {
-    this.broken ??= { rule, what };
+  private fail(rule: string, detail: string): void {
+    this.broken ??= { rule, detail: detail };
   }
 
   private note(found: Violation | undefined): void {
@@ -104,32 +107,32 @@
   }
 
   // A holder is a process between two starts, as a restarted one does not know what it sent.
-  private logged(process: Process, event: number, fields: Record<string, unknown>): void {
-    if (event !== takenOverEvent) return;
+  private handleLogged(process: Process, event: number, fields: Record<string, unknown>): void {
+    if (event !== takeoverEvent) return;
     const term = `${String(fields['key'])} under epoch ${String(fields['epoch'])}`;
-    const holder = `${process.name} (start ${process.incarnation})`;
-    const other = this.holders.get(term) ?? holder;
-    if (other !== holder) this.fail('one holder', `${term} was held by ${other} and by ${holder}`);
-    this.holders.set(term, holder);
+    const leader = `${process.name} (start ${process.incarnation})`;
+    const other = this.leaders.get(term) ?? leader;
+    if (other !== leader) this.fail('one holder', `${term} was held by ${other} and by ${leader}`);
+    this.leaders.set(term, leader);
   }
 
-  private sent(from: Process, to: Process, message: Message): void {
-    if (message.kind === 'Prepare' || message.kind === 'Accept') this.votes.asked(message);
-    if (message.kind === 'Beat') this.checkBeat(to, message);
+  private handleSent(from: Process, to: Process, message: Message): void {
+    if (message.kind === 'Prepare' || message.kind === 'Accept') this.votes.observeRequest(message);
+    if (message.kind === 'Beat') this.checkHeartbeat(to, message);
     if (message.kind !== 'Vote') return;
     const machine = this.machines().find((each) => each.process === from);
-    if (machine !== undefined) this.note(this.votes.find(from.name, message, machine.disk.durable()));
+    if (machine !== undefined) this.note(this.votes.findViolation(from.name, message, machine.disk.durable()));
   }
 
   // An answer given as current reflects every change acknowledged earlier than a lease's length before it.
-  private checkBeat(to: Process, beat: Beat): void {
-    if (!beat.leased) return;
+  private checkHeartbeat(to: Process, heartbeat: Heartbeat): void {
+    if (!heartbeat.leased) return;
     const oldest = this.kernel.now() - servingLeaseUs;
-    const missed = this.acknowledgements.find((each) => each.timeUs < oldest && each.version > beat.version);
+    const missed = this.acknowledgements.find((each) => each.timeUs < oldest && each.version > heartbeat.version);
     if (missed === undefined) return;
     this.fail(
       'lease',
-      `${to.name} was told ${beat.version} as current, ${missed.version} was acknowledged long before`,
+      `${to.name} was told ${heartbeat.version} as current, ${missed.version} was acknowledged long before`,
     );
   }
 
@@ -137,9 +140,9 @@
     for (const membership of membershipsOn(states)) {
       const { epoch } = membership;
       const disks = disksOf(membership);
-      const other = this.memberships.get(epoch) ?? disks;
+      const other = this.membershipByEpoch.get(epoch) ?? disks;
       if (other !== disks) this.fail('one membership an epoch', `${epoch} is ${other} and ${disks}`);
-      this.memberships.set(epoch, disks);
+      this.membershipByEpoch.set(epoch, disks);
     }
   }
 }
--- a/packages/model-checker/src/kernel.ts
+++ b/packages/model-checker/src/kernel.ts
@@ -16,8 +16,8 @@
 } from '@tansypost/inner-protocol';
 import { globalTime, localTime, type ClockSettings } from './clock.js';
 import { Fingerprint } from './fingerprint.js';
-import { byPlan, headsOfLinks, linkOf, type EventKind, type PendingEvent } from './pending-events.js';
-import { isBlocked, type Cut, type Process } from './process.js';
+import { byPlannedTime, headsOfLinks, linkOf, type EventKind, type PendingEvent } from './pending-events.js';
+import { isBlocked, type Partition, type Process } from './process.js';
 
 /** The properties of links and disks that are not choices of the scheduler. */
 export interface KernelOptions {
@@ -43,7 +43,7 @@
 /** Told of each event that a process logs. */
 export type LogObserver = (process: Process, event: number, fields: Record<string, unknown>) => void;
 
-const messagesTakeAtLeast = 200;
+const minMessageDelayUs = 200;
 
 function letPromisesRun(): Promise<void> {
   return new Promise((done) => {
@@ -62,7 +62,7 @@
   private time = 0;
   private stepCount = 0;
   private sequence = 0;
-  private cutNow: Cut | undefined;
+  private partition: Partition | undefined;
   private sendObserver: SendObserver | undefined;
   private logObserver: LogObserver | undefined;
 
@@ -120,11 +120,11 @@
   }
 
   /** Plans an event. */
-  schedule(wanted: ScheduledEvent): PendingEvent {
-    const id = `${wanted.label}#${this.count(wanted.label)}`;
-    const delay = wanted.kind === 'sync' ? wanted.delay + this.delayOf(id) : wanted.delay;
-    const { kind, owner, run } = wanted;
-    return this.put({ id, kind, owner, sender: '', planned: this.time + delay, content: undefined, run });
+  schedule(scheduled: ScheduledEvent): PendingEvent {
+    const id = `${scheduled.label}#${this.count(scheduled.label)}`;
+    const delay = scheduled.kind === 'sync' ? scheduled.delay + this.delayOf(id) : scheduled.delay;
+    const { kind, owner, run } = scheduled;
+    return this.put({ id, kind, owner, sender: '', plannedAt: this.time + delay, content: undefined, run });
   }
 
   /** All that waits, also what is held. */
@@ -139,7 +139,7 @@
 
   /** Pending events that may run now: not held by a cut, a freeze or the order of their link. */
   enabled(): PendingEvent[] {
-    const free = [...this.events.values()].filter((event) => !this.isHeld(event)).sort(byPlan);
+    const free = [...this.events.values()].filter((event) => !this.isHeld(event)).sort(byPlannedTime);
     return this.options.orderedLinks ? headsOfLinks(free) : free;
   }
 
@@ -147,7 +147,7 @@
   next(): PendingEvent | undefined {
     let first: PendingEvent | undefined;
     for (const event of this.events.values())
-      if ((first === undefined || byPlan(event, first) < 0) && !this.isHeld(event)) first = event;
+      if ((first === undefined || byPlannedTime(event, first) < 0) && !this.isHeld(event)) first = event;
     return first;
   }
 
@@ -155,10 +155,10 @@
   async run(event: PendingEvent, early = false): Promise<void> {
     this.events.delete(event.id);
     this.stepCount += 1;
-    if (!early || event.kind === 'timer') this.time = Math.max(this.time, event.planned);
+    if (!early || event.kind === 'timer') this.time = Math.max(this.time, event.plannedAt);
     const process = this.processes.get(event.owner);
     if (process !== undefined && !process.alive) return;
-    if (process !== undefined) this.noteInput(process, event);
+    if (process !== undefined) this.recordInput(process, event);
     event.run();
     await letPromisesRun();
   }
@@ -169,25 +169,25 @@
   }
 
   /** Makes an event happen twice. */
-  double(event: PendingEvent): void {
-    const { id, kind, owner, sender, planned, content, run } = event;
-    this.put({ id: `${id}+${this.count(id)}`, kind, owner, sender, planned, content, run });
+  duplicate(event: PendingEvent): void {
+    const { id, kind, owner, sender, plannedAt, content, run } = event;
+    this.put({ id: `${id}+${this.count(id)}`, kind, owner, sender, plannedAt, content, run });
   }
 
   /** Makes an event late; what follows on an ordered link is late with it. */
   delay(event: PendingEvent, forUs: number): void {
-    event.planned = this.time + forUs;
+    event.plannedAt = this.time + forUs;
     if (event.kind !== 'message' || !this.options.orderedLinks) return;
     const link = linkOf(event);
     for (const other of this.events.values())
       if (linkOf(other) === link && other.sequence > event.sequence)
-        other.planned = Math.max(other.planned, event.planned);
-    this.lastOnLink.set(link, event.planned);
+        other.plannedAt = Math.max(other.plannedAt, event.plannedAt);
+    this.lastOnLink.set(link, event.plannedAt);
   }
 
   /** Cuts some processes off, or ends the cut. */
-  cut(wanted: Cut | undefined): void {
-    this.cutNow = wanted;
+  setPartition(wanted: Partition | undefined): void {
+    this.partition = wanted;
   }
 
   /** Sets who is told of messages. */
@@ -211,9 +211,9 @@
       all.addText(`${name}${alive}${frozen}${inputs.value()}`);
     for (const event of [...this.events.values()].sort((left, right) => (left.id < right.id ? -1 : 1))) {
       all.addText(event.id);
-      all.addNumber(event.planned);
+      all.addNumber(event.plannedAt);
     }
-    all.addText(JSON.stringify(this.cutNow ?? null));
+    all.addText(JSON.stringify(this.partition ?? null));
     return all.value();
   }
 
@@ -232,7 +232,7 @@
 
   private delayOf(id: string): number {
     const { jitter, seed } = this.options;
-    return jitter === 0 ? 0 : messagesTakeAtLeast + Math.floor((hash32(`${seed}|${id}`) / 2 ** 32) * jitter);
+    return jitter === 0 ? 0 : minMessageDelayUs + Math.floor((hash32(`${seed}|${id}`) / 2 ** 32) * jitter);
   }
 
   private startTimer(process: Process, delay: number, run: () => void): Cancel {
@@ -248,14 +248,14 @@
     const target = this.byAddress.get(to);
     if (target === undefined) return;
     this.sendObserver?.(from, target, message);
-    if (isBlocked(this.cutNow, from.name, target.name) && !this.cutNow!.holds) return;
+    if (isBlocked(this.partition, from.name, target.name) && !this.partition!.holds) return;
     const link = linkOf({ sender: from.name, owner: target.name });
     const id = `${link} ${message.kind}#${this.count(link)}`;
     const last = this.options.orderedLinks ? (this.lastOnLink.get(link) ?? 0) : 0;
-    const planned = Math.max(this.time + (from === target ? 0 : this.delayOf(id)), last);
-    this.lastOnLink.set(link, planned);
+    const plannedAt = Math.max(this.time + (from === target ? 0 : this.delayOf(id)), last);
+    this.lastOnLink.set(link, plannedAt);
     const content = encodeMessage(message);
-    const event = { id, kind: 'message', owner: target.name, sender: from.name, planned, content } as const;
+    const event = { id, kind: 'message', owner: target.name, sender: from.name, plannedAt, content } as const;
     this.put({ ...event, run: () => this.deliver(from, target, content) });
   }
 
@@ -266,10 +266,10 @@
 
   private isHeld(event: PendingEvent): boolean {
     if (this.processes.get(event.owner)?.frozen === true) return true;
-    return event.kind === 'message' && isBlocked(this.cutNow, event.sender, event.owner);
+    return event.kind === 'message' && isBlocked(this.partition, event.sender, event.owner);
   }
 
-  private noteInput(process: Process, event: PendingEvent): void {
+  private recordInput(process: Process, event: PendingEvent): void {
     process.inputs.addText(event.content === undefined ? event.id : event.sender);
     if (event.content !== undefined) process.inputs.addBytes(event.content);
     process.inputs.addNumber(localTime(process.clock, this.time));
--- a/packages/model-checker/src/linearizability.test.ts
+++ b/packages/model-checker/src/linearizability.test.ts
@@ -1,10 +1,10 @@
 /** Histories that are linearizable, and histories that are not. */
 import { expect, it } from 'vitest';
 import { isLinearizable } from './linearizability.js';
-import { never, type Operation, type WriteOutcome } from './operation-history.js';
+import { neverReturned, type Operation, type WriteOutcome } from './operation-history.js';
 
 function write(change: string, base: number, invoked: number, returned: number, outcome: WriteOutcome): Operation {
-  return { kind: 'write', client: 'p', order: { change, base }, invoked, returned, outcome };
+  return { kind: 'write', client: 'p', request: { change, expectedVersion: base }, invoked, returned, outcome };
 }
 function read(version: number, change: string, invoked: number, returned: number): Operation {
   return { kind: 'read', client: 'q', invoked, returned, seen: { version, change } };
@@ -20,7 +20,7 @@
     true,
   );
   // An unknown outcome takes effect late, or never.
-  const open = write('a', 0, 1, never, 'unknown');
+  const open = write('a', 0, 1, neverReturned, 'unknown');
   expect(isLinearizable([open, read(0, '', 5, 6), read(1, 'a', 7, 8)])).toBe(true);
   expect(isLinearizable([open, read(0, '', 5, 6), write('b', 0, 7, 8, 'done')])).toBe(true);
 });
@@ -30,7 +30,7 @@
   expect(isLinearizable([write('a', 0, 1, 2, 'done'), write('b', 0, 1, 2, 'done')])).toBe(false);
   expect(isLinearizable([write('a', 0, 1, 2, 'done'), write('a', 0, 3, 4, 'refused')])).toBe(false);
   expect(isLinearizable([write('a', 0, 1, 2, 'refused'), read(0, '', 3, 4)])).toBe(false);
-  const open = write('a', 0, 1, never, 'unknown');
+  const open = write('a', 0, 1, neverReturned, 'unknown');
   expect(isLinearizable([open, read(1, 'a', 2, 3), read(0, '', 5, 6)])).toBe(false);
   expect(isLinearizable([open, write('b', 0, 2, 3, 'done'), read(1, 'a', 4, 5)])).toBe(false);
   // A refused order was answered from an old state: nothing stood in its way before the write began.
--- a/packages/model-checker/src/linearizability.ts
+++ b/packages/model-checker/src/linearizability.ts
@@ -8,17 +8,17 @@
  * The sequential register: a write takes effect where its base is the version in force; it is told done, without any
  * effect, where its change was taken before; else it is refused.
  */
-import { never, type Operation, type RegisterValue, type WriteOperation } from './operation-history.js';
+import { neverReturned, type Operation, type RegisterValue, type WriteOperation } from './operation-history.js';
 
 interface Register {
   readonly value: RegisterValue;
-  readonly taken: ReadonlySet<string>;
+  readonly appliedChanges: ReadonlySet<string>;
 }
 
-const empty: Register = { value: { change: '', version: 0 }, taken: new Set() };
+const empty: Register = { value: { change: '', version: 0 }, appliedChanges: new Set() };
 
 /** The register after an operation with the outcome that it had; undefined when it cannot come here. */
-function after(register: Register, operation: Operation): Register | undefined {
+function applyOperation(register: Register, operation: Operation): Register | undefined {
   if (operation.kind === 'read') {
     return operation.seen?.version === register.value.version && operation.seen.change === register.value.change
       ? register
@@ -30,20 +30,21 @@
 }
 
 function writeEffect(register: Register, operation: WriteOperation): Register | undefined {
-  if (register.taken.has(operation.order.change)) return register;
-  if (operation.order.base !== register.value.version) return undefined;
+  if (register.appliedChanges.has(operation.request.change)) return register;
+  if (operation.request.expectedVersion !== register.value.version) return undefined;
   return {
-    value: { change: operation.order.change, version: register.value.version + 1 },
-    taken: new Set([...register.taken, operation.order.change]),
+    value: { change: operation.request.change, version: register.value.version + 1 },
+    appliedChanges: new Set([...register.appliedChanges, operation.request.change]),
   };
 }
 
 /** An open write can have no effect any more once its base is behind: versions only rise. */
-function isOver(register: Register, operation: Operation): boolean {
+function canNoLongerApply(register: Register, operation: Operation): boolean {
   return (
     mayBeOmitted(operation) &&
     operation.kind === 'write' &&
-    (operation.order.base < register.value.version || register.taken.has(operation.order.change))
+    (operation.request.expectedVersion < register.value.version ||
+      register.appliedChanges.has(operation.request.change))
   );
 }
 
@@ -52,7 +53,7 @@
 }
 
 function keyOf(left: readonly Operation[], all: ReadonlyMap<Operation, number>, register: Register): string {
-  const taken = [...register.taken].sort().join();
+  const taken = [...register.appliedChanges].sort().join();
   return `${left.map((operation) => all.get(operation)).join()}|${register.value.version}|${register.value.change}|${taken}`;
 }
 
@@ -63,15 +64,17 @@
   const tried = new Set<string>();
 
   function search(all: readonly Operation[], register: Register): boolean {
-    const left = all.filter((operation) => !isOver(register, operation));
+    const left = all.filter((operation) => !canNoLongerApply(register, operation));
     if (left.every(mayBeOmitted)) return true;
     const key = keyOf(left, numbers, register);
     if (tried.has(key)) return false;
     tried.add(key);
-    const firstReturn = Math.min(...left.map((operation) => (mayBeOmitted(operation) ? never : operation.returned)));
+    const firstReturn = Math.min(
+      ...left.map((operation) => (mayBeOmitted(operation) ? neverReturned : operation.returned)),
+    );
     const ways = left
       .filter((operation) => operation.invoked <= firstReturn)
-      .map((operation) => ({ operation, next: after(register, operation) }));
+      .map((operation) => ({ operation, next: applyOperation(register, operation) }));
     // An operation that fits here and changes nothing can always come first.
     const still = ways.find((way) => way.next === register);
     if (still !== undefined) return search(without(left, still.operation), register);
--- a/packages/model-checker/src/model-checker.test.ts
+++ b/packages/model-checker/src/model-checker.test.ts
@@ -2,12 +2,12 @@
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 import { expect, it } from 'vitest';
-import { usualHunt } from './finder.js';
-import { playFoundingSchedules } from './founding-schedules.js';
-import { foundingMutations, mutations } from './mutations.js';
+import { defaultCheckOptions } from './check-model.js';
+import { playBootstrapSchedules } from './bootstrap-schedules.js';
+import { bootstrapMutations, mutations } from './mutations.js';
 import { applyEdits, runMutant } from './mutants.js';
 import { replay, shrinkCounterexample } from './report.js';
-import { foundingPlaces, foundingScope, searchScope, walkScope } from './scopes.js';
+import { bootstrapReplicaCount, bootstrapScope, searchScope, walkScope } from './scopes.js';
 import { search } from './search.js';
 import { shrinkMoves } from './shrink.js';
 import { walk } from './walk.js';
@@ -15,9 +15,9 @@
 const root = fileURLToPath(new URL('../../..', import.meta.url));
 
 it('finds nothing in all schedules of 8 steps with one deviation', async () => {
-  const r = await search({ scope: searchScope(3), seed: 1, depth: 8, deviations: 1, goesOn: () => true });
+  const r = await search({ scope: searchScope(3), seed: 1, depth: 8, deviations: 1, shouldContinue: () => true });
   expect(r.violation).toBeUndefined();
-  expect(r.completeTo).toBe(1);
+  expect(r.completedDeviations).toBe(1);
   expect(r.states).toBeGreaterThan(300);
 });
 
@@ -26,9 +26,9 @@
   [3, 2],
   [3, 4],
   [5, 3],
-])('finds nothing on a walk of %d places with seed %d', async (places, seed) => {
+])('finds nothing on a walk of %d places with seed %d', async (replicas, seed) => {
   const situations = new Set<string>();
-  const r = await walk({ scope: walkScope(places, seed), seed, lengthUs: 30_000_000, situations });
+  const r = await walk({ scope: walkScope(replicas, seed), seed, lengthUs: 30_000_000, situations });
   expect(r.violation).toBeUndefined();
   expect(r.moves.length).toBeGreaterThan(20);
   expect(situations.size).toBeGreaterThan(20);
@@ -52,7 +52,7 @@
   async function breaks(some: readonly unknown[]): Promise<boolean> {
     return needed.every((m) => some.includes(m));
   }
-  expect(await shrinkMoves(moves, { breaks, runs: 200 })).toEqual(needed);
+  expect(await shrinkMoves(moves, { reproduces: breaks, maxRuns: 200 })).toEqual(needed);
 });
 
 it('keeps a run without a violation as it is', async () => {
@@ -76,31 +76,37 @@
   'finds that this is missing: %s',
   async (name) => {
     const m = mutations.find((x) => x.name === name)!;
-    const found = await runMutant(root, `test-${mutations.indexOf(m)}`, m, { ...usualHunt, searchDepth: 3 }, 30_000);
+    const found = await runMutant(
+      root,
+      `test-${mutations.indexOf(m)}`,
+      m,
+      { ...defaultCheckOptions, searchDepth: 3 },
+      30_000,
+    );
     expect('finding' in found ? found.finding?.violation.rule : found).toMatch(/durable before promised|linearizable/);
   },
 );
 
 it('founds one cluster or none in short schedules of a first start with seeds that hold no state', () => {
-  const { violation, founded } = playFoundingSchedules(20_000);
+  const { violation, bootstrapped: bootstrapped } = playBootstrapSchedules(20_000);
   expect(violation).toBeUndefined();
-  expect(founded).toBeGreaterThan(4000);
+  expect(bootstrapped).toBeGreaterThan(4000);
 });
 
 it('founds one cluster or none on walks over such a first start, and serves or says what it waits for', async () => {
   for (let seed = 1; seed <= 24; seed += 1) {
-    const scope = foundingScope(foundingPlaces(seed), seed);
+    const scope = bootstrapScope(bootstrapReplicaCount(seed), seed);
     const { violation } = await walk({ scope, seed, lengthUs: 8_000_000 });
     expect([seed, violation]).toEqual([seed, undefined]);
   }
 }, 60_000);
 
 // The fourth one, no founding after a restart, was not found in 40,000 schedules; discovery-bootstrap.test.ts shows it.
-it.each(foundingMutations.slice(0, 3).map((mutation) => mutation.name))(
+it.each(bootstrapMutations.slice(0, 3).map((mutation) => mutation.name))(
   'finds that this is missing at a first start: %s',
   async (name) => {
     const mutation = mutations.find((each) => each.name === name)!;
-    const options = { ...usualHunt, foundingWalks: 40 };
+    const options = { ...defaultCheckOptions, bootstrapWalks: 40 };
     const found = await runMutant(root, `founding-${mutations.indexOf(mutation)}`, mutation, options, 60_000);
     expect('finding' in found ? found.finding?.violation.rule : found).toBe('one founding');
   },
--- a/packages/model-checker/src/model-disk.ts
+++ b/packages/model-checker/src/model-disk.ts
@@ -4,23 +4,23 @@
  * all that can be found.
  */
 import type { Disk, JournalRecord } from '@tansypost/control-state';
-import { emptyDurableState, takeRecord, type DurableState } from './durable-state.js';
+import { emptyDurableState, applyRecord, type DurableState } from './durable-state.js';
 import type { Kernel } from './kernel.js';
 import type { Process } from './process.js';
 
-type Synced = (error?: Error) => void;
+type SyncCallback = (error?: Error) => void;
 type Write =
-  | { readonly kind: 'append'; readonly record: JournalRecord; readonly done: Synced }
-  | { readonly kind: 'rewrite'; readonly records: readonly JournalRecord[]; readonly done: Synced };
+  | { readonly kind: 'append'; readonly record: JournalRecord; readonly done: SyncCallback }
+  | { readonly kind: 'rewrite'; readonly records: readonly JournalRecord[]; readonly done: SyncCallback };
 
 /** What a record counts in the size of the journal; it is never so long here that it is rewritten. */
-const recordSize = 400;
+const recordBytes = 400;
 
 /** The disk of one machine. */
 export class ModelDisk {
   private stored: JournalRecord[] = [];
   private state = emptyDurableState();
-  private waiting: Write[] = [];
+  private unsyncedWrites: Write[] = [];
   private changeCount = 0;
 
   constructor(
@@ -31,9 +31,9 @@
   /** The disk as a program sees it. */
   open(process: Process): Disk {
     return {
-      append: (record, done) => this.wait(process, { kind: 'append', record, done }),
-      rewrite: (records, done) => this.wait(process, { kind: 'rewrite', records, done }),
-      size: () => (this.stored.length + this.waiting.length) * recordSize,
+      append: (record, done) => this.enqueue(process, { kind: 'append', record, done }),
+      rewrite: (records, done) => this.enqueue(process, { kind: 'rewrite', records, done }),
+      size: () => (this.stored.length + this.unsyncedWrites.length) * recordBytes,
     };
   }
 
@@ -49,7 +49,7 @@
 
   /** How many writes wait for their sync. */
   unsynced(): number {
-    return this.waiting.length;
+    return this.unsyncedWrites.length;
   }
 
   /** Rises with each change of what is durable. */
@@ -59,14 +59,14 @@
 
   /** Ends all that waits; the first `kept` of the waiting writes survive. */
   crash(kept: number): void {
-    for (const write of this.waiting.slice(0, kept)) this.commit(write);
-    this.waiting = [];
+    for (const write of this.unsyncedWrites.slice(0, kept)) this.commit(write);
+    this.unsyncedWrites = [];
     this.changeCount += 1;
   }
 
   /** Empties the disk. */
-  lose(): void {
-    this.waiting = [];
+  erase(): void {
+    this.unsyncedWrites = [];
     this.stored = [];
     this.state = emptyDurableState();
     this.changeCount += 1;
@@ -77,14 +77,14 @@
     for (const record of records) this.commit({ kind: 'append', record, done: () => undefined });
   }
 
-  private wait(process: Process, write: Write): void {
-    this.waiting.push(write);
+  private enqueue(process: Process, write: Write): void {
+    this.unsyncedWrites.push(write);
     const label = `${this.name} sync`;
     this.kernel.schedule({ kind: 'sync', label, owner: process.name, delay: 0, run: () => this.syncFirst() });
   }
 
   private syncFirst(): void {
-    const write = this.waiting.shift();
+    const write = this.unsyncedWrites.shift();
     if (write === undefined) return;
     this.commit(write);
     write.done();
@@ -94,10 +94,10 @@
     if (write.kind === 'rewrite') {
       this.stored = [...write.records];
       this.state = emptyDurableState();
-      for (const record of write.records) takeRecord(this.state, record);
+      for (const record of write.records) applyRecord(this.state, record);
     } else {
       this.stored.push(write.record);
-      takeRecord(this.state, write.record);
+      applyRecord(this.state, write.record);
     }
     this.changeCount += 1;
   }
--- a/packages/model-checker/src/moves.ts
+++ b/packages/model-checker/src/moves.ts
@@ -2,7 +2,7 @@
  * The choices of the scheduler beside the default order. Each fault carries its own end, so that one move is one
  * whole disturbance and a list of moves can be thinned out without leaving a fault that never ends.
  */
-import type { Cut } from './process.js';
+import type { Partition } from './process.js';
 
 /** Something done to one pending event. */
 export type EventMove =
@@ -20,7 +20,7 @@
   | { readonly kind: 'power'; readonly kept: number; readonly forUs: number }
   /** A machine comes back with an empty disk. */
   | { readonly kind: 'wipe'; readonly machine: string; readonly forUs: number }
-  | { readonly kind: 'cut'; readonly cut: Cut; readonly forUs: number }
+  | { readonly kind: 'cut'; readonly cut: Partition; readonly forUs: number }
   /** A process stops while its clock goes on and what is sent to it waits. */
   | { readonly kind: 'freeze'; readonly machine: string; readonly forUs: number }
   /** A machine hands over, ends and never comes back; a spare asks for its place. */
@@ -78,7 +78,7 @@
   }
 }
 
-function describeCut(cut: Cut, forUs: number): string {
+function describeCut(cut: Partition, forUs: number): string {
   return `${cut.group.join()} cut off (${cut.way}, ${cut.holds ? 'held' : 'lost'}) for ${seconds(forUs)}`;
 }
 
--- a/packages/model-checker/src/mutants.ts
+++ b/packages/model-checker/src/mutants.ts
@@ -6,21 +6,21 @@
 import { join } from 'node:path';
 import { Worker } from 'node:worker_threads';
 import type { Plugin } from 'esbuild';
-import type { Hunt, HuntOptions } from './finder.js';
+import type { CheckResult, CheckOptions } from './check-model.js';
 import type { Mutation } from './mutations.js';
 
 /** Spelled in parts, as the test runner takes a file that names it for one with tests. */
 const inSourceTests = ['import', 'meta', 'vitest'].join('.');
 
 /** A hunt that came to no end. */
-export interface HuntError {
+export interface CheckError {
   readonly error: string;
 }
 
 /** What a hunt made of a mutation. */
 export interface MutantResult {
   readonly mutation: Mutation;
-  readonly hunt: Hunt | HuntError;
+  readonly outcome: CheckResult | CheckError;
 }
 
 /** Applies the edits; throws where the code has moved on. */
@@ -83,11 +83,11 @@
 }
 
 /** Runs a bundle in a thread, and gives what it tells first. */
-export function runInThread<Result>(file: string, workerData: unknown, limitMs: number): Promise<Result | HuntError> {
+export function runInThread<Result>(file: string, workerData: unknown, limitMs: number): Promise<Result | CheckError> {
   return new Promise((done) => {
     const worker = new Worker(file, { workerData });
     const timer = setTimeout(() => end({ error: `no verdict within ${limitMs / 1000} s` }), limitMs);
-    function end(result: Result | HuntError): void {
+    function end(result: Result | CheckError): void {
       clearTimeout(timer);
       void worker.terminate();
       done(result);
@@ -102,11 +102,15 @@
   root: string,
   name: string,
   mutation: Mutation | undefined,
-  options: HuntOptions,
+  options: CheckOptions,
   limitMs: number,
-): Promise<MutantResult['hunt']> {
+): Promise<MutantResult['outcome']> {
   try {
-    return await runInThread<Hunt>(await bundleMutant(root, 'mutant-worker.ts', name, mutation), options, limitMs);
+    return await runInThread<CheckResult>(
+      await bundleMutant(root, 'mutant-worker.ts', name, mutation),
+      options,
+      limitMs,
+    );
   } catch (error) {
     return { error: error instanceof Error ? error.message : String(error) };
   }
--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -35,7 +35,7 @@
 }
 
 /** Mechanisms of the first start with seeds that hold no state; only founding walks meet them. */
-export const foundingMutations: readonly Mutation[] = [
+export const bootstrapMutations: readonly Mutation[] = [
   removed(
     'a founder is listed by a majority of the seeds',
     discoveryBootstrap,
@@ -232,5 +232,5 @@
     'options.putRow(key, mergeRows(present, copied), changes, done)',
     'options.putRow(key, mergeRows(present, copied), [], done)',
   ),
-  ...foundingMutations,
+  ...bootstrapMutations,
 ];
--- a/packages/model-checker/src/operation-history.ts
+++ b/packages/model-checker/src/operation-history.ts
@@ -4,9 +4,9 @@
  */
 
 /** A change of the configuration that builds on a stated version. The same order may be sent several times. */
-export interface Order {
+export interface WriteRequest {
   readonly change: string;
-  readonly base: number;
+  readonly expectedVersion: number;
 }
 
 /** `refused` and `done` are clear answers. */
@@ -16,7 +16,7 @@
 export interface WriteOperation {
   readonly kind: 'write';
   readonly client: string;
-  readonly order: Order;
+  readonly request: WriteRequest;
   readonly invoked: number;
   returned: number;
   outcome: WriteOutcome;
@@ -42,12 +42,12 @@
 export type Operation = WriteOperation | ReadOperation;
 
 /** The end of an operation without a clear answer. */
-export const never = Infinity;
+export const neverReturned = Infinity;
 
 /** One line for a person. */
 export function describeOperation(operation: Operation): string {
-  const span = `[${operation.invoked}, ${operation.returned === never ? '…' : operation.returned}]`;
+  const span = `[${operation.invoked}, ${operation.returned === neverReturned ? '…' : operation.returned}]`;
   if (operation.kind === 'write')
-    return `${span} ${operation.client} write ${operation.order.change} on version ${operation.order.base}: ${operation.outcome}`;
+    return `${span} ${operation.client} write ${operation.request.change} on version ${operation.request.expectedVersion}: ${operation.outcome}`;
   return `${span} ${operation.client} read: ${operation.seen === undefined ? 'unknown' : `version ${operation.seen.version} ${operation.seen.change}`}`;
 }
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -3,9 +3,15 @@
  * after a while and sends the same order again when it had no clear answer.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
-import type { ControlMachine, CoreAccess } from './control-machine.js';
+import type { ControlMachine, ControlAccess } from './control-machine.js';
 import type { Kernel } from './kernel.js';
-import { never, type Operation, type Order, type ReadOperation, type WriteOperation } from './operation-history.js';
+import {
+  neverReturned,
+  type Operation,
+  type WriteRequest,
+  type ReadOperation,
+  type WriteOperation,
+} from './operation-history.js';
 import type { Process } from './process.js';
 import type { RegisterCalls } from './register-calls.js';
 
@@ -18,22 +24,22 @@
   /** A position in the global order of events. */
   readonly tick: () => number;
   /** Told when a machine has said that an order is taken, whether or not the operator hears of it. */
-  readonly acknowledged: (order: Order) => void;
-  readonly thinkUs: number;
-  readonly sendsAgain: number;
+  readonly onAcknowledged: (order: WriteRequest) => void;
+  readonly thinkTimeUs: number;
+  readonly maxRetries: number;
   /** Of a hundred calls, how many are reads. */
   readonly readsPercent: number;
 }
 
-const givesUpAfter = micros(1_000_000);
+const callTimeoutUs = micros(1_000_000);
 /** How often an order that was answered is sent once more, as after an answer that was lost further on. */
-const repeatsAnswered = 0.2;
+const answeredRetryProbability = 0.2;
 
 /** One operator. */
 export class Operator {
   private readonly world: World;
-  private known = 0;
-  private orders = 0;
+  private knownVersion = 0;
+  private requestCount = 0;
   private stopped = false;
 
   constructor(
@@ -46,7 +52,7 @@
   /** Begins to make calls. */
   start(): void {
     this.kernel.start(this.options.process);
-    this.world.after(micros(this.world.random() * this.options.thinkUs), () => this.next());
+    this.world.after(micros(this.world.random() * this.options.thinkTimeUs), () => this.next());
   }
 
   /** Makes no further calls. */
@@ -57,17 +63,20 @@
   private next(): void {
     if (this.stopped) return;
     if (this.world.random() * 100 < this.options.readsPercent) return this.read();
-    this.orders += 1;
-    this.write({ change: `${this.options.process.name}.${this.orders}`, base: this.known }, this.options.sendsAgain);
+    this.requestCount += 1;
+    this.write(
+      { change: `${this.options.process.name}.${this.requestCount}`, expectedVersion: this.knownVersion },
+      this.options.maxRetries,
+    );
   }
 
   private pause(then: () => void): void {
-    if (!this.stopped) this.world.after(micros((0.5 + this.world.random()) * this.options.thinkUs), then);
+    if (!this.stopped) this.world.after(micros((0.5 + this.world.random()) * this.options.thinkTimeUs), then);
   }
 
   private read(): void {
     const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: never };
+    const begun = { client: process.name, invoked: tick(), returned: neverReturned };
     const operation: ReadOperation = { kind: 'read', ...begun, seen: undefined };
     record(operation);
     this.call(
@@ -76,48 +85,48 @@
         if (seen !== undefined) {
           operation.seen = seen;
           operation.returned = tick();
-          this.known = Math.max(this.known, seen.version);
+          this.knownVersion = Math.max(this.knownVersion, seen.version);
         }
         this.pause(() => this.next());
       },
     );
   }
 
-  private write(order: Order, again: number): void {
+  private write(request: WriteRequest, retriesLeft: number): void {
     const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: never };
-    const operation: WriteOperation = { kind: 'write', ...begun, order, outcome: 'unknown' };
+    const begun = { client: process.name, invoked: tick(), returned: neverReturned };
+    const operation: WriteOperation = { kind: 'write', ...begun, request: request, outcome: 'unknown' };
     record(operation);
     this.call(
       async (access) => {
-        const outcome = await calls.write(access, order);
-        if (outcome === 'done') this.options.acknowledged(order);
+        const outcome = await calls.write(access, request);
+        if (outcome === 'done') this.options.onAcknowledged(request);
         return outcome;
       },
       (outcome = 'unknown') => {
         operation.outcome = outcome;
         if (outcome !== 'unknown') operation.returned = tick();
-        this.answered(operation, again);
+        this.handleOutcome(operation, retriesLeft);
       },
     );
   }
 
-  private answered({ order, outcome }: WriteOperation, again: number): void {
-    if (outcome === 'done') this.known = Math.max(this.known, order.base + 1);
-    const repeats = outcome === 'unknown' || this.world.random() < repeatsAnswered;
-    const left = outcome === 'unknown' ? again - 1 : 0;
-    if (repeats && again > 0) return this.pause(() => this.write(order, left));
+  private handleOutcome({ request: request, outcome }: WriteOperation, retriesLeft: number): void {
+    if (outcome === 'done') this.knownVersion = Math.max(this.knownVersion, request.expectedVersion + 1);
+    const repeats = outcome === 'unknown' || this.world.random() < answeredRetryProbability;
+    const remaining = outcome === 'unknown' ? retriesLeft - 1 : 0;
+    if (repeats && retriesLeft > 0) return this.pause(() => this.write(request, remaining));
     this.pause(() => (outcome === 'refused' ? this.read() : this.next()));
   }
 
   /** Sends a call to one machine and gives its answer once, or undefined when none came in time. */
-  private call<T>(make: (access: CoreAccess) => Promise<T>, done: (answer?: T) => void): void {
+  private call<T>(make: (access: ControlAccess) => Promise<T>, done: (answer?: T) => void): void {
     const { process, machines } = this.options;
     const able = machines();
     const machine = able[Math.floor(this.world.random() * able.length)]!;
     const label = `${process.name}>${machine.name}`;
     let open = true;
-    const cancel = this.world.after(givesUpAfter, () => finish(undefined));
+    const cancel = this.world.after(callTimeoutUs, () => finish(undefined));
     function finish(answer: T | undefined): void {
       if (!open) return;
       open = false;
@@ -139,7 +148,7 @@
 /** Makes a call at a machine that runs; one that is down gives no answer. */
 async function answerOf<T>(
   machine: ControlMachine,
-  make: (access: CoreAccess) => Promise<T>,
+  make: (access: ControlAccess) => Promise<T>,
   answered: (answer: T) => void,
 ): Promise<void> {
   const access = machine.access();
--- a/packages/model-checker/src/pending-events.ts
+++ b/packages/model-checker/src/pending-events.ts
@@ -15,15 +15,15 @@
   /** The order of making, which decides between equal planned times. */
   readonly sequence: number;
   /** The global time by which the default order runs it. */
-  planned: number;
+  plannedAt: number;
   /** The bytes of a message. */
   readonly content: Uint8Array | undefined;
   readonly run: () => void;
 }
 
 /** The order in which events run by default. */
-export function byPlan(left: PendingEvent, right: PendingEvent): number {
-  return left.planned - right.planned || left.sequence - right.sequence;
+export function byPlannedTime(left: PendingEvent, right: PendingEvent): number {
+  return left.plannedAt - right.plannedAt || left.sequence - right.sequence;
 }
 
 /** Whether a message between two different processes, or an answer on its way to an operator. */
--- a/packages/model-checker/src/process.ts
+++ b/packages/model-checker/src/process.ts
@@ -18,7 +18,7 @@
 }
 
 /** A set of processes cut off from all others. */
-export interface Cut {
+export interface Partition {
   readonly group: readonly string[];
   readonly way: 'in' | 'out' | 'both';
   /** Whether what is sent into the cut waits for its end, as in a sender's buffer, or is lost. */
@@ -26,7 +26,7 @@
 }
 
 /** Whether a cut keeps messages from one process to another. */
-export function isBlocked(cut: Cut | undefined, from: string, to: string): boolean {
+export function isBlocked(cut: Partition | undefined, from: string, to: string): boolean {
   if (cut === undefined || from === to) return false;
   const sends = cut.group.includes(from);
   if (sends === cut.group.includes(to)) return false;
--- a/packages/model-checker/src/quorum-checks.ts
+++ b/packages/model-checker/src/quorum-checks.ts
@@ -9,7 +9,7 @@
 /** A rule that was broken, and how. */
 export interface Violation {
   readonly rule: string;
-  readonly what: string;
+  readonly detail: string;
 }
 
 /** All subsets of a given size. */
@@ -54,25 +54,25 @@
  */
 export function findLostValue(states: readonly DurableState[], newest: number): Violation | undefined {
   for (const membership of newest === 0 ? [] : membershipsOn(states)) {
-    const without = quorums(membership, states).find(
+    const quorumWithout = quorums(membership, states).find(
       (quorum) => !quorum.some((state) => (state.rows.get(configurationKey)?.version ?? 0) >= newest),
     );
-    if (without === undefined) continue;
-    const what = `version ${newest} was acknowledged and ${namesOf(without)} may vote without it`;
-    return { rule: 'acknowledged value kept', what };
+    if (quorumWithout === undefined) continue;
+    const detail = `version ${newest} was acknowledged and ${namesOf(quorumWithout)} may vote without it`;
+    return { rule: 'acknowledged value kept', detail: detail };
   }
   return undefined;
 }
 
 /** Two memberships that could both decide at once would be two clusters: their quorums must meet. */
-export function findSplit(states: readonly DurableState[]): Violation | undefined {
+export function findSplitBrain(states: readonly DurableState[]): Violation | undefined {
   const all = membershipsOn(states).map((membership) => ({ membership, able: quorums(membership, states) }));
   for (const [first, second] of subsets(all, 2)) {
     for (const quorum of first!.able) {
       const apart = second!.able.find((other) => !other.some((state) => quorum.includes(state)));
       if (apart === undefined) continue;
-      const what = `${namesOf(quorum)} may vote under ${first!.membership.epoch}, ${namesOf(apart)} under ${second!.membership.epoch}`;
-      return { rule: 'majorities meet', what };
+      const detail = `${namesOf(quorum)} may vote under ${first!.membership.epoch}, ${namesOf(apart)} under ${second!.membership.epoch}`;
+      return { rule: 'majorities meet', detail: detail };
     }
   }
   return undefined;
@@ -82,13 +82,14 @@
  * Whether a majority that votes is left when one disk is lost, under each membership that may be in force: one that a
  * majority could vote under now, or the newest on any disk. Members that are down count, as they come back.
  */
-export function bearsLoss(states: readonly DurableState[], lost: DurableState, places: number): boolean {
+export function toleratesLoss(states: readonly DurableState[], lost: DurableState, replicaCount: number): boolean {
   const known = membershipsOn(states);
   const newestEpoch = Math.max(0, ...known.map((membership) => membership.epoch));
   const inForce = known.filter((membership) => quorums(membership, states).length > 0);
-  if (inForce.length === 0 || inForce.some((membership) => membership.replicas.length < places)) return false;
-  const left = states.filter((state) => state !== lost && state.state === 'voting');
+  if (inForce.length === 0 || inForce.some((membership) => membership.replicas.length < replicaCount)) return false;
+  const remaining = states.filter((state) => state !== lost && state.state === 'voting');
   return [...inForce, ...known.filter((membership) => membership.epoch === newestEpoch)].every(
-    (membership) => left.filter((state) => isNamed(state, membership)).length >= majorityOf(membership.replicas.length),
+    (membership) =>
+      remaining.filter((state) => isNamed(state, membership)).length >= majorityOf(membership.replicas.length),
   );
 }
--- a/packages/model-checker/src/report.ts
+++ b/packages/model-checker/src/report.ts
@@ -32,8 +32,8 @@
 export async function shrinkCounterexample(example: Counterexample): Promise<Counterexample> {
   const rule = (await replay(example)).violation?.rule;
   const moves = await shrinkMoves(example.moves, {
-    breaks: async (some) => rule !== undefined && (await replay(example, some)).violation?.rule === rule,
-    runs: shrinkRuns,
+    reproduces: async (some) => rule !== undefined && (await replay(example, some)).violation?.rule === rule,
+    maxRuns: shrinkRuns,
   });
   return { ...example, moves };
 }
@@ -46,8 +46,8 @@
   );
   const { violation, history, steps } = outcome;
   return [
-    `seed ${example.seed}, ${example.scope.places} places: ${violation === undefined ? 'nothing broken' : violation.rule}`,
-    `  ${violation?.what ?? ''}`,
+    `seed ${example.seed}, ${example.scope.replicas} places: ${violation === undefined ? 'nothing broken' : violation.rule}`,
+    `  ${violation?.detail ?? ''}`,
     `moves (${outcome.moves.length}), ${steps} steps:`,
     ...lines,
     `what operators were told (the last ${operationsShown}):`,
--- a/packages/model-checker/src/schedule.ts
+++ b/packages/model-checker/src/schedule.ts
@@ -3,9 +3,9 @@
  * moment (the virtual time, and how many events ran at just that time), so that the list of moves alone replays the
  * run, and still makes sense when some of them are taken out.
  */
-import { checkHistory, closeRun } from './closing.js';
-import { Cluster, foundedDisks, type Scope } from './cluster.js';
-import { makeMove } from './make-move.js';
+import { checkHistory, runFinalChecks } from './final-checks.js';
+import { Cluster, bootstrappedDisks, type Scope } from './cluster.js';
+import { applyMove } from './apply-move.js';
 import type { Move } from './moves.js';
 import { describeOperation } from './operation-history.js';
 import type { Violation } from './quorum-checks.js';
@@ -38,9 +38,9 @@
   readonly choose: Chooser;
   readonly calls?: RegisterCalls;
   /** Whether the run ends with a time without faults and with reads at every machine; it does unless told. */
-  readonly heals?: boolean;
+  readonly checksRecovery?: boolean;
   /** Given the cluster before its first step. */
-  readonly watch?: (cluster: Cluster) => void;
+  readonly onStart?: (cluster: Cluster) => void;
 }
 
 /** How a run went. */
@@ -55,7 +55,7 @@
   private readonly moves: PlacedMove[] = [];
   private order = 0;
   private lastTime = -1;
-  private defaults = 0;
+  private defaultSteps = 0;
 
   constructor(
     private readonly cluster: Cluster,
@@ -64,7 +64,7 @@
 
   async play(): Promise<Outcome> {
     const { cluster, run } = this;
-    while (cluster.kernel.now() < run.untilUs && this.defaults < (run.maxSteps ?? Infinity)) {
+    while (cluster.kernel.now() < run.untilUs && this.defaultSteps < (run.maxSteps ?? Infinity)) {
       const moment = this.momentNow();
       const move = run.choose(cluster, moment);
       if (move === 'stop') return this.outcome(undefined);
@@ -72,7 +72,7 @@
       const broken = cluster.invariants.check();
       if (broken !== undefined) return this.outcome(broken);
     }
-    return this.outcome(run.heals === false ? checkHistory(cluster) : await closeRun(cluster));
+    return this.outcome(run.checksRecovery === false ? checkHistory(cluster) : await runFinalChecks(cluster));
   }
 
   private momentNow(): Moment {
@@ -84,7 +84,7 @@
 
   /** A move that is not possible is passed over; the run goes on. */
   private async make(move: Move, moment: Moment): Promise<true> {
-    if (await makeMove(this.cluster, move)) this.moves.push({ moment, move });
+    if (await applyMove(this.cluster, move)) this.moves.push({ moment, move });
     return true;
   }
 
@@ -92,7 +92,7 @@
     const event = this.cluster.kernel.next();
     if (event === undefined) return false;
     await this.cluster.kernel.run(event);
-    this.defaults += 1;
+    this.defaultSteps += 1;
     this.order += 1;
     return true;
   }
@@ -105,10 +105,10 @@
 
 /** Plays a run to its end. */
 export async function playRun(run: Run): Promise<Outcome> {
-  const founded = run.scope.founding ? undefined : await foundedDisks(run.scope);
+  const disks = run.scope.bootstraps ? undefined : await bootstrappedDisks(run.scope);
   const cluster = new Cluster(run.scope, run.seed, run.calls);
-  run.watch?.(cluster);
-  cluster.start(founded);
+  run.onStart?.(cluster);
+  cluster.start(disks);
   return new Player(cluster, run).play();
 }
 
--- a/packages/model-checker/src/search.ts
+++ b/packages/model-checker/src/search.ts
@@ -33,7 +33,7 @@
   readonly depth: number;
   readonly deviations: number;
   /** Ends the search early; it then says how far it came. */
-  readonly goesOn: () => boolean;
+  readonly shouldContinue: () => boolean;
   readonly calls?: RegisterCalls;
 }
 
@@ -46,7 +46,7 @@
   readonly states: number;
   readonly situations: number;
   /** The largest number of deviations of which all schedules were played; -1 for none. */
-  readonly completeTo: number;
+  readonly completedDeviations: number;
 }
 
 type Schedule = readonly PlacedMove[];
@@ -71,7 +71,7 @@
   private schedules = 0;
   private steps = 0;
   private violation: Violation | undefined;
-  private found: Schedule = [];
+  private counterexample: Schedule = [];
 
   constructor(private readonly options: SearchOptions) {}
 
@@ -95,7 +95,7 @@
       for (const { moment, alternatives } of branches) {
         for (const move of alternatives) {
           const child = [...parent, { moment, move }];
-          if (!this.options.goesOn() || (await this.play(child, undefined))) return undefined;
+          if (!this.options.shouldContinue() || (await this.play(child, undefined))) return undefined;
           if (child.length < this.options.deviations) children.push(child);
         }
       }
@@ -107,24 +107,24 @@
   private async play(schedule: Schedule, branches: Branch[] | undefined): Promise<boolean> {
     const { scope, seed, depth, deviations, calls } = this.options;
     const replay = replayChooser(schedule);
-    let left = depth + undisturbedSteps;
-    let made = 0;
-    const consider = this.consider.bind(this, schedule, branches);
+    let stepsLeft = depth + undisturbedSteps;
+    let deviationsMade = 0;
+    const continueOrStop = this.consider.bind(this, schedule, branches);
     function choose(cluster: Cluster, moment: Moment): Move | undefined | 'stop' {
       const move = replay(cluster, moment);
-      if (move !== undefined) made += 1;
-      left -= 1;
-      const isBehindLast = move === undefined && made >= schedule.length && left <= depth;
-      return isBehindLast ? consider(cluster, moment, left) : move;
+      if (move !== undefined) deviationsMade += 1;
+      stepsLeft -= 1;
+      const isPastLastDeviation = move === undefined && deviationsMade >= schedule.length && stepsLeft <= depth;
+      return isPastLastDeviation ? continueOrStop(cluster, moment, stepsLeft) : move;
     }
     const maxSteps = depth + undisturbedSteps - schedule.length;
     const heals = deviations < depth;
-    const outcome = await playRun({ scope, seed, untilUs: Infinity, maxSteps, calls, heals, choose });
+    const outcome = await playRun({ scope, seed, untilUs: Infinity, maxSteps, calls, checksRecovery: heals, choose });
     this.schedules += 1;
     this.steps += outcome.steps;
     if (outcome.violation === undefined) return false;
     this.violation = outcome.violation;
-    this.found = outcome.moves;
+    this.counterexample = outcome.moves;
     return true;
   }
 
@@ -152,7 +152,7 @@
   }
 
   private result(completeTo: number): SearchResult {
-    const { violation, found: moves, schedules, steps } = this;
+    const { violation, counterexample: moves, schedules, steps } = this;
     return {
       violation,
       moves,
@@ -160,7 +160,7 @@
       steps,
       states: this.visits.size,
       situations: this.situations.size,
-      completeTo,
+      completedDeviations: completeTo,
     };
   }
 }
--- a/packages/model-checker/src/shrink.ts
+++ b/packages/model-checker/src/shrink.ts
@@ -6,9 +6,9 @@
 
 /** How to try a shorter list, and how often. */
 export interface ShrinkOptions {
-  readonly breaks: (moves: readonly PlacedMove[]) => Promise<boolean>;
+  readonly reproduces: (moves: readonly PlacedMove[]) => Promise<boolean>;
   /** How many runs may be spent. */
-  readonly runs: number;
+  readonly maxRuns: number;
 }
 
 /** The shortest list found that still breaks the rule. */
@@ -19,13 +19,13 @@
   let best = moves;
   let parts = 2;
   let runs = 0;
-  while (best.length > 0 && runs < options.runs) {
+  while (best.length > 0 && runs < options.maxRuns) {
     const size = Math.ceil(best.length / parts);
     let shorter: readonly PlacedMove[] | undefined;
-    for (let from = 0; from < best.length && shorter === undefined && runs < options.runs; from += size) {
+    for (let from = 0; from < best.length && shorter === undefined && runs < options.maxRuns; from += size) {
       const rest = [...best.slice(0, from), ...best.slice(from + size)];
       runs += 1;
-      if (await options.breaks(rest)) shorter = rest;
+      if (await options.reproduces(rest)) shorter = rest;
     }
     if (shorter !== undefined) {
       best = shorter;
--- a/packages/model-checker/src/situation.ts
+++ b/packages/model-checker/src/situation.ts
@@ -9,14 +9,14 @@
 import type { ControlMachine } from './control-machine.js';
 
 /** The kinds of messages that drive a round, a copy or a change of membership. */
-const telling = ['Prepare', 'Accept', 'Check', 'Vote', 'CopyAsk', 'CopyPage', 'Join', 'Answer'];
+const trackedMessageKinds = ['Prepare', 'Accept', 'Check', 'Vote', 'CopyAsk', 'CopyPage', 'Join', 'Answer'];
 
 function ranksOf(values: readonly number[]): number[] {
   const ordered = [...new Set(values)].sort((left, right) => left - right);
   return values.map((value) => ordered.indexOf(value));
 }
 
-function roleOf(machine: ControlMachine): string {
+function stateLabelOf(machine: ControlMachine): string {
   if (!machine.process.alive) return machine.disk.durable().disk === '' ? 'gone' : 'down';
   const core = machine.host()?.core();
   if (core === undefined) return 'opening';
@@ -32,8 +32,8 @@
   const promises = ranksOf(rows.map((each) => each.get(configurationKey)?.promised ?? 0));
   const epochs = ranksOf(rows.map((each) => each.get(membershipKey)?.epoch ?? 0));
   const roles = machines.map((machine, index) =>
-    [roleOf(machine), versions[index], promises[index], epochs[index]].join(),
+    [stateLabelOf(machine), versions[index], promises[index], epochs[index]].join(),
   );
   const messages = new Set(cluster.kernel.pending().map((event) => /> ?\S+ (\w+)#/.exec(event.id)?.[1] ?? ''));
-  return `${roles.sort().join(' ')} | ${telling.filter((kind) => messages.has(kind)).join()}`;
+  return `${roles.sort().join(' ')} | ${trackedMessageKinds.filter((kind) => messages.has(kind)).join()}`;
 }
--- a/packages/model-checker/src/walk.ts
+++ b/packages/model-checker/src/walk.ts
@@ -5,7 +5,7 @@
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Cluster, Scope } from './cluster.js';
-import { drawMove, moveKinds, usualWeights } from './draws.js';
+import { drawMove, moveKinds, defaultWeights } from './draws.js';
 import type { Move, MoveKind } from './moves.js';
 import type { RegisterCalls } from './register-calls.js';
 import { playRun, type Outcome } from './schedule.js';
@@ -22,15 +22,15 @@
 }
 
 /** How many events lie between two moves on average, in a busy stretch and in a calm one. */
-const busyEvery = 6;
-const calmEvery = 60;
-const staysInStretch = 0.85;
+const busyMoveIntervalEvents = 6;
+const calmMoveIntervalEvents = 60;
+const stretchContinuationProbability = 0.85;
 const firstMoveUs = 1_500_000;
 
-class Guide {
-  private readonly made = new Map<string, number>();
+class GuidedChooser {
+  private readonly moveCounts = new Map<string, number>();
   private readonly random: () => number;
-  private every = calmEvery;
+  private moveIntervalEvents = calmMoveIntervalEvents;
 
   constructor(private readonly options: WalkOptions) {
     this.random = createSeededRandom(options.seed * 7919 + 17);
@@ -38,18 +38,21 @@
 
   choose(cluster: Cluster): Move | undefined {
     const from = cluster.scope.statelessSeeds ? 0 : firstMoveUs;
-    if (cluster.kernel.now() < from || this.random() >= 1 / this.every) return undefined;
-    if (this.random() >= staysInStretch) this.every = this.random() < 0.5 ? busyEvery : calmEvery;
+    if (cluster.kernel.now() < from || this.random() >= 1 / this.moveIntervalEvents) return undefined;
+    if (this.random() >= stretchContinuationProbability)
+      this.moveIntervalEvents = this.random() < 0.5 ? busyMoveIntervalEvents : calmMoveIntervalEvents;
     const situation = situationOf(cluster);
     this.options.situations?.add(situation);
     const kind = this.drawKind(situation);
     const pair = `${situation}/${kind}`;
-    this.made.set(pair, (this.made.get(pair) ?? 0) + 1);
+    this.moveCounts.set(pair, (this.moveCounts.get(pair) ?? 0) + 1);
     return drawMove(kind, cluster, this.random);
   }
 
   private drawKind(situation: string): MoveKind {
-    const weights = moveKinds.map((kind) => usualWeights[kind] / (1 + (this.made.get(`${situation}/${kind}`) ?? 0)));
+    const weights = moveKinds.map(
+      (kind) => defaultWeights[kind] / (1 + (this.moveCounts.get(`${situation}/${kind}`) ?? 0)),
+    );
     let left = this.random() * weights.reduce((sum, weight) => sum + weight, 0);
     const index = weights.findIndex((weight) => (left -= weight) <= 0);
     return moveKinds[Math.max(0, index)]!;
@@ -59,6 +62,6 @@
 /** Goes on a walk. */
 export function walk(options: WalkOptions): Promise<Outcome> {
   const { scope, seed, lengthUs, calls } = options;
-  const guide = new Guide(options);
+  const guide = new GuidedChooser(options);
   return playRun({ scope, seed, untilUs: lengthUs, calls, choose: (cluster) => guide.choose(cluster) });
 }
