--- a/packages/model-checker/src/alternatives.ts
+++ b/packages/model-checker/src/alternatives.ts
@@ -1,4 +1,4 @@
-/** All that the search may do in a state instead of the next event of the default order. */
+/** All moves that the search may make in a state instead of running the next event of the default order. */
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 import type { Fault, Move } from './moves.js';
@@ -6,10 +6,10 @@
 
 const shortUs = 300_000;
 const longUs = 2_500_000;
-/** How late a timer may be because its process was slow to wake, beside the drift of its clock. */
+/** How late a timer may fire because its process was slow to wake, in addition to its clock's drift. */
 const maxTimerLatenessUs = 10_000;
 
-/** The choices beside the default one. */
+/** All alternatives to the default event. */
 export function alternativesOf(cluster: Cluster): Move[] {
   const next = cluster.kernel.next();
   if (next === undefined) return [];
@@ -45,7 +45,7 @@
   ];
 }
 
-/** A timer may overtake those of other processes by what clocks may run apart, and by a process being slow to wake. */
+/** A timer may run before those of other processes by at most the clock drift plus the wake-up latency. */
 function mayRunEarly({ kernel, scope }: Cluster, event: PendingEvent): boolean {
   if (event.kind === 'end-of-fault') return false;
   if (event.kind !== 'timer') return true;
--- a/packages/model-checker/src/apply-move.ts
+++ b/packages/model-checker/src/apply-move.ts
@@ -1,22 +1,22 @@
-/** Brings a move about in a cluster. */
+/** Applies moves to a cluster. */
 import type { LeaveResult } from '@tansypost/control-state';
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 import { isEventMove, type EventMove, type Fault, type Move } from './moves.js';
 import type { Partition } from './process.js';
 
-/** As the shipped program: the time that the platform gives, less what the calls under way need. */
+/** As in the production program: the platform's shutdown grace period less the time that calls in progress need. */
 const leaveTimeoutUs = 6_500_000;
 const exitDelayUs = 100_000;
 
-/** Makes a move; false where it is not possible in this state, which then stays as it was. */
+/** Applies a move; false if it is not possible in this state, which then stays unchanged. */
 export async function applyMove(cluster: Cluster, move: Move): Promise<boolean> {
   return isEventMove(move) ? moveEvent(cluster, move) : applyFault(cluster, move);
 }
 
 async function moveEvent({ kernel }: Cluster, move: EventMove): Promise<boolean> {
-  const able = move.kind === 'run' ? kernel.enabled() : kernel.pending();
-  const event = able.find((each) => each.id === move.event);
+  const candidates = move.kind === 'run' ? kernel.enabled() : kernel.pending();
+  const event = candidates.find((each) => each.id === move.event);
   if (event === undefined) return false;
   if (move.kind === 'run') await kernel.run(event, true);
   else if (move.kind === 'lose') kernel.remove(event);
@@ -69,7 +69,7 @@
   return true;
 }
 
-/** Before a cluster is founded one disk may go, as often as it likes: as many as a founded one bears. */
+/** Before a cluster is bootstrapped, one disk loss is allowed: as many as a bootstrapped cluster tolerates. */
 function mayLoseEmptyDisk(cluster: Cluster): boolean {
   if (!cluster.scope.statelessSeeds || cluster.isBootstrapped()) return false;
   cluster.preBootstrapDiskLosses += 1;
@@ -105,7 +105,7 @@
   return join(spare);
 }
 
-/** Its disk goes with it where the hand-over says that nobody needs it, or where that is a loss that is borne. */
+/** Erases the leaver's disk if the leave result says that nobody needs it, or if that loss is tolerated; else restarts it. */
 function finishLeave(cluster: Cluster, machine: ControlMachine, result: LeaveResult): void {
   machine.crash(0);
   if (result === 'incomplete' && !cluster.invariants.toleratesLossOf(machine)) restart(machine);
--- a/packages/model-checker/src/bootstrap-schedules.ts
+++ b/packages/model-checker/src/bootstrap-schedules.ts
@@ -1,7 +1,7 @@
 /**
- * Random schedules of a first start whose seeds hold no state: the shipped founding code of each candidate and the
- * shipped answers of each seed, with messages lost, doubled and late, links that are cut, seeds and candidates that are
- * restarted, and a disk that is lost, each between any two messages. No time passes, so a schedule takes microseconds.
+ * Random schedules of a first start with stateless seeds: the production bootstrap code of each candidate and the
+ * production answers of each seed, with lost, duplicated and late messages, blocked links, restarts of seeds and
+ * candidates, and lost disks, each between any two messages. No virtual time passes, so a schedule takes microseconds.
  */
 import { createControlGateway, type ControlGateway } from '@tansypost/control-feed';
 import { createDiscoveryBootstrap, type DiscoveryBootstrap } from '@tansypost/control-state';
@@ -17,7 +17,7 @@
 interface Candidate {
   readonly address: Address;
   disk: string;
-  /** Whether its process has run since the first start. */
+  /** Whether its process has not been restarted since the first start of the system. */
   sinceFirstStart: boolean;
   bootstrap: DiscoveryBootstrap;
   record: readonly ReplicaEntry[] | undefined;
@@ -26,7 +26,7 @@
 const seedCount = 3;
 const stepsOfSchedule = 160;
 const maxInFlight = 24;
-/** How often a step of a schedule restarts a process; schedules differ in it. */
+/** Probabilities that a step restarts a process; each schedule draws one for seeds and one for candidates. */
 const restartProbabilities = [0, 0.02, 0.08] as const;
 
 class BootstrapSchedule {
@@ -52,7 +52,7 @@
     this.candidates = Array.from({ length: count }, (_unused, index) => this.candidate(`c${index}:1` as Address));
   }
 
-  /** Plays the schedule; gives the rule that it broke, and how many candidates wrote a record. */
+  /** Plays the schedule; returns the broken rule and how many membership records candidates wrote. */
   play(): { readonly violation: Violation | undefined; readonly records: number } {
     for (let step = 0; step < stepsOfSchedule && this.broken === undefined; step += 1) this.step();
     return { violation: this.broken, records: this.records };
@@ -167,22 +167,22 @@
     this.records += 1;
     const record = members.map((member) => member.disk).join(' ');
     if (members.length < this.minMembers)
-      this.broken = { rule: 'enough founders', detail: `${record} are fewer than ${this.minMembers}` };
+      this.broken = { rule: 'enough bootstrap members', detail: `${record} are fewer than ${this.minMembers}` };
     this.firstRecord ??= record;
     if (this.firstRecord !== record)
-      this.broken = { rule: 'one founding', detail: `${this.firstRecord} founded, and ${record} as well` };
+      this.broken = { rule: 'one bootstrap', detail: `${this.firstRecord} bootstrapped, and so did ${record}` };
   }
 }
 
-/** What many schedules showed. */
+/** The result of playing many schedules. */
 export interface BootstrapScheduleResult {
   readonly violation: Violation | undefined;
   readonly seed: number;
-  /** Schedules in which a cluster was founded. */
+  /** The number of schedules in which a cluster was bootstrapped. */
   readonly bootstrapped: number;
 }
 
-/** Plays schedules until one breaks a rule. */
+/** Plays schedules with the seeds 1 to `count` until one breaks a rule. */
 export function playBootstrapSchedules(count: number): BootstrapScheduleResult {
   let bootstrapped = 0;
   for (let seed = 1; seed <= count; seed += 1) {
--- a/packages/model-checker/src/check-model.ts
+++ b/packages/model-checker/src/check-model.ts
@@ -1,6 +1,6 @@
 /**
- * One fixed hunt: a search with few deviations, then walks, until something is found or the budget of steps is used
- * up. It counts steps and not time, so its verdict is the same on every machine.
+ * One fixed check: a search with few deviations, then random walks, until a rule is broken or all of them were played.
+ * Its limits are counts and virtual time, never real time, so its result is the same on every machine.
  */
 import type { Scope } from './cluster.js';
 import { playBootstrapSchedules } from './bootstrap-schedules.js';
@@ -10,37 +10,37 @@
 import { search } from './search.js';
 import { walk } from './walk.js';
 
-/** A broken rule and what brings it about. */
+/** A broken rule and the run that breaks it. */
 export interface Finding {
   readonly violation: Violation;
-  /** What found it: the search or a walk. */
+  /** Which part of the check found it, such as the search or a walk. */
   readonly by: string;
   readonly seed: number;
   readonly scope: Scope;
   readonly moves: readonly PlacedMove[];
 }
 
-/** How a hunt went. */
+/** The result of a check. */
 export interface CheckResult {
   readonly finding: Finding | undefined;
   readonly steps: number;
 }
 
-/** How far a hunt goes. */
+/** The limits of a check. */
 export interface CheckOptions {
   readonly walks: number;
   readonly walkLengthUs: number;
   readonly searchDepth: number;
   readonly searchDeviations: number;
-  /** Seeds of walks to leave out, as the code breaks on them with every mechanism in place. */
+  /** Seeds of walks to skip, as the unmodified code breaks a rule on them. */
   readonly excludedSeeds?: readonly number[];
-  /** Walks over the first start with seeds that hold no state. */
+  /** If set, only the first start with stateless seeds is checked, on this many walks. */
   readonly bootstrapWalks?: number;
-  /** Rules that the code breaks now and then with every mechanism in place; breaking them shows nothing then. */
+  /** Rules that the unmodified code breaks on some seeds, so that breaking them shows nothing about a mutation. */
   readonly ignoredRules?: readonly string[];
 }
 
-/** The hunt of the command. */
+/** The check that the `mutants` command runs. */
 export const defaultCheckOptions: CheckOptions = {
   walks: 150,
   walkLengthUs: 30_000_000,
@@ -48,13 +48,13 @@
   searchDeviations: 1,
 };
 
-/** A walk that breaks a rule with every mechanism in place. */
+/** A walk on which the unmodified code breaks a rule. */
 export interface BaselineViolation {
   readonly seed: number;
   readonly rule: string;
 }
 
-/** All walks that break a rule. */
+/** All walks on which the unmodified code breaks a rule. */
 export async function findBaselineViolations(options: CheckOptions): Promise<BaselineViolation[]> {
   const baseline: BaselineViolation[] = [];
   for (let seed = 1; seed <= options.walks; seed += 1) {
@@ -65,7 +65,7 @@
   return baseline;
 }
 
-/** Every fourth walk has five places. */
+/** Every fourth walk has five replicas. */
 function replicaCountFor(seed: number): number {
   return seed % 4 === 3 ? 5 : 3;
 }
@@ -74,12 +74,12 @@
 const schedulesPerWalk = 1000;
 const minReplicas = 3;
 
-/** Plays short schedules and then walks over the first start until something is found. */
+/** Plays short schedules of a first start and then walks over it, until a rule is broken. */
 export async function checkBootstrap(walks: number): Promise<CheckResult> {
   let steps = 0;
   const { violation: scheduleViolation, seed: schedule } = playBootstrapSchedules(schedulesPerWalk * walks);
   if (scheduleViolation !== undefined) {
-    const found = { violation: scheduleViolation, by: 'founding schedule', seed: schedule };
+    const found = { violation: scheduleViolation, by: 'bootstrap schedule', seed: schedule };
     return { finding: { ...found, scope: bootstrapScope(minReplicas, schedule), moves: [] }, steps };
   }
   for (let seed = 1; seed <= walks; seed += 1) {
@@ -87,12 +87,12 @@
     const walked = await walk({ scope, seed, lengthUs: bootstrapWalkUs });
     const { violation, moves } = walked;
     steps += walked.steps;
-    if (violation !== undefined) return { finding: { violation, by: 'founding walk', seed, scope, moves }, steps };
+    if (violation !== undefined) return { finding: { violation, by: 'bootstrap walk', seed, scope, moves }, steps };
   }
   return { finding: undefined, steps };
 }
 
-/** Hunts until something is found. */
+/** Runs the check until a rule is broken. */
 export async function checkModel(options: CheckOptions): Promise<CheckResult> {
   if (options.bootstrapWalks !== undefined) return checkBootstrap(options.bootstrapWalks);
   let steps = 0;
@@ -117,7 +117,7 @@
     } = await walk({ scope: walked, seed, lengthUs: options.walkLengthUs });
     steps += walkedSteps;
     if (violation !== undefined && options.ignoredRules?.includes(violation.rule) !== true)
-      return { finding: { violation, by: `walk of ${walked.replicas}`, seed, scope: walked, moves }, steps };
+      return { finding: { violation, by: `walk with ${walked.replicas}`, seed, scope: walked, moves }, steps };
   }
   return { finding: undefined, steps };
 }
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A whole control side under the scheduler: machines that hold the places, spare machines that may join, operators and
- * followers, with the checks attached.
+ * A complete simulated control cluster: the machines of the initial replicas, spare machines that may join, operators
+ * and followers, with the invariant checks attached.
  */
 import type { JournalRecord } from '@tansypost/control-state';
 import { createSeededRandom, type Address } from '@tansypost/inner-protocol';
@@ -15,26 +15,26 @@
 import type { Process } from './process.js';
 import { directCalls, type RegisterCalls } from './register-calls.js';
 
-/** What is built and how large it is. */
+/** The size and the settings of a simulated cluster. */
 export interface Scope {
   readonly replicas: number;
   readonly spares: number;
   readonly followers: number;
   readonly operators: number;
-  /** How far clocks run apart: the rate of each lies within 1 ± drift. */
+  /** The bound on clock drift: the rate of each clock lies within 1 ± clockDrift. */
   readonly clockDrift: number;
   readonly jitterUs: number;
   readonly orderedLinks: boolean;
-  /** Whether the machines start blank and found the core, or on disks of a core that was founded before. */
+  /** Whether the machines start with empty disks and bootstrap the cluster, or with the disks of a bootstrapped one. */
   readonly bootstraps: boolean;
-  /** Whether the seeds are followers, which hold no control state, in place of the first machines. */
+  /** Whether the seeds are followers, which hold no control state, instead of the first machines. */
   readonly statelessSeeds: boolean;
   readonly thinkTimeUs: number;
   readonly readsPercent: number;
   readonly maxRetries: number;
 }
 
-/** The disks of a core that was founded, by the name of the machine. */
+/** The disks of a bootstrapped cluster, by the name of the machine. */
 export type BootstrappedDisks = ReadonlyMap<string, readonly JournalRecord[]>;
 
 const seedCount = 3;
@@ -44,7 +44,7 @@
   return Array.from({ length: count }, (_unused, index) => `${prefix}${index}`);
 }
 
-/** One built scope; the seed decides on clocks, delays and what programs draw. */
+/** One simulated cluster; the seed determines clocks, delays and the programs' random numbers. */
 export class Cluster {
   readonly kernel: Kernel;
   readonly machines: readonly ControlMachine[];
@@ -54,7 +54,7 @@
   readonly history: Operation[] = [];
   readonly invariants: Invariants;
   private readonly random: () => number;
-  /** How many disks were to be lost before a cluster was founded. */
+  /** How many disk losses were requested before a cluster was bootstrapped. */
   preBootstrapDiskLosses = 0;
   private position = 0;
 
@@ -73,22 +73,21 @@
     this.operators = namesOf('op', scope.operators).map((name) => this.addOperator(name));
   }
 
-  /** The machines that hold places at first, and the spare ones. */
+  /** The machines of the initial replicas, and the spare ones. */
   allMachines(): readonly ControlMachine[] {
     return [...this.machines, ...this.spares];
   }
 
-  /** Whether any disk holds a record of a founded cluster. */
+  /** Whether any disk holds a membership record. */
   isBootstrapped(): boolean {
     return this.allMachines().some((machine) => membershipOf(machine.disk.durable()) !== undefined);
   }
 
-  /** The machine of that name. */
   machine(name: string): ControlMachine {
     return this.allMachines().find((machine) => machine.name === name)!;
   }
 
-  /** Starts machines, on the disks given or blank ones that found a core, and operators and followers. */
+  /** Starts the machines, on the given disks or on empty ones to bootstrap a cluster, and the followers and operators. */
   start(disks: BootstrappedDisks | undefined): void {
     for (const machine of this.machines) {
       machine.disk.load(disks?.get(machine.name) ?? []);
@@ -137,7 +136,7 @@
 const bootstrapTimeUs = 6_000_000;
 const disksByReplicaCount = new Map<number, BootstrappedDisks>();
 
-/** Founds a core of so many places once, without any trouble, and keeps its disks for later runs. */
+/** Bootstraps a cluster of the scope's size once, without faults, and caches its disks for later runs. */
 export async function bootstrappedDisks(scope: Scope): Promise<BootstrappedDisks> {
   const present = disksByReplicaCount.get(scope.replicas);
   if (present !== undefined) return present;
--- a/packages/model-checker/src/commands.ts
+++ b/packages/model-checker/src/commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the checker, to be registered with the simulator's. */
+/** The checker's commands, registered by the simulator's command line. */
 import { Command, Option } from 'clipanion';
 export { DutiesCommand } from './duties/duty-command.js';
 import { findBaselineViolations, defaultCheckOptions } from './check-model.js';
@@ -9,10 +9,10 @@
 import { search } from './search.js';
 import { walk } from './walk.js';
 
-const brokenExit = 1;
-const usageExit = 2;
+const violationExitCode = 1;
+const usageExitCode = 2;
 
-function perSecond(steps: number, startedMs: number): string {
+function stepsPerSecond(steps: number, startedMs: number): string {
   return ((1000 * steps) / Math.max(1, Date.now() - startedMs)).toFixed(0);
 }
 
@@ -24,25 +24,25 @@
   return replicas === 3 || replicas === 5;
 }
 
-/** Bounded exhaustive search. */
+/** The `model` command: bounded exhaustive search. */
 export class ModelCommand extends Command {
   static override paths = [['model']];
   static override usage = Command.Usage({
-    description: 'Search all schedules of the control state up to a depth. Ends with 1 when a rule is broken.',
+    description: 'Search all schedules of the control state up to a depth. Exits with 1 if a rule is broken.',
   });
   replicas = Option.String('--places', '3', { description: '3 or 5' });
   depth = Option.String('--depth', '40', { description: 'steps of each schedule' });
   deviations = Option.String('--deviations', '2', {
-    description: 'choices beside the default order; as many as the depth for the full search',
+    description: 'deviations from the default order; as many as the depth for the exhaustive search',
   });
   seed = Option.String('--seed', '1');
-  limit = Option.String('--seconds', '60', { description: 'ends the search early' });
+  timeLimit = Option.String('--seconds', '60', { description: 'time limit of the search' });
 
   async execute(): Promise<number> {
     const { stdout, stderr } = this.context;
     if (!isSize(Number(this.replicas))) {
-      stderr.write('simulator: --places is 3 or 5\n');
-      return usageExit;
+      stderr.write('simulator: --places must be 3 or 5\n');
+      return usageExitCode;
     }
     const started = Date.now();
     const scope = searchScope(Number(this.replicas));
@@ -52,36 +52,36 @@
       seed,
       depth: Number(this.depth),
       deviations: Number(this.deviations),
-      shouldContinue: () => Date.now() - started < 1000 * Number(this.limit),
+      shouldContinue: () => Date.now() - started < 1000 * Number(this.timeLimit),
     });
     stdout.write(
-      `${result.schedules} schedules, ${result.steps} steps (${perSecond(result.steps, started)} a second), ${result.states} states, ${result.situations} situations; ` +
+      `${result.schedules} schedules, ${result.steps} steps (${stepsPerSecond(result.steps, started)} per second), ${result.states} states, ${result.situations} situations; ` +
         `all schedules of ${this.depth} steps with up to ${Math.max(0, result.completedDeviations)} deviations were played\n`,
     );
     if (result.violation === undefined) return 0;
     stdout.write(await explain({ scope, seed, moves: result.moves, untilUs: Infinity, maxSteps: result.steps }));
-    return brokenExit;
+    return violationExitCode;
   }
 }
 
-/** Guided random walks. */
+/** The `walk` command: guided random walks. */
 export class WalkCommand extends Command {
   static override paths = [['walk']];
   static override usage = Command.Usage({
-    description: 'Walk at random through faults of the control state. Ends with 1 when a rule is broken.',
+    description: 'Random walks through faults of the control state. Exits with 1 if a rule is broken.',
   });
   replicas = Option.String('--places', '3', { description: '3 or 5' });
   from = Option.String('--from', '1', { description: 'the first seed' });
   count = Option.String('--seeds', '20', { description: 'how many seeds' });
-  length = Option.String('--length', '30', { description: 'virtual seconds of each walk' });
-  limit = Option.String('--seconds', '600', { description: 'ends after the walk under way' });
+  length = Option.String('--length', '30', { description: 'length of each walk in virtual seconds' });
+  limit = Option.String('--seconds', '600', { description: 'time limit, checked between walks' });
 
   async execute(): Promise<number> {
     const { stdout, stderr } = this.context;
     const replicas = Number(this.replicas);
     if (!isSize(replicas)) {
-      stderr.write('simulator: --places is 3 or 5\n');
-      return usageExit;
+      stderr.write('simulator: --places must be 3 or 5\n');
+      return usageExitCode;
     }
     const started = Date.now();
     const situations = new Set<string>();
@@ -99,9 +99,9 @@
       stdout.write(await explain({ scope, seed, moves: outcome.moves, untilUs: lengthUs }));
     }
     stdout.write(
-      `${walks} walks from seed ${first}, ${broken} broke a rule; ${steps} steps (${perSecond(steps, started)} a second), ${situations.size} situations\n`,
+      `${walks} walks from seed ${first}, ${broken} broke a rule; ${steps} steps (${stepsPerSecond(steps, started)} per second), ${situations.size} situations\n`,
     );
-    return broken > 0 ? brokenExit : 0;
+    return broken > 0 ? violationExitCode : 0;
   }
 }
 
@@ -109,21 +109,21 @@
   const where = `${mutation.name} | \`${mutation.file}\``;
   if ('error' in outcome) return `| ${where} | error: ${outcome.error} | |\n`;
   const { finding, steps } = outcome;
-  if (finding === undefined) return `| ${where} | **nothing** | ${steps} |\n`;
+  if (finding === undefined) return `| ${where} | **not detected** | ${steps} |\n`;
   const { violation, by, seed } = finding;
   return `| ${where} | ${violation.rule} (${by}, seed ${seed}): ${violation.detail} | ${steps} |\n`;
 }
 
-/** Takes mechanisms away and shows what finds that. */
+/** Checks that removing any one mechanism is detected. */
 export class MutantsCommand extends Command {
   static override paths = [['mutants']];
   static override usage = Command.Usage({
-    description: 'Remove mechanisms of the control state one by one; ends with 1 when a removal is not found.',
+    description: 'Remove mechanisms of the control state one by one. Exits with 1 if a removal is not detected.',
   });
-  only = Option.String('--only', '', { description: 'mutations whose name contains this text' });
-  walks = Option.String('--walks', `${defaultCheckOptions.walks}`, { description: 'walks at most, for each' });
+  only = Option.String('--only', '', { description: 'only mutations whose name contains this text' });
+  walks = Option.String('--walks', `${defaultCheckOptions.walks}`, { description: 'maximum number of walks for each' });
   threads = Option.String('--threads', '3');
-  limit = Option.String('--seconds', '300', { description: 'at most, for each' });
+  limit = Option.String('--seconds', '300', { description: 'time limit for each' });
 
   async execute(): Promise<number> {
     const { stdout } = this.context;
@@ -132,8 +132,8 @@
     const excludedSeeds = known.map((each) => each.seed);
     const ignoredRules = [...new Set(known.map((each) => each.rule))];
     const listed = known.map((each) => `${each.seed} (${each.rule})`).join(', ') || 'none';
-    stdout.write(`seeds that break a rule with every mechanism in place: ${listed}; these rules do not count\n`);
-    stdout.write('| mechanism | file | found by | steps |\n|---|---|---|---|\n');
+    stdout.write(`seeds that break a rule in the unmodified code: ${listed}; these seeds and rules are ignored\n`);
+    stdout.write('| mechanism | file | detected by | steps |\n|---|---|---|---|\n');
     const queue = mutations.filter((mutation) => mutation.name.includes(this.only));
     const results: MutantResult[] = [];
     const limitMs = 1000 * Number(this.limit);
@@ -155,6 +155,8 @@
       }
     }
     await Promise.all(Array.from({ length: Number(this.threads) }, work));
-    return results.some((result) => 'error' in result.outcome || result.outcome.finding === undefined) ? brokenExit : 0;
+    return results.some((result) => 'error' in result.outcome || result.outcome.finding === undefined)
+      ? violationExitCode
+      : 0;
   }
 }
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -1,6 +1,6 @@
 /**
- * One machine of the control side: the shipped control node on a disk of the model, the asker that the operator's
- * calls go through and the feed server, wired as the shipped program wires them.
+ * One machine of the control cluster: the production control node on a model disk, the control client that operators'
+ * calls go through, and the feed server, wired as in the production program.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
@@ -16,13 +16,13 @@
 import { ModelDisk } from './model-disk.js';
 import type { Process } from './process.js';
 
-/** How an operator's call reaches the core through one machine. */
+/** How an operator's call reaches the control cluster through one machine. */
 export interface ControlAccess {
   readonly ask: (question: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
-/** The settings of the shipped program, in microseconds. */
+/** The settings of the production program, in microseconds. */
 const settings = {
   routerLeaseUs: 10_000_000,
   dutyTenure: 3_000_000,
@@ -31,7 +31,7 @@
   longestPause: 1_000_000,
 } as const;
 
-/** A machine that outlives the programs started on it. */
+/** A machine on which the program can be killed and restarted. */
 export class ControlMachine {
   readonly name: string;
   readonly disk: ModelDisk;
@@ -52,17 +52,17 @@
     return this.node;
   }
 
-  /** The way for operators' calls, while the machine runs. */
+  /** The access for operators' calls, while the machine runs. */
   access(): ControlAccess | undefined {
     return this.coreAccess;
   }
 
-  /** Whether it runs or has run. */
+  /** Whether the program was ever started on it. */
   wasStarted(): boolean {
     return this.process.alive || this.process.incarnation > 0;
   }
 
-  /** Starts the program; `founds` says whether it may found a core. */
+  /** Starts the program; `mayBootstrap` says whether it may bootstrap a cluster. */
   start(mayBootstrap: boolean): void {
     const { kernel, process, seeds } = this;
     const self = process.address;
@@ -90,7 +90,7 @@
     void node.begin();
   }
 
-  /** Ends the program; of the writes that wait for their sync the first `kept` survive. */
+  /** Kills the program; the first `kept` unsynced writes survive. */
   crash(kept: number): void {
     this.kernel.kill(this.process);
     this.process.inputs.addText(`kept ${kept}`);
@@ -99,7 +99,7 @@
     this.coreAccess = undefined;
   }
 
-  /** Empties the disk. */
+  /** Erases the disk. */
   eraseDisk(): void {
     this.process.inputs.addText('disk lost');
     this.disk.erase();
--- a/packages/model-checker/src/draws.ts
+++ b/packages/model-checker/src/draws.ts
@@ -1,4 +1,4 @@
-/** Draws moves of each kind at random, as far as the state allows. */
+/** Draws random moves of each kind that are possible in the current state. */
 import type { Cluster } from './cluster.js';
 import type { Move, MoveKind } from './moves.js';
 import { isLossy } from './pending-events.js';
@@ -44,8 +44,8 @@
 }
 
 function drawRun({ kernel }: Cluster, random: Random): Move | undefined {
-  const able = kernel.enabled().filter(({ kind }) => kind !== 'timer' && kind !== 'end-of-fault');
-  const event = pick(able, random);
+  const runnable = kernel.enabled().filter(({ kind }) => kind !== 'timer' && kind !== 'end-of-fault');
+  const event = pick(runnable, random);
   return event === undefined ? undefined : { kind: 'run', event: event.id };
 }
 
@@ -100,10 +100,10 @@
   'restart-follower': drawFollower,
 };
 
-/** All kinds of moves. */
+/** All kinds of moves, in the order in which weights are drawn. */
 export const moveKinds = Object.keys(draws) as MoveKind[];
 
-/** How often a kind is drawn where all are equally rare. */
+/** The relative weights of the kinds of moves where none was used yet in the situation. */
 export const defaultWeights: { readonly [K in MoveKind]: number } = {
   run: 4,
   lose: 6,
@@ -119,7 +119,7 @@
   'restart-follower': 1,
 };
 
-/** Draws a move of a kind; undefined where the state allows none. */
+/** Draws a move of a kind; undefined if the state allows none. */
 export function drawMove(kind: MoveKind, cluster: Cluster, random: Random): Move | undefined {
   return draws[kind](cluster, random);
 }
--- a/packages/model-checker/src/durable-state.ts
+++ b/packages/model-checker/src/durable-state.ts
@@ -1,9 +1,9 @@
-/** What a restart would find on a disk, read from the journal's records. */
+/** The state that a restart recovers from a disk, built from the journal's records. */
 import * as E from 'fp-ts/lib/Either.js';
 import { decodeMembership, membershipKey, type JournalRecord } from '@tansypost/control-state';
 import type { ReplicaEntry } from '@tansypost/inner-protocol';
 
-/** One key as the synced part of a disk holds it. */
+/** One key as stored in the synced part of a disk. */
 export interface DurableRow {
   readonly promised: number;
   readonly epoch: number;
@@ -11,25 +11,25 @@
   readonly value: Buffer;
 }
 
-/** The identity, the state and the rows on a disk; the identity is empty on a disk that was never used. */
+/** The identity, the replica state and the rows on a disk; the identity is empty on a disk that was never used. */
 export interface DurableState {
   disk: string;
   state: string;
   readonly rows: Map<string, DurableRow>;
 }
 
-/** A membership record under its epoch. */
+/** A membership record and its epoch. */
 export interface Membership {
   readonly epoch: number;
   readonly replicas: readonly ReplicaEntry[];
 }
 
-/** The state of an empty disk. */
+/** The durable state of an empty disk. */
 export function emptyDurableState(): DurableState {
   return { disk: '', state: 'blank', rows: new Map() };
 }
 
-/** Takes one more synced record in. */
+/** Applies one more synced record. */
 export function applyRecord(state: DurableState, record: JournalRecord): void {
   if (record.kind === 'disk') state.disk = record.key;
   if (record.kind === 'state') state.state = record.key;
@@ -40,7 +40,7 @@
 
 const decoded = new WeakMap<DurableRow, Membership>();
 
-/** The membership record on a disk; one that cannot be read ends the run. */
+/** The membership record on a disk. Throws if it cannot be decoded, which ends the run. */
 export function membershipOf(state: DurableState): Membership | undefined {
   const row = state.rows.get(membershipKey);
   if (row === undefined || row.value.length === 0) return undefined;
@@ -54,7 +54,7 @@
   return membership;
 }
 
-/** Names the disks of a membership, in an order of their own. */
+/** The disks of a membership, sorted and joined, to compare memberships. */
 export function disksOf(membership: Membership): string {
   return membership.replicas
     .map((replica) => replica.disk)
--- a/packages/model-checker/src/duties/draw.ts
+++ b/packages/model-checker/src/duties/draw.ts
@@ -1,18 +1,18 @@
-/** Draws from a seed. */
+/** Random numbers from a seed. */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 
-/** A source of drawn numbers. */
+/** A source of random choices. */
 export interface Draw {
-  /** At least 0 and below 1. */
+  /** A number of at least 0 and below 1. */
   readonly number: () => number;
   readonly chance: (probability: number) => boolean;
-  /** The same while there are troubles; false in the calm after them. */
+  /** Like `chance` during the fault phase; always false after it. */
   readonly faultChance: (probability: number) => boolean;
-  readonly between: (least: number, most: number) => number;
+  readonly between: (min: number, max: number) => number;
   readonly oneOf: <Item>(items: readonly Item[]) => Item;
 }
 
-/** Draws that a seed repeats; `isCalm` tells whether the troubles are over. */
+/** A reproducible source of random choices; `isCalm` says whether the fault phase is over. */
 export function createDraw(seed: number, isCalm: () => boolean): Draw {
   const number = createSeededRandom(seed);
   return {
--- a/packages/model-checker/src/duties/duty-command.ts
+++ b/packages/model-checker/src/duties/duty-command.ts
@@ -1,48 +1,47 @@
-/** The command that plays schedules of the duties, and takes their guards away. */
+/** The command that plays duty schedules and checks that removed guards are detected. */
 import { Command, Option } from 'clipanion';
 import { checkDuties, type DutyCheckResult } from './check-duties.js';
 import { runDutyMutant } from './duty-mutants.js';
 import { dutyMutations } from './duty-mutations.js';
 import { scopeKindCount } from './scope.js';
 
-const brokenExit = 1;
-const mutantLimitMs = 600_000;
+const violationExitCode = 1;
+const mutantTimeLimitMs = 600_000;
 
-function tell({ finding, schedules, steps, calls, fenced, takeovers }: DutyCheckResult): string {
-  const found =
-    finding === undefined ? 'none broke a rule' : `seed ${finding.seed}: ${finding.rule}: ${finding.detail}`;
+function describeResult({ finding, schedules, steps, calls, fenced, takeovers }: DutyCheckResult): string {
+  const verdict = finding === undefined ? 'no rule broken' : `seed ${finding.seed}: ${finding.rule}: ${finding.detail}`;
   const counts = `${steps} steps, ${calls} calls, ${fenced} not accepted, ${takeovers} takeovers`;
-  return `${schedules} schedules, ${found}; ${counts}\n`;
+  return `${schedules} schedules, ${verdict}; ${counts}\n`;
 }
 
-/** Schedules of control nodes that make calls to the platform, with troubles between any two steps. */
+/** The `duties` command: plays control nodes that make calls to the platform, with faults between any two steps. */
 export class DutiesCommand extends Command {
   static override paths = [['duties']];
   static override usage = Command.Usage({
-    description: 'Play schedules of the platform duties up to the first that breaks a rule. Ends with 1 then.',
+    description: 'Play schedules of the platform duties until one breaks a rule. Exits with 1 in that case.',
   });
   from = Option.String('--from', '1', { description: 'the first seed' });
-  seeds = Option.String('--seeds', '300', { description: 'how many seeds; with --mutants for each guard' });
+  seeds = Option.String('--seeds', '300', { description: 'how many seeds; with --mutants, for each guard' });
   mutants = Option.Boolean('--mutants', false, {
-    description: 'take each guard away instead; ends with 1 when that is not found',
+    description: 'remove each guard instead; exits with 1 if a removal is not detected',
   });
 
   async execute(): Promise<number> {
     const seeds = Number(this.seeds);
-    if (this.mutants) return this.huntMutants(seeds);
-    const hunt = await checkDuties({ firstSeed: Number(this.from), seeds, stride: 1 });
-    this.context.stdout.write(tell(hunt));
-    return hunt.finding === undefined ? 0 : brokenExit;
+    if (this.mutants) return this.checkMutants(seeds);
+    const result = await checkDuties({ firstSeed: Number(this.from), seeds, stride: 1 });
+    this.context.stdout.write(describeResult(result));
+    return result.finding === undefined ? 0 : violationExitCode;
   }
 
-  private async huntMutants(seeds: number): Promise<number> {
+  private async checkMutants(seeds: number): Promise<number> {
     let missed = 0;
     for (const [index, mutation] of dutyMutations.entries()) {
       const options = { firstSeed: scopeKindCount + mutation.kind, seeds, stride: scopeKindCount };
-      const hunt = await runDutyMutant(process.cwd(), `duty-${index}`, mutation, options, mutantLimitMs);
+      const hunt = await runDutyMutant(process.cwd(), `duty-${index}`, mutation, options, mutantTimeLimitMs);
       if ('error' in hunt || hunt.finding === undefined) missed += 1;
-      this.context.stdout.write(`${mutation.name}: ${'error' in hunt ? `${hunt.error}\n` : tell(hunt)}`);
+      this.context.stdout.write(`${mutation.name}: ${'error' in hunt ? `${hunt.error}\n` : describeResult(hunt)}`);
     }
-    return missed > 0 ? brokenExit : 0;
+    return missed > 0 ? violationExitCode : 0;
   }
 }
--- a/packages/model-checker/src/duties/duty-mutant-worker.ts
+++ b/packages/model-checker/src/duties/duty-mutant-worker.ts
@@ -1,4 +1,4 @@
-/** The entry of a bundle in which a guard of the duties is missing: one hunt, told to whoever started the thread. */
+/** The worker entry of a duty mutant's bundle: runs one check and posts its result to the parent thread. */
 import { parentPort, workerData } from 'node:worker_threads';
 import { checkDuties, type DutyCheckOptions } from './check-duties.js';
 
--- a/packages/model-checker/src/duties/duty-mutants.ts
+++ b/packages/model-checker/src/duties/duty-mutants.ts
@@ -1,9 +1,9 @@
-/** Takes guards of the duties away, and hunts on what is left. */
+/** Mutation testing of the duty checks: runs them on sources from which one guard is removed. */
 import { bundleMutant, runInThread, type CheckError } from '../mutants.js';
 import type { Mutation } from '../mutations.js';
 import type { DutyCheckResult, DutyCheckOptions } from './check-duties.js';
 
-/** Hunts on the sources of a checkout with one mutation, or with none. */
+/** Runs the duty checks on the sources of a checkout with one mutation, or with none. */
 export async function runDutyMutant(
   root: string,
   name: string,
--- a/packages/model-checker/src/duties/duty-mutations.ts
+++ b/packages/model-checker/src/duties/duty-mutations.ts
@@ -1,8 +1,8 @@
-/** Guards of the duties' log and runner, each with the edits that take it away. */
+/** Mutations of the duty log and runner, each of which removes one guard. */
 import type { Mutation } from '../mutations.js';
 import { scopeKinds } from './scope.js';
 
-/** A guard taken away, and the kind of schedules that show it. */
+/** A guard and the edits that remove it, with the kind of schedules that detect the removal. */
 export interface DutyMutation extends Mutation {
   readonly kind: (typeof scopeKinds)[keyof typeof scopeKinds];
 }
@@ -13,48 +13,48 @@
 
 const { fencesChecked, fencesUnchecked, leasesOverlap } = scopeKinds;
 
-function removed(kind: DutyMutation['kind'], name: string, file: string, from: string, to: string): DutyMutation {
+function singleEdit(kind: DutyMutation['kind'], name: string, file: string, from: string, to: string): DutyMutation {
   return { kind, name, file, edits: [{ from, to }] };
 }
 
-/** All guards that are taken away. */
+/** All mutations. */
 export const dutyMutations: readonly DutyMutation[] = [
-  removed(
+  singleEdit(
     fencesChecked,
     'a call is made after its intent is written',
     task,
     'if (next.record !== term.record && !(await commit(state, term, next))) return false;',
     'if (next.record !== term.record) void commit(state, term, next);\n  term.record = next.record;',
   ),
-  removed(
+  singleEdit(
     fencesChecked,
     'a successor finishes the open intents with their content',
     task,
     'const own: DutyRecord = { ...record, term:',
     'const own: DutyRecord = { ...record, open: [], term:',
   ),
-  removed(
+  singleEdit(
     leasesOverlap,
     'the fence is the version of the write of the term',
     runner,
     'port: options.port,',
     'port: { call: (call) => options.port.call({ ...call, fence: candidate.heldEpoch() ?? 0 }) },',
   ),
-  removed(
+  singleEdit(
     leasesOverlap,
     'a write is on top of the version known',
     task,
     'options.record.write(term.version, encodeDutyRecord(next.record));',
     'options.record.write((await options.record.read())?.version ?? 0, encodeDutyRecord(next.record));',
   ),
-  removed(
+  singleEdit(
     fencesChecked,
     'a call is made only while the lease outlasts the pause between holders',
     runner,
     'candidate.heldEpochFor(least) !== undefined',
     'candidate.heldEpoch() !== undefined',
   ),
-  removed(
+  singleEdit(
     fencesUnchecked,
     'the lease is looked at right before a call',
     task,
@@ -72,35 +72,35 @@
       },
     ],
   },
-  removed(
+  singleEdit(
     fencesChecked,
     'only duties that allow it are overtaken',
     record,
     'const replaced = maySupersede ? sameSubject : [];',
     'const replaced = sameSubject;',
   ),
-  removed(
+  singleEdit(
     fencesChecked,
     'the record is read again after a write without an answer',
     task,
     'term.mustRead = true;\n    return false;',
     'term.version += 1;\n    term.record = next.record;\n    return true;',
   ),
-  removed(
+  singleEdit(
     leasesOverlap,
     "another's term in the record ends one's own",
     task,
     'if (record.term?.id === id) return false;',
     'if (record.term !== null) return false;',
   ),
-  removed(
+  singleEdit(
     leasesOverlap,
     'a node that lost its term to another stands back',
     task,
     'state.standBackUntil = state.world.now() + state.options.backOffDuration;',
     'state.standBackUntil = state.world.now();',
   ),
-  removed(
+  singleEdit(
     fencesUnchecked,
     'a lost lease ends the terms',
     runner,
@@ -120,19 +120,25 @@
       { from: 'term.answers.set(id, outcome);', to: "term.answers.set(id, 'accepted');" },
     ],
   },
-  removed(
+  singleEdit(
     fencesChecked,
     'calls for one subject are made in order',
     task,
     'find((intent) => pauses.isOver(intent.subject))',
     'findLast((intent) => pauses.isOver(intent.subject))',
   ),
-  removed(
+  singleEdit(
     fencesChecked,
     'a new order after one without an answer gets a higher fence',
     task,
     "if (outcome === 'unknown') term.unclear.add(subject);",
     '',
   ),
-  removed(fencesChecked, 'calls are paced', task, '|| !state.options.pacer.take()) return false;', ') return false;'),
+  singleEdit(
+    fencesChecked,
+    'calls are paced',
+    task,
+    '|| !state.options.pacer.take()) return false;',
+    ') return false;',
+  ),
 ];
--- a/packages/model-checker/src/duties/duty-node.ts
+++ b/packages/model-checker/src/duties/duty-node.ts
@@ -1,6 +1,6 @@
 /**
- * A control node with the shipped voter and duty runner, whose process can be killed, frozen and cut off. What is to run
- * in a frozen process waits for its thaw; what was to run in a killed one never does.
+ * A control node with the production voter and duty runner, whose process can be killed, frozen and cut off. Callbacks
+ * of a frozen process run when it thaws; those of a killed process never run.
  */
 import { createVoter, type EpochStore, type Voter, type VoterGroup } from '@tansypost/duty';
 import { createDutyRunner, type CallOutcome, type DutyCall, type DutyRunner } from '@tansypost/duty-log';
@@ -8,10 +8,10 @@
 import type { Draw } from './draw.js';
 import { createOrders, createReports } from './sample-duties.js';
 import type { Scheduler } from './scheduler.js';
-import { callsPerSecond, times } from './scope.js';
+import { callsPerSecond, scheduleTimes } from './scope.js';
 import type { StoredRecords } from './stored-record.js';
 
-/** What all nodes of a run share. */
+/** The environment that all nodes of a run share. */
 export interface DutyCluster {
   readonly scheduler: Scheduler;
   readonly draw: Draw;
@@ -20,18 +20,18 @@
   readonly maxOpenReports: number;
   readonly membership: () => VoterGroup;
   readonly send: (from: DutyNode, to: Address, message: Message) => void;
-  /** A step of a duty was done at the node. */
+  /** Called after each step of a duty at the node. */
   readonly onStep: (node: DutyNode) => void;
   readonly call: (from: DutyNode, call: DutyCall, answer: (outcome: CallOutcome) => void) => void;
 }
 
-/** What stays of a node when its process ends. */
+/** The state of a node that survives the end of its process. */
 export interface NodeDisk {
   readonly id: string;
   readonly epochs: Map<string, number>;
 }
 
-/** A span of time in which something befell a node. */
+/** The time span of a fault at a node. */
 export interface FaultSpan {
   readonly from: number;
   until: number;
@@ -39,7 +39,7 @@
 
 /** A control node. */
 export interface DutyNode {
-  /** Another one after it was replaced. */
+  /** Changes when another member replaces the node. */
   name: string;
   readonly slot: number;
   readonly address: Address;
@@ -48,18 +48,18 @@
   frozen: boolean;
   cutFromControlCluster: boolean;
   cutFromPlatform: boolean;
-  /** Its ballots and votes are lost, while it reaches the control state. */
+  /** Its ballots and votes are lost, though it may still reach the control state. */
   cutFromVoters: boolean;
-  /** Rises with each end of its process. */
+  /** Increases each time its process ends. */
   incarnation: number;
-  /** What runs at the thaw. */
+  /** Callbacks that run when the process thaws. */
   readonly heldCallbacks: (() => void)[];
   readonly faults: FaultSpan[];
   voter: Voter | undefined;
   runner: DutyRunner | undefined;
 }
 
-/** A node that does not run yet. */
+/** A node that is not running yet. */
 export function createDutyNode(slot: number): DutyNode {
   const name = `node${slot}`;
   return {
@@ -80,7 +80,7 @@
   };
 }
 
-/** Runs something in the process that runs now: never if that has ended, and not before it thaws. */
+/** Returns a function that runs callbacks in the current process: never once it has ended, and after the thaw if frozen. */
 export function inProcess(node: DutyNode): (run: () => void) => void {
   const { incarnation } = node;
   return function deliver(run) {
@@ -90,7 +90,7 @@
   };
 }
 
-/** Starts the node's process. `votingSince` is when its voter began to vote. */
+/** Starts the node's process. `votingSince` is the time at which its voter began to vote. */
 export function startNode(cluster: DutyCluster, node: DutyNode, votingSince: number): void {
   node.alive = true;
   node.frozen = false;
@@ -126,17 +126,17 @@
     slot: () => node.slot,
     replicas: cluster.membership,
     isEligible: () => true,
-    leaseDuration: times.leaseDuration,
-    minTakeoverGap: times.minTakeoverGap,
+    leaseDuration: scheduleTimes.leaseDuration,
+    minTakeoverGap: scheduleTimes.minTakeoverGap,
     callsPerSecond,
-    callTimeout: times.callTimeout,
+    callTimeout: scheduleTimes.callTimeout,
     duties: [createReports(scheduler.now, draw, cluster.maxOpenReports), createOrders(cluster.desiredNumbers)],
     record: (key) => cluster.records.value(key, caller),
     port: { call: (call) => new Promise((done) => cluster.call(node, call, done)) },
   });
 }
 
-/** Gives the node a voter that knows of no grant. */
+/** Gives the node a new voter without any known grant. */
 export function startVoter(cluster: DutyCluster, node: DutyNode, world: Pick<World, 'now'>, votingSince: number): void {
   const { epochs, id } = node.disk;
   const store: EpochStore = {
@@ -152,7 +152,7 @@
     isVoting: () => true,
     votingSince: () => votingSince,
     membershipEpoch: () => cluster.membership().membershipEpoch,
-    leaseDuration: times.leaseDuration,
+    leaseDuration: scheduleTimes.leaseDuration,
     store,
   });
 }
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -1,4 +1,4 @@
-/** Plays one schedule: control nodes with the shipped code, the control state, the platform, and troubles. */
+/** Plays one duty schedule: control nodes with the production code, models of the control state and the platform, and faults. */
 import type { CallOutcome, DutyCall } from '@tansypost/duty-log';
 import type { Address, Message } from '@tansypost/inner-protocol';
 import { createDraw, type Draw } from './draw.js';
@@ -7,55 +7,55 @@
 import { orderSubjects } from './sample-duties.js';
 import { createRuleChecker, type BrokenRule, type RuleChecker } from './rules.js';
 import { createScheduler, type Scheduler } from './scheduler.js';
-import { times, type DutyScope } from './scope.js';
+import { scheduleTimes, type DutyScope } from './scope.js';
 import { createStoredRecords } from './stored-record.js';
 import { scheduleFaults, maybeInjectFault, type FaultInjectionRun } from './faults.js';
 
-/** What became of a schedule. */
-export interface DutyVerdict {
+/** The result of a schedule. */
+export interface DutyScheduleResult {
   readonly broken: BrokenRule | undefined;
   readonly steps: number;
   readonly calls: number;
-  /** Calls refused for their fence. */
+  /** The number of calls that the platform did not accept. */
   readonly fenced: number;
-  /** How often the calls of one duty came from another holder than the ones before. */
+  /** How often a call of a duty came from another leader than the call of that duty before it. */
   readonly takeovers: number;
 }
 
 interface Run extends FaultInjectionRun {
   readonly scheduler: Scheduler;
   readonly draw: Draw;
-  readonly watch: RuleChecker;
+  readonly ruleChecker: RuleChecker;
   readonly platform: PlatformModel;
 }
 
-const second = 1_000_000;
+const secondUs = 1_000_000;
 const seedStride = 7919;
-const messageLost = 0.02;
-const oneWay = { least: 300, most: 25_000 } as const;
-const callOneWay = { least: 1_000, most: 60_000, late: 500_000, lateChance: 0.08 } as const;
-const heldByFreeze = 0.5;
-const largestOrder = 9;
-/** Reports that may be open before no more are planned, drawn for each schedule. */
-const openReports = [1, 4, 30] as const;
-const ordersChange = { least: 0.5 * second, most: 12 * second } as const;
+const messageLossProbability = 0.02;
+const messageDelayUs = { least: 300, most: 25_000 } as const;
+const callDelayUs = { least: 1_000, most: 60_000, late: 500_000, lateChance: 0.08 } as const;
+const heldByFreezeProbability = 0.5;
+const maxOrderedNumber = 9;
+/** The choices, one for each schedule, for how many reports may be open before no more are planned. */
+const maxOpenReportChoices = [1, 4, 30] as const;
+const orderChangeIntervalUs = { least: 0.5 * secondUs, most: 12 * secondUs } as const;
 
-/** Plays a schedule to its end, or to the first broken rule. */
-export async function playDutySchedule(scope: DutyScope): Promise<DutyVerdict> {
-  const wanted = new Map<string, number>(orderSubjects.map((subject) => [subject, 1]));
-  const run = createRun(scope, wanted);
-  for (const node of run.nodes) startNode(run.cluster, node, -times.leaseDuration);
+/** Plays a schedule to its end or to the first broken rule. */
+export async function playDutySchedule(scope: DutyScope): Promise<DutyScheduleResult> {
+  const desiredNumbers = new Map<string, number>(orderSubjects.map((subject) => [subject, 1]));
+  const run = createRun(scope, desiredNumbers);
+  for (const node of run.nodes) startNode(run.cluster, node, -scheduleTimes.leaseDuration);
   scheduleFaults(run);
-  letOrdersChange(run, wanted);
-  await run.scheduler.runUntil(times.end, () => run.watch.broken() !== undefined);
-  if (run.watch.broken() === undefined) run.watch.end(times.end, wanted);
+  scheduleOrderChanges(run, desiredNumbers);
+  await run.scheduler.runUntil(scheduleTimes.end, () => run.ruleChecker.broken() !== undefined);
+  if (run.ruleChecker.broken() === undefined) run.ruleChecker.end(scheduleTimes.end, desiredNumbers);
   for (const node of run.nodes) node.runner?.stop();
-  return verdictOf(run);
+  return resultOf(run);
 }
 
-function verdictOf({ watch, scheduler, platform }: Run): DutyVerdict {
+function resultOf({ ruleChecker: watch, scheduler, platform }: Run): DutyScheduleResult {
   const { calls } = platform;
-  const changes = calls.filter((call, index) => {
+  const takeovers = calls.filter((call, index) => {
     const before = calls
       .slice(0, index)
       .filter((other) => other.duty === call.duty)
@@ -67,24 +67,24 @@
     steps: scheduler.steps(),
     calls: calls.length,
     fenced: calls.filter((call) => !call.isAccepted).length,
-    takeovers: changes.length,
+    takeovers: takeovers.length,
   };
 }
 
-function createRun(scope: DutyScope, wanted: ReadonlyMap<string, number>): Run {
+function createRun(scope: DutyScope, desiredNumbers: ReadonlyMap<string, number>): Run {
   const scheduler = createScheduler();
-  const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= times.faultsEndAt);
+  const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= scheduleTimes.faultsEndAt);
   const nodes = Array.from({ length: scope.nodes }).map((_empty, slot) => createDutyNode(slot));
-  const watch = createRuleChecker(scope, (holder, from, until) => wasInTouch(nodes, holder, from, until));
-  const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, watch.arrived);
-  const records = createStoredRecords(scheduler, draw, watch.written, watch.read);
+  const watch = createRuleChecker(scope, (holder, from, until) => wasReachable(nodes, holder, from, until));
+  const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, watch.observeArrival);
+  const records = createStoredRecords(scheduler, draw, watch.observeWrite, watch.observeRead);
   let membershipEpoch = 1;
   const cluster: DutyCluster = {
     scheduler,
     draw,
     records,
-    desiredNumbers: wanted,
-    maxOpenReports: draw.oneOf(openReports),
+    desiredNumbers: desiredNumbers,
+    maxOpenReports: draw.oneOf(maxOpenReportChoices),
     membership: () => ({
       membershipEpoch,
       replicas: nodes.map(({ slot, address, disk }) => ({ slot, address, disk: disk.id })),
@@ -96,11 +96,11 @@
   function membershipChanged(): void {
     membershipEpoch += 1;
   }
-  const run: Run = { scope, scheduler, draw, watch, platform, cluster, nodes, membershipChanged };
+  const run: Run = { scope, scheduler, draw, ruleChecker: watch, platform, cluster, nodes, membershipChanged };
   return run;
 }
 
-function wasInTouch(nodes: readonly DutyNode[], holder: string, from: number, until: number): boolean {
+function wasReachable(nodes: readonly DutyNode[], holder: string, from: number, until: number): boolean {
   const node = nodes.find((each) => each.name === holder);
   return node !== undefined && node.faults.every((span) => span.until < from || span.from > until);
 }
@@ -108,8 +108,8 @@
 function send({ nodes, scheduler, draw }: Run, from: DutyNode, to: Address, message: Message): void {
   const target = nodes.find((node) => node.address === to);
   const isCut = target !== from && [from, target].some((node) => node?.cutFromControlCluster || node?.cutFromVoters);
-  if (target === undefined || !from.alive || isCut || draw.faultChance(messageLost)) return;
-  scheduler.after(draw.between(oneWay.least, oneWay.most), () => {
+  if (target === undefined || !from.alive || isCut || draw.faultChance(messageLossProbability)) return;
+  scheduler.after(draw.between(messageDelayUs.least, messageDelayUs.most), () => {
     if (target.alive) inProcess(target)(() => receive(target, message));
   });
 
@@ -124,21 +124,21 @@
   }
 }
 
-/** A call goes on its way; what befalls its sender meanwhile may hold it. */
+/** Sends a call to the platform; a fault of the sender may hold the call in transit. */
 function makeCall(run: Run, from: DutyNode, call: DutyCall, answer: (outcome: CallOutcome) => void): void {
-  const { scheduler, draw, watch, platform } = run;
+  const { scheduler, draw, ruleChecker: watch, platform } = run;
   const sentAt = scheduler.now();
-  watch.sent(call, sentAt, `${from.name}/${from.incarnation}`);
-  const most = draw.faultChance(callOneWay.lateChance) ? callOneWay.late : callOneWay.most;
+  watch.observeSend(call, sentAt, `${from.name}/${from.incarnation}`);
+  const most = draw.faultChance(callDelayUs.lateChance) ? callDelayUs.late : callDelayUs.most;
   const deliver = inProcess(from);
-  const mayBeHeld = draw.chance(heldByFreeze);
-  scheduler.after(draw.between(callOneWay.least, most), arrive);
+  const mayBeHeld = draw.chance(heldByFreezeProbability);
+  scheduler.after(draw.between(callDelayUs.least, most), arrive);
   maybeInjectFault(run, from);
 
   function arrive(): void {
     const isHeld = (from.frozen && mayBeHeld) || from.cutFromPlatform;
-    if (isHeld) return void scheduler.after(draw.between(callOneWay.least, callOneWay.late), arrive);
-    const wasHeld = scheduler.now() - sentAt > callOneWay.late;
+    if (isHeld) return void scheduler.after(draw.between(callDelayUs.least, callDelayUs.late), arrive);
+    const wasHeld = scheduler.now() - sentAt > callDelayUs.late;
     platform.arrive(call, sentAt, wasHeld, (outcome) => {
       if (!from.cutFromPlatform) deliver(() => receiveAnswer(outcome));
     });
@@ -146,17 +146,17 @@
   }
 
   function receiveAnswer(outcome: CallOutcome): void {
-    if (outcome === 'fenced') watch.fenced(call);
+    if (outcome === 'fenced') watch.observeFenced(call);
     answer(outcome);
     maybeInjectFault(run, from);
   }
 }
 
-function letOrdersChange({ scheduler, draw }: Run, wanted: Map<string, number>): void {
+function scheduleOrderChanges({ scheduler, draw }: Run, wanted: Map<string, number>): void {
   function change(): void {
-    if (scheduler.now() >= times.faultsEndAt) return;
-    wanted.set(draw.oneOf(orderSubjects), 1 + Math.floor(draw.number() * largestOrder));
-    scheduler.after(draw.between(ordersChange.least, ordersChange.most), change);
+    if (scheduler.now() >= scheduleTimes.faultsEndAt) return;
+    wanted.set(draw.oneOf(orderSubjects), 1 + Math.floor(draw.number() * maxOrderedNumber));
+    scheduler.after(draw.between(orderChangeIntervalUs.least, orderChangeIntervalUs.most), change);
   }
-  scheduler.after(draw.between(ordersChange.least, ordersChange.most), change);
+  scheduler.after(draw.between(orderChangeIntervalUs.least, orderChangeIntervalUs.most), change);
 }
--- a/packages/model-checker/src/duties/event-heap.ts
+++ b/packages/model-checker/src/duties/event-heap.ts
@@ -1,18 +1,18 @@
-/** A binary heap of planned events, the next one first. */
+/** A binary min-heap of planned events. */
 
-/** What is to happen, and when, in microseconds. */
+/** A callback and its time, in microseconds. */
 export interface PlannedEvent {
   readonly at: number;
-  /** Breaks ties. */
+  /** Breaks ties between equal times. */
   readonly order: number;
   readonly run: () => void;
   cancelled: boolean;
 }
 
-/** The events that are to come. */
+/** The pending events. */
 export interface EventHeap {
   readonly push: (event: PlannedEvent) => void;
-  /** Takes the next event out. */
+  /** Removes and returns the next event. */
   readonly pop: () => PlannedEvent;
   readonly next: () => PlannedEvent | undefined;
 }
@@ -21,7 +21,7 @@
   return a.at < b.at || (a.at === b.at && a.order < b.order);
 }
 
-/** A heap without events. */
+/** An empty heap. */
 export function createEventHeap(): EventHeap {
   const heap: PlannedEvent[] = [];
 
--- a/packages/model-checker/src/duties/faults.ts
+++ b/packages/model-checker/src/duties/faults.ts
@@ -1,63 +1,70 @@
-/** What befalls the nodes and the platform in a run, drawn between any two steps of a duty and at any other time. */
+/** Random faults of nodes and the platform, injected between any two steps of a duty and at random other times. */
 import type { DutyCluster, DutyNode } from './duty-node.js';
 import { startNode, startVoter } from './duty-node.js';
 import type { PlatformModel, PlatformCondition } from './platform-model.js';
 import { orderDuty, reportDuty } from './sample-duties.js';
-import { times, type DutyScope } from './scope.js';
+import { scheduleTimes, type DutyScope } from './scope.js';
 
-/** The run that troubles come over. */
+/** The parts of a run that fault injection uses. */
 export interface FaultInjectionRun {
   readonly scope: DutyScope;
   readonly cluster: DutyCluster;
   readonly nodes: readonly DutyNode[];
   readonly platform: PlatformModel;
-  /** A disk was lost: its slot has a new one. */
+  /** Called when a slot's disk was lost and replaced. */
   readonly membershipChanged: () => void;
 }
 
-type Trouble = (run: FaultInjectionRun, node: DutyNode) => void;
+type FaultInjector = (run: FaultInjectionRun, node: DutyNode) => void;
 
-const second = 1_000_000;
-const shortest = 0.1 * second;
-const longest = 9 * second;
-const moods: readonly PlatformCondition[] = ['busy', 'slow', 'down', 'deaf'];
-const diskLost = 0.4;
-const memberReplaced = 0.5;
-const forgets = 0.7;
-const forgetEvery = { least: 0.2 * second, most: 1.5 * second } as const;
-const troublePerStep = 0.04;
-const quietBetween = { least: 0.2 * second, most: 5 * second } as const;
+const secondUs = 1_000_000;
+const minFaultUs = 0.1 * secondUs;
+const maxFaultUs = 9 * secondUs;
+const faultyConditions: readonly PlatformCondition[] = ['busy', 'slow', 'down', 'deaf'];
+const diskLossProbability = 0.4;
+const memberReplacedProbability = 0.5;
+const voterForgetsProbability = 0.7;
+const forgetIntervalUs = { least: 0.2 * secondUs, most: 1.5 * secondUs } as const;
+const faultProbabilityPerStep = 0.04;
+const faultIntervalUs = { least: 0.2 * secondUs, most: 5 * secondUs } as const;
 
-/** Lets troubles come until the calm, each ended by then. */
+/** Schedules random faults until the fault phase is over; each fault ends by then. */
 export function scheduleFaults(run: FaultInjectionRun): void {
   const { scheduler, draw } = run.cluster;
   function next(): void {
-    if (scheduler.now() >= times.faultsEndAt) return;
-    drawTrouble(run, draw.oneOf(run.nodes));
-    scheduler.after(draw.between(quietBetween.least, quietBetween.most), next);
+    if (scheduler.now() >= scheduleTimes.faultsEndAt) return;
+    injectRandomFault(run, draw.oneOf(run.nodes));
+    scheduler.after(draw.between(faultIntervalUs.least, faultIntervalUs.most), next);
   }
-  scheduler.after(draw.between(quietBetween.least, quietBetween.most), next);
+  scheduler.after(draw.between(faultIntervalUs.least, faultIntervalUs.most), next);
 }
 
-/** A step of a duty was done at the node: something may befall it right now. */
+/** Called after a step of a duty at a node; may inject a fault right now. */
 export function maybeInjectFault(run: FaultInjectionRun, node: DutyNode): void {
   const { scheduler, draw } = run.cluster;
-  if (scheduler.now() < times.faultsEndAt && draw.chance(troublePerStep)) drawTrouble(run, node);
+  if (scheduler.now() < scheduleTimes.faultsEndAt && draw.chance(faultProbabilityPerStep)) injectRandomFault(run, node);
 }
 
-function drawTrouble(run: FaultInjectionRun, node: DutyNode): void {
-  const troubles: Trouble[] = [kill, freeze, cutCore, cutVoters, cutAll, upsetPlatform];
-  if (run.scope.leasesOverlap) troubles.push(forgetVotes, forgetVotes);
-  run.cluster.draw.oneOf(troubles)(run, node);
+function injectRandomFault(run: FaultInjectionRun, node: DutyNode): void {
+  const injectors: FaultInjector[] = [
+    kill,
+    freeze,
+    cutFromControlCluster,
+    cutFromVoters,
+    cutFromAll,
+    changePlatformCondition,
+  ];
+  if (run.scope.leasesOverlap) injectors.push(forgetVotes, forgetVotes);
+  run.cluster.draw.oneOf(injectors)(run, node);
 }
 
-/** Notes that something befalls the node, and ends it after a drawn time, in the calm at the latest. */
-function forSomeTime({ cluster }: FaultInjectionRun, node: DutyNode, end: () => void): void {
+/** Records a fault of the node and ends it after a random time, at the latest when the fault phase ends. */
+function endLater({ cluster }: FaultInjectionRun, node: DutyNode, end: () => void): void {
   const { scheduler, draw } = cluster;
-  const lasts = Math.min(draw.between(shortest, longest), times.faultsEndAt - scheduler.now());
+  const durationUs = Math.min(draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt - scheduler.now());
   const span = { from: scheduler.now(), until: Infinity };
   node.faults.push(span);
-  scheduler.after(lasts, () => {
+  scheduler.after(durationUs, () => {
     span.until = scheduler.now();
     end();
   });
@@ -68,17 +75,17 @@
   node.alive = false;
   node.incarnation += 1;
   node.runner?.stop();
-  forSomeTime(run, node, () => {
+  endLater(run, node, () => {
     const { scheduler, draw } = run.cluster;
-    if (draw.chance(diskLost)) loseDisk(run, node);
+    if (draw.chance(diskLossProbability)) loseDisk(run, node);
     startNode(run.cluster, node, scheduler.now());
   });
 }
 
-/** The slot gets a blank disk, and perhaps another member. */
+/** Gives the slot an empty disk, and with some probability a new member. */
 function loseDisk(run: FaultInjectionRun, node: DutyNode): void {
   const id = `node${node.slot}/${node.incarnation + 1}`;
-  if (run.cluster.draw.chance(memberReplaced)) node.name = id;
+  if (run.cluster.draw.chance(memberReplacedProbability)) node.name = id;
   node.disk = { id, epochs: new Map() };
   run.membershipChanged();
 }
@@ -87,12 +94,12 @@
   if (!node.alive || node.frozen) return;
   const { incarnation } = node;
   node.frozen = true;
-  forSomeTime(run, node, () => {
+  endLater(run, node, () => {
     if (node.incarnation === incarnation) thaw(run, node);
   });
 }
 
-/** What waited runs in its order, each after what the promises of the one before do. */
+/** Runs the held callbacks in order, each after the promise callbacks of the one before. */
 function thaw({ cluster }: FaultInjectionRun, node: DutyNode): void {
   const { incarnation } = node;
   node.frozen = false;
@@ -103,56 +110,56 @@
   }
 }
 
-function cutCore(run: FaultInjectionRun, node: DutyNode): void {
+function cutFromControlCluster(run: FaultInjectionRun, node: DutyNode): void {
   if (node.cutFromControlCluster) return;
   node.cutFromControlCluster = true;
-  forSomeTime(run, node, () => {
+  endLater(run, node, () => {
     node.cutFromControlCluster = false;
   });
 }
 
-function cutVoters(run: FaultInjectionRun, node: DutyNode): void {
+function cutFromVoters(run: FaultInjectionRun, node: DutyNode): void {
   if (node.cutFromVoters) return;
   node.cutFromVoters = true;
-  forSomeTime(run, node, () => {
+  endLater(run, node, () => {
     node.cutFromVoters = false;
   });
 }
 
-function cutAll(run: FaultInjectionRun, node: DutyNode): void {
-  cutCore(run, node);
+function cutFromAll(run: FaultInjectionRun, node: DutyNode): void {
+  cutFromControlCluster(run, node);
   if (node.cutFromPlatform) return;
   node.cutFromPlatform = true;
-  forSomeTime(run, node, () => {
+  endLater(run, node, () => {
     node.cutFromPlatform = false;
   });
 }
 
-function upsetPlatform({ cluster, platform }: FaultInjectionRun): void {
+function changePlatformCondition({ cluster, platform }: FaultInjectionRun): void {
   const { scheduler, draw } = cluster;
   const duty = draw.oneOf([reportDuty, orderDuty]);
-  platform.conditions.set(duty, draw.oneOf(moods));
-  const lasts = Math.min(draw.between(shortest, longest), times.faultsEndAt - scheduler.now());
+  platform.conditions.set(duty, draw.oneOf(faultyConditions));
+  const lasts = Math.min(draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt - scheduler.now());
   scheduler.after(lasts, () => void platform.conditions.set(duty, 'well'));
 }
 
-/** For some time, most voters lose their disks and vote again at once, as no fault within the budget makes them. */
+/** For some time, most voters lose their disks and vote again at once, which no fault within the fault budget causes. */
 function forgetVotes(run: FaultInjectionRun): void {
   const { scheduler, draw } = run.cluster;
-  const until = Math.min(scheduler.now() + draw.between(shortest, longest), times.faultsEndAt);
-  function again(): void {
+  const until = Math.min(scheduler.now() + draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt);
+  function forgetAndRepeat(): void {
     if (scheduler.now() >= until) return;
     forgetOnce(run);
-    scheduler.after(draw.between(forgetEvery.least, forgetEvery.most), again);
+    scheduler.after(draw.between(forgetIntervalUs.least, forgetIntervalUs.most), forgetAndRepeat);
   }
-  again();
+  forgetAndRepeat();
 }
 
 function forgetOnce({ cluster, nodes }: FaultInjectionRun): void {
   const world = { now: () => cluster.scheduler.now() as never };
   for (const node of nodes) {
-    if (!node.alive || !cluster.draw.chance(forgets)) continue;
+    if (!node.alive || !cluster.draw.chance(voterForgetsProbability)) continue;
     node.disk.epochs.clear();
-    startVoter(cluster, node, world, -times.leaseDuration);
+    startVoter(cluster, node, world, -scheduleTimes.leaseDuration);
   }
 }
--- a/packages/model-checker/src/duties/platform-model.ts
+++ b/packages/model-checker/src/duties/platform-model.ts
@@ -1,47 +1,47 @@
 /**
- * A stand-in for the platform's calls: it notes each call in the order of arrival, compares fences where asked to, and
- * may be busy, slow or down for each duty, and lose answers.
+ * A model of the platform API: it records each call in the order of arrival, optionally compares fences, may be busy,
+ * slow or down for each duty, and may lose answers.
  */
 import type { CallOutcome, DutyCall } from '@tansypost/duty-log';
 import type { Draw } from './draw.js';
 import type { Scheduler } from './scheduler.js';
 
-/** How the platform treats the calls of one duty. `deaf`: it carries them out and does not answer. */
+/** How the platform treats the calls of one duty. `deaf` executes them but does not answer. */
 export type PlatformCondition = 'well' | 'busy' | 'slow' | 'down' | 'deaf';
 
-/** A call as it arrived. */
+/** A call as it arrived at the platform. */
 export interface ArrivedCall extends DutyCall {
   readonly sentAt: number;
   readonly at: number;
   readonly isAccepted: boolean;
-  /** Whether its sender was frozen, cut off or killed while it was on its way. */
+  /** Whether a fault of its sender held the call in transit. */
   readonly wasHeld: boolean;
 }
 
-/** The platform. */
+/** The model of the platform. */
 export interface PlatformModel {
   readonly conditions: Map<string, PlatformCondition>;
   readonly calls: readonly ArrivedCall[];
-  /** Takes in a call now, and gives the answer later or never. */
+  /** Receives a call now and answers later or never. */
   readonly arrive: (call: DutyCall, sentAt: number, wasHeld: boolean, answer: (outcome: CallOutcome) => void) => void;
 }
 
-const answerLost = 0.05;
-const usualAnswer = { least: 1_000, most: 40_000 } as const;
-const slowAnswer = { least: 400_000, most: 4_000_000 } as const;
+const answerLossProbability = 0.05;
+const answerDelayUs = { least: 1_000, most: 40_000 } as const;
+const slowAnswerDelayUs = { least: 400_000, most: 4_000_000 } as const;
 
-/** A platform that works, and tells each call that it takes in. */
+/** A working platform; `onArrival` is called with each call that it receives. */
 export function createPlatformModel(
   scheduler: Scheduler,
   draw: Draw,
   fenceChecked: boolean,
-  arrived: (call: ArrivedCall) => void,
+  onArrival: (call: ArrivedCall) => void,
 ): PlatformModel {
-  const moods = new Map<string, PlatformCondition>();
+  const conditions = new Map<string, PlatformCondition>();
   const calls: ArrivedCall[] = [];
   const highestFence = new Map<string, number>();
 
-  function take(call: DutyCall): CallOutcome {
+  function decide(call: DutyCall): CallOutcome {
     const key = `${call.duty} ${call.subject}`;
     const highest = highestFence.get(key) ?? 0;
     highestFence.set(key, Math.max(highest, call.fence));
@@ -49,16 +49,16 @@
   }
 
   function arrive(call: DutyCall, sentAt: number, wasHeld: boolean, answer: (outcome: CallOutcome) => void): void {
-    const mood = moods.get(call.duty) ?? 'well';
-    if (mood === 'down') return;
-    const outcome = mood === 'busy' ? 'busy' : take(call);
-    const seen = { ...call, sentAt, at: scheduler.now(), isAccepted: outcome === 'accepted', wasHeld };
-    calls.push(seen);
-    arrived(seen);
-    if (mood === 'deaf' || draw.faultChance(answerLost)) return;
-    const { least, most } = mood === 'slow' ? slowAnswer : usualAnswer;
+    const condition = conditions.get(call.duty) ?? 'well';
+    if (condition === 'down') return;
+    const outcome = condition === 'busy' ? 'busy' : decide(call);
+    const arrival = { ...call, sentAt, at: scheduler.now(), isAccepted: outcome === 'accepted', wasHeld };
+    calls.push(arrival);
+    onArrival(arrival);
+    if (condition === 'deaf' || draw.faultChance(answerLossProbability)) return;
+    const { least, most } = condition === 'slow' ? slowAnswerDelayUs : answerDelayUs;
     scheduler.after(draw.between(least, most), () => answer(outcome));
   }
 
-  return { conditions: moods, calls, arrive };
+  return { conditions: conditions, calls, arrive };
 }
--- a/packages/model-checker/src/duties/rules.ts
+++ b/packages/model-checker/src/duties/rules.ts
@@ -1,20 +1,20 @@
-/** What must hold of the calls of duties, as the platform and the control state see them. */
+/** Rules for the calls of duties, checked on what the platform and the control state observe. */
 import type { StoredVersion } from '@tansypost/control-feed';
 import { decodeDutyRecord, type DutyCall } from '@tansypost/duty-log';
 import * as E from 'fp-ts/lib/Either.js';
 import type { ArrivedCall } from './platform-model.js';
 import { lastEndedWindow, orderDuty, orderSubjects, reportOf, reportDuty } from './sample-duties.js';
-import { callsPerSecond, times, type DutyScope } from './scope.js';
+import { callsPerSecond, scheduleTimes, type DutyScope } from './scope.js';
 
 /** A broken rule. */
 export interface BrokenRule {
   readonly rule:
-    | 'one content'
-    | 'one fence'
+    | 'one content per report'
+    | 'one leader per fence'
     | 'turns'
-    | 'between holders'
+    | 'takeover gap'
     | 'rising fences'
-    | 'written before'
+    | 'intent written first'
     | 'term ends'
     | 'pace'
     | 'owed'
@@ -23,122 +23,122 @@
   readonly detail: string;
 }
 
-/** Watches a run. */
+/** Observes a run and checks the rules. */
 export interface RuleChecker {
   readonly broken: () => BrokenRule | undefined;
-  /** A record was written. */
-  readonly written: (key: string, stored: StoredVersion) => void;
-  /** A node has read a record. */
-  readonly read: (holder: string, key: string, stored: StoredVersion) => void;
-  /** A process makes a call. */
-  readonly sent: (call: DutyCall, now: number, process: string) => void;
-  /** A holder was told that a higher fence was seen. */
-  readonly fenced: (call: DutyCall) => void;
-  readonly arrived: (call: ArrivedCall) => void;
+  /** A duty record was written. */
+  readonly observeWrite: (key: string, stored: StoredVersion) => void;
+  /** A node has read a duty record. */
+  readonly observeRead: (holder: string, key: string, stored: StoredVersion) => void;
+  /** A process sends a call. */
+  readonly observeSend: (call: DutyCall, now: number, process: string) => void;
+  /** A leader was answered that the platform has seen a higher fence. */
+  readonly observeFenced: (call: DutyCall) => void;
+  readonly observeArrival: (call: ArrivedCall) => void;
   /** The run is over; `wanted` is what the orders were to be. */
-  readonly end: (now: number, wanted: ReadonlyMap<string, number>) => void;
+  readonly end: (now: number, desiredNumbers: ReadonlyMap<string, number>) => void;
 }
 
-interface WatchState {
+interface CheckerState {
   readonly scope: DutyScope;
-  readonly wasInTouch: (holder: string, from: number, until: number) => boolean;
+  readonly wasReachable: (holder: string, from: number, until: number) => boolean;
   readonly accepted: ArrivedCall[];
-  readonly holders: Map<string, string>;
+  readonly holderByFence: Map<string, string>;
   readonly written: Set<string>;
-  /** By the id of a term: the version of the write that began it. */
-  readonly fences: Map<string, number>;
-  /** Terms by duty, fence and holder, as the records say. */
+  /** The version of the write that began a term, by the term's id. */
+  readonly fenceByTermId: Map<string, number>;
+  /** The terms that appear in records, by duty, fence and leader. */
   readonly ownFences: Set<string>;
-  /** By holder and duty: the newest fence of another's term that it has read. */
+  /** The fence of the term that a leader last read from a duty's record, by leader and duty. */
   readonly newestRead: Map<string, number>;
   readonly fenced: Set<string>;
-  readonly sends: Map<string, number[]>;
+  readonly sendTimesByProcess: Map<string, number[]>;
   broken: BrokenRule | undefined;
 }
 
-const second = 1_000_000;
-/** Windows that end so shortly before the end of a run need not be reported in it. */
-const slack = 6 * second;
+const secondUs = 1_000_000;
+/** Windows that end within this time before the end of a run need not be reported in it. */
+const reportSlackUs = 6 * secondUs;
 
 /** A watch; `wasInTouch` tells whether nothing befell a holder in a span of time. */
 export function createRuleChecker(
   scope: DutyScope,
   wasInTouch: (holder: string, from: number, until: number) => boolean,
 ): RuleChecker {
-  const state: WatchState = {
+  const state: CheckerState = {
     scope,
-    wasInTouch,
+    wasReachable: wasInTouch,
     accepted: [],
-    holders: new Map(),
+    holderByFence: new Map(),
     written: new Set(),
-    fences: new Map(),
+    fenceByTermId: new Map(),
     ownFences: new Set(),
     newestRead: new Map(),
     fenced: new Set(),
-    sends: new Map(),
+    sendTimesByProcess: new Map(),
     broken: undefined,
   };
   return {
     broken: () => state.broken,
-    written: (key, stored) => noteWritten(state, key, stored),
-    read: (holder, key, stored) => noteRead(state, holder, key, stored),
-    sent: (call, now, process) => checkSent(state, call, now, process),
-    fenced: (call) => void state.fenced.add(termOf(call)),
-    arrived: (call) => checkArrived(state, call),
+    observeWrite: (key, stored) => handleWrite(state, key, stored),
+    observeRead: (holder, key, stored) => handleRead(state, holder, key, stored),
+    observeSend: (call, now, process) => checkSent(state, call, now, process),
+    observeFenced: (call) => void state.fenced.add(termKey(call)),
+    observeArrival: (call) => checkArrived(state, call),
     end: (now, wanted) => checkEnd(state, now, wanted),
   };
 }
 
-function breakRule(state: WatchState, rule: BrokenRule['rule'], detail: string): void {
+function breakRule(state: CheckerState, rule: BrokenRule['rule'], detail: string): void {
   state.broken ??= { rule, detail: detail };
 }
 
-function termOf({ duty, fence, holder }: Pick<DutyCall, 'duty' | 'fence' | 'holder'>): string {
+function termKey({ duty, fence, holder }: Pick<DutyCall, 'duty' | 'fence' | 'holder'>): string {
   return `${duty} ${fence} ${holder}`;
 }
 
-function told({ duty, subject, content, holder, fence }: DutyCall): string {
+function describeCall({ duty, subject, content, holder, fence }: DutyCall): string {
   return `${duty} ${subject} ${content} by ${holder} under ${fence}`;
 }
 
-function noteWritten(state: WatchState, key: string, { version, value }: StoredVersion): void {
+function handleWrite(state: CheckerState, key: string, { version, value }: StoredVersion): void {
   const record = decodeDutyRecord(value);
-  if (E.isLeft(record)) return breakRule(state, 'written before', record.left);
+  if (E.isLeft(record)) return breakRule(state, 'intent written first', record.left);
   const { term, open } = record.right;
-  if (term !== null && !state.fences.has(term.id)) {
-    state.fences.set(term.id, version);
-    state.ownFences.add(termOf({ duty: dutyOf(key), fence: version, holder: term.holder }));
+  if (term !== null && !state.fenceByTermId.has(term.id)) {
+    state.fenceByTermId.set(term.id, version);
+    state.ownFences.add(termKey({ duty: dutyOf(key), fence: version, holder: term.holder }));
   }
   for (const { subject, content } of open) state.written.add(`${dutyOf(key)} ${subject} ${content}`);
 }
 
-function noteRead(state: WatchState, holder: string, key: string, { value }: StoredVersion): void {
+function handleRead(state: CheckerState, holder: string, key: string, { value }: StoredVersion): void {
   const record = decodeDutyRecord(value);
   const term = E.isRight(record) ? record.right.term : null;
-  if (term !== null) state.newestRead.set(`${holder} ${dutyOf(key)}`, state.fences.get(term.id) ?? 0);
+  if (term !== null) state.newestRead.set(`${holder} ${dutyOf(key)}`, state.fenceByTermId.get(term.id) ?? 0);
 }
 
 function dutyOf(key: string): string {
   return key.slice(key.indexOf('/') + 1);
 }
 
-function checkSent(state: WatchState, call: DutyCall, now: number, process: string): void {
+function checkSent(state: CheckerState, call: DutyCall, now: number, process: string): void {
   if (!state.written.has(`${call.duty} ${call.subject} ${call.content}`))
-    breakRule(state, 'written before', told(call));
+    breakRule(state, 'intent written first', describeCall(call));
   const newest = state.newestRead.get(`${call.holder} ${call.duty}`) ?? 0;
-  const isOver = call.fence < newest && state.ownFences.has(termOf(call));
-  if (state.fenced.has(termOf(call)) || isOver) breakRule(state, 'term ends', told(call));
-  const recent = (state.sends.get(process) ?? []).filter((at) => at > now - second);
+  const isSuperseded = call.fence < newest && state.ownFences.has(termKey(call));
+  if (state.fenced.has(termKey(call)) || isSuperseded) breakRule(state, 'term ends', describeCall(call));
+  const recent = (state.sendTimesByProcess.get(process) ?? []).filter((at) => at > now - secondUs);
   recent.push(now);
-  state.sends.set(process, recent);
+  state.sendTimesByProcess.set(process, recent);
   if (recent.length > callsPerSecond) breakRule(state, 'pace', `${recent.length} calls of ${process} in a second`);
 }
 
-function checkArrived(state: WatchState, call: ArrivedCall): void {
+function checkArrived(state: CheckerState, call: ArrivedCall): void {
   const fenceKey = `${call.duty} ${call.fence}`;
-  const holder = state.holders.get(fenceKey) ?? call.holder;
-  state.holders.set(fenceKey, holder);
-  if (holder !== call.holder) breakRule(state, 'one fence', `${fenceKey}: ${holder} and ${call.holder}`);
+  const holder = state.holderByFence.get(fenceKey) ?? call.holder;
+  state.holderByFence.set(fenceKey, holder);
+  if (holder !== call.holder) breakRule(state, 'one leader per fence', `${fenceKey}: ${holder} and ${call.holder}`);
   if (!call.isAccepted) return;
   const before = state.accepted.filter((other) => other.duty === call.duty && other.subject === call.subject);
   state.accepted.push(call);
@@ -148,54 +148,61 @@
   if (!state.scope.leasesOverlap) checkLease(state, call, before);
 }
 
-function checkReport(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
+function checkReport(state: CheckerState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
   const { window } = reportOf(call.content);
   const same = before.find((other) => reportOf(other.content).window === window);
   if (same === undefined) return checkOrder(state, call, before);
-  if (same.content !== call.content) breakRule(state, 'one content', `${told(same)}; ${told(call)}`);
+  if (same.content !== call.content)
+    breakRule(state, 'one content per report', `${describeCall(same)}; ${describeCall(call)}`);
 }
 
-/** Where fences are compared, an order does not come after a newer one that was accepted. */
-function checkNewest(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
+/** If fences are checked, no order is accepted after a newer one for the same subject. */
+function checkNewest(state: CheckerState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
   const newer = before.find((other) => other.sentAt > call.sentAt && other.content !== call.content);
-  if (state.scope.fenceChecked && newer !== undefined) breakRule(state, 'newest last', `${told(newer)}; ${told(call)}`);
+  if (state.scope.fenceChecked && newer !== undefined)
+    breakRule(state, 'newest last', `${describeCall(newer)}; ${describeCall(call)}`);
 }
 
-/** Windows arrive for the first time one after the other. */
-function checkOrder(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
+/** Windows arrive for the first time in order and without gaps. */
+function checkOrder(state: CheckerState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
   const newest = Math.max(-1, ...before.map((other) => reportOf(other.content).window));
-  if (reportOf(call.content).window !== newest + 1) breakRule(state, 'in order', `${told(call)} after ${newest}`);
+  if (reportOf(call.content).window !== newest + 1)
+    breakRule(state, 'in order', `${describeCall(call)} after ${newest}`);
 }
 
-/** No A, B, A within the time between holders, while both are in touch. */
-function checkTurns(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
-  const recent = before.filter((other) => call.at - other.at < times.minTakeoverGap && !other.wasHeld);
+/** No calls of leaders A, B, A in turn within the takeover gap while both are reachable. */
+function checkTurns(state: CheckerState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
+  const recent = before.filter((other) => call.at - other.at < scheduleTimes.minTakeoverGap && !other.wasHeld);
   if (call.wasHeld || recent.length === 0) return;
   const first = recent.find((other) => other.holder === call.holder);
   const between = recent.find((other) => other.holder !== call.holder && first !== undefined && other.at >= first.at);
   if (first === undefined || between === undefined) return;
-  const from = first.at - times.contactWindow;
-  const inTouch = [call.holder, between.holder].every((holder) => state.wasInTouch(holder, from, call.at));
-  if (inTouch) breakRule(state, 'turns', `${told(first)}; ${told(between)}; ${told(call)}`);
+  const from = first.at - scheduleTimes.contactWindow;
+  const inTouch = [call.holder, between.holder].every((holder) => state.wasReachable(holder, from, call.at));
+  if (inTouch) breakRule(state, 'turns', `${describeCall(first)}; ${describeCall(between)}; ${describeCall(call)}`);
 }
 
-/** What the lease gives: a pause between two holders, and fences that rise in the order of arrival. */
-function checkLease(state: WatchState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
+/** What the lease guarantees: a gap between two leaders, and fences that increase in the order of arrival. */
+function checkLease(state: CheckerState, call: ArrivedCall, before: readonly ArrivedCall[]): void {
   const last = before.filter((other) => !other.wasHeld).at(-1);
   if (last === undefined || call.wasHeld) return;
-  if (call.fence < last.fence) breakRule(state, 'rising fences', `${told(last)}; ${told(call)}`);
-  if (last.holder === call.holder || call.at - last.at >= times.minTakeoverGap) return;
-  breakRule(state, 'between holders', `${told(last)}; ${(call.at - last.at) / second} s later ${told(call)}`);
+  if (call.fence < last.fence) breakRule(state, 'rising fences', `${describeCall(last)}; ${describeCall(call)}`);
+  if (last.holder === call.holder || call.at - last.at >= scheduleTimes.minTakeoverGap) return;
+  breakRule(
+    state,
+    'takeover gap',
+    `${describeCall(last)}; ${(call.at - last.at) / secondUs} s later ${describeCall(call)}`,
+  );
 }
 
-function checkEnd(state: WatchState, now: number, wanted: ReadonlyMap<string, number>): void {
+function checkEnd(state: CheckerState, now: number, wanted: ReadonlyMap<string, number>): void {
   const reported = state.accepted
     .filter((call) => call.duty === reportDuty)
     .map((call) => reportOf(call.content).window);
   const newest = Math.max(-1, ...reported);
-  const due = lastEndedWindow(now - slack);
+  const due = lastEndedWindow(now - reportSlackUs);
   if (newest < due) breakRule(state, 'owed', `windows after ${newest} up to ${due}`);
-  // Where fences are not compared, an order that was overtaken may arrive last.
+  // If fences are not checked, a superseded order may arrive last.
   if (!state.scope.fenceChecked) return;
   for (const subject of orderSubjects) {
     const calls = state.accepted.filter((call) => call.duty === orderDuty && call.subject === subject);
--- a/packages/model-checker/src/duties/scheduler.ts
+++ b/packages/model-checker/src/duties/scheduler.ts
@@ -1,14 +1,14 @@
-/** Virtual time for runs with many nodes: events in the order of their time, each followed by all that its promises do. */
+/** Virtual time: events run in the order of their time, each followed by all pending promise callbacks. */
 import type { Cancel } from '@tansypost/inner-protocol';
 import { createEventHeap, type PlannedEvent } from './event-heap.js';
 
-/** The clock and what waits for it. */
+/** A virtual clock with its pending events. */
 export interface Scheduler {
   readonly now: () => number;
   readonly after: (delay: number, run: () => void) => Cancel;
-  /** Lets time pass until `until`, or until `ended` holds. */
+  /** Runs events up to the time `until`, or until `ended` returns true. */
   readonly runUntil: (until: number, ended: () => boolean) => Promise<void>;
-  /** How many events have run. */
+  /** The number of events that have run. */
   readonly steps: () => number;
 }
 
@@ -18,7 +18,7 @@
   });
 }
 
-/** A clock that stands at 0. */
+/** A scheduler at time 0. */
 export function createScheduler(): Scheduler {
   const heap = createEventHeap();
   let now = 0;
--- a/packages/model-checker/src/duties/scope.ts
+++ b/packages/model-checker/src/duties/scope.ts
@@ -1,47 +1,47 @@
-/** What one schedule of duties is played with. Times are microseconds. */
+/** The settings of one duty schedule. All times are in microseconds. */
 
-/** One schedule; the seed draws everything else. */
+/** The settings of one schedule; the seed determines everything else. */
 export interface DutyScope {
   readonly seed: number;
   readonly nodes: number;
-  /** Whether the platform refuses a fence that is lower than one seen. */
+  /** Whether the platform rejects a fence that is lower than one it has seen. */
   readonly fenceChecked: boolean;
   /**
-   * Whether voters may forget their grants and vote again at once, which no fault within the budget brings about: then
-   * two nodes hold the lease at once, and only what does not rest on the lease must hold.
+   * Whether voters may forget their grants and vote again at once, which no fault within the fault budget causes. Two
+   * nodes may then hold the lease at the same time, and only the rules that do not depend on the lease must hold.
    */
   readonly leasesOverlap: boolean;
 }
 
-const second = 1_000_000;
-/** Kinds of schedules, by the remainder of their seed. */
+const secondUs = 1_000_000;
+/** The kinds of schedules, by the remainder of the seed. */
 export const scopeKinds = { fencesChecked: 0, fencesUnchecked: 1, leasesOverlap: 2 } as const;
-/** How many kinds there are. */
+/** The number of kinds of schedules. */
 export const scopeKindCount = 3;
-const fewestNodes = 3;
-const sizes = 3;
+const minNodes = 3;
+const nodeCounts = 3;
 
-/** The times of all schedules. */
-export const times = {
-  leaseDuration: 4.5 * second,
-  minTakeoverGap: 3 * second,
-  /** Troubles end here, and what is owed is caught up in the rest. */
-  faultsEndAt: 40 * second,
-  end: 70 * second,
-  /** Without trouble for so long, a holder counts as in touch. */
-  contactWindow: 4 * second,
-  usageWindow: 2 * second,
-  callTimeout: 1.5 * second,
-  storeTimeout: 1.5 * second,
+/** Durations and points in time common to all schedules. */
+export const scheduleTimes = {
+  leaseDuration: 4.5 * secondUs,
+  minTakeoverGap: 3 * secondUs,
+  /** All faults end by this time; pending calls must be caught up in the rest of the schedule. */
+  faultsEndAt: 40 * secondUs,
+  end: 70 * secondUs,
+  /** A leader without faults for this long counts as reachable. */
+  contactWindow: 4 * secondUs,
+  usageWindow: 2 * secondUs,
+  callTimeout: 1.5 * secondUs,
+  storeTimeout: 1.5 * secondUs,
 } as const;
 
-/** Calls that one holder may make a second. */
+/** The maximum number of calls that one process may make per second. */
 export const callsPerSecond = 4;
 
-/** The schedule of a seed: 3 to 5 nodes, fences checked or not, leases sound or not. */
+/** The settings of a seed: 3 to 5 nodes, fences checked or not, leases exclusive or not. */
 export function scopeOf(seed: number): DutyScope {
   const kind = seed % scopeKindCount;
-  const nodes = fewestNodes + (Math.floor(seed / scopeKindCount) % sizes);
+  const nodes = minNodes + (Math.floor(seed / scopeKindCount) % nodeCounts);
   return {
     seed,
     nodes,
--- a/packages/model-checker/src/duties/stored-record.ts
+++ b/packages/model-checker/src/duties/stored-record.ts
@@ -1,98 +1,104 @@
 /**
- * A linearizable stand-in for the values of the control state: a write takes effect at one moment, on top of its base
- * or not at all. Questions and answers take time; an answer may be lost after the write took effect, and a write may
- * take effect long after its writer has given up waiting.
+ * A linearizable model of the control state's values: a write takes effect at one moment, on top of its expected version
+ * or not at all. Requests and answers take time; an answer may be lost after the write took effect, and a write may take
+ * effect long after its writer has timed out.
  */
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
 import type { Draw } from './draw.js';
-import { times } from './scope.js';
+import { scheduleTimes } from './scope.js';
 import type { Scheduler } from './scheduler.js';
 
-/** The values, and what was ever written. */
+/** The stored values by key. */
 export interface StoredRecords {
   readonly value: (key: string, caller: StoreCaller) => StoredValue;
   readonly newest: (key: string) => StoredVersion;
 }
 
-/** The node that asks. */
+/** The node that reads or writes. */
 export interface StoreCaller {
   readonly name: string;
-  /** Whether a question or an answer passes between it and a majority now. */
+  /** Whether messages pass between the node and a majority now. */
   readonly isConnected: () => boolean;
-  /** Runs something in the node's process: not if that has ended, and not before it thaws. */
+  /** Runs a callback in the node's process: never if that process has ended, and only after it thaws if frozen. */
   readonly inProcess: (run: () => void) => void;
-  /** A write took effect, or its answer came. */
+  /** Called when a write took effect and when its answer arrived. */
   readonly onStep: () => void;
   readonly after: (delay: number, run: () => void) => void;
 }
 
-/** Told of each write that takes effect. */
-export type WriteObserver = (key: string, written: StoredVersion) => void;
-/** Told of each value that a node gets to read. */
+/** Called with each write that takes effect. */
+export type WriteObserver = (key: string, onWrite: StoredVersion) => void;
+/** Called with each value that a node reads. */
 export type ReadObserver = (caller: string, key: string, read: StoredVersion) => void;
 
-const nothing: StoredVersion = { version: 0, value: Buffer.alloc(0) };
-const oneWay = { least: 500, most: 15_000 } as const;
-const lateEffect = { chance: 0.03, least: 1_000_000, most: 6_000_000 } as const;
-const answerLost = 0.03;
+const emptyValue: StoredVersion = { version: 0, value: Buffer.alloc(0) };
+const messageDelayUs = { least: 500, most: 15_000 } as const;
+const lateWrite = { chance: 0.03, least: 1_000_000, most: 6_000_000 } as const;
+const answerLossProbability = 0.03;
 
-/** Values that were never written. */
+/** A store without any values. */
 export function createStoredRecords(
   scheduler: Scheduler,
   draw: Draw,
   written: WriteObserver,
-  wasRead: ReadObserver,
+  onRead: ReadObserver,
 ): StoredRecords {
   const values = new Map<string, StoredVersion>();
 
   function newest(key: string): StoredVersion {
-    return values.get(key) ?? nothing;
+    return values.get(key) ?? emptyValue;
   }
 
-  function put(key: string, base: number, value: Buffer): number | undefined {
-    if (newest(key).version !== base) return undefined;
-    const next = { version: base + 1, value };
+  function put(key: string, expectedVersion: number, value: Buffer): number | undefined {
+    if (newest(key).version !== expectedVersion) return undefined;
+    const next = { version: expectedVersion + 1, value };
     values.set(key, next);
     written(key, next);
     return next.version;
   }
 
-  const ask = createAsking(scheduler, draw);
+  const request = createStoreRequester(scheduler, draw);
 
   function value(key: string, caller: StoreCaller): StoredValue {
     return {
       read: async () => {
-        const read = await ask(caller, false, () => newest(key));
-        if (read !== undefined) wasRead(caller.name, key, read);
+        const read = await request(caller, false, () => newest(key));
+        if (read !== undefined) onRead(caller.name, key, read);
         return read;
       },
-      write: (base, bytes) => ask(caller, true, () => put(key, base, bytes)),
+      write: (base, bytes) => request(caller, true, () => put(key, base, bytes)),
     };
   }
 
   return { value, newest };
 }
 
-type Asking = <Result>(caller: StoreCaller, isWrite: boolean, effect: () => Result) => Promise<Result | undefined>;
+type StoreRequester = <Result>(
+  caller: StoreCaller,
+  isWrite: boolean,
+  effect: () => Result,
+) => Promise<Result | undefined>;
 
-/** Lets an effect happen at the majority, and its result reach the caller, unless one of the two is lost. */
-function createAsking(scheduler: Scheduler, draw: Draw): Asking {
+/** Returns a function that applies an effect at the majority and returns its result, either of which may be lost. */
+function createStoreRequester(scheduler: Scheduler, draw: Draw): StoreRequester {
   return function ask<Result>(
     caller: StoreCaller,
     isWrite: boolean,
     effect: () => Result,
   ): Promise<Result | undefined> {
     return new Promise((done) => {
-      caller.after(times.storeTimeout, () => done(undefined));
+      caller.after(scheduleTimes.storeTimeout, () => done(undefined));
       if (!caller.isConnected()) return;
-      const isLate = isWrite && draw.faultChance(lateEffect.chance);
+      const isLate = isWrite && draw.faultChance(lateWrite.chance);
       scheduler.after(
-        isLate ? draw.between(lateEffect.least, lateEffect.most) : draw.between(oneWay.least, oneWay.most),
+        isLate
+          ? draw.between(lateWrite.least, lateWrite.most)
+          : draw.between(messageDelayUs.least, messageDelayUs.most),
         () => {
           const result = effect();
           if (isWrite) caller.onStep();
-          if (draw.faultChance(answerLost)) return;
-          scheduler.after(draw.between(oneWay.least, oneWay.most), () => {
+          if (draw.faultChance(answerLossProbability)) return;
+          scheduler.after(draw.between(messageDelayUs.least, messageDelayUs.most), () => {
             if (!caller.isConnected()) return;
             if (isWrite) caller.onStep();
             caller.inProcess(() => done(result));
--- a/packages/model-checker/src/final-checks.ts
+++ b/packages/model-checker/src/final-checks.ts
@@ -1,32 +1,35 @@
-/** The end of a run: all faults end, and after a while every machine is asked what is in force. */
+/** The end of a run: all faults end, and after a recovery period every machine must answer with the current value. */
 import type { Cluster } from './cluster.js';
 import { isLinearizable } from './linearizability.js';
 import type { RegisterValue } from './operation-history.js';
 import type { Violation } from './quorum-checks.js';
 
-/** Time for the core to heal after the last fault, before it is asked for the last time. */
+/** Time for the control cluster to recover after the last fault, before the final reads. */
 const recoveryTimeUs = 6_000_000;
 const maxSteps = 40_000;
-/** At a first start there are more machines, of which several keep asking to join. */
+/** Higher, as at a first start there are more machines, several of which keep asking to join. */
 const maxBootstrapSteps = 120_000;
 
-/** Lets the core heal and judges what it says then, and the whole history. */
+/** Lets the control cluster recover, then checks its answers and the whole history. */
 export async function runFinalChecks(cluster: Cluster): Promise<Violation | undefined> {
   for (const operator of cluster.operators) operator.stop();
   const broken = await recover(cluster, lastEndOfFault(cluster) + recoveryTimeUs);
   if (broken !== undefined) return broken;
   if (cluster.scope.statelessSeeds && !cluster.isBootstrapped()) return findUnexplainedWait(cluster);
-  const able = cluster.allMachines().filter((machine) => machine.access() !== undefined);
-  const reads = await Promise.all(able.map((machine) => readBack(cluster, machine.name)));
+  const answering = cluster.allMachines().filter((machine) => machine.access() !== undefined);
+  const reads = await Promise.all(answering.map((machine) => readBack(cluster, machine.name)));
   return reads.find((found) => found !== undefined) ?? checkFollowers(cluster) ?? checkHistory(cluster);
 }
 
-/** Where the faults left it unknown whether another cluster was founded, each machine waits and knows for what. */
+/** If the faults make it unknowable whether a cluster was bootstrapped, each running machine must report what it waits for. */
 function findUnexplainedWait(cluster: Cluster): Violation | undefined {
   const running = cluster.machines.filter((machine) => machine.process.alive);
   const unexplained = running.find((machine) => machine.host()?.core()?.replica.bootstrapWait() === undefined);
   if (unexplained === undefined) return undefined;
-  return { rule: 'says what it waits for', detail: `${unexplained.name} holds no state and does not say why` };
+  return {
+    rule: 'reports why it waits',
+    detail: `${unexplained.name} holds no state and does not report what it waits for`,
+  };
 }
 
 function lastEndOfFault({ kernel }: Cluster): number {
@@ -44,7 +47,7 @@
     if (broken !== undefined) return broken;
   }
   return {
-    rule: 'comes to rest',
+    rule: 'settles after faults',
     detail: `more than ${limit} steps until ${recoveryTimeUs / 1e6} s after the last fault`,
   };
 }
@@ -58,9 +61,12 @@
   });
   for (let event = kernel.next(); event !== undefined && !answer.ended; event = kernel.next()) await kernel.run(event);
   const newest = invariants.newestAcknowledged();
-  if (answer.seen === undefined) return { rule: 'serves after healing', detail: `${name} gives no answer to a read` };
+  if (answer.seen === undefined) return { rule: 'serves after recovery', detail: `${name} does not answer a read` };
   if (answer.seen.version >= newest) return undefined;
-  return { rule: 'read back', detail: `${name} gives version ${answer.seen.version}, ${newest} was acknowledged` };
+  return {
+    rule: 'read back',
+    detail: `${name} returned version ${answer.seen.version}, but ${newest} was acknowledged`,
+  };
 }
 
 function checkFollowers({ followers, invariants }: Cluster): Violation | undefined {
@@ -68,12 +74,15 @@
   for (const follower of followers) {
     const version = follower.feed()?.configuration()?.version ?? 0;
     if (version < newest)
-      return { rule: 'followers follow', detail: `${follower.process.name} has version ${version} of ${newest}` };
+      return {
+        rule: 'followers catch up',
+        detail: `${follower.process.name} has version ${version}, but ${newest} was acknowledged`,
+      };
   }
   return undefined;
 }
 
-/** Whether the answers that operators got fit together. */
+/** Checks that the history of the operators' calls is linearizable. */
 export function checkHistory(cluster: Cluster): Violation | undefined {
   if (isLinearizable(cluster.history)) return undefined;
   return { rule: 'linearizable', detail: 'no order of the operations explains their answers' };
--- a/packages/model-checker/src/fingerprint.ts
+++ b/packages/model-checker/src/fingerprint.ts
@@ -1,13 +1,13 @@
 /**
- * A running 64-bit fingerprint in two 32-bit lanes, cheap enough to be updated at every event.
- * It is no cryptographic hash; two histories collide by chance only.
+ * An incremental 64-bit fingerprint in two 32-bit lanes, cheap enough to be updated at every event.
+ * It is not a cryptographic hash; two histories collide only by chance.
  */
 const firstSeed = 0x811c9dc5;
 const secondSeed = 0x9747b28c;
 const firstPrime = 0x01000193;
 const secondPrime = 0x5bd1e995;
 
-/** A fingerprint that grows with what is added to it. */
+/** An incremental fingerprint of the values added so far. */
 export class Fingerprint {
   private first = firstSeed;
   private second = secondSeed;
@@ -37,9 +37,9 @@
   }
 }
 
-/** The fingerprint of several texts, whatever their order. */
+/** The fingerprint of several texts, regardless of their order. */
 export function fingerprintOfSet(texts: Iterable<string>): string {
-  const all = new Fingerprint();
-  for (const text of [...texts].sort()) all.addText(text);
-  return all.value();
+  const fingerprint = new Fingerprint();
+  for (const text of [...texts].sort()) fingerprint.addText(text);
+  return fingerprint.value();
 }
--- a/packages/model-checker/src/follower.ts
+++ b/packages/model-checker/src/follower.ts
@@ -1,6 +1,6 @@
 /**
- * A router as far as control goes: the shipped feed of one, which follows the core and can be restarted. As a machine that
- * serves control without holding its state it may be a seed.
+ * The control side of a router: the production configuration feed, which follows the control cluster and can be
+ * restarted. A follower may also act as a seed, as a machine that relays control traffic without holding control state.
  */
 import {
   createControlFeed,
@@ -12,7 +12,7 @@
 import type { Kernel } from './kernel.js';
 import type { Process } from './process.js';
 
-/** A router that outlives its starts. */
+/** A simulated router that can be restarted. */
 export class Follower {
   private current: ControlFeed | undefined;
 
@@ -21,16 +21,16 @@
     readonly process: Process,
     private readonly seeds: readonly Address[],
     private readonly onConfigurationChange: (feed: ControlFeed) => void,
-    /** Whether it also speaks to machines that begin at it as their seed. */
+    /** Whether it also answers machines that use it as their seed. */
     private readonly servesAsSeed: boolean,
   ) {}
 
-  /** What it knows, while it runs. */
+  /** The feed, while the router runs. */
   feed(): ControlFeed | undefined {
     return this.current;
   }
 
-  /** Starts it without any knowledge; `firstStart` says whether the whole system starts for the first time. */
+  /** Starts the router without any state; `firstStart` says whether the whole system starts for the first time. */
   start(firstStart: boolean): void {
     const { kernel, process, seeds } = this;
     const self = process.address;
@@ -60,7 +60,7 @@
     };
   }
 
-  /** Ends it. */
+  /** Stops the router. */
   stop(): void {
     this.kernel.kill(this.process);
     this.current = undefined;
--- a/packages/model-checker/src/invariants.ts
+++ b/packages/model-checker/src/invariants.ts
@@ -1,6 +1,6 @@
 /**
- * What must hold after every step. Each check looks at what is durable, at what processes say, and at what operators
- * and followers were told; none looks into the memory of a program.
+ * Invariants that must hold after every step. The checks use durable state, sent messages, logged events and the answers
+ * to operators and followers; none inspects a program's memory.
  */
 import type { ControlFeed } from '@tansypost/control-feed';
 import { servingLeaseUs } from '@tansypost/control-state';
@@ -20,10 +20,10 @@
   readonly timeUs: number;
 }
 
-/** The log event of a key that was taken over; it names the key and the epoch. */
+/** The number of the log event for a leader's takeover of a key; its fields hold the key and the epoch. */
 const takeoverEvent = 2002;
 
-/** The checks of one run, with what they remember of it. */
+/** The invariant checks of one run, with the state that they track. */
 export class Invariants {
   private readonly votes = new VoteChecks();
   private readonly leaders = new Map<string, string>();
@@ -44,26 +44,26 @@
     kernel.observeLogs((process, event, fields) => this.handleLogged(process, event, fields));
   }
 
-  /** The first rule that was found broken so far. */
+  /** The first broken rule so far, if any. */
   check(): Violation | undefined {
     const changes = this.machines().reduce((sum, machine) => sum + machine.disk.changes(), 0);
     if (changes === this.checkedChanges || this.broken !== undefined) return this.broken;
     this.checkedChanges = changes;
     const states = this.durableStates();
     this.checkMemberships(states);
-    this.note(findSplitBrain(states));
-    this.note(findLostValue(states, this.newestAcknowledgedVersion));
+    this.recordViolation(findSplitBrain(states));
+    this.recordViolation(findLostValue(states, this.newestAcknowledgedVersion));
     return this.broken;
   }
 
-  /** Takes in that a machine has said that an order is taken. */
+  /** Records that a machine acknowledged a write. */
   observeAcknowledgement(request: WriteRequest): void {
     const version = request.expectedVersion + 1;
     const other = this.changeByBase.get(request.expectedVersion);
     if (other !== undefined && other !== request.change)
       this.fail(
-        'one order a base',
-        `${other} and ${request.change} were both taken on version ${request.expectedVersion}`,
+        'one write per version',
+        `${other} and ${request.change} were both acknowledged on top of version ${request.expectedVersion}`,
       );
     this.changeByBase.set(request.expectedVersion, request.change);
     this.acknowledgements.push({ version, timeUs: this.kernel.now() });
@@ -71,23 +71,23 @@
     this.checkedChanges = -1;
   }
 
-  /** Takes in what a follower works by from now on. */
+  /** Records the configuration that a follower now applies. */
   observeConfiguration(follower: string, feed: ControlFeed): void {
     const configuration = feed.configuration();
     if (configuration === undefined) return;
     const { version } = configuration;
     const text = configuration.value.toString('latin1');
     if ((this.contentByVersion.get(version) ?? text) !== text)
-      this.fail('same version, same bytes', `${follower} was told another configuration as version ${version}`);
+      this.fail('same version, same bytes', `${follower} received a different configuration as version ${version}`);
     this.contentByVersion.set(version, text);
   }
 
-  /** The newest version that any machine said to be taken. */
+  /** The newest version that any machine acknowledged. */
   newestAcknowledged(): number {
     return this.newestAcknowledgedVersion;
   }
 
-  /** Whether a majority that votes would be left if the disk of this machine were lost. */
+  /** Whether a voting majority would remain if this machine's disk were lost. */
   toleratesLossOf(machine: ControlMachine): boolean {
     return toleratesLoss(this.durableStates(), machine.disk.durable(), this.replicaCount);
   }
@@ -96,7 +96,7 @@
     this.broken ??= { rule, detail: detail };
   }
 
-  private note(found: Violation | undefined): void {
+  private recordViolation(found: Violation | undefined): void {
     this.broken ??= found;
   }
 
@@ -106,13 +106,13 @@
       .filter((state) => state.disk !== '');
   }
 
-  // A holder is a process between two starts, as a restarted one does not know what it sent.
+  // A leader is identified by process and incarnation, as a restarted process does not know what it sent before.
   private handleLogged(process: Process, event: number, fields: Record<string, unknown>): void {
     if (event !== takeoverEvent) return;
     const term = `${String(fields['key'])} under epoch ${String(fields['epoch'])}`;
     const leader = `${process.name} (start ${process.incarnation})`;
     const other = this.leaders.get(term) ?? leader;
-    if (other !== leader) this.fail('one holder', `${term} was held by ${other} and by ${leader}`);
+    if (other !== leader) this.fail('one leader per epoch', `${term} was led by ${other} and by ${leader}`);
     this.leaders.set(term, leader);
   }
 
@@ -121,18 +121,19 @@
     if (message.kind === 'Beat') this.checkHeartbeat(to, message);
     if (message.kind !== 'Vote') return;
     const machine = this.machines().find((each) => each.process === from);
-    if (machine !== undefined) this.note(this.votes.findViolation(from.name, message, machine.disk.durable()));
+    if (machine !== undefined)
+      this.recordViolation(this.votes.findViolation(from.name, message, machine.disk.durable()));
   }
 
-  // An answer given as current reflects every change acknowledged earlier than a lease's length before it.
+  // A heartbeat sent under a lease reflects every change that was acknowledged more than a lease duration before it.
   private checkHeartbeat(to: Process, heartbeat: Heartbeat): void {
     if (!heartbeat.leased) return;
     const oldest = this.kernel.now() - servingLeaseUs;
-    const missed = this.acknowledgements.find((each) => each.timeUs < oldest && each.version > heartbeat.version);
-    if (missed === undefined) return;
+    const missedWrite = this.acknowledgements.find((each) => each.timeUs < oldest && each.version > heartbeat.version);
+    if (missedWrite === undefined) return;
     this.fail(
       'lease',
-      `${to.name} was told ${heartbeat.version} as current, ${missed.version} was acknowledged long before`,
+      `${to.name} received version ${heartbeat.version} as current, but ${missedWrite.version} was acknowledged more than a lease duration before`,
     );
   }
 
@@ -141,7 +142,8 @@
       const { epoch } = membership;
       const disks = disksOf(membership);
       const other = this.membershipByEpoch.get(epoch) ?? disks;
-      if (other !== disks) this.fail('one membership an epoch', `${epoch} is ${other} and ${disks}`);
+      if (other !== disks)
+        this.fail('one membership per epoch', `epoch ${epoch} has the memberships ${other} and ${disks}`);
       this.membershipByEpoch.set(epoch, disks);
     }
   }
--- a/packages/model-checker/src/kernel.ts
+++ b/packages/model-checker/src/kernel.ts
@@ -1,7 +1,7 @@
 /**
- * The scheduler's ground: processes with clocks of their own, messages in flight, timers, disk syncs, and one global
- * virtual time. Nothing happens by itself: each step runs one pending event that the caller names. The default order
- * is that of planned times; any other order is a choice of the caller.
+ * The simulation kernel: processes with their own clocks, messages in flight, timers, disk syncs, and one global virtual
+ * time. Nothing runs by itself: each step runs one pending event that the caller picks. The default order is that of
+ * planned times; any other order is the caller's choice.
  */
 import {
   decoderForOwnSchemas,
@@ -19,16 +19,16 @@
 import { byPlannedTime, headsOfLinks, linkOf, type EventKind, type PendingEvent } from './pending-events.js';
 import { isBlocked, type Partition, type Process } from './process.js';
 
-/** The properties of links and disks that are not choices of the scheduler. */
+/** Properties of links and disks that are not chosen by moves. */
 export interface KernelOptions {
   readonly seed: number;
-  /** The longest time a message or a sync takes without any choice of the scheduler; 0 for none. */
+  /** The longest time that a message or a sync takes without a move, in microseconds; 0 for none. */
   readonly jitter: number;
   /** Whether messages between two processes keep their order, as on one TCP connection. */
   readonly orderedLinks: boolean;
 }
 
-/** An event that the parts of a run schedule; messages and timers come about through a process's world. */
+/** An event to be scheduled directly; messages and timers are created through a process's world. */
 export interface ScheduledEvent {
   readonly kind: EventKind;
   readonly label: string;
@@ -37,10 +37,10 @@
   readonly run: () => void;
 }
 
-/** Told of each message as it is sent. */
+/** Called with each message when it is sent. */
 export type SendObserver = (from: Process, to: Process, message: Message) => void;
 
-/** Told of each event that a process logs. */
+/** Called with each event that a process logs. */
 export type LogObserver = (process: Process, event: number, fields: Record<string, unknown>) => void;
 
 const minMessageDelayUs = 200;
@@ -51,7 +51,7 @@
   });
 }
 
-/** All processes of a run, and what may happen next to them. */
+/** All processes of a run and their pending events. */
 export class Kernel {
   private readonly processes = new Map<string, Process>();
   private readonly byAddress = new Map<string, Process>();
@@ -68,7 +68,7 @@
 
   constructor(private readonly options: KernelOptions) {}
 
-  /** The global virtual time. */
+  /** The global virtual time in microseconds. */
   now(): number {
     return this.time;
   }
@@ -78,7 +78,7 @@
     return this.stepCount;
   }
 
-  /** Adds a process that does not run yet. */
+  /** Adds a process that is not running yet. */
   add(name: string, clock: ClockSettings): Process {
     const address = `${name}:1` as Address;
     const inputs = new Fingerprint();
@@ -89,13 +89,13 @@
     return process;
   }
 
-  /** Lets a process run. */
+  /** Marks a process as running. */
   start(process: Process): void {
     process.alive = true;
     process.inputs.addText('started');
   }
 
-  /** Ends a process with its timers, syncs and calls; messages to it are lost when they arrive. */
+  /** Kills a process and drops its timers, syncs and calls; messages to it are lost when they arrive. */
   kill(process: Process): void {
     process.alive = false;
     process.frozen = false;
@@ -105,7 +105,7 @@
       if (event.owner === process.name && event.kind !== 'message') this.events.delete(event.id);
   }
 
-  /** What a program gets of the outside, for one start of its process. */
+  /** The environment of a program, valid for one start of its process. */
   world(process: Process): World {
     const { incarnation } = process;
     return {
@@ -119,7 +119,7 @@
     };
   }
 
-  /** Plans an event. */
+  /** Schedules an event. */
   schedule(scheduled: ScheduledEvent): PendingEvent {
     const id = `${scheduled.label}#${this.count(scheduled.label)}`;
     const delay = scheduled.kind === 'sync' ? scheduled.delay + this.delayOf(id) : scheduled.delay;
@@ -127,17 +127,16 @@
     return this.put({ id, kind, owner, sender: '', plannedAt: this.time + delay, content: undefined, run });
   }
 
-  /** All that waits, also what is held. */
+  /** All pending events, including held ones. */
   pending(): readonly PendingEvent[] {
     return [...this.events.values()];
   }
 
-  /** The pending event of that id. */
   find(id: string): PendingEvent | undefined {
     return this.events.get(id);
   }
 
-  /** Pending events that may run now: not held by a cut, a freeze or the order of their link. */
+  /** Pending events that may run now: not held by a partition, a freeze or the order of their link. */
   enabled(): PendingEvent[] {
     const free = [...this.events.values()].filter((event) => !this.isHeld(event)).sort(byPlannedTime);
     return this.options.orderedLinks ? headsOfLinks(free) : free;
@@ -163,18 +162,18 @@
     await letPromisesRun();
   }
 
-  /** Takes an event away: it never happens. */
+  /** Removes an event, which then never runs. */
   remove(event: PendingEvent): void {
     this.events.delete(event.id);
   }
 
-  /** Makes an event happen twice. */
+  /** Duplicates an event. */
   duplicate(event: PendingEvent): void {
     const { id, kind, owner, sender, plannedAt, content, run } = event;
     this.put({ id: `${id}+${this.count(id)}`, kind, owner, sender, plannedAt, content, run });
   }
 
-  /** Makes an event late; what follows on an ordered link is late with it. */
+  /** Delays an event and, on an ordered link, the messages behind it. */
   delay(event: PendingEvent, forUs: number): void {
     event.plannedAt = this.time + forUs;
     if (event.kind !== 'message' || !this.options.orderedLinks) return;
@@ -185,36 +184,36 @@
     this.lastOnLink.set(link, event.plannedAt);
   }
 
-  /** Cuts some processes off, or ends the cut. */
+  /** Starts a partition, replacing any current one, or ends it. */
   setPartition(wanted: Partition | undefined): void {
     this.partition = wanted;
   }
 
-  /** Sets who is told of messages. */
+  /** Sets the observer of sent messages. */
   observeSends(observer: SendObserver): void {
     this.sendObserver = observer;
   }
 
-  /** Sets who is told of logged events. */
+  /** Sets the observer of logged events. */
   observeLogs(observer: LogObserver): void {
     this.logObserver = observer;
   }
 
   /**
    * A process is a deterministic function of its inputs (their content, order and local times), so equal fingerprints
-   * of all inputs, of what is pending and of the global time mean equal states, but for a collision of the hash.
+   * of all inputs, the pending events and the global time mean equal states, except for hash collisions.
    */
   fingerprint(): string {
-    const all = new Fingerprint();
-    all.addNumber(this.time);
+    const fingerprint = new Fingerprint();
+    fingerprint.addNumber(this.time);
     for (const { name, alive, frozen, inputs } of this.processes.values())
-      all.addText(`${name}${alive}${frozen}${inputs.value()}`);
+      fingerprint.addText(`${name}${alive}${frozen}${inputs.value()}`);
     for (const event of [...this.events.values()].sort((left, right) => (left.id < right.id ? -1 : 1))) {
-      all.addText(event.id);
-      all.addNumber(event.plannedAt);
+      fingerprint.addText(event.id);
+      fingerprint.addNumber(event.plannedAt);
     }
-    all.addText(JSON.stringify(this.partition ?? null));
-    return all.value();
+    fingerprint.addText(JSON.stringify(this.partition ?? null));
+    return fingerprint.value();
   }
 
   private count(name: string): number {
--- a/packages/model-checker/src/linearizability.ts
+++ b/packages/model-checker/src/linearizability.ts
@@ -1,12 +1,12 @@
 /**
- * Linearizability of the configuration register with unknown outcomes.
+ * Checks that a history of operations on the configuration register, some with unknown outcomes, is linearizable.
  *
  * The search is that of J. M. Wing and C. Gong, "Testing and Verifying Concurrent Objects" (JPDC 17, 1993), with the
- * memory of configurations already tried of G. Lowe, "Testing for Linearizability" (CCPE 29(4), 2017). An operation of
- * unknown outcome stays open to the end and need not take effect.
+ * memoisation of visited configurations of G. Lowe, "Testing for Linearizability" (CCPE 29(4), 2017). An operation
+ * with an unknown outcome stays open to the end and need not take effect.
  *
- * The sequential register: a write takes effect where its base is the version in force; it is told done, without any
- * effect, where its change was taken before; else it is refused.
+ * The sequential register: a write takes effect if its expected version is the current version; it is answered `done`
+ * without any effect if its change was applied before; otherwise it is refused.
  */
 import { neverReturned, type Operation, type RegisterValue, type WriteOperation } from './operation-history.js';
 
@@ -17,7 +17,7 @@
 
 const empty: Register = { value: { change: '', version: 0 }, appliedChanges: new Set() };
 
-/** The register after an operation with the outcome that it had; undefined when it cannot come here. */
+/** The register after an operation with the outcome that it had; undefined if that outcome is impossible here. */
 function applyOperation(register: Register, operation: Operation): Register | undefined {
   if (operation.kind === 'read') {
     return operation.seen?.version === register.value.version && operation.seen.change === register.value.change
@@ -38,7 +38,7 @@
   };
 }
 
-/** An open write can have no effect any more once its base is behind: versions only rise. */
+/** An open write can no longer take effect once its expected version is outdated, as versions only increase. */
 function canNoLongerApply(register: Register, operation: Operation): boolean {
   return (
     mayBeOmitted(operation) &&
@@ -52,33 +52,33 @@
   return operation.kind === 'write' ? operation.outcome === 'unknown' : operation.seen === undefined;
 }
 
-function keyOf(left: readonly Operation[], all: ReadonlyMap<Operation, number>, register: Register): string {
+function keyOf(remaining: readonly Operation[], all: ReadonlyMap<Operation, number>, register: Register): string {
   const taken = [...register.appliedChanges].sort().join();
-  return `${left.map((operation) => all.get(operation)).join()}|${register.value.version}|${register.value.change}|${taken}`;
+  return `${remaining.map((operation) => all.get(operation)).join()}|${register.value.version}|${register.value.change}|${taken}`;
 }
 
-/** Whether some order of the operations, true to their real times, explains every answer. */
+/** Whether some order of the operations, consistent with their real times, explains every answer. */
 export function isLinearizable(history: readonly Operation[]): boolean {
   const relevant = history.filter((operation) => !(operation.kind === 'read' && operation.seen === undefined));
   const numbers = new Map(relevant.map((operation, index) => [operation, index]));
-  const tried = new Set<string>();
+  const visited = new Set<string>();
 
   function search(all: readonly Operation[], register: Register): boolean {
     const left = all.filter((operation) => !canNoLongerApply(register, operation));
     if (left.every(mayBeOmitted)) return true;
     const key = keyOf(left, numbers, register);
-    if (tried.has(key)) return false;
-    tried.add(key);
+    if (visited.has(key)) return false;
+    visited.add(key);
     const firstReturn = Math.min(
       ...left.map((operation) => (mayBeOmitted(operation) ? neverReturned : operation.returned)),
     );
-    const ways = left
+    const candidates = left
       .filter((operation) => operation.invoked <= firstReturn)
       .map((operation) => ({ operation, next: applyOperation(register, operation) }));
-    // An operation that fits here and changes nothing can always come first.
-    const still = ways.find((way) => way.next === register);
-    if (still !== undefined) return search(without(left, still.operation), register);
-    return ways.some((way) => way.next !== undefined && search(without(left, way.operation), way.next));
+    // An operation that is possible here and changes nothing can always be linearized first.
+    const withoutEffect = candidates.find((way) => way.next === register);
+    if (withoutEffect !== undefined) return search(without(left, withoutEffect.operation), register);
+    return candidates.some((way) => way.next !== undefined && search(without(left, way.operation), way.next));
   }
   return search(relevant, empty);
 }
--- a/packages/model-checker/src/model-checker.test.ts
+++ b/packages/model-checker/src/model-checker.test.ts
@@ -1,4 +1,4 @@
-/** The checker itself: short fixed runs that find nothing, replay, shrinking, and mechanisms whose absence is found. */
+/** Tests of the checker: short fixed runs without violations, replay, shrinking, and mutations that must be detected. */
 import { readFile } from 'node:fs/promises';
 import { fileURLToPath } from 'node:url';
 import { expect, it } from 'vitest';
@@ -14,7 +14,7 @@
 
 const root = fileURLToPath(new URL('../../..', import.meta.url));
 
-it('finds nothing in all schedules of 8 steps with one deviation', async () => {
+it('finds no violation in all schedules of 8 steps with one deviation', async () => {
   const r = await search({ scope: searchScope(3), seed: 1, depth: 8, deviations: 1, shouldContinue: () => true });
   expect(r.violation).toBeUndefined();
   expect(r.completedDeviations).toBe(1);
@@ -26,7 +26,7 @@
   [3, 2],
   [3, 4],
   [5, 3],
-])('finds nothing on a walk of %d places with seed %d', async (replicas, seed) => {
+])('finds no violation on a walk with %d replicas and seed %d', async (replicas, seed) => {
   const situations = new Set<string>();
   const r = await walk({ scope: walkScope(replicas, seed), seed, lengthUs: 30_000_000, situations });
   expect(r.violation).toBeUndefined();
@@ -43,7 +43,7 @@
   expect([replayed.steps, replayed.history]).toEqual([walked.steps, walked.history]);
 });
 
-it('shrinks a list to the moves that are needed', async () => {
+it('shrinks a list to the moves that reproduce the violation', async () => {
   const moves = Array.from({ length: 40 }, (_, i) => ({
     moment: { timeUs: i, order: 0 },
     move: { kind: 'join', spare: `s${i}` } as const,
@@ -55,13 +55,13 @@
   expect(await shrinkMoves(moves, { reproduces: breaks, maxRuns: 200 })).toEqual(needed);
 });
 
-it('keeps a run without a violation as it is', async () => {
+it('leaves a run without a violation unchanged', async () => {
   const scope = walkScope(3, 1);
   const x = { scope, seed: 1, moves: [], untilUs: 2_000_000 };
   expect((await shrinkCounterexample(x)).moves).toEqual([]);
 });
 
-it('has mutations that fit the code, of which it refuses one that does not', async () => {
+it('has mutations whose texts match the sources, and rejects an edit whose text does not', async () => {
   expect(mutations.length).toBeGreaterThanOrEqual(16);
   for (const m of mutations) {
     const source = await readFile(`${root}/${m.file}`, 'utf8');
@@ -73,7 +73,7 @@
 });
 
 it.each(['a vote is answered after the sync', 'a majority is asked before a read or a refusal'])(
-  'finds that this is missing: %s',
+  'detects the missing mechanism: %s',
   async (name) => {
     const m = mutations.find((x) => x.name === name)!;
     const found = await runMutant(
@@ -87,13 +87,13 @@
   },
 );
 
-it('founds one cluster or none in short schedules of a first start with seeds that hold no state', () => {
+it('bootstraps at most one cluster in short schedules of a first start with stateless seeds', () => {
   const { violation, bootstrapped: bootstrapped } = playBootstrapSchedules(20_000);
   expect(violation).toBeUndefined();
   expect(bootstrapped).toBeGreaterThan(4000);
 });
 
-it('founds one cluster or none on walks over such a first start, and serves or says what it waits for', async () => {
+it('bootstraps at most one cluster on walks over such a first start, and serves or reports why it waits', async () => {
   for (let seed = 1; seed <= 24; seed += 1) {
     const scope = bootstrapScope(bootstrapReplicaCount(seed), seed);
     const { violation } = await walk({ scope, seed, lengthUs: 8_000_000 });
@@ -101,14 +101,15 @@
   }
 }, 60_000);
 
-// The fourth one, no founding after a restart, was not found in 40,000 schedules; discovery-bootstrap.test.ts shows it.
+// The fourth mutation, bootstrapping after a restart, was not detected in 40,000 schedules; discovery-bootstrap.test.ts
+// covers it.
 it.each(bootstrapMutations.slice(0, 3).map((mutation) => mutation.name))(
-  'finds that this is missing at a first start: %s',
+  'detects the missing mechanism at a first start: %s',
   async (name) => {
     const mutation = mutations.find((each) => each.name === name)!;
     const options = { ...defaultCheckOptions, bootstrapWalks: 40 };
     const found = await runMutant(root, `founding-${mutations.indexOf(mutation)}`, mutation, options, 60_000);
-    expect('finding' in found ? found.finding?.violation.rule : found).toBe('one founding');
+    expect('finding' in found ? found.finding?.violation.rule : found).toBe('one bootstrap');
   },
   70_000,
 );
--- a/packages/model-checker/src/model-disk.ts
+++ b/packages/model-checker/src/model-disk.ts
@@ -1,7 +1,7 @@
 /**
- * A disk whose syncs the scheduler runs one by one. A crash keeps any prefix of the writes that were not synced yet:
- * records are framed with a checksum and a torn one is cut away at the next opening, so prefixes of whole records are
- * all that can be found.
+ * A model disk whose syncs the scheduler runs one by one. A crash keeps any prefix of the unsynced writes: records are
+ * framed with a checksum and a torn one is truncated when the journal is opened, so only prefixes of whole records can
+ * be found.
  */
 import type { Disk, JournalRecord } from '@tansypost/control-state';
 import { emptyDurableState, applyRecord, type DurableState } from './durable-state.js';
@@ -13,7 +13,7 @@
   | { readonly kind: 'append'; readonly record: JournalRecord; readonly done: SyncCallback }
   | { readonly kind: 'rewrite'; readonly records: readonly JournalRecord[]; readonly done: SyncCallback };
 
-/** What a record counts in the size of the journal; it is never so long here that it is rewritten. */
+/** The size that a record adds to the journal; the journal never grows enough here to be compacted. */
 const recordBytes = 400;
 
 /** The disk of one machine. */
@@ -28,7 +28,7 @@
     private readonly name: string,
   ) {}
 
-  /** The disk as a program sees it. */
+  /** The disk interface for a program. */
   open(process: Process): Disk {
     return {
       append: (record, done) => this.enqueue(process, { kind: 'append', record, done }),
@@ -42,29 +42,29 @@
     return this.stored;
   }
 
-  /** What a restart would find. */
+  /** The state that a restart would recover. */
   durable(): DurableState {
     return this.state;
   }
 
-  /** How many writes wait for their sync. */
+  /** The number of writes that are not synced yet. */
   unsynced(): number {
     return this.unsyncedWrites.length;
   }
 
-  /** Rises with each change of what is durable. */
+  /** Increases with each change of the durable state. */
   changes(): number {
     return this.changeCount;
   }
 
-  /** Ends all that waits; the first `kept` of the waiting writes survive. */
+  /** Drops all unsynced writes but the first `kept`, which become durable. */
   crash(kept: number): void {
     for (const write of this.unsyncedWrites.slice(0, kept)) this.commit(write);
     this.unsyncedWrites = [];
     this.changeCount += 1;
   }
 
-  /** Empties the disk. */
+  /** Erases the disk. */
   erase(): void {
     this.unsyncedWrites = [];
     this.stored = [];
@@ -72,7 +72,7 @@
     this.changeCount += 1;
   }
 
-  /** Puts records on a disk that has none yet. */
+  /** Writes records to an empty disk. */
   load(records: readonly JournalRecord[]): void {
     for (const record of records) this.commit({ kind: 'append', record, done: () => undefined });
   }
--- a/packages/model-checker/src/mutant-worker.ts
+++ b/packages/model-checker/src/mutant-worker.ts
@@ -1,4 +1,4 @@
-/** The entry of a bundle in which a mechanism is missing: one hunt, told to whoever started the thread. */
+/** The worker entry of a mutant bundle: runs one check and posts its result to the parent thread. */
 import { parentPort, workerData } from 'node:worker_threads';
 import { checkModel, type CheckOptions } from './check-model.js';
 
--- a/packages/model-checker/src/mutants.ts
+++ b/packages/model-checker/src/mutants.ts
@@ -1,6 +1,6 @@
 /**
- * Takes mechanisms away one by one and hunts on what is left. The sources are bundled with the edits of one mutation
- * applied to the text as it is read; the hunt then runs on that bundle in a worker thread.
+ * Mutation testing of the checker: the workspace's sources are bundled with the edits of one mutation applied as they
+ * are read, and the check runs on that bundle in a worker thread.
  */
 import { mkdir, readFile } from 'node:fs/promises';
 import { join } from 'node:path';
@@ -9,26 +9,28 @@
 import type { CheckResult, CheckOptions } from './check-model.js';
 import type { Mutation } from './mutations.js';
 
-/** Spelled in parts, as the test runner takes a file that names it for one with tests. */
+/** Assembled from parts, as the test runner treats a file that contains this expression as one with in-source tests. */
 const inSourceTests = ['import', 'meta', 'vitest'].join('.');
 
-/** A hunt that came to no end. */
+/** A check that failed to run or did not finish in time. */
 export interface CheckError {
   readonly error: string;
 }
 
-/** What a hunt made of a mutation. */
+/** The result of checking one mutant. */
 export interface MutantResult {
   readonly mutation: Mutation;
   readonly outcome: CheckResult | CheckError;
 }
 
-/** Applies the edits; throws where the code has moved on. */
+/** Applies the edits of a mutation; throws if the text to replace does not occur exactly once. */
 export function applyEdits(mutation: Mutation, source: string): string {
   return mutation.edits.reduce((text, edit) => {
-    const found = text.split(edit.from).length - 1;
-    if (found !== 1)
-      throw new Error(`${mutation.name}: the text to replace occurs ${found} times in ${mutation.file}: ${edit.from}`);
+    const occurrences = text.split(edit.from).length - 1;
+    if (occurrences !== 1)
+      throw new Error(
+        `${mutation.name}: the text to replace occurs ${occurrences} times in ${mutation.file}: ${edit.from}`,
+      );
     return text.replace(edit.from, () => edit.to);
   }, source);
 }
@@ -37,7 +39,7 @@
   return {
     name: 'workspace-sources',
     setup(build) {
-      build.onResolve({ filter: /^@tansypost\// }, (wanted) => ({ path: workspaceSource(root, wanted.path) }));
+      build.onResolve({ filter: /^@tansypost\// }, (imported) => ({ path: workspaceSource(root, imported.path) }));
       build.onResolve({ filter: /^[^./]/ }, (wanted) =>
         wanted.kind === 'entry-point' ? undefined : { external: true },
       );
@@ -50,7 +52,7 @@
   };
 }
 
-/** The programs among the workspaces that the control side is made of. */
+/** The workspaces under `programs` that the bundle may import; all others are under `packages`. */
 const programs = ['control-node', 'router-agent', 'request-router'];
 
 function workspaceSource(root: string, specifier: string): string {
@@ -58,7 +60,7 @@
   return join(root, programs.includes(name) ? 'programs' : 'packages', name, 'src', 'index.ts');
 }
 
-/** Bundles a module of this package and all that it imports, with the edits of the mutation; gives the bundle's path. */
+/** Bundles a module of this package and all its imports with the edits of a mutation; returns the bundle's path. */
 export async function bundleMutant(
   root: string,
   entry: string,
@@ -82,11 +84,11 @@
   return outfile;
 }
 
-/** Runs a bundle in a thread, and gives what it tells first. */
+/** Runs a bundle in a worker thread and resolves with its first message, or with an error after `limitMs`. */
 export function runInThread<Result>(file: string, workerData: unknown, limitMs: number): Promise<Result | CheckError> {
   return new Promise((done) => {
     const worker = new Worker(file, { workerData });
-    const timer = setTimeout(() => end({ error: `no verdict within ${limitMs / 1000} s` }), limitMs);
+    const timer = setTimeout(() => end({ error: `no result within ${limitMs / 1000} s` }), limitMs);
     function end(result: Result | CheckError): void {
       clearTimeout(timer);
       void worker.terminate();
@@ -97,7 +99,7 @@
   });
 }
 
-/** Hunts on the sources of a checkout with one mutation, or with none. */
+/** Runs the check on the sources of a checkout with one mutation, or with none. */
 export async function runMutant(
   root: string,
   name: string,
--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -1,14 +1,17 @@
 /**
- * Mechanisms of the shipped code, each with the edit that takes it away. An edit whose text is not found exactly once
- * is an error: then the code has moved on and the list must follow.
+ * Mutations of the production code, each of which removes one mechanism. Applying an edit whose text does not occur
+ * exactly once in its file is an error: the source has changed and the mutation must be updated.
  */
+
+/** One textual replacement. */
 export interface Edit {
   readonly from: string;
   readonly to: string;
 }
-/** One mechanism taken away. */
+
+/** One mechanism and the edits that remove it. */
 export interface Mutation {
-  /** The mechanism that the edits take away. */
+  /** Describes the mechanism that the edits remove. */
   readonly name: string;
   readonly file: string;
   readonly edits: readonly Edit[];
@@ -30,31 +33,31 @@
 const row = `${controlState}/row.ts`;
 const servingLease = `${controlState}/serving-lease.ts`;
 
-function removed(name: string, file: string, from: string, to: string): Mutation {
+function singleEdit(name: string, file: string, from: string, to: string): Mutation {
   return { name, file, edits: [{ from, to }] };
 }
 
-/** Mechanisms of the first start with seeds that hold no state; only founding walks meet them. */
+/** Mechanisms of a first start with stateless seeds; only bootstrap walks exercise them. */
 export const bootstrapMutations: readonly Mutation[] = [
-  removed(
+  singleEdit(
     'a founder is listed by a majority of the seeds',
     discoveryBootstrap,
     'const needed = majorityOf(seeds.length);',
     'const needed = 1;',
   ),
-  removed(
+  singleEdit(
     'a seed that was restarted does not vouch',
     discoveryBootstrap,
     'if (message.firstStart && isListed)',
     'if (isListed)',
   ),
-  removed(
+  singleEdit(
     'all of its view have told a founder the same view',
     discoveryBootstrap,
     'viewKeyByCandidate.get(candidateId(candidate)) !== own);',
     'viewKeyByCandidate.get(candidateId(candidate)) === undefined && own === undefined);',
   ),
-  removed(
+  singleEdit(
     'no machine founds after a restart',
     discoveryBootstrap,
     'if (!options.mayBootstrap)',
@@ -62,41 +65,41 @@
   ),
 ];
 
-/** All mechanisms that are taken away. */
+/** All mutations. */
 export const mutations: readonly Mutation[] = [
-  removed(
+  singleEdit(
     'a majority is asked before a read or a refusal',
     keyLeader,
     'const checked = row;\n',
     "if (role === 'leader') return done(true);\n    const checked = row;\n",
   ),
-  removed(
+  singleEdit(
     'a blank member copies before it votes',
     replica,
     'return isMember() && storage.bootstrapDisks().length + recordedMembers > 0;',
     'return isMember() && storage.bootstrapDisks().length + recordedMembers >= 0;',
   ),
-  removed(
+  singleEdit(
     'a vote is answered after the sync',
     replicaStorage,
     'append(rowRecord(key, row, applyRow(key, row, changes)), done);',
     'append(rowRecord(key, row, applyRow(key, row, changes)), () => undefined);\n    done(true);',
   ),
-  removed('epochs differ by slot', row, '* slots + slot', '* slots + 0 * slot'),
-  removed(
+  singleEdit('epochs differ by slot', row, '* slots + slot', '* slots + 0 * slot'),
+  singleEdit(
     'a promise is kept on disk',
     acceptor,
     'options.putRow(request.key, promised, [], (ok) => answer(voteFor(request, ok, promised, changes)));',
     'answer(voteFor(request, true, promised, changes));',
   ),
-  removed(
+  singleEdit(
     'nothing is accepted below the promise',
     acceptor,
     'if (request.epoch < row.promised) return answer(voteFor(request, false, withoutValue(row)));\n    if (!isNewer',
     'if (!isNewer',
   ),
-  removed('a takeover rewrites the newest value', keyLeader, 'if (newest.version === 0) return', 'return'),
-  removed(
+  singleEdit('a takeover rewrites the newest value', keyLeader, 'if (newest.version === 0) return', 'return'),
+  singleEdit(
     'a takeover takes the newest value of its votes',
     keyLeader,
     'const newest = promises.reduce<Row>(',
@@ -116,31 +119,31 @@
       },
     ],
   },
-  removed(
+  singleEdit(
     'asks under an old membership are refused',
     acceptor,
     'const outdated = request.membershipEpoch < options.membershipEpoch();',
     'const outdated = false;',
   ),
-  removed(
+  singleEdit(
     'the ids of applied changes outlive a takeover',
     keyLeader,
     'const known = historyOf(promises, newest.version);',
     'const known = historyOf([], newest.version);',
   ),
-  removed(
+  singleEdit(
     'a write names the version that it builds on',
     keyLeader,
     'if (writtenVersion !== undefined || next.expectedVersion !== row.version)',
     'if (writtenVersion !== undefined)',
   ),
-  removed(
+  singleEdit(
     'a vote counts only from the disk that the membership names',
     quorumRound,
     'member.disk === vote.disk',
     'member.disk !== undefined',
   ),
-  removed(
+  singleEdit(
     'a replica that starts again names its rounds anew',
     quorumRound,
     '/${run}/${count}',
@@ -151,25 +154,25 @@
     file: replica,
     edits: [{ from: "if (state === 'voting' && !isMember()) changeState('fenced');", to: '' }],
   },
-  removed(
+  singleEdit(
     'a replacement copies from as many as every majority meets',
     membershipRecord,
     'return replicas - majorityOf(replicas) + 1;',
     'return 1;',
   ),
-  removed(
+  singleEdit(
     'a repeated vote waits for the sync of the first',
     acceptor,
     'return storage.syncRow(request.key, (ok) => answer(voteFor(request, ok, row, changes)));',
     'return answer(voteFor(request, true, row, changes));',
   ),
-  removed(
+  singleEdit(
     'a restart finds its promises',
     replicaStorage,
     'applyRow(record.key, { promised, epoch, version, value },',
     'applyRow(record.key, { promised: Math.min(promised, epoch), epoch, version, value },',
   ),
-  removed(
+  singleEdit(
     'a majority is more than half',
     membershipRecord,
     'return Math.floor(replicas / 2) + 1;',
@@ -183,50 +186,55 @@
       { from: "options.state() !== 'voting' || ", to: '' },
     ],
   },
-  removed(
+  singleEdit(
     'a lease is renewed only by a majority',
     servingLease,
     'rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (confirmed) => {',
     'void buildRequest;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (confirmed: typeof local) => void) => done(local))((confirmed) => {',
   ),
-  removed(
+  singleEdit(
     'a lease shows what a majority may hold newer',
     servingLease,
     'confirmed.won && newestOf(confirmed.votes).version <= committed.newest(key).version',
     'confirmed.won',
   ),
-  removed('a lease ends', servingLease, 'world.now() < (leases.get(key)?.validUntil ?? -Infinity)', 'leases.has(key)'),
-  removed(
+  singleEdit(
+    'a lease ends',
+    servingLease,
+    'world.now() < (leases.get(key)?.validUntil ?? -Infinity)',
+    'leases.has(key)',
+  ),
+  singleEdit(
     'followers are told only what is on a majority',
     committedRows,
     'if (stamp !== undefined && stored.epoch === stamp.epoch && stored.version === stamp.version) onWritten(key, stored);',
     'if (stored.version > 0) onWritten(key, stored);',
   ),
-  removed(
+  singleEdit(
     'catching up keeps to the promises',
     catchUp,
     'const replaces = isNewer(copied, present) && epoch >= present.promised;',
     'const replaces = isNewer(copied, present);',
   ),
-  removed(
+  singleEdit(
     'a copy counts under one membership only',
     catchUp,
     'return present.membershipEpoch === membershipEpoch\n      ? present\n      :',
     'return present.membershipEpoch <= membershipEpoch\n      ? { ...present, membershipEpoch }\n      :',
   ),
-  removed(
+  singleEdit(
     'a leaver ends only once those that stay hold all',
     gracefulLeave,
     'return known !== undefined && !isNewer(replica.row(key), known);',
     'return key !== undefined || known !== undefined;',
   ),
-  removed(
+  singleEdit(
     'a change that was never chosen gives way to the chosen one',
     changeHistory,
     'present.epoch >= change.epoch',
     'present.epoch >= 0',
   ),
-  removed(
+  singleEdit(
     'a change that was chosen stays known in the copies',
     catchUp,
     'options.putRow(key, mergeRows(present, copied), changes, done)',
--- a/packages/model-checker/src/operation-history.ts
+++ b/packages/model-checker/src/operation-history.ts
@@ -1,18 +1,18 @@
 /**
- * What operators asked of the configuration register and what they were told. Times are positions in one global order
- * of events. An operation without a clear answer has no end: it may take effect at any later time, or never.
+ * The operators' calls to the configuration register and their answers. Times are positions in one global order of
+ * events. An operation without a definite answer has no end: it may take effect at any later time, or never.
  */
 
-/** A change of the configuration that builds on a stated version. The same order may be sent several times. */
+/** A configuration change on top of an expected version. The same request may be sent several times. */
 export interface WriteRequest {
   readonly change: string;
   readonly expectedVersion: number;
 }
 
-/** `refused` and `done` are clear answers. */
+/** How a write ended; `refused` and `done` are definite answers. */
 export type WriteOutcome = 'done' | 'refused' | 'unknown';
 
-/** An order sent once. */
+/** One attempt of a write request. */
 export interface WriteOperation {
   readonly kind: 'write';
   readonly client: string;
@@ -22,29 +22,29 @@
   outcome: WriteOutcome;
 }
 
-/** A read sent once. */
+/** One attempt of a read. */
 export interface ReadOperation {
   readonly kind: 'read';
   readonly client: string;
   readonly invoked: number;
   returned: number;
-  /** Undefined as long as there is no clear answer. */
+  /** Undefined until there is a definite answer. */
   seen: RegisterValue | undefined;
 }
 
-/** The register's content: the change in force, empty before the first, and its version. */
+/** The register's content: the current change, empty before the first one, and its version. */
 export interface RegisterValue {
   readonly change: string;
   readonly version: number;
 }
 
-/** Any call of an operator. */
+/** Any call that an operator makes. */
 export type Operation = WriteOperation | ReadOperation;
 
-/** The end of an operation without a clear answer. */
+/** The return time of an operation without a definite answer. */
 export const neverReturned = Infinity;
 
-/** One line for a person. */
+/** A one-line description for reports. */
 export function describeOperation(operation: Operation): string {
   const span = `[${operation.invoked}, ${operation.returned === neverReturned ? '…' : operation.returned}]`;
   if (operation.kind === 'write')
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -1,6 +1,6 @@
 /**
- * A client of the configuration register. It makes reads and writes, sends each call to some machine, gives a call up
- * after a while and sends the same order again when it had no clear answer.
+ * A simulated operator: a client of the configuration register. It makes reads and writes, sends each call to a random
+ * machine, times out after a while and repeats a write request that had no definite answer.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 import type { ControlMachine, ControlAccess } from './control-machine.js';
@@ -15,27 +15,27 @@
 import type { Process } from './process.js';
 import type { RegisterCalls } from './register-calls.js';
 
-/** What one operator works with, and whom it tells. */
+/** The dependencies and settings of one operator. */
 export interface OperatorOptions {
   readonly process: Process;
   readonly machines: () => readonly ControlMachine[];
   readonly calls: RegisterCalls;
   readonly record: (operation: Operation) => void;
-  /** A position in the global order of events. */
+  /** Returns the next position in the global order of events. */
   readonly tick: () => number;
-  /** Told when a machine has said that an order is taken, whether or not the operator hears of it. */
+  /** Called when a machine acknowledges a write, whether or not the answer reaches the operator. */
   readonly onAcknowledged: (order: WriteRequest) => void;
   readonly thinkTimeUs: number;
   readonly maxRetries: number;
-  /** Of a hundred calls, how many are reads. */
+  /** The percentage of calls that are reads. */
   readonly readsPercent: number;
 }
 
 const callTimeoutUs = micros(1_000_000);
-/** How often an order that was answered is sent once more, as after an answer that was lost further on. */
+/** How often a request that was answered is repeated, as a client does when the answer is lost on the way to it. */
 const answeredRetryProbability = 0.2;
 
-/** One operator. */
+/** A simulated operator. */
 export class Operator {
   private readonly world: World;
   private knownVersion = 0;
@@ -49,13 +49,13 @@
     this.world = kernel.world(options.process);
   }
 
-  /** Begins to make calls. */
+  /** Starts making calls. */
   start(): void {
     this.kernel.start(this.options.process);
     this.world.after(micros(this.world.random() * this.options.thinkTimeUs), () => this.next());
   }
 
-  /** Makes no further calls. */
+  /** Stops making calls. */
   stop(): void {
     this.stopped = true;
   }
@@ -76,8 +76,8 @@
 
   private read(): void {
     const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: neverReturned };
-    const operation: ReadOperation = { kind: 'read', ...begun, seen: undefined };
+    const common = { client: process.name, invoked: tick(), returned: neverReturned };
+    const operation: ReadOperation = { kind: 'read', ...common, seen: undefined };
     record(operation);
     this.call(
       (access) => calls.read(access),
@@ -119,11 +119,11 @@
     this.pause(() => (outcome === 'refused' ? this.read() : this.next()));
   }
 
-  /** Sends a call to one machine and gives its answer once, or undefined when none came in time. */
+  /** Sends a call to a random machine; calls `done` once with the answer, or with undefined after the timeout. */
   private call<T>(make: (access: ControlAccess) => Promise<T>, done: (answer?: T) => void): void {
     const { process, machines } = this.options;
-    const able = machines();
-    const machine = able[Math.floor(this.world.random() * able.length)]!;
+    const targets = machines();
+    const machine = targets[Math.floor(this.world.random() * targets.length)]!;
     const label = `${process.name}>${machine.name}`;
     let open = true;
     const cancel = this.world.after(callTimeoutUs, () => finish(undefined));
@@ -145,7 +145,7 @@
   }
 }
 
-/** Makes a call at a machine that runs; one that is down gives no answer. */
+/** Makes a call on a machine; one that is down gives no answer. */
 async function answerOf<T>(
   machine: ControlMachine,
   make: (access: ControlAccess) => Promise<T>,
--- a/packages/model-checker/src/process.ts
+++ b/packages/model-checker/src/process.ts
@@ -1,31 +1,31 @@
-/** A program under the scheduler, and cuts between programs. */
+/** Simulated processes, and network partitions between them. */
 import type { Address, Message } from '@tansypost/inner-protocol';
 import type { ClockSettings } from './clock.js';
 import type { Fingerprint } from './fingerprint.js';
 
-/** One program under the scheduler; it keeps its name and address over its starts. */
+/** One simulated process; it keeps its name and address across restarts. */
 export interface Process {
   readonly name: string;
   readonly address: Address;
   readonly clock: ClockSettings;
   alive: boolean;
   frozen: boolean;
-  /** Rises with each end of the program. */
+  /** Increases each time the process ends. */
   incarnation: number;
-  /** Of all inputs that the process took since the start, with the local time of each. */
+  /** Covers all inputs that the process has taken since the run began, with the local time of each. */
   readonly inputs: Fingerprint;
   receive: (message: Message, from: Address) => void;
 }
 
-/** A set of processes cut off from all others. */
+/** A network partition: a group of processes cut off from all others. */
 export interface Partition {
   readonly group: readonly string[];
   readonly way: 'in' | 'out' | 'both';
-  /** Whether what is sent into the cut waits for its end, as in a sender's buffer, or is lost. */
+  /** Whether messages across the partition wait for its end, as in a sender's buffer, or are lost. */
   readonly holds: boolean;
 }
 
-/** Whether a cut keeps messages from one process to another. */
+/** Whether a partition blocks messages from one process to another. */
 export function isBlocked(cut: Partition | undefined, from: string, to: string): boolean {
   if (cut === undefined || from === to) return false;
   const sends = cut.group.includes(from);
--- a/packages/model-checker/src/quorum-checks.ts
+++ b/packages/model-checker/src/quorum-checks.ts
@@ -1,18 +1,17 @@
 /**
- * Which sets of disks could decide now, and what must hold of them. A set can decide under a membership when its disks
- * are named there, vote by what is synced on them, and know no newer membership, as such a one refuses.
+ * Checks of the sets of disks that could form a quorum now. A majority of disks can decide under a membership if the
+ * membership names them, their synced state is voting, and none knows a newer membership, as such a disk refuses to vote.
  */
 import { configurationKey } from '@tansypost/control-feed';
 import { majorityOf } from '@tansypost/control-state';
 import { disksOf, membershipOf, type DurableState, type Membership } from './durable-state.js';
 
-/** A rule that was broken, and how. */
+/** A broken rule, and how it was broken. */
 export interface Violation {
   readonly rule: string;
   readonly detail: string;
 }
 
-/** All subsets of a given size. */
 function subsets<T>(items: readonly T[], size: number): T[][] {
   if (size === 0) return [[]];
   return items.flatMap((item, index) => subsets(items.slice(index + 1), size - 1).map((rest) => [item, ...rest]));
@@ -33,14 +32,14 @@
   return subsets(voters(membership, states), majorityOf(membership.replicas.length));
 }
 
-/** The different membership records on the disks. */
+/** The distinct membership records on the disks. */
 export function membershipsOn(states: readonly DurableState[]): Membership[] {
-  const found = new Map<string, Membership>();
+  const byIdentity = new Map<string, Membership>();
   for (const state of states) {
     const membership = membershipOf(state);
-    if (membership !== undefined) found.set(`${membership.epoch}/${disksOf(membership)}`, membership);
+    if (membership !== undefined) byIdentity.set(`${membership.epoch}/${disksOf(membership)}`, membership);
   }
-  return [...found.values()];
+  return [...byIdentity.values()];
 }
 
 function namesOf(states: readonly DurableState[]): string {
@@ -48,9 +47,9 @@
 }
 
 /**
- * Every quorum that could vote now, under any membership, holds the newest acknowledged value. As a lost disk only
- * takes quorums away, and a replacement votes after it copied from as many as every majority meets, the value then
- * survives each loss that leaves a majority.
+ * Every quorum that could vote now, under any membership, must hold the newest acknowledged value. A lost disk only
+ * removes quorums, and a replacement votes only after it has copied from enough replicas to intersect every majority, so
+ * the value then survives each loss that leaves a majority.
  */
 export function findLostValue(states: readonly DurableState[], newest: number): Violation | undefined {
   for (const membership of newest === 0 ? [] : membershipsOn(states)) {
@@ -58,29 +57,29 @@
       (quorum) => !quorum.some((state) => (state.rows.get(configurationKey)?.version ?? 0) >= newest),
     );
     if (quorumWithout === undefined) continue;
-    const detail = `version ${newest} was acknowledged and ${namesOf(quorumWithout)} may vote without it`;
+    const detail = `version ${newest} was acknowledged and ${namesOf(quorumWithout)} could vote without it`;
     return { rule: 'acknowledged value kept', detail: detail };
   }
   return undefined;
 }
 
-/** Two memberships that could both decide at once would be two clusters: their quorums must meet. */
+/** Two memberships that could both decide at the same time would be a split brain: their quorums must intersect. */
 export function findSplitBrain(states: readonly DurableState[]): Violation | undefined {
-  const all = membershipsOn(states).map((membership) => ({ membership, able: quorums(membership, states) }));
+  const all = membershipsOn(states).map((membership) => ({ membership, quorums: quorums(membership, states) }));
   for (const [first, second] of subsets(all, 2)) {
-    for (const quorum of first!.able) {
-      const apart = second!.able.find((other) => !other.some((state) => quorum.includes(state)));
-      if (apart === undefined) continue;
-      const detail = `${namesOf(quorum)} may vote under ${first!.membership.epoch}, ${namesOf(apart)} under ${second!.membership.epoch}`;
-      return { rule: 'majorities meet', detail: detail };
+    for (const quorum of first!.quorums) {
+      const disjoint = second!.quorums.find((other) => !other.some((state) => quorum.includes(state)));
+      if (disjoint === undefined) continue;
+      const detail = `${namesOf(quorum)} could vote under membership ${first!.membership.epoch}, ${namesOf(disjoint)} under membership ${second!.membership.epoch}`;
+      return { rule: 'quorums intersect', detail: detail };
     }
   }
   return undefined;
 }
 
 /**
- * Whether a majority that votes is left when one disk is lost, under each membership that may be in force: one that a
- * majority could vote under now, or the newest on any disk. Members that are down count, as they come back.
+ * Whether a voting majority remains when one disk is lost, under each membership that may be in force: each one under
+ * which a majority could vote now, and the newest on any disk. Members that are down count, as they restart.
  */
 export function toleratesLoss(states: readonly DurableState[], lost: DurableState, replicaCount: number): boolean {
   const known = membershipsOn(states);
--- a/packages/model-checker/src/register-calls.ts
+++ b/packages/model-checker/src/register-calls.ts
@@ -1,23 +1,23 @@
-/** How orders and reads of the configuration become calls of the shipped code. */
+/** Maps writes and reads of the configuration to calls of the production code. */
 import { configurationKey, type ControlRequest } from '@tansypost/control-feed';
 import type { ControlAccess } from './control-machine.js';
 import type { WriteRequest, RegisterValue, WriteOutcome } from './operation-history.js';
 
-/** The operator's path, to be passed in by who has another one. */
+/** How operators write and read; tests pass in other implementations. */
 export interface RegisterCalls {
   readonly write: (access: ControlAccess, order: WriteRequest) => Promise<WriteOutcome>;
-  /** Undefined where there was no clear answer. */
+  /** Undefined if there was no definite answer. */
   readonly read: (access: ControlAccess) => Promise<RegisterValue | undefined>;
 }
 
 const callTimeoutUs = 850_000;
 
 function buildRequest(access: ControlAccess, operation: ControlRequest['op']): ControlRequest {
-  // eslint-disable-next-line id-length -- the name of the field in ControlRequest
+  // eslint-disable-next-line id-length -- the field's name in ControlRequest
   return { op: operation, key: configurationKey, deadline: access.now() + callTimeoutUs };
 }
 
-/** Calls that ask the core directly, one question a call. */
+/** Calls that go to the control cluster directly, one request per call. */
 export const directCalls: RegisterCalls = {
   write: async (access, order) => {
     const { change, expectedVersion: expectedVersion } = order;
--- a/packages/model-checker/src/report.ts
+++ b/packages/model-checker/src/report.ts
@@ -1,6 +1,6 @@
 /**
- * Counterexamples as short texts: the seed, the moves that are needed with their times, what operators were told, and
- * the rule that was broken.
+ * Reports of counterexamples: the seed, the necessary moves with their times, the operators' calls and answers, and the
+ * rule that was broken.
  */
 import type { Scope } from './cluster.js';
 import { describeMove } from './moves.js';
@@ -8,12 +8,12 @@
 import { playRun, replayChooser, type Outcome, type PlacedMove } from './schedule.js';
 import { shrinkMoves } from './shrink.js';
 
-/** What replays a run: its scope, its seed and its moves. */
+/** Everything that replays a run: its scope, its seed and its moves. */
 export interface Counterexample {
   readonly scope: Scope;
   readonly seed: number;
   readonly moves: readonly PlacedMove[];
-  /** Search runs end by steps, walks by time. */
+  /** Virtual end time, which ends walks; runs of the search end by `maxSteps`. */
   readonly untilUs: number;
   readonly maxSteps?: number;
   readonly calls?: RegisterCalls;
@@ -22,13 +22,13 @@
 const shrinkRuns = 250;
 const operationsShown = 30;
 
-/** Plays it again, with its moves or some of them. */
+/** Replays a counterexample with all of its moves or some of them. */
 export function replay(example: Counterexample, moves: readonly PlacedMove[] = example.moves): Promise<Outcome> {
   const { scope, seed, untilUs, maxSteps, calls } = example;
   return playRun({ scope, seed, untilUs, maxSteps, calls, choose: replayChooser(moves) });
 }
 
-/** The fewest moves found that break the same rule. */
+/** Reduces a counterexample to the shortest list of moves found that breaks the same rule. */
 export async function shrinkCounterexample(example: Counterexample): Promise<Counterexample> {
   const rule = (await replay(example)).violation?.rule;
   const moves = await shrinkMoves(example.moves, {
@@ -38,7 +38,7 @@
   return { ...example, moves };
 }
 
-/** The text of a counterexample. */
+/** Replays a counterexample and describes it. */
 export async function describeCounterexample(example: Counterexample): Promise<string> {
   const outcome = await replay(example);
   const lines = outcome.moves.map(
@@ -46,12 +46,12 @@
   );
   const { violation, history, steps } = outcome;
   return [
-    `seed ${example.seed}, ${example.scope.replicas} places: ${violation === undefined ? 'nothing broken' : violation.rule}`,
+    `seed ${example.seed}, ${example.scope.replicas} replicas: ${violation === undefined ? 'no rule broken' : violation.rule}`,
     `  ${violation?.detail ?? ''}`,
     `moves (${outcome.moves.length}), ${steps} steps:`,
     ...lines,
-    `what operators were told (the last ${operationsShown}):`,
-    ...history.slice(-operationsShown).map((told) => `  ${told}`),
+    `operators' calls and answers (the last ${operationsShown}):`,
+    ...history.slice(-operationsShown).map((operation) => `  ${operation}`),
     `replay: ${JSON.stringify(example.moves)}`,
     '',
   ].join('\n');
--- a/packages/model-checker/src/schedule.ts
+++ b/packages/model-checker/src/schedule.ts
@@ -1,7 +1,7 @@
 /**
- * Plays one run: the default order of events, with moves put in where a chooser wants them. A move is kept with its
- * moment (the virtual time, and how many events ran at just that time), so that the list of moves alone replays the
- * run, and still makes sense when some of them are taken out.
+ * Plays one run: the default order of events, with moves inserted where a chooser asks for them. A move is recorded with
+ * its moment (the virtual time, and how many events had run at that time), so that the list of moves alone replays the
+ * run, and stays meaningful when some of them are removed.
  */
 import { checkHistory, runFinalChecks } from './final-checks.js';
 import { Cluster, bootstrappedDisks, type Scope } from './cluster.js';
@@ -11,39 +11,39 @@
 import type { Violation } from './quorum-checks.js';
 import type { RegisterCalls } from './register-calls.js';
 
-/** A place in a run. */
+/** A position in a run. */
 export interface Moment {
   readonly timeUs: number;
-  /** How many events of the default order ran at just that time before. */
+  /** How many events of the default order had already run at that virtual time. */
   readonly order: number;
 }
 
-/** A move, and where in the run it was made. */
+/** A move and its position in the run. */
 export interface PlacedMove {
   readonly moment: Moment;
   readonly move: Move;
 }
 
-/** Decides, before each event of the default order, whether to make a move instead, or to end the run unjudged. */
+/** Decides before each event of the default order whether to make a move instead, or to stop the run without checks. */
 export type Chooser = (cluster: Cluster, moment: Moment) => Move | undefined | 'stop';
 
-/** What is to be played. */
+/** The settings of a run. */
 export interface Run {
   readonly scope: Scope;
   readonly seed: number;
   /** The virtual time until which the chooser is asked. */
   readonly untilUs: number;
-  /** How many steps of the default order the chooser is asked for, at most. */
+  /** The maximum number of steps of the default order in which the chooser is asked. */
   readonly maxSteps?: number;
   readonly choose: Chooser;
   readonly calls?: RegisterCalls;
-  /** Whether the run ends with a time without faults and with reads at every machine; it does unless told. */
+  /** Whether the run ends with a recovery period without faults and reads at every machine; true by default. */
   readonly checksRecovery?: boolean;
-  /** Given the cluster before its first step. */
+  /** Called with the cluster before its first step. */
   readonly onStart?: (cluster: Cluster) => void;
 }
 
-/** How a run went. */
+/** The result of a run. */
 export interface Outcome {
   readonly violation: Violation | undefined;
   readonly moves: readonly PlacedMove[];
@@ -82,7 +82,7 @@
     return { timeUs, order: this.order };
   }
 
-  /** A move that is not possible is passed over; the run goes on. */
+  /** Makes a move, or skips it where it is not possible; the run continues either way. */
   private async make(move: Move, moment: Moment): Promise<true> {
     if (await applyMove(this.cluster, move)) this.moves.push({ moment, move });
     return true;
@@ -103,7 +103,7 @@
   }
 }
 
-/** Plays a run to its end. */
+/** Plays a run to its end or to the first broken rule. */
 export async function playRun(run: Run): Promise<Outcome> {
   const disks = run.scope.bootstraps ? undefined : await bootstrappedDisks(run.scope);
   const cluster = new Cluster(run.scope, run.seed, run.calls);
@@ -112,7 +112,7 @@
   return new Player(cluster, run).play();
 }
 
-/** Replays a list of moves; those that are not possible any more are passed over. */
+/** Replays a list of moves; those that are no longer possible are skipped. */
 export function replayChooser(moves: readonly PlacedMove[]): Chooser {
   let index = 0;
   return function choose(_cluster, moment) {
--- a/packages/model-checker/src/scopes.ts
+++ b/packages/model-checker/src/scopes.ts
@@ -1,7 +1,7 @@
-/** The scopes that the commands and the tests run. */
+/** The cluster scopes that the commands and the tests check. */
 import type { Scope } from './cluster.js';
 
-/** A walk's scope; some seeds let links reorder messages, some begin with blank machines. */
+/** The scope of a random walk; some seeds let links reorder messages, some start with empty disks. */
 export function walkScope(replicas: number, seed: number): Scope {
   return {
     replicas: replicas,
@@ -19,7 +19,7 @@
   };
 }
 
-/** The scope of a walk over the first start of a system whose seeds all hold no state. */
+/** The scope of a random walk over the first start of a system whose seed nodes all hold no state. */
 export function bootstrapScope(replicas: number, seed: number): Scope {
   return { ...walkScope(replicas, seed), spares: 1, followers: 3, bootstraps: true, statelessSeeds: true };
 }
@@ -27,12 +27,12 @@
 const minBootstrapReplicas = 3;
 const maxBootstrapReplicas = 6;
 
-/** How many machines with disks a founding walk has: too few of them, just enough, or enough for two groups. */
+/** How many machines with disks a bootstrap walk has: too few of them, just enough, or enough for two clusters. */
 export function bootstrapReplicaCount(seed: number): number {
   return minBootstrapReplicas + (seed % (maxBootstrapReplicas - minBootstrapReplicas + 1));
 }
 
-/** The scope of a search: no spare machines, and messages that take no time unless they are late. */
+/** The scope of a search: no spare machines, and messages that arrive at once unless a move delays them. */
 export function searchScope(replicas: number): Scope {
   return {
     replicas: replicas,
--- a/packages/model-checker/src/search.ts
+++ b/packages/model-checker/src/search.ts
@@ -3,19 +3,19 @@
  *
  * A schedule is the default order of events with some deviations. Level by level, all schedules of up to N steps with
  * 0, 1, 2, … deviations are played, as in delay-bounded scheduling (M. Emmi, S. Qadeer and Z. Rakamarić, POPL 2011);
- * with as many deviations as steps the search is the full one of that depth.
+ * with as many deviations as steps the search is exhaustive up to that depth.
  *
- * States are merged by the kernel's fingerprint, which covers all inputs of each process with their local times, what
- * is pending and the global time. As each process is a deterministic function of its inputs, equal fingerprints mean
+ * States are merged by the kernel's fingerprint, which covers all inputs of each process with their local times, the
+ * pending events and the global time. As each process is a deterministic function of its inputs, equal fingerprints mean
  * equal states (but for a collision of 64 bits), so merging is sound where the earlier visit had at least as many
- * steps and deviations left; the latter always holds, as levels come in rising order. Deliveries to different
- * processes at one time commute, so their orders fall together in one state: this is the partial-order reduction by
+ * steps and deviations left; the latter always holds, as levels are played in increasing order. Deliveries to different
+ * processes at one time commute, so their orders reach the same state: this is the partial-order reduction by
  * happens-before fingerprints of M. Musuvathi and S. Qadeer (PLDI 2007). Nothing else is reduced. The fingerprint
- * leaves out what operators were told earlier, as far as it is not in their own inputs: the check of a history is
- * that of the schedule which met a state first.
+ * leaves out the operators' earlier answers as far as these are not among their own inputs: the history that is checked
+ * is that of the schedule which reached the state first.
  *
- * With fewer deviations than steps each schedule ends with a time of healing and reads at every machine; the full
- * search leaves that out and ends with the check of the history.
+ * With fewer deviations than steps each schedule ends with a recovery period and reads at every machine; the exhaustive
+ * search omits that and ends with the check of the history.
  */
 import { alternativesOf } from './alternatives.js';
 import type { Cluster, Scope } from './cluster.js';
@@ -25,19 +25,19 @@
 import { playRun, replayChooser, type Moment, type PlacedMove } from './schedule.js';
 import { situationOf } from './situation.js';
 
-/** What is searched and how far. */
+/** What is searched, and the limits. */
 export interface SearchOptions {
   readonly scope: Scope;
   readonly seed: number;
-  /** How many steps each schedule has, after the first ones that are left alone. */
+  /** How many steps each schedule has after the first ones, which are not varied. */
   readonly depth: number;
   readonly deviations: number;
-  /** Ends the search early; it then says how far it came. */
+  /** Ends the search early when false; the result then says how far it got. */
   readonly shouldContinue: () => boolean;
   readonly calls?: RegisterCalls;
 }
 
-/** What was found, and how much was played. */
+/** The result of a search. */
 export interface SearchResult {
   readonly violation: Violation | undefined;
   readonly moves: readonly PlacedMove[];
@@ -45,7 +45,7 @@
   readonly steps: number;
   readonly states: number;
   readonly situations: number;
-  /** The largest number of deviations of which all schedules were played; -1 for none. */
+  /** The largest number of deviations for which all schedules were played; -1 for none. */
   readonly completedDeviations: number;
 }
 
@@ -58,11 +58,11 @@
 
 interface Visit {
   readonly stepsLeft: number;
-  /** The schedule that met the state first with so many steps left. */
+  /** The schedule that first reached the state with this many steps left. */
   readonly schedule: Schedule;
 }
 
-/** The core elects holders and operators begin; only then the search starts to deviate. */
+/** Steps before the first deviation, in which the cluster elects leaders and operators begin. */
 const undisturbedSteps = 60;
 
 class Search {
@@ -86,7 +86,7 @@
     return this.result(this.options.deviations);
   }
 
-  /** Plays all schedules with one more deviation; undefined when that was ended early. */
+  /** Plays all schedules with one more deviation; undefined if the search was ended early. */
   private async playLevel(parents: readonly Schedule[]): Promise<Schedule[] | undefined> {
     const children: Schedule[] = [];
     for (const parent of parents) {
@@ -103,7 +103,7 @@
     return children;
   }
 
-  /** Plays one schedule, or collects the choices behind its last deviation; true where a rule was broken. */
+  /** Plays one schedule, or collects the alternatives after its last deviation; true if a rule was broken. */
   private async play(schedule: Schedule, branches: Branch[] | undefined): Promise<boolean> {
     const { scope, seed, depth, deviations, calls } = this.options;
     const replay = replayChooser(schedule);
@@ -128,7 +128,7 @@
     return true;
   }
 
-  /** Goes on by default unless another schedule does so from an equal state. */
+  /** Continues in the default order unless another schedule already does so from an equal state. */
   private consider(
     schedule: Schedule,
     branches: Branch[] | undefined,
@@ -142,7 +142,7 @@
     return undefined;
   }
 
-  /** Notes a state; false where it was met before with as much left to do. */
+  /** Records a state; false if it was visited before with at least as many steps left. */
   private visit(cluster: Cluster, schedule: Schedule, stepsLeft: number): boolean {
     const key = cluster.kernel.fingerprint();
     if ((this.visits.get(key)?.stepsLeft ?? -1) >= stepsLeft) return false;
--- a/packages/model-checker/src/situation.ts
+++ b/packages/model-checker/src/situation.ts
@@ -1,14 +1,14 @@
 /**
- * A coarse picture of a state, for guidance and for figures of coverage only; the search merges states by the exact
- * fingerprint of the kernel. It leaves out values, clocks, votes collected, the content of messages, and which of the
- * machines is in which state.
+ * A coarse abstraction of a cluster's state, only for guiding walks and for coverage statistics; the search merges states
+ * by the kernel's exact fingerprint. It omits values, clocks, collected votes, message contents, and which machine is in
+ * which state.
  */
 import { configurationKey } from '@tansypost/control-feed';
 import { membershipKey } from '@tansypost/control-state';
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 
-/** The kinds of messages that drive a round, a copy or a change of membership. */
+/** The kinds of messages that drive a quorum round, a copy or a membership change. */
 const trackedMessageKinds = ['Prepare', 'Accept', 'Check', 'Vote', 'CopyAsk', 'CopyPage', 'Join', 'Answer'];
 
 function ranksOf(values: readonly number[]): number[] {
@@ -24,7 +24,7 @@
   return `${machine.process.frozen ? 'frozen ' : ''}${core.replica.state()}${holds}`;
 }
 
-/** Names the situation that a cluster is in. */
+/** The key of the situation that a cluster is in. */
 export function situationOf(cluster: Cluster): string {
   const machines = cluster.allMachines().filter((machine) => machine.wasStarted());
   const rows = machines.map((machine) => machine.disk.durable().rows);
--- a/packages/model-checker/src/vote-checks.ts
+++ b/packages/model-checker/src/vote-checks.ts
@@ -1,4 +1,4 @@
-/** What a vote says must be true of the disk of who gives it. */
+/** Checks that each vote is backed by the voter's disk. */
 import { membershipKey } from '@tansypost/control-state';
 import type { Message } from '@tansypost/inner-protocol';
 import { membershipOf, type DurableRow, type DurableState } from './durable-state.js';
@@ -9,39 +9,42 @@
 
 const notDurable = 'durable before promised';
 
-/** Remembers what was asked, and looks at the votes for it. */
+/** Records quorum requests and checks the votes for them. */
 export class VoteChecks {
   private readonly requests = new Map<string, VoteRequest>();
-  /** The highest epoch that each disk has promised for each key by a vote. */
+  /** The highest epoch that each disk has promised in a vote, by disk and key. */
   private readonly promises = new Map<string, number>();
 
-  /** Takes in a request that was sent. */
+  /** Records a request that was sent. */
   observeRequest(request: VoteRequest): void {
     this.requests.set(request.id, request);
   }
 
-  /** Whoever votes is a voting member by its disk, and what its vote promises is synced. */
+  /** Checks that the voter's disk says that it is a voting member, and that what its vote promises is synced. */
   findViolation(voter: string, vote: Vote, state: DurableState): Violation | undefined {
     if (!vote.ok || !vote.voting) return undefined;
     if (state.state !== 'voting')
-      return { rule: 'who votes', detail: `${voter} voted though its disk says ${state.state}` };
+      return { rule: 'only voting replicas vote', detail: `${voter} voted, but its disk is in state ${state.state}` };
     const request = this.requests.get(vote.id);
     if (request === undefined) return undefined;
     return this.findBrokenPromise(voter, request, state) ?? findUnsynced(voter, request, state);
   }
 
-  /** A disk that has promised an epoch votes for none below it, and one that knows a membership for no older one. */
+  /** A disk never votes for an epoch below one that it has promised, nor under a membership older than the one it knows. */
   private findBrokenPromise(voter: string, request: VoteRequest, state: DurableState): Violation | undefined {
     const { key, epoch } = request;
     const promised = this.promises.get(`${state.disk}/${key}`) ?? 0;
     if (epoch < promised)
-      return { rule: 'keeps its promise', detail: `${voter} voted for epoch ${epoch} of ${key} after ${promised}` };
+      return {
+        rule: 'keeps its promise',
+        detail: `${voter} voted for epoch ${epoch} of ${key} after promising ${promised}`,
+      };
     if (request.kind === 'Prepare') this.promises.set(`${state.disk}/${key}`, epoch);
     const known = membershipOf(state)?.epoch ?? 0;
     if (key === membershipKey || known <= request.membershipEpoch) return undefined;
     return {
       rule: 'refuses old memberships',
-      detail: `${voter} voted under ${request.membershipEpoch}, knowing ${known}`,
+      detail: `${voter} voted under membership ${request.membershipEpoch}, but knows ${known}`,
     };
   }
 }
@@ -50,7 +53,7 @@
   const row = state.rows.get(request.key);
   const promised = row?.promised ?? 0;
   if (promised < request.epoch) {
-    const detail = `${voter} voted for epoch ${request.epoch} of ${request.key}, ${promised} synced`;
+    const detail = `${voter} voted for epoch ${request.epoch} of ${request.key}, but only ${promised} is synced`;
     return { rule: notDurable, detail: detail };
   }
   return request.kind === 'Accept' ? findMissingValue(voter, request, row) : undefined;
@@ -62,9 +65,13 @@
   row: DurableRow | undefined,
 ): Violation | undefined {
   const { key, epoch, version, value } = request;
-  const holds = row !== undefined && (row.epoch > epoch || row.version >= version);
-  if (!holds) return { rule: notDurable, detail: `${voter} voted for version ${version} of ${key} without a sync` };
-  const isOther = row.epoch === epoch && row.version === version && !row.value.equals(value);
-  if (!isOther) return undefined;
-  return { rule: 'accepted what it holds', detail: `${voter} accepted version ${version} of ${key}, holding another` };
+  const isAtLeastAsNew = row !== undefined && (row.epoch > epoch || row.version >= version);
+  if (!isAtLeastAsNew)
+    return { rule: notDurable, detail: `${voter} voted for version ${version} of ${key} before it was synced` };
+  const isConflicting = row.epoch === epoch && row.version === version && !row.value.equals(value);
+  if (!isConflicting) return undefined;
+  return {
+    rule: 'accepted value is stored',
+    detail: `${voter} accepted version ${version} of ${key}, but stores a different value`,
+  };
 }
--- a/packages/model-checker/src/walk.ts
+++ b/packages/model-checker/src/walk.ts
@@ -1,7 +1,7 @@
 /**
- * Long random walks. Every few events the walk makes a move; kinds of moves are drawn with weights that fall with how
- * often the kind was made in a situation like the present one, so that rare pairs of situation and move are sought
- * out. The weights are those of one walk, so its seed alone replays it.
+ * Long random walks. Every few events the walk makes a move. Kinds of moves are drawn with weights that decrease with
+ * how often the kind was used in the current situation, which favours rare pairs of situation and move. The weights
+ * belong to one walk, so its seed alone replays it.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Cluster, Scope } from './cluster.js';
@@ -11,17 +11,17 @@
 import { playRun, type Outcome } from './schedule.js';
 import { situationOf } from './situation.js';
 
-/** One walk. */
+/** The settings of one walk. */
 export interface WalkOptions {
   readonly scope: Scope;
   readonly seed: number;
   readonly lengthUs: number;
   readonly calls?: RegisterCalls;
-  /** Collects the situations met, over as many walks as share it. */
+  /** Collects the situations reached; several walks may share it. */
   readonly situations?: Set<string>;
 }
 
-/** How many events lie between two moves on average, in a busy stretch and in a calm one. */
+/** The mean number of events between two moves, in a busy stretch and in a calm one. */
 const busyMoveIntervalEvents = 6;
 const calmMoveIntervalEvents = 60;
 const stretchContinuationProbability = 0.85;
@@ -59,7 +59,7 @@
   }
 }
 
-/** Goes on a walk. */
+/** Plays one random walk. */
 export function walk(options: WalkOptions): Promise<Outcome> {
   const { scope, seed, lengthUs, calls } = options;
   const guide = new GuidedChooser(options);
