--- a/packages/model-checker/src/apply-move.ts
+++ b/packages/model-checker/src/apply-move.ts
@@ -86,8 +86,8 @@
   return true;
 }
 
-function startPartition(cluster: Cluster, cut: Partition, forUs: number): boolean {
-  cluster.kernel.setPartition(cut);
+function startPartition(cluster: Cluster, partition: Partition, forUs: number): boolean {
+  cluster.kernel.setPartition(partition);
   scheduleFaultEnd(cluster, 'cut', forUs, () => cluster.kernel.setPartition(undefined));
   return true;
 }
--- a/packages/model-checker/src/bootstrap-schedules.ts
+++ b/packages/model-checker/src/bootstrap-schedules.ts
@@ -188,7 +188,7 @@
   for (let seed = 1; seed <= count; seed += 1) {
     const { violation, records } = new BootstrapSchedule(seed).play();
     if (records > 0) bootstrapped += 1;
-    if (violation !== undefined) return { violation, seed, bootstrapped: bootstrapped };
+    if (violation !== undefined) return { violation, seed, bootstrapped };
   }
-  return { violation: undefined, seed: count, bootstrapped: bootstrapped };
+  return { violation: undefined, seed: count, bootstrapped };
 }
--- a/packages/model-checker/src/check-model.ts
+++ b/packages/model-checker/src/check-model.ts
@@ -117,7 +117,7 @@
     } = await walk({ scope: walked, seed, lengthUs: options.walkLengthUs });
     steps += walkedSteps;
     if (violation !== undefined && options.ignoredRules?.includes(violation.rule) !== true)
-      return { finding: { violation, by: `walk with ${walked.replicas}`, seed, scope: walked, moves }, steps };
+      return { finding: { violation, by: `walk with ${walked.replicas} replicas`, seed, scope: walked, moves }, steps };
   }
   return { finding: undefined, steps };
 }
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -118,7 +118,7 @@
   }
 
   private addOperator(name: string): Operator {
-    const { thinkTimeUs: thinkUs, maxRetries: sendsAgain, readsPercent } = this.scope;
+    const { thinkTimeUs, maxRetries, readsPercent } = this.scope;
     return new Operator(this.kernel, {
       process: this.addProcess(name),
       machines: () => this.allMachines().filter((machine) => machine.wasStarted()),
@@ -126,8 +126,8 @@
       record: (operation) => this.history.push(operation),
       tick: () => (this.position += 1),
       onAcknowledged: (request) => this.invariants.observeAcknowledgement(request),
-      thinkTimeUs: thinkUs,
-      maxRetries: sendsAgain,
+      thinkTimeUs,
+      maxRetries,
       readsPercent,
     });
   }
--- a/packages/model-checker/src/commands.ts
+++ b/packages/model-checker/src/commands.ts
@@ -105,7 +105,7 @@
   }
 }
 
-function rowOf({ mutation, outcome: outcome }: MutantResult): string {
+function rowOf({ mutation, outcome }: MutantResult): string {
   const where = `${mutation.name} | \`${mutation.file}\``;
   if ('error' in outcome) return `| ${where} | error: ${outcome.error} | |\n`;
   const { finding, steps } = outcome;
@@ -142,13 +142,7 @@
         const name = `mutant-${mutations.indexOf(next)}`;
         const result = {
           mutation: next,
-          outcome: await runMutant(
-            process.cwd(),
-            name,
-            next,
-            { ...options, excludedSeeds: excludedSeeds, ignoredRules: ignoredRules },
-            limitMs,
-          ),
+          outcome: await runMutant(process.cwd(), name, next, { ...options, excludedSeeds, ignoredRules }, limitMs),
         };
         results.push(result);
         stdout.write(rowOf(result));
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -36,7 +36,7 @@
   readonly name: string;
   readonly disk: ModelDisk;
   private node: ControlNodeHost | undefined;
-  private coreAccess: ControlAccess | undefined;
+  private controlAccess: ControlAccess | undefined;
 
   constructor(
     private readonly kernel: Kernel,
@@ -54,7 +54,7 @@
 
   /** The access for operators' calls, while the machine runs. */
   access(): ControlAccess | undefined {
-    return this.coreAccess;
+    return this.controlAccess;
   }
 
   /** Whether the program was ever started on it. */
@@ -83,7 +83,7 @@
       else if (!feed.receive(message, from)) node.receive(message, from);
     };
     this.node = node;
-    this.coreAccess = {
+    this.controlAccess = {
       ask: (question) => new Promise((done) => controlClient.request(question, done)),
       now: world.now,
     };
@@ -96,7 +96,7 @@
     this.process.inputs.addText(`kept ${kept}`);
     this.disk.crash(kept);
     this.node = undefined;
-    this.coreAccess = undefined;
+    this.controlAccess = undefined;
   }
 
   /** Erases the disk. */
@@ -112,21 +112,21 @@
       ...settings,
       slot: undefined,
       bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
-      mayBootstrap: mayBootstrap,
+      mayBootstrap,
       rejoins: true,
       self,
       bootstrapMembers: seeds,
       seeds: [],
       newDiskId: () => `${process.name}.${Math.floor(world.random() * 2 ** 48).toString(36)}`,
-      open: (afresh, blank) => this.openDisk(afresh, blank),
+      open: (rewriteJournal, blank) => this.openDisk(rewriteJournal, blank),
     });
   }
 
-  private async openDisk(afresh: boolean, blank: boolean): Promise<E.Either<Error, OpenDisk>> {
+  private async openDisk(rewriteJournal: boolean, blank: boolean): Promise<E.Either<Error, OpenDisk>> {
     if (blank) this.disk.erase();
     const found = [...this.disk.records()];
     const disk = this.disk.open(this.process);
-    if (afresh) await new Promise<void>((done) => disk.rewrite(found, () => done()));
+    if (rewriteJournal) await new Promise<void>((done) => disk.rewrite(found, () => done()));
     return E.right({ disk, found, cut: 0 });
   }
 }
--- a/packages/model-checker/src/duties/draw.ts
+++ b/packages/model-checker/src/duties/draw.ts
@@ -13,12 +13,12 @@
 }
 
 /** A reproducible source of random choices; `isCalm` says whether the fault phase is over. */
-export function createDraw(seed: number, isCalm: () => boolean): Draw {
+export function createDraw(seed: number, isFaultPhaseOver: () => boolean): Draw {
   const number = createSeededRandom(seed);
   return {
     number,
     chance: (probability) => number() < probability,
-    faultChance: (probability) => number() < probability && !isCalm(),
+    faultChance: (probability) => number() < probability && !isFaultPhaseOver(),
     between: (least, most) => least + (most - least) * number(),
     oneOf: (items) => items[Math.floor(number() * items.length)]!,
   };
--- a/packages/model-checker/src/duties/duty-command.ts
+++ b/packages/model-checker/src/duties/duty-command.ts
@@ -38,9 +38,11 @@
     let missed = 0;
     for (const [index, mutation] of dutyMutations.entries()) {
       const options = { firstSeed: scopeKindCount + mutation.kind, seeds, stride: scopeKindCount };
-      const hunt = await runDutyMutant(process.cwd(), `duty-${index}`, mutation, options, mutantTimeLimitMs);
-      if ('error' in hunt || hunt.finding === undefined) missed += 1;
-      this.context.stdout.write(`${mutation.name}: ${'error' in hunt ? `${hunt.error}\n` : describeResult(hunt)}`);
+      const result = await runDutyMutant(process.cwd(), `duty-${index}`, mutation, options, mutantTimeLimitMs);
+      if ('error' in result || result.finding === undefined) missed += 1;
+      this.context.stdout.write(
+        `${mutation.name}: ${'error' in result ? `${result.error}\n` : describeResult(result)}`,
+      );
     }
     return missed > 0 ? violationExitCode : 0;
   }
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -32,13 +32,13 @@
 const secondUs = 1_000_000;
 const seedStride = 7919;
 const messageLossProbability = 0.02;
-const messageDelayUs = { least: 300, most: 25_000 } as const;
-const callDelayUs = { least: 1_000, most: 60_000, late: 500_000, lateChance: 0.08 } as const;
+const messageDelayUs = { min: 300, max: 25_000 } as const;
+const callDelayUs = { min: 1_000, max: 60_000, late: 500_000, lateChance: 0.08 } as const;
 const heldByFreezeProbability = 0.5;
 const maxOrderedNumber = 9;
 /** The choices, one for each schedule, for how many reports may be open before no more are planned. */
 const maxOpenReportChoices = [1, 4, 30] as const;
-const orderChangeIntervalUs = { least: 0.5 * secondUs, most: 12 * secondUs } as const;
+const orderChangeIntervalUs = { min: 0.5 * secondUs, max: 12 * secondUs } as const;
 
 /** Plays a schedule to its end or to the first broken rule. */
 export async function playDutySchedule(scope: DutyScope): Promise<DutyScheduleResult> {
@@ -48,12 +48,12 @@
   scheduleFaults(run);
   scheduleOrderChanges(run, desiredNumbers);
   await run.scheduler.runUntil(scheduleTimes.end, () => run.ruleChecker.broken() !== undefined);
-  if (run.ruleChecker.broken() === undefined) run.ruleChecker.end(scheduleTimes.end, desiredNumbers);
+  if (run.ruleChecker.broken() === undefined) run.ruleChecker.checkAtEnd(scheduleTimes.end, desiredNumbers);
   for (const node of run.nodes) node.runner?.stop();
   return resultOf(run);
 }
 
-function resultOf({ ruleChecker: watch, scheduler, platform }: Run): DutyScheduleResult {
+function resultOf({ ruleChecker, scheduler, platform }: Run): DutyScheduleResult {
   const { calls } = platform;
   const takeovers = calls.filter((call, index) => {
     const before = calls
@@ -63,7 +63,7 @@
     return before !== undefined && before.holder !== call.holder;
   });
   return {
-    broken: watch.broken(),
+    broken: ruleChecker.broken(),
     steps: scheduler.steps(),
     calls: calls.length,
     fenced: calls.filter((call) => !call.isAccepted).length,
@@ -75,15 +75,15 @@
   const scheduler = createScheduler();
   const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= scheduleTimes.faultsEndAt);
   const nodes = Array.from({ length: scope.nodes }).map((_empty, slot) => createDutyNode(slot));
-  const watch = createRuleChecker(scope, (holder, from, until) => wasReachable(nodes, holder, from, until));
-  const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, watch.observeArrival);
-  const records = createStoredRecords(scheduler, draw, watch.observeWrite, watch.observeRead);
+  const ruleChecker = createRuleChecker(scope, (holder, from, until) => wasReachable(nodes, holder, from, until));
+  const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, ruleChecker.observeArrival);
+  const records = createStoredRecords(scheduler, draw, ruleChecker.observeWrite, ruleChecker.observeRead);
   let membershipEpoch = 1;
   const cluster: DutyCluster = {
     scheduler,
     draw,
     records,
-    desiredNumbers: desiredNumbers,
+    desiredNumbers,
     maxOpenReports: draw.oneOf(maxOpenReportChoices),
     membership: () => ({
       membershipEpoch,
@@ -96,7 +96,7 @@
   function membershipChanged(): void {
     membershipEpoch += 1;
   }
-  const run: Run = { scope, scheduler, draw, ruleChecker: watch, platform, cluster, nodes, membershipChanged };
+  const run: Run = { scope, scheduler, draw, ruleChecker, platform, cluster, nodes, membershipChanged };
   return run;
 }
 
@@ -109,7 +109,7 @@
   const target = nodes.find((node) => node.address === to);
   const isCut = target !== from && [from, target].some((node) => node?.cutFromControlCluster || node?.cutFromVoters);
   if (target === undefined || !from.alive || isCut || draw.faultChance(messageLossProbability)) return;
-  scheduler.after(draw.between(messageDelayUs.least, messageDelayUs.most), () => {
+  scheduler.after(draw.between(messageDelayUs.min, messageDelayUs.max), () => {
     if (target.alive) inProcess(target)(() => receive(target, message));
   });
 
@@ -126,18 +126,18 @@
 
 /** Sends a call to the platform; a fault of the sender may hold the call in transit. */
 function makeCall(run: Run, from: DutyNode, call: DutyCall, answer: (outcome: CallOutcome) => void): void {
-  const { scheduler, draw, ruleChecker: watch, platform } = run;
+  const { scheduler, draw, ruleChecker, platform } = run;
   const sentAt = scheduler.now();
-  watch.observeSend(call, sentAt, `${from.name}/${from.incarnation}`);
-  const most = draw.faultChance(callDelayUs.lateChance) ? callDelayUs.late : callDelayUs.most;
+  ruleChecker.observeSend(call, sentAt, `${from.name}/${from.incarnation}`);
+  const max = draw.faultChance(callDelayUs.lateChance) ? callDelayUs.late : callDelayUs.max;
   const deliver = inProcess(from);
   const mayBeHeld = draw.chance(heldByFreezeProbability);
-  scheduler.after(draw.between(callDelayUs.least, most), arrive);
+  scheduler.after(draw.between(callDelayUs.min, max), arrive);
   maybeInjectFault(run, from);
 
   function arrive(): void {
     const isHeld = (from.frozen && mayBeHeld) || from.cutFromPlatform;
-    if (isHeld) return void scheduler.after(draw.between(callDelayUs.least, callDelayUs.late), arrive);
+    if (isHeld) return void scheduler.after(draw.between(callDelayUs.min, callDelayUs.late), arrive);
     const wasHeld = scheduler.now() - sentAt > callDelayUs.late;
     platform.arrive(call, sentAt, wasHeld, (outcome) => {
       if (!from.cutFromPlatform) deliver(() => receiveAnswer(outcome));
@@ -146,17 +146,17 @@
   }
 
   function receiveAnswer(outcome: CallOutcome): void {
-    if (outcome === 'fenced') watch.observeFenced(call);
+    if (outcome === 'fenced') ruleChecker.observeFenced(call);
     answer(outcome);
     maybeInjectFault(run, from);
   }
 }
 
-function scheduleOrderChanges({ scheduler, draw }: Run, wanted: Map<string, number>): void {
+function scheduleOrderChanges({ scheduler, draw }: Run, desiredNumbers: Map<string, number>): void {
   function change(): void {
     if (scheduler.now() >= scheduleTimes.faultsEndAt) return;
-    wanted.set(draw.oneOf(orderSubjects), 1 + Math.floor(draw.number() * maxOrderedNumber));
-    scheduler.after(draw.between(orderChangeIntervalUs.least, orderChangeIntervalUs.most), change);
+    desiredNumbers.set(draw.oneOf(orderSubjects), 1 + Math.floor(draw.number() * maxOrderedNumber));
+    scheduler.after(draw.between(orderChangeIntervalUs.min, orderChangeIntervalUs.max), change);
   }
-  scheduler.after(draw.between(orderChangeIntervalUs.least, orderChangeIntervalUs.most), change);
+  scheduler.after(draw.between(orderChangeIntervalUs.min, orderChangeIntervalUs.max), change);
 }
--- a/packages/model-checker/src/duties/faults.ts
+++ b/packages/model-checker/src/duties/faults.ts
@@ -24,9 +24,9 @@
 const diskLossProbability = 0.4;
 const memberReplacedProbability = 0.5;
 const voterForgetsProbability = 0.7;
-const forgetIntervalUs = { least: 0.2 * secondUs, most: 1.5 * secondUs } as const;
+const forgetIntervalUs = { min: 0.2 * secondUs, max: 1.5 * secondUs } as const;
 const faultProbabilityPerStep = 0.04;
-const faultIntervalUs = { least: 0.2 * secondUs, most: 5 * secondUs } as const;
+const faultIntervalUs = { min: 0.2 * secondUs, max: 5 * secondUs } as const;
 
 /** Schedules random faults until the fault phase is over; each fault ends by then. */
 export function scheduleFaults(run: FaultInjectionRun): void {
@@ -34,9 +34,9 @@
   function next(): void {
     if (scheduler.now() >= scheduleTimes.faultsEndAt) return;
     injectRandomFault(run, draw.oneOf(run.nodes));
-    scheduler.after(draw.between(faultIntervalUs.least, faultIntervalUs.most), next);
+    scheduler.after(draw.between(faultIntervalUs.min, faultIntervalUs.max), next);
   }
-  scheduler.after(draw.between(faultIntervalUs.least, faultIntervalUs.most), next);
+  scheduler.after(draw.between(faultIntervalUs.min, faultIntervalUs.max), next);
 }
 
 /** Called after a step of a duty at a node; may inject a fault right now. */
@@ -59,7 +59,7 @@
 }
 
 /** Records a fault of the node and ends it after a random time, at the latest when the fault phase ends. */
-function endLater({ cluster }: FaultInjectionRun, node: DutyNode, end: () => void): void {
+function startFault({ cluster }: FaultInjectionRun, node: DutyNode, end: () => void): void {
   const { scheduler, draw } = cluster;
   const durationUs = Math.min(draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt - scheduler.now());
   const span = { from: scheduler.now(), until: Infinity };
@@ -75,7 +75,7 @@
   node.alive = false;
   node.incarnation += 1;
   node.runner?.stop();
-  endLater(run, node, () => {
+  startFault(run, node, () => {
     const { scheduler, draw } = run.cluster;
     if (draw.chance(diskLossProbability)) loseDisk(run, node);
     startNode(run.cluster, node, scheduler.now());
@@ -94,7 +94,7 @@
   if (!node.alive || node.frozen) return;
   const { incarnation } = node;
   node.frozen = true;
-  endLater(run, node, () => {
+  startFault(run, node, () => {
     if (node.incarnation === incarnation) thaw(run, node);
   });
 }
@@ -113,7 +113,7 @@
 function cutFromControlCluster(run: FaultInjectionRun, node: DutyNode): void {
   if (node.cutFromControlCluster) return;
   node.cutFromControlCluster = true;
-  endLater(run, node, () => {
+  startFault(run, node, () => {
     node.cutFromControlCluster = false;
   });
 }
@@ -121,7 +121,7 @@
 function cutFromVoters(run: FaultInjectionRun, node: DutyNode): void {
   if (node.cutFromVoters) return;
   node.cutFromVoters = true;
-  endLater(run, node, () => {
+  startFault(run, node, () => {
     node.cutFromVoters = false;
   });
 }
@@ -130,7 +130,7 @@
   cutFromControlCluster(run, node);
   if (node.cutFromPlatform) return;
   node.cutFromPlatform = true;
-  endLater(run, node, () => {
+  startFault(run, node, () => {
     node.cutFromPlatform = false;
   });
 }
@@ -139,8 +139,8 @@
   const { scheduler, draw } = cluster;
   const duty = draw.oneOf([reportDuty, orderDuty]);
   platform.conditions.set(duty, draw.oneOf(faultyConditions));
-  const lasts = Math.min(draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt - scheduler.now());
-  scheduler.after(lasts, () => void platform.conditions.set(duty, 'well'));
+  const durationUs = Math.min(draw.between(minFaultUs, maxFaultUs), scheduleTimes.faultsEndAt - scheduler.now());
+  scheduler.after(durationUs, () => void platform.conditions.set(duty, 'well'));
 }
 
 /** For some time, most voters lose their disks and vote again at once, which no fault within the fault budget causes. */
@@ -150,7 +150,7 @@
   function forgetAndRepeat(): void {
     if (scheduler.now() >= until) return;
     forgetOnce(run);
-    scheduler.after(draw.between(forgetIntervalUs.least, forgetIntervalUs.most), forgetAndRepeat);
+    scheduler.after(draw.between(forgetIntervalUs.min, forgetIntervalUs.max), forgetAndRepeat);
   }
   forgetAndRepeat();
 }
--- a/packages/model-checker/src/duties/platform-model.ts
+++ b/packages/model-checker/src/duties/platform-model.ts
@@ -27,8 +27,8 @@
 }
 
 const answerLossProbability = 0.05;
-const answerDelayUs = { least: 1_000, most: 40_000 } as const;
-const slowAnswerDelayUs = { least: 400_000, most: 4_000_000 } as const;
+const answerDelayUs = { min: 1_000, max: 40_000 } as const;
+const slowAnswerDelayUs = { min: 400_000, max: 4_000_000 } as const;
 
 /** A working platform; `onArrival` is called with each call that it receives. */
 export function createPlatformModel(
@@ -56,9 +56,9 @@
     calls.push(arrival);
     onArrival(arrival);
     if (condition === 'deaf' || draw.faultChance(answerLossProbability)) return;
-    const { least, most } = condition === 'slow' ? slowAnswerDelayUs : answerDelayUs;
-    scheduler.after(draw.between(least, most), () => answer(outcome));
+    const { min, max } = condition === 'slow' ? slowAnswerDelayUs : answerDelayUs;
+    scheduler.after(draw.between(min, max), () => answer(outcome));
   }
 
-  return { conditions: conditions, calls, arrive };
+  return { conditions, calls, arrive };
 }
--- a/packages/model-checker/src/duties/rules.ts
+++ b/packages/model-checker/src/duties/rules.ts
@@ -35,8 +35,8 @@
   /** A leader was answered that the platform has seen a higher fence. */
   readonly observeFenced: (call: DutyCall) => void;
   readonly observeArrival: (call: ArrivedCall) => void;
-  /** The run is over; `wanted` is what the orders were to be. */
-  readonly end: (now: number, desiredNumbers: ReadonlyMap<string, number>) => void;
+  /** Checks the rules for the end of a run; `desiredNumbers` are the numbers that the orders must reach. */
+  readonly checkAtEnd: (now: number, desiredNumbers: ReadonlyMap<string, number>) => void;
 }
 
 interface CheckerState {
@@ -48,7 +48,7 @@
   /** The version of the write that began a term, by the term's id. */
   readonly fenceByTermId: Map<string, number>;
   /** The terms that appear in records, by duty, fence and leader. */
-  readonly ownFences: Set<string>;
+  readonly recordedTerms: Set<string>;
   /** The fence of the term that a leader last read from a duty's record, by leader and duty. */
   readonly newestRead: Map<string, number>;
   readonly fenced: Set<string>;
@@ -60,19 +60,19 @@
 /** Windows that end within this time before the end of a run need not be reported in it. */
 const reportSlackUs = 6 * secondUs;
 
-/** A watch; `wasInTouch` tells whether nothing befell a holder in a span of time. */
+/** Creates a rule checker; `wasReachable` says whether a leader had no faults in a span of time. */
 export function createRuleChecker(
   scope: DutyScope,
-  wasInTouch: (holder: string, from: number, until: number) => boolean,
+  wasReachable: (holder: string, from: number, until: number) => boolean,
 ): RuleChecker {
   const state: CheckerState = {
     scope,
-    wasReachable: wasInTouch,
+    wasReachable,
     accepted: [],
     holderByFence: new Map(),
     written: new Set(),
     fenceByTermId: new Map(),
-    ownFences: new Set(),
+    recordedTerms: new Set(),
     newestRead: new Map(),
     fenced: new Set(),
     sendTimesByProcess: new Map(),
@@ -85,12 +85,12 @@
     observeSend: (call, now, process) => checkSent(state, call, now, process),
     observeFenced: (call) => void state.fenced.add(termKey(call)),
     observeArrival: (call) => checkArrived(state, call),
-    end: (now, wanted) => checkEnd(state, now, wanted),
+    checkAtEnd: (now, desiredNumbers) => checkEnd(state, now, desiredNumbers),
   };
 }
 
 function breakRule(state: CheckerState, rule: BrokenRule['rule'], detail: string): void {
-  state.broken ??= { rule, detail: detail };
+  state.broken ??= { rule, detail };
 }
 
 function termKey({ duty, fence, holder }: Pick<DutyCall, 'duty' | 'fence' | 'holder'>): string {
@@ -107,7 +107,7 @@
   const { term, open } = record.right;
   if (term !== null && !state.fenceByTermId.has(term.id)) {
     state.fenceByTermId.set(term.id, version);
-    state.ownFences.add(termKey({ duty: dutyOf(key), fence: version, holder: term.holder }));
+    state.recordedTerms.add(termKey({ duty: dutyOf(key), fence: version, holder: term.holder }));
   }
   for (const { subject, content } of open) state.written.add(`${dutyOf(key)} ${subject} ${content}`);
 }
@@ -126,7 +126,7 @@
   if (!state.written.has(`${call.duty} ${call.subject} ${call.content}`))
     breakRule(state, 'intent written first', describeCall(call));
   const newest = state.newestRead.get(`${call.holder} ${call.duty}`) ?? 0;
-  const isSuperseded = call.fence < newest && state.ownFences.has(termKey(call));
+  const isSuperseded = call.fence < newest && state.recordedTerms.has(termKey(call));
   if (state.fenced.has(termKey(call)) || isSuperseded) breakRule(state, 'term ends', describeCall(call));
   const recent = (state.sendTimesByProcess.get(process) ?? []).filter((at) => at > now - secondUs);
   recent.push(now);
@@ -178,8 +178,9 @@
   const between = recent.find((other) => other.holder !== call.holder && first !== undefined && other.at >= first.at);
   if (first === undefined || between === undefined) return;
   const from = first.at - scheduleTimes.contactWindow;
-  const inTouch = [call.holder, between.holder].every((holder) => state.wasReachable(holder, from, call.at));
-  if (inTouch) breakRule(state, 'turns', `${describeCall(first)}; ${describeCall(between)}; ${describeCall(call)}`);
+  const bothReachable = [call.holder, between.holder].every((holder) => state.wasReachable(holder, from, call.at));
+  if (bothReachable)
+    breakRule(state, 'turns', `${describeCall(first)}; ${describeCall(between)}; ${describeCall(call)}`);
 }
 
 /** What the lease guarantees: a gap between two leaders, and fences that increase in the order of arrival. */
@@ -195,7 +196,7 @@
   );
 }
 
-function checkEnd(state: CheckerState, now: number, wanted: ReadonlyMap<string, number>): void {
+function checkEnd(state: CheckerState, now: number, desiredNumbers: ReadonlyMap<string, number>): void {
   const reported = state.accepted
     .filter((call) => call.duty === reportDuty)
     .map((call) => reportOf(call.content).window);
@@ -208,7 +209,7 @@
     const calls = state.accepted.filter((call) => call.duty === orderDuty && call.subject === subject);
     const newestFence = Math.max(...calls.map((call) => call.fence));
     const last = calls.filter((call) => call.fence === newestFence).at(-1)?.content;
-    const owed = JSON.stringify({ number: wanted.get(subject) });
-    if (last !== owed) breakRule(state, 'owed', `${subject}: ${owed} instead of ${last}`);
+    const expected = JSON.stringify({ number: desiredNumbers.get(subject) });
+    if (last !== expected) breakRule(state, 'owed', `${subject}: ${expected} instead of ${last}`);
   }
 }
--- a/packages/model-checker/src/duties/stored-record.ts
+++ b/packages/model-checker/src/duties/stored-record.ts
@@ -27,20 +27,20 @@
 }
 
 /** Called with each write that takes effect. */
-export type WriteObserver = (key: string, onWrite: StoredVersion) => void;
+export type WriteObserver = (key: string, written: StoredVersion) => void;
 /** Called with each value that a node reads. */
 export type ReadObserver = (caller: string, key: string, read: StoredVersion) => void;
 
 const emptyValue: StoredVersion = { version: 0, value: Buffer.alloc(0) };
-const messageDelayUs = { least: 500, most: 15_000 } as const;
-const lateWrite = { chance: 0.03, least: 1_000_000, most: 6_000_000 } as const;
+const messageDelayUs = { min: 500, max: 15_000 } as const;
+const lateWrite = { chance: 0.03, min: 1_000_000, max: 6_000_000 } as const;
 const answerLossProbability = 0.03;
 
 /** A store without any values. */
 export function createStoredRecords(
   scheduler: Scheduler,
   draw: Draw,
-  written: WriteObserver,
+  onWrite: WriteObserver,
   onRead: ReadObserver,
 ): StoredRecords {
   const values = new Map<string, StoredVersion>();
@@ -53,7 +53,7 @@
     if (newest(key).version !== expectedVersion) return undefined;
     const next = { version: expectedVersion + 1, value };
     values.set(key, next);
-    written(key, next);
+    onWrite(key, next);
     return next.version;
   }
 
@@ -66,7 +66,7 @@
         if (read !== undefined) onRead(caller.name, key, read);
         return read;
       },
-      write: (base, bytes) => request(caller, true, () => put(key, base, bytes)),
+      write: (expectedVersion, bytes) => request(caller, true, () => put(key, expectedVersion, bytes)),
     };
   }
 
@@ -81,7 +81,7 @@
 
 /** Returns a function that applies an effect at the majority and returns its result, either of which may be lost. */
 function createStoreRequester(scheduler: Scheduler, draw: Draw): StoreRequester {
-  return function ask<Result>(
+  return function request<Result>(
     caller: StoreCaller,
     isWrite: boolean,
     effect: () => Result,
@@ -91,14 +91,12 @@
       if (!caller.isConnected()) return;
       const isLate = isWrite && draw.faultChance(lateWrite.chance);
       scheduler.after(
-        isLate
-          ? draw.between(lateWrite.least, lateWrite.most)
-          : draw.between(messageDelayUs.least, messageDelayUs.most),
+        isLate ? draw.between(lateWrite.min, lateWrite.max) : draw.between(messageDelayUs.min, messageDelayUs.max),
         () => {
           const result = effect();
           if (isWrite) caller.onStep();
           if (draw.faultChance(answerLossProbability)) return;
-          scheduler.after(draw.between(messageDelayUs.least, messageDelayUs.most), () => {
+          scheduler.after(draw.between(messageDelayUs.min, messageDelayUs.max), () => {
             if (!caller.isConnected()) return;
             if (isWrite) caller.onStep();
             caller.inProcess(() => done(result));
--- a/packages/model-checker/src/invariants.ts
+++ b/packages/model-checker/src/invariants.ts
@@ -93,7 +93,7 @@
   }
 
   private fail(rule: string, detail: string): void {
-    this.broken ??= { rule, detail: detail };
+    this.broken ??= { rule, detail };
   }
 
   private recordViolation(found: Violation | undefined): void {
--- a/packages/model-checker/src/kernel.ts
+++ b/packages/model-checker/src/kernel.ts
@@ -185,8 +185,8 @@
   }
 
   /** Starts a partition, replacing any current one, or ends it. */
-  setPartition(wanted: Partition | undefined): void {
-    this.partition = wanted;
+  setPartition(partition: Partition | undefined): void {
+    this.partition = partition;
   }
 
   /** Sets the observer of sent messages. */
--- a/packages/model-checker/src/linearizability.ts
+++ b/packages/model-checker/src/linearizability.ts
@@ -39,7 +39,7 @@
 }
 
 /** An open write can no longer take effect once its expected version is outdated, as versions only increase. */
-function canNoLongerApply(register: Register, operation: Operation): boolean {
+function canNoLongerTakeEffect(register: Register, operation: Operation): boolean {
   return (
     mayBeOmitted(operation) &&
     operation.kind === 'write' &&
@@ -53,8 +53,8 @@
 }
 
 function keyOf(remaining: readonly Operation[], all: ReadonlyMap<Operation, number>, register: Register): string {
-  const taken = [...register.appliedChanges].sort().join();
-  return `${remaining.map((operation) => all.get(operation)).join()}|${register.value.version}|${register.value.change}|${taken}`;
+  const changes = [...register.appliedChanges].sort().join();
+  return `${remaining.map((operation) => all.get(operation)).join()}|${register.value.version}|${register.value.change}|${changes}`;
 }
 
 /** Whether some order of the operations, consistent with their real times, explains every answer. */
@@ -64,21 +64,23 @@
   const visited = new Set<string>();
 
   function search(all: readonly Operation[], register: Register): boolean {
-    const left = all.filter((operation) => !canNoLongerApply(register, operation));
-    if (left.every(mayBeOmitted)) return true;
-    const key = keyOf(left, numbers, register);
+    const remaining = all.filter((operation) => !canNoLongerTakeEffect(register, operation));
+    if (remaining.every(mayBeOmitted)) return true;
+    const key = keyOf(remaining, numbers, register);
     if (visited.has(key)) return false;
     visited.add(key);
     const firstReturn = Math.min(
-      ...left.map((operation) => (mayBeOmitted(operation) ? neverReturned : operation.returned)),
+      ...remaining.map((operation) => (mayBeOmitted(operation) ? neverReturned : operation.returned)),
     );
-    const candidates = left
+    const candidates = remaining
       .filter((operation) => operation.invoked <= firstReturn)
       .map((operation) => ({ operation, next: applyOperation(register, operation) }));
     // An operation that is possible here and changes nothing can always be linearized first.
-    const withoutEffect = candidates.find((way) => way.next === register);
-    if (withoutEffect !== undefined) return search(without(left, withoutEffect.operation), register);
-    return candidates.some((way) => way.next !== undefined && search(without(left, way.operation), way.next));
+    const withoutEffect = candidates.find((candidate) => candidate.next === register);
+    if (withoutEffect !== undefined) return search(without(remaining, withoutEffect.operation), register);
+    return candidates.some(
+      (candidate) => candidate.next !== undefined && search(without(remaining, candidate.operation), candidate.next),
+    );
   }
   return search(relevant, empty);
 }
--- a/packages/model-checker/src/model-checker.test.ts
+++ b/packages/model-checker/src/model-checker.test.ts
@@ -88,7 +88,7 @@
 );
 
 it('bootstraps at most one cluster in short schedules of a first start with stateless seeds', () => {
-  const { violation, bootstrapped: bootstrapped } = playBootstrapSchedules(20_000);
+  const { violation, bootstrapped } = playBootstrapSchedules(20_000);
   expect(violation).toBeUndefined();
   expect(bootstrapped).toBeGreaterThan(4000);
 });
--- a/packages/model-checker/src/moves.ts
+++ b/packages/model-checker/src/moves.ts
@@ -66,7 +66,7 @@
     case 'wipe':
       return `${fault.machine} loses its disk, restarts after ${seconds(fault.forUs)}`;
     case 'cut':
-      return describeCut(fault.cut, fault.forUs);
+      return describePartition(fault.cut, fault.forUs);
     case 'freeze':
       return `${fault.machine} freezes for ${seconds(fault.forUs)}`;
     case 'leave':
@@ -78,8 +78,8 @@
   }
 }
 
-function describeCut(cut: Partition, forUs: number): string {
-  return `${cut.group.join()} partitioned (${cut.way}, ${cut.holds ? 'held' : 'lost'}) for ${seconds(forUs)}`;
+function describePartition(partition: Partition, forUs: number): string {
+  return `${partition.group.join()} partitioned (${partition.way}, ${partition.holds ? 'held' : 'lost'}) for ${seconds(forUs)}`;
 }
 
 /** A one-line description for reports. */
--- a/packages/model-checker/src/mutants.ts
+++ b/packages/model-checker/src/mutants.ts
@@ -40,8 +40,8 @@
     name: 'workspace-sources',
     setup(build) {
       build.onResolve({ filter: /^@tansypost\// }, (imported) => ({ path: workspaceSource(root, imported.path) }));
-      build.onResolve({ filter: /^[^./]/ }, (wanted) =>
-        wanted.kind === 'entry-point' ? undefined : { external: true },
+      build.onResolve({ filter: /^[^./]/ }, (imported) =>
+        imported.kind === 'entry-point' ? undefined : { external: true },
       );
       build.onLoad({ filter: /\.ts$/ }, async (file) => {
         const source = await readFile(file.path, 'utf8');
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -94,8 +94,8 @@
 
   private write(request: WriteRequest, retriesLeft: number): void {
     const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: neverReturned };
-    const operation: WriteOperation = { kind: 'write', ...begun, request: request, outcome: 'unknown' };
+    const common = { client: process.name, invoked: tick(), returned: neverReturned };
+    const operation: WriteOperation = { kind: 'write', ...common, request, outcome: 'unknown' };
     record(operation);
     this.call(
       async (access) => {
@@ -111,7 +111,7 @@
     );
   }
 
-  private handleOutcome({ request: request, outcome }: WriteOperation, retriesLeft: number): void {
+  private handleOutcome({ request, outcome }: WriteOperation, retriesLeft: number): void {
     if (outcome === 'done') this.knownVersion = Math.max(this.knownVersion, request.expectedVersion + 1);
     const repeats = outcome === 'unknown' || this.world.random() < answeredRetryProbability;
     const remaining = outcome === 'unknown' ? retriesLeft - 1 : 0;
--- a/packages/model-checker/src/process.ts
+++ b/packages/model-checker/src/process.ts
@@ -26,9 +26,9 @@
 }
 
 /** Whether a partition blocks messages from one process to another. */
-export function isBlocked(cut: Partition | undefined, from: string, to: string): boolean {
-  if (cut === undefined || from === to) return false;
-  const sends = cut.group.includes(from);
-  if (sends === cut.group.includes(to)) return false;
-  return cut.way === 'both' || (sends ? cut.way === 'out' : cut.way === 'in');
+export function isBlocked(partition: Partition | undefined, from: string, to: string): boolean {
+  if (partition === undefined || from === to) return false;
+  const sends = partition.group.includes(from);
+  if (sends === partition.group.includes(to)) return false;
+  return partition.way === 'both' || (sends ? partition.way === 'out' : partition.way === 'in');
 }
--- a/packages/model-checker/src/quorum-checks.ts
+++ b/packages/model-checker/src/quorum-checks.ts
@@ -58,7 +58,7 @@
     );
     if (quorumWithout === undefined) continue;
     const detail = `version ${newest} was acknowledged and ${namesOf(quorumWithout)} could vote without it`;
-    return { rule: 'acknowledged value kept', detail: detail };
+    return { rule: 'acknowledged value kept', detail };
   }
   return undefined;
 }
@@ -71,7 +71,7 @@
       const disjoint = second!.quorums.find((other) => !other.some((state) => quorum.includes(state)));
       if (disjoint === undefined) continue;
       const detail = `${namesOf(quorum)} could vote under membership ${first!.membership.epoch}, ${namesOf(disjoint)} under membership ${second!.membership.epoch}`;
-      return { rule: 'quorums intersect', detail: detail };
+      return { rule: 'quorums intersect', detail };
     }
   }
   return undefined;
--- a/packages/model-checker/src/register-calls.ts
+++ b/packages/model-checker/src/register-calls.ts
@@ -20,7 +20,7 @@
 /** Calls that go to the control cluster directly, one request per call. */
 export const directCalls: RegisterCalls = {
   write: async (access, order) => {
-    const { change, expectedVersion: expectedVersion } = order;
+    const { change, expectedVersion } = order;
     const answer = await access.ask({
       ...buildRequest(access, 'write'),
       change,
--- a/packages/model-checker/src/scopes.ts
+++ b/packages/model-checker/src/scopes.ts
@@ -4,7 +4,7 @@
 /** The scope of a random walk; some seeds let links reorder messages, some start with empty disks. */
 export function walkScope(replicas: number, seed: number): Scope {
   return {
-    replicas: replicas,
+    replicas,
     spares: 2,
     followers: 2,
     operators: 2,
@@ -35,7 +35,7 @@
 /** The scope of a search: no spare machines, and messages that arrive at once unless a move delays them. */
 export function searchScope(replicas: number): Scope {
   return {
-    replicas: replicas,
+    replicas,
     spares: 0,
     followers: 1,
     operators: 2,
--- a/packages/model-checker/src/search.ts
+++ b/packages/model-checker/src/search.ts
@@ -134,9 +134,9 @@
     branches: Branch[] | undefined,
     cluster: Cluster,
     moment: Moment,
-    left: number,
+    stepsLeft: number,
   ): 'stop' | undefined {
-    if (branches === undefined) return this.visit(cluster, schedule, left) ? undefined : 'stop';
+    if (branches === undefined) return this.visit(cluster, schedule, stepsLeft) ? undefined : 'stop';
     if (this.visits.get(cluster.kernel.fingerprint())?.schedule !== schedule) return 'stop';
     branches.push({ moment, alternatives: alternativesOf(cluster) });
     return undefined;
--- a/packages/model-checker/src/vote-checks.ts
+++ b/packages/model-checker/src/vote-checks.ts
@@ -54,7 +54,7 @@
   const promised = row?.promised ?? 0;
   if (promised < request.epoch) {
     const detail = `${voter} voted for epoch ${request.epoch} of ${request.key}, but only ${promised} is synced`;
-    return { rule: notDurable, detail: detail };
+    return { rule: notDurable, detail };
   }
   return request.kind === 'Accept' ? findMissingValue(voter, request, row) : undefined;
 }
