--- a/packages/model-checker/src/alternatives.ts
+++ b/packages/model-checker/src/alternatives.ts
@@ -31,8 +31,8 @@
 }
 
 function faultsOn({ name: machine, disk }: ControlMachine): Fault[] {
-  const waiting = disk.unsynced();
-  const survivors = waiting === 0 ? [0] : [0, waiting];
+  const unsyncedCount = disk.unsynced();
+  const survivors = unsyncedCount === 0 ? [0] : [0, unsyncedCount];
   return [
     ...survivors.map((kept): Fault => ({ kind: 'crash', machine, kept, forUs: shortUs })),
     { kind: 'wipe', machine, forUs: shortUs },
--- a/packages/model-checker/src/bootstrap-schedules.ts
+++ b/packages/model-checker/src/bootstrap-schedules.ts
@@ -24,7 +24,7 @@
 }
 
 const seedCount = 3;
-const stepsOfSchedule = 160;
+const stepsPerSchedule = 160;
 const maxInFlight = 24;
 /** Probabilities that a step restarts a process; each schedule draws one for seeds and one for candidates. */
 const restartProbabilities = [0, 0.02, 0.08] as const;
@@ -33,14 +33,14 @@
   private readonly random: () => number;
   private readonly gateways = new Map<Address, ControlGateway>();
   private readonly candidates: Candidate[];
-  private readonly cuts = new Set<string>();
+  private readonly blockedLinks = new Set<string>();
   private readonly minMembers: number;
   private readonly seedRestartProbability: number;
   private readonly candidateRestartProbability: number;
   private inFlight: InFlight[] = [];
   private diskCount = 0;
-  private broken: Violation | undefined;
-  private records = 0;
+  private violation: Violation | undefined;
+  private recordCount = 0;
 
   constructor(seed: number) {
     this.random = createSeededRandom(seed * 7907 + 3);
@@ -54,8 +54,8 @@
 
   /** Plays the schedule; returns the broken rule and how many membership records candidates wrote. */
   play(): { readonly violation: Violation | undefined; readonly records: number } {
-    for (let step = 0; step < stepsOfSchedule && this.broken === undefined; step += 1) this.step();
-    return { violation: this.broken, records: this.records };
+    for (let step = 0; step < stepsPerSchedule && this.violation === undefined; step += 1) this.step();
+    return { violation: this.violation, records: this.recordCount };
   }
 
   private step(): void {
@@ -66,7 +66,7 @@
     if (draw < 0.25) return this.sendJoin(this.pick(this.candidates));
     if (draw < 0.9) return this.deliver();
     if (draw < 0.95) return void this.inFlight.splice(this.below(this.inFlight.length), 1);
-    return this.toggleCut();
+    return this.toggleLink();
   }
 
   private below(limit: number): number {
@@ -91,8 +91,8 @@
   }
 
   private candidate(address: Address): Candidate {
-    const made = { address, disk: this.newDisk(address), sinceFirstStart: true, record: undefined };
-    const candidate: Candidate = { ...made, bootstrap: this.createBootstrap(made) };
+    const initial = { address, disk: this.newDisk(address), sinceFirstStart: true, record: undefined };
+    const candidate: Candidate = { ...initial, bootstrap: this.createBootstrap(initial) };
     return candidate;
   }
 
@@ -131,11 +131,11 @@
     if (this.inFlight.length > maxInFlight) this.inFlight.splice(this.below(this.inFlight.length), 1);
   }
 
-  private toggleCut(): void {
+  private toggleLink(): void {
     const from = this.pick(this.candidates).address;
     const to = this.pick([...this.gateways.keys()]);
     const link = `${from} ${to}`;
-    if (!this.cuts.delete(link)) this.cuts.add(link);
+    if (!this.blockedLinks.delete(link)) this.blockedLinks.add(link);
   }
 
   private deliver(): void {
@@ -144,7 +144,7 @@
     if (message === undefined) return;
     if (this.random() > 0.1) this.inFlight.splice(index, 1);
     const { from, to } = message;
-    if (this.cuts.has(`${from} ${to}`) || this.cuts.has(`${to} ${from}`)) return;
+    if (this.blockedLinks.has(`${from} ${to}`) || this.blockedLinks.has(`${to} ${from}`)) return;
     const gateway = this.gateways.get(to);
     if (gateway !== undefined) return void gateway(message.message, from);
     const candidate = this.candidates.find((each) => each.address === to);
@@ -164,13 +164,13 @@
   private firstRecord: string | undefined;
 
   private check(members: readonly ReplicaEntry[]): void {
-    this.records += 1;
+    this.recordCount += 1;
     const record = members.map((member) => member.disk).join(' ');
     if (members.length < this.minMembers)
-      this.broken = { rule: 'enough bootstrap members', detail: `${record} are fewer than ${this.minMembers}` };
+      this.violation = { rule: 'enough bootstrap members', detail: `${record} are fewer than ${this.minMembers}` };
     this.firstRecord ??= record;
     if (this.firstRecord !== record)
-      this.broken = { rule: 'one bootstrap', detail: `${this.firstRecord} bootstrapped, and so did ${record}` };
+      this.violation = { rule: 'one bootstrap', detail: `${this.firstRecord} bootstrapped, and so did ${record}` };
   }
 }
 
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -64,7 +64,7 @@
     readonly calls: RegisterCalls = directCalls,
   ) {
     this.random = createSeededRandom(seed);
-    this.kernel = new Kernel({ seed, jitter: scope.jitterUs, orderedLinks: scope.orderedLinks });
+    this.kernel = new Kernel({ seed, jitterUs: scope.jitterUs, orderedLinks: scope.orderedLinks });
     const seeds = namesOf(scope.statelessSeeds ? 'r' : 'c', seedCount).map((name) => `${name}:1` as Address);
     this.machines = this.addMachines('c', scope.replicas, seeds);
     this.spares = this.addMachines('s', scope.spares, seeds);
@@ -124,7 +124,7 @@
       machines: () => this.allMachines().filter((machine) => machine.wasStarted()),
       calls: this.calls,
       record: (operation) => this.history.push(operation),
-      tick: () => (this.position += 1),
+      nextPosition: () => (this.position += 1),
       onAcknowledged: (request) => this.invariants.observeAcknowledgement(request),
       thinkTimeUs,
       maxRetries,
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -118,12 +118,12 @@
       bootstrapMembers: seeds,
       seeds: [],
       newDiskId: () => `${process.name}.${Math.floor(world.random() * 2 ** 48).toString(36)}`,
-      open: (rewriteJournal, blank) => this.openDisk(rewriteJournal, blank),
+      open: (rewriteJournal, erases) => this.openDisk(rewriteJournal, erases),
     });
   }
 
-  private async openDisk(rewriteJournal: boolean, blank: boolean): Promise<E.Either<Error, OpenDisk>> {
-    if (blank) this.disk.erase();
+  private async openDisk(rewriteJournal: boolean, erases: boolean): Promise<E.Either<Error, OpenDisk>> {
+    if (erases) this.disk.erase();
     const found = [...this.disk.records()];
     const disk = this.disk.open(this.process);
     if (rewriteJournal) await new Promise<void>((done) => disk.rewrite(found, () => done()));
--- a/packages/model-checker/src/draws.ts
+++ b/packages/model-checker/src/draws.ts
@@ -57,13 +57,13 @@
   return event === undefined ? undefined : { kind: 'delay', event: event.id, forUs: short(random) };
 }
 
-function drawCut(cluster: Cluster, random: Random): Move {
+function drawPartition(cluster: Cluster, random: Random): Move {
   const seeds = cluster.scope.statelessSeeds ? cluster.followers.map((follower) => follower.process.name) : [];
   const names = [...runningNames(cluster), ...seeds];
   const size = 1 + Math.floor(random() * Math.max(1, names.length >> 1));
   const group = [...names].sort(() => random() - 0.5).slice(0, size);
-  const way = pick(['in', 'out', 'both'] as const, random)!;
-  return { kind: 'cut', cut: { group, way, holds: random() < 0.5 }, forUs: long(random) };
+  const direction = pick(['in', 'out', 'both'] as const, random)!;
+  return { kind: 'cut', cut: { group, way: direction, holds: random() < 0.5 }, forUs: long(random) };
 }
 
 function drawLeave(cluster: Cluster, random: Random): Move | undefined {
@@ -77,7 +77,7 @@
   return spare === undefined ? undefined : { kind: 'join', spare };
 }
 
-function drawFollower(cluster: Cluster, random: Random): Move | undefined {
+function drawFollowerRestart(cluster: Cluster, random: Random): Move | undefined {
   const follower = pick(cluster.followers, random);
   return follower === undefined ? undefined : { kind: 'restart-follower', follower: follower.process.name };
 }
@@ -93,11 +93,11 @@
   }),
   power: (_cluster, random) => ({ kind: 'power', kept: Math.floor(random() * 3), forUs: short(random) }),
   wipe: onMachine((machine, _cluster, random) => ({ kind: 'wipe', machine, forUs: short(random) })),
-  cut: drawCut,
+  cut: drawPartition,
   freeze: onMachine((machine, _cluster, random) => ({ kind: 'freeze', machine, forUs: long(random) })),
   leave: drawLeave,
   join: drawJoin,
-  'restart-follower': drawFollower,
+  'restart-follower': drawFollowerRestart,
 };
 
 /** All kinds of moves, in the order in which weights are drawn. */
--- a/packages/model-checker/src/duties/check-duties.ts
+++ b/packages/model-checker/src/duties/check-duties.ts
@@ -18,22 +18,22 @@
   readonly schedules: number;
   readonly steps: number;
   readonly calls: number;
-  readonly fenced: number;
+  readonly notAccepted: number;
   readonly takeovers: number;
 }
 
 /** Plays the seeds in order, up to the first that breaks a rule. */
 export async function checkDuties({ firstSeed, seeds, stride }: DutyCheckOptions): Promise<DutyCheckResult> {
-  let result: DutyCheckResult = { finding: undefined, schedules: 0, steps: 0, calls: 0, fenced: 0, takeovers: 0 };
+  let result: DutyCheckResult = { finding: undefined, schedules: 0, steps: 0, calls: 0, notAccepted: 0, takeovers: 0 };
   for (let index = 0; index < seeds && result.finding === undefined; index += 1) {
     const seed = firstSeed + stride * index;
-    const { broken: brokenRule, steps, calls, fenced, takeovers } = await playDutySchedule(scopeOf(seed));
+    const { brokenRule, steps, calls, notAccepted, takeovers } = await playDutySchedule(scopeOf(seed));
     result = {
       finding: brokenRule && { ...brokenRule, seed },
       schedules: result.schedules + 1,
       steps: result.steps + steps,
       calls: result.calls + calls,
-      fenced: result.fenced + fenced,
+      notAccepted: result.notAccepted + notAccepted,
       takeovers: result.takeovers + takeovers,
     };
   }
--- a/packages/model-checker/src/duties/duty-command.ts
+++ b/packages/model-checker/src/duties/duty-command.ts
@@ -8,9 +8,9 @@
 const violationExitCode = 1;
 const mutantTimeLimitMs = 600_000;
 
-function describeResult({ finding, schedules, steps, calls, fenced, takeovers }: DutyCheckResult): string {
+function describeResult({ finding, schedules, steps, calls, notAccepted, takeovers }: DutyCheckResult): string {
   const verdict = finding === undefined ? 'no rule broken' : `seed ${finding.seed}: ${finding.rule}: ${finding.detail}`;
-  const counts = `${steps} steps, ${calls} calls, ${fenced} not accepted, ${takeovers} takeovers`;
+  const counts = `${steps} steps, ${calls} calls, ${notAccepted} not accepted, ${takeovers} takeovers`;
   return `${schedules} schedules, ${verdict}; ${counts}\n`;
 }
 
--- a/packages/model-checker/src/duties/duty-schedule.ts
+++ b/packages/model-checker/src/duties/duty-schedule.ts
@@ -13,11 +13,11 @@
 
 /** The result of a schedule. */
 export interface DutyScheduleResult {
-  readonly broken: BrokenRule | undefined;
+  readonly brokenRule: BrokenRule | undefined;
   readonly steps: number;
   readonly calls: number;
   /** The number of calls that the platform did not accept. */
-  readonly fenced: number;
+  readonly notAccepted: number;
   /** How often a call of a duty came from another leader than the call of that duty before it. */
   readonly takeovers: number;
 }
@@ -63,10 +63,10 @@
     return before !== undefined && before.holder !== call.holder;
   });
   return {
-    broken: ruleChecker.broken(),
+    brokenRule: ruleChecker.broken(),
     steps: scheduler.steps(),
     calls: calls.length,
-    fenced: calls.filter((call) => !call.isAccepted).length,
+    notAccepted: calls.filter((call) => !call.isAccepted).length,
     takeovers: takeovers.length,
   };
 }
@@ -75,7 +75,7 @@
   const scheduler = createScheduler();
   const draw = createDraw(scope.seed * seedStride, () => scheduler.now() >= scheduleTimes.faultsEndAt);
   const nodes = Array.from({ length: scope.nodes }).map((_empty, slot) => createDutyNode(slot));
-  const ruleChecker = createRuleChecker(scope, (holder, from, until) => wasReachable(nodes, holder, from, until));
+  const ruleChecker = createRuleChecker(scope, (leader, from, until) => wasReachable(nodes, leader, from, until));
   const platform = createPlatformModel(scheduler, draw, scope.fenceChecked, ruleChecker.observeArrival);
   const records = createStoredRecords(scheduler, draw, ruleChecker.observeWrite, ruleChecker.observeRead);
   let membershipEpoch = 1;
@@ -100,8 +100,8 @@
   return run;
 }
 
-function wasReachable(nodes: readonly DutyNode[], holder: string, from: number, until: number): boolean {
-  const node = nodes.find((each) => each.name === holder);
+function wasReachable(nodes: readonly DutyNode[], leader: string, from: number, until: number): boolean {
+  const node = nodes.find((each) => each.name === leader);
   return node !== undefined && node.faults.every((span) => span.until < from || span.from > until);
 }
 
--- a/packages/model-checker/src/duties/duty-walk.test.ts
+++ b/packages/model-checker/src/duties/duty-walk.test.ts
@@ -21,10 +21,10 @@
     const result = await checkDuties({ firstSeed: 1, seeds: schedules, stride: 1 });
     expect(result.finding).toBeUndefined();
     expect(result.schedules).toBe(schedules);
-    // The schedules do exercise calls, takeovers and rejected fences.
+    // The schedules do exercise calls, takeovers and calls that are not accepted.
     expect(result.calls).toBeGreaterThan(10 * schedules);
     expect(result.takeovers).toBeGreaterThan(schedules / 2);
-    expect(result.fenced).toBeGreaterThan(schedules / 10);
+    expect(result.notAccepted).toBeGreaterThan(schedules / 10);
   },
   100 * schedules + 30_000,
 );
--- a/packages/model-checker/src/duties/rules.ts
+++ b/packages/model-checker/src/duties/rules.ts
@@ -29,7 +29,7 @@
   /** A duty record was written. */
   readonly observeWrite: (key: string, stored: StoredVersion) => void;
   /** A node has read a duty record. */
-  readonly observeRead: (holder: string, key: string, stored: StoredVersion) => void;
+  readonly observeRead: (leader: string, key: string, stored: StoredVersion) => void;
   /** A process sends a call. */
   readonly observeSend: (call: DutyCall, now: number, process: string) => void;
   /** A leader was answered that the platform has seen a higher fence. */
@@ -41,9 +41,9 @@
 
 interface CheckerState {
   readonly scope: DutyScope;
-  readonly wasReachable: (holder: string, from: number, until: number) => boolean;
+  readonly wasReachable: (leader: string, from: number, until: number) => boolean;
   readonly accepted: ArrivedCall[];
-  readonly holderByFence: Map<string, string>;
+  readonly leaderByFence: Map<string, string>;
   readonly written: Set<string>;
   /** The version of the write that began a term, by the term's id. */
   readonly fenceByTermId: Map<string, number>;
@@ -63,13 +63,13 @@
 /** Creates a rule checker; `wasReachable` says whether a leader had no faults in a span of time. */
 export function createRuleChecker(
   scope: DutyScope,
-  wasReachable: (holder: string, from: number, until: number) => boolean,
+  wasReachable: (leader: string, from: number, until: number) => boolean,
 ): RuleChecker {
   const state: CheckerState = {
     scope,
     wasReachable,
     accepted: [],
-    holderByFence: new Map(),
+    leaderByFence: new Map(),
     written: new Set(),
     fenceByTermId: new Map(),
     recordedTerms: new Set(),
@@ -81,7 +81,7 @@
   return {
     broken: () => state.broken,
     observeWrite: (key, stored) => handleWrite(state, key, stored),
-    observeRead: (holder, key, stored) => handleRead(state, holder, key, stored),
+    observeRead: (leader, key, stored) => handleRead(state, leader, key, stored),
     observeSend: (call, now, process) => checkSent(state, call, now, process),
     observeFenced: (call) => void state.fenced.add(termKey(call)),
     observeArrival: (call) => checkArrived(state, call),
@@ -112,10 +112,10 @@
   for (const { subject, content } of open) state.written.add(`${dutyOf(key)} ${subject} ${content}`);
 }
 
-function handleRead(state: CheckerState, holder: string, key: string, { value }: StoredVersion): void {
+function handleRead(state: CheckerState, leader: string, key: string, { value }: StoredVersion): void {
   const record = decodeDutyRecord(value);
   const term = E.isRight(record) ? record.right.term : null;
-  if (term !== null) state.newestRead.set(`${holder} ${dutyOf(key)}`, state.fenceByTermId.get(term.id) ?? 0);
+  if (term !== null) state.newestRead.set(`${leader} ${dutyOf(key)}`, state.fenceByTermId.get(term.id) ?? 0);
 }
 
 function dutyOf(key: string): string {
@@ -136,9 +136,9 @@
 
 function checkArrived(state: CheckerState, call: ArrivedCall): void {
   const fenceKey = `${call.duty} ${call.fence}`;
-  const holder = state.holderByFence.get(fenceKey) ?? call.holder;
-  state.holderByFence.set(fenceKey, holder);
-  if (holder !== call.holder) breakRule(state, 'one leader per fence', `${fenceKey}: ${holder} and ${call.holder}`);
+  const leader = state.leaderByFence.get(fenceKey) ?? call.holder;
+  state.leaderByFence.set(fenceKey, leader);
+  if (leader !== call.holder) breakRule(state, 'one leader per fence', `${fenceKey}: ${leader} and ${call.holder}`);
   if (!call.isAccepted) return;
   const before = state.accepted.filter((other) => other.duty === call.duty && other.subject === call.subject);
   state.accepted.push(call);
@@ -178,7 +178,7 @@
   const between = recent.find((other) => other.holder !== call.holder && first !== undefined && other.at >= first.at);
   if (first === undefined || between === undefined) return;
   const from = first.at - scheduleTimes.contactWindow;
-  const bothReachable = [call.holder, between.holder].every((holder) => state.wasReachable(holder, from, call.at));
+  const bothReachable = [call.holder, between.holder].every((leader) => state.wasReachable(leader, from, call.at));
   if (bothReachable)
     breakRule(state, 'turns', `${describeCall(first)}; ${describeCall(between)}; ${describeCall(call)}`);
 }
--- a/packages/model-checker/src/kernel.ts
+++ b/packages/model-checker/src/kernel.ts
@@ -23,7 +23,7 @@
 export interface KernelOptions {
   readonly seed: number;
   /** The longest time that a message or a sync takes without a move, in microseconds; 0 for none. */
-  readonly jitter: number;
+  readonly jitterUs: number;
   /** Whether messages between two processes keep their order, as on one TCP connection. */
   readonly orderedLinks: boolean;
 }
@@ -230,8 +230,8 @@
   }
 
   private delayOf(id: string): number {
-    const { jitter, seed } = this.options;
-    return jitter === 0 ? 0 : minMessageDelayUs + Math.floor((hash32(`${seed}|${id}`) / 2 ** 32) * jitter);
+    const { jitterUs, seed } = this.options;
+    return jitterUs === 0 ? 0 : minMessageDelayUs + Math.floor((hash32(`${seed}|${id}`) / 2 ** 32) * jitterUs);
   }
 
   private startTimer(process: Process, delay: number, run: () => void): Cancel {
--- a/packages/model-checker/src/model-checker.test.ts
+++ b/packages/model-checker/src/model-checker.test.ts
@@ -15,10 +15,10 @@
 const root = fileURLToPath(new URL('../../..', import.meta.url));
 
 it('finds no violation in all schedules of 8 steps with one deviation', async () => {
-  const r = await search({ scope: searchScope(3), seed: 1, depth: 8, deviations: 1, shouldContinue: () => true });
-  expect(r.violation).toBeUndefined();
-  expect(r.completedDeviations).toBe(1);
-  expect(r.states).toBeGreaterThan(300);
+  const result = await search({ scope: searchScope(3), seed: 1, depth: 8, deviations: 1, shouldContinue: () => true });
+  expect(result.violation).toBeUndefined();
+  expect(result.completedDeviations).toBe(1);
+  expect(result.states).toBeGreaterThan(300);
 });
 
 it.each([
@@ -28,9 +28,9 @@
   [5, 3],
 ])('finds no violation on a walk with %d replicas and seed %d', async (replicas, seed) => {
   const situations = new Set<string>();
-  const r = await walk({ scope: walkScope(replicas, seed), seed, lengthUs: 30_000_000, situations });
-  expect(r.violation).toBeUndefined();
-  expect(r.moves.length).toBeGreaterThan(20);
+  const result = await walk({ scope: walkScope(replicas, seed), seed, lengthUs: 30_000_000, situations });
+  expect(result.violation).toBeUndefined();
+  expect(result.moves.length).toBeGreaterThan(20);
   expect(situations.size).toBeGreaterThan(20);
 });
 
@@ -44,28 +44,28 @@
 });
 
 it('shrinks a list to the moves that reproduce the violation', async () => {
-  const moves = Array.from({ length: 40 }, (_, i) => ({
-    moment: { timeUs: i, order: 0 },
-    move: { kind: 'join', spare: `s${i}` } as const,
+  const moves = Array.from({ length: 40 }, (_unused, index) => ({
+    moment: { timeUs: index, order: 0 },
+    move: { kind: 'join', spare: `s${index}` } as const,
   }));
   const needed = [moves[7]!, moves[31]!];
-  async function breaks(some: readonly unknown[]): Promise<boolean> {
-    return needed.every((m) => some.includes(m));
+  async function reproduces(some: readonly unknown[]): Promise<boolean> {
+    return needed.every((move) => some.includes(move));
   }
-  expect(await shrinkMoves(moves, { reproduces: breaks, maxRuns: 200 })).toEqual(needed);
+  expect(await shrinkMoves(moves, { reproduces, maxRuns: 200 })).toEqual(needed);
 });
 
 it('leaves a run without a violation unchanged', async () => {
   const scope = walkScope(3, 1);
-  const x = { scope, seed: 1, moves: [], untilUs: 2_000_000 };
-  expect((await shrinkCounterexample(x)).moves).toEqual([]);
+  const example = { scope, seed: 1, moves: [], untilUs: 2_000_000 };
+  expect((await shrinkCounterexample(example)).moves).toEqual([]);
 });
 
 it('has mutations whose texts match the sources, and rejects an edit whose text does not', async () => {
   expect(mutations.length).toBeGreaterThanOrEqual(16);
-  for (const m of mutations) {
-    const source = await readFile(`${root}/${m.file}`, 'utf8');
-    expect(applyEdits(m, source)).not.toBe(source);
+  for (const mutation of mutations) {
+    const source = await readFile(`${root}/${mutation.file}`, 'utf8');
+    expect(applyEdits(mutation, source)).not.toBe(source);
   }
   expect(() => applyEdits({ ...mutations[0]!, edits: [{ from: 'no such text', to: '' }] }, 'source')).toThrow(
     /0 times/,
@@ -75,15 +75,17 @@
 it.each(['a vote is answered after the sync', 'a majority is asked before a read or a refusal'])(
   'detects the missing mechanism: %s',
   async (name) => {
-    const m = mutations.find((x) => x.name === name)!;
-    const found = await runMutant(
+    const mutation = mutations.find((each) => each.name === name)!;
+    const outcome = await runMutant(
       root,
-      `test-${mutations.indexOf(m)}`,
-      m,
+      `test-${mutations.indexOf(mutation)}`,
+      mutation,
       { ...defaultCheckOptions, searchDepth: 3 },
       30_000,
     );
-    expect('finding' in found ? found.finding?.violation.rule : found).toMatch(/durable before promised|linearizable/);
+    expect('finding' in outcome ? outcome.finding?.violation.rule : outcome).toMatch(
+      /durable before promised|linearizable/,
+    );
   },
 );
 
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -22,7 +22,7 @@
   readonly calls: RegisterCalls;
   readonly record: (operation: Operation) => void;
   /** Returns the next position in the global order of events. */
-  readonly tick: () => number;
+  readonly nextPosition: () => number;
   /** Called when a machine acknowledges a write, whether or not the answer reaches the operator. */
   readonly onAcknowledged: (order: WriteRequest) => void;
   readonly thinkTimeUs: number;
@@ -70,13 +70,13 @@
     );
   }
 
-  private pause(then: () => void): void {
+  private scheduleNext(then: () => void): void {
     if (!this.stopped) this.world.after(micros((0.5 + this.world.random()) * this.options.thinkTimeUs), then);
   }
 
   private read(): void {
-    const { calls, process, record, tick } = this.options;
-    const common = { client: process.name, invoked: tick(), returned: neverReturned };
+    const { calls, process, record, nextPosition } = this.options;
+    const common = { client: process.name, invoked: nextPosition(), returned: neverReturned };
     const operation: ReadOperation = { kind: 'read', ...common, seen: undefined };
     record(operation);
     this.call(
@@ -84,17 +84,17 @@
       (seen) => {
         if (seen !== undefined) {
           operation.seen = seen;
-          operation.returned = tick();
+          operation.returned = nextPosition();
           this.knownVersion = Math.max(this.knownVersion, seen.version);
         }
-        this.pause(() => this.next());
+        this.scheduleNext(() => this.next());
       },
     );
   }
 
   private write(request: WriteRequest, retriesLeft: number): void {
-    const { calls, process, record, tick } = this.options;
-    const common = { client: process.name, invoked: tick(), returned: neverReturned };
+    const { calls, process, record, nextPosition } = this.options;
+    const common = { client: process.name, invoked: nextPosition(), returned: neverReturned };
     const operation: WriteOperation = { kind: 'write', ...common, request, outcome: 'unknown' };
     record(operation);
     this.call(
@@ -105,7 +105,7 @@
       },
       (outcome = 'unknown') => {
         operation.outcome = outcome;
-        if (outcome !== 'unknown') operation.returned = tick();
+        if (outcome !== 'unknown') operation.returned = nextPosition();
         this.handleOutcome(operation, retriesLeft);
       },
     );
@@ -115,8 +115,8 @@
     if (outcome === 'done') this.knownVersion = Math.max(this.knownVersion, request.expectedVersion + 1);
     const repeats = outcome === 'unknown' || this.world.random() < answeredRetryProbability;
     const remaining = outcome === 'unknown' ? retriesLeft - 1 : 0;
-    if (repeats && retriesLeft > 0) return this.pause(() => this.write(request, remaining));
-    this.pause(() => (outcome === 'refused' ? this.read() : this.next()));
+    if (repeats && retriesLeft > 0) return this.scheduleNext(() => this.write(request, remaining));
+    this.scheduleNext(() => (outcome === 'refused' ? this.read() : this.next()));
   }
 
   /** Sends a call to a random machine; calls `done` once with the answer, or with undefined after the timeout. */
--- a/packages/model-checker/src/report.ts
+++ b/packages/model-checker/src/report.ts
@@ -19,8 +19,8 @@
   readonly calls?: RegisterCalls;
 }
 
-const shrinkRuns = 250;
-const operationsShown = 30;
+const maxShrinkRuns = 250;
+const maxOperationsShown = 30;
 
 /** Replays a counterexample with all of its moves or some of them. */
 export function replay(example: Counterexample, moves: readonly PlacedMove[] = example.moves): Promise<Outcome> {
@@ -33,7 +33,7 @@
   const rule = (await replay(example)).violation?.rule;
   const moves = await shrinkMoves(example.moves, {
     reproduces: async (some) => rule !== undefined && (await replay(example, some)).violation?.rule === rule,
-    maxRuns: shrinkRuns,
+    maxRuns: maxShrinkRuns,
   });
   return { ...example, moves };
 }
@@ -50,8 +50,8 @@
     `  ${violation?.detail ?? ''}`,
     `moves (${outcome.moves.length}), ${steps} steps:`,
     ...lines,
-    `operators' calls and answers (the last ${operationsShown}):`,
-    ...history.slice(-operationsShown).map((operation) => `  ${operation}`),
+    `operators' calls and answers (the last ${maxOperationsShown}):`,
+    ...history.slice(-maxOperationsShown).map((operation) => `  ${operation}`),
     `replay: ${JSON.stringify(example.moves)}`,
     '',
   ].join('\n');
--- a/packages/model-checker/src/schedule.ts
+++ b/packages/model-checker/src/schedule.ts
@@ -33,7 +33,7 @@
   readonly seed: number;
   /** The virtual time until which the chooser is asked. */
   readonly untilUs: number;
-  /** The maximum number of steps of the default order in which the chooser is asked. */
+  /** The chooser is asked for at most this many steps of the default order. */
   readonly maxSteps?: number;
   readonly choose: Chooser;
   readonly calls?: RegisterCalls;
--- a/packages/model-checker/src/search.ts
+++ b/packages/model-checker/src/search.ts
@@ -118,8 +118,8 @@
       return isPastLastDeviation ? continueOrStop(cluster, moment, stepsLeft) : move;
     }
     const maxSteps = depth + undisturbedSteps - schedule.length;
-    const heals = deviations < depth;
-    const outcome = await playRun({ scope, seed, untilUs: Infinity, maxSteps, calls, checksRecovery: heals, choose });
+    const checksRecovery = deviations < depth;
+    const outcome = await playRun({ scope, seed, untilUs: Infinity, maxSteps, calls, checksRecovery, choose });
     this.schedules += 1;
     this.steps += outcome.steps;
     if (outcome.violation === undefined) return false;
@@ -151,7 +151,7 @@
     return true;
   }
 
-  private result(completeTo: number): SearchResult {
+  private result(completedDeviations: number): SearchResult {
     const { violation, counterexample: moves, schedules, steps } = this;
     return {
       violation,
@@ -160,7 +160,7 @@
       steps,
       states: this.visits.size,
       situations: this.situations.size,
-      completedDeviations: completeTo,
+      completedDeviations,
     };
   }
 }
--- a/packages/model-checker/src/situation.ts
+++ b/packages/model-checker/src/situation.ts
@@ -18,10 +18,10 @@
 
 function stateLabelOf(machine: ControlMachine): string {
   if (!machine.process.alive) return machine.disk.durable().disk === '' ? 'gone' : 'down';
-  const core = machine.host()?.core();
-  if (core === undefined) return 'opening';
-  const holds = core.ledKeys().some((led) => led.key === configurationKey) ? '+' : '';
-  return `${machine.process.frozen ? 'frozen ' : ''}${core.replica.state()}${holds}`;
+  const controlNode = machine.host()?.core();
+  if (controlNode === undefined) return 'opening';
+  const holds = controlNode.ledKeys().some((led) => led.key === configurationKey) ? '+' : '';
+  return `${machine.process.frozen ? 'frozen ' : ''}${controlNode.replica.state()}${holds}`;
 }
 
 /** The key of the situation that a cluster is in. */
--- a/packages/model-checker/src/walk.ts
+++ b/packages/model-checker/src/walk.ts
@@ -53,8 +53,8 @@
     const weights = moveKinds.map(
       (kind) => defaultWeights[kind] / (1 + (this.moveCounts.get(`${situation}/${kind}`) ?? 0)),
     );
-    let left = this.random() * weights.reduce((sum, weight) => sum + weight, 0);
-    const index = weights.findIndex((weight) => (left -= weight) <= 0);
+    let remainingWeight = this.random() * weights.reduce((sum, weight) => sum + weight, 0);
+    const index = weights.findIndex((weight) => (remainingWeight -= weight) <= 0);
     return moveKinds[Math.max(0, index)]!;
   }
 }
@@ -62,6 +62,6 @@
 /** Plays one random walk. */
 export function walk(options: WalkOptions): Promise<Outcome> {
   const { scope, seed, lengthUs, calls } = options;
-  const guide = new GuidedChooser(options);
-  return playRun({ scope, seed, untilUs: lengthUs, calls, choose: (cluster) => guide.choose(cluster) });
+  const chooser = new GuidedChooser(options);
+  return playRun({ scope, seed, untilUs: lengthUs, calls, choose: (cluster) => chooser.choose(cluster) });
 }
