--- a/packages/model-checker/src/duties/event-heap.ts
+++ b/packages/model-checker/src/duties/event-heap.ts
@@ -30,27 +30,27 @@
   }
 
   function push(event: PlannedEvent): void {
-    let at = heap.push(event) - 1;
-    while (at > 0) {
-      const parent = (at - 1) >> 1;
-      if (!isBefore(heap[at]!, heap[parent]!)) return;
-      swap(at, parent);
-      at = parent;
+    let index = heap.push(event) - 1;
+    while (index > 0) {
+      const parent = (index - 1) >> 1;
+      if (!isBefore(heap[index]!, heap[parent]!)) return;
+      swap(index, parent);
+      index = parent;
     }
   }
 
   function pop(): PlannedEvent {
     swap(0, heap.length - 1);
     const first = heap.pop()!;
-    let at = 0;
+    let index = 0;
     for (;;) {
-      const [left, right] = [2 * at + 1, 2 * at + 2];
-      let next = at;
+      const [left, right] = [2 * index + 1, 2 * index + 2];
+      let next = index;
       if (left < heap.length && isBefore(heap[left]!, heap[next]!)) next = left;
       if (right < heap.length && isBefore(heap[right]!, heap[next]!)) next = right;
-      if (next === at) return first;
-      swap(at, next);
-      at = next;
+      if (next === index) return first;
+      swap(index, next);
+      index = next;
     }
   }
 
--- a/packages/model-checker/src/moves.ts
+++ b/packages/model-checker/src/moves.ts
@@ -23,7 +23,7 @@
   | { readonly kind: 'cut'; readonly cut: Partition; readonly forUs: number }
   /** A process is paused; its clock goes on and messages to it wait. */
   | { readonly kind: 'freeze'; readonly machine: string; readonly forUs: number }
-  /** A machine leaves gracefully and never comes back; a spare asks to join in its place. */
+  /** A machine leaves gracefully, for good unless its disk is still needed; a spare asks to join in its place. */
   | { readonly kind: 'leave'; readonly machine: string; readonly spare: string }
   /** A spare machine starts and asks to join. */
   | { readonly kind: 'join'; readonly spare: string }
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -24,7 +24,7 @@
   /** Returns the next position in the global order of events. */
   readonly nextPosition: () => number;
   /** Called when a machine acknowledges a write, whether or not the answer reaches the operator. */
-  readonly onAcknowledged: (order: WriteRequest) => void;
+  readonly onAcknowledged: (request: WriteRequest) => void;
   readonly thinkTimeUs: number;
   readonly maxRetries: number;
   /** The percentage of calls that are reads. */
--- a/packages/model-checker/src/register-calls.ts
+++ b/packages/model-checker/src/register-calls.ts
@@ -5,7 +5,7 @@
 
 /** How operators write and read; tests pass in other implementations. */
 export interface RegisterCalls {
-  readonly write: (access: ControlAccess, order: WriteRequest) => Promise<WriteOutcome>;
+  readonly write: (access: ControlAccess, request: WriteRequest) => Promise<WriteOutcome>;
   /** Undefined if there was no definite answer. */
   readonly read: (access: ControlAccess) => Promise<RegisterValue | undefined>;
 }
@@ -19,8 +19,8 @@
 
 /** Calls that go to the control cluster directly, one request per call. */
 export const directCalls: RegisterCalls = {
-  write: async (access, order) => {
-    const { change, expectedVersion } = order;
+  write: async (access, request) => {
+    const { change, expectedVersion } = request;
     const answer = await access.ask({
       ...buildRequest(access, 'write'),
       change,
