--- a/packages/model-checker/src/alternatives.ts
+++ b/packages/model-checker/src/alternatives.ts
@@ -1,4 +1,4 @@
-/** All that the search may do in a state instead of the next event of the default order. */
+/** All moves that the search may make in a state instead of running the next event of the default order. */
 import type { Cluster } from './cluster.js';
 import type { ControlMachine } from './control-machine.js';
 import type { Fault, Move } from './moves.js';
@@ -6,14 +6,14 @@
 
 const shortUs = 300_000;
 const longUs = 2_500_000;
-/** How late a timer may be because its process was slow to wake, beside the drift of its clock. */
-const timersLateUs = 10_000;
+/** How late a timer may fire because its process was slow to wake, in addition to its clock's drift. */
+const maxTimerLatenessUs = 10_000;
 
-/** The choices beside the default one. */
+/** All alternatives to the default event. */
 export function alternativesOf(cluster: Cluster): Move[] {
   const next = cluster.kernel.next();
   if (next === undefined) return [];
-  const early = cluster.kernel.enabled().filter((event) => event !== next && mayComeFirst(cluster, event));
+  const early = cluster.kernel.enabled().filter((event) => event !== next && mayRunEarly(cluster, event));
   const running = cluster.machines.filter((machine) => machine.process.alive);
   return [
     ...early.map((event): Move => ({ kind: 'run', event: event.id })),
@@ -31,8 +31,8 @@
 }
 
 function faultsOn({ name: machine, disk }: ControlMachine): Fault[] {
-  const waiting = disk.unsynced();
-  const survivors = waiting === 0 ? [0] : [0, waiting];
+  const unsyncedCount = disk.unsynced();
+  const survivors = unsyncedCount === 0 ? [0] : [0, unsyncedCount];
   return [
     ...survivors.map((kept): Fault => ({ kind: 'crash', machine, kept, forUs: shortUs })),
     { kind: 'wipe', machine, forUs: shortUs },
@@ -45,12 +45,12 @@
   ];
 }
 
-/** A timer may overtake those of other processes by what clocks may run apart, and by a process being slow to wake. */
-function mayComeFirst({ kernel, scope }: Cluster, event: PendingEvent): boolean {
+/** A timer may run before those of other processes by at most the clock drift plus the wake-up latency. */
+function mayRunEarly({ kernel, scope }: Cluster, event: PendingEvent): boolean {
   if (event.kind === 'end-of-fault') return false;
   if (event.kind !== 'timer') return true;
   const timers = kernel.enabled().filter((other) => other.kind === 'timer');
-  const slack = timersLateUs + scope.drift * (event.planned - kernel.now());
+  const slack = maxTimerLatenessUs + scope.clockDrift * (event.plannedAt - kernel.now());
   const isFirstOfOwner = timers.find((other) => other.owner === event.owner) === event;
-  return isFirstOfOwner && event.planned - timers[0]!.planned <= slack;
+  return isFirstOfOwner && event.plannedAt - timers[0]!.plannedAt <= slack;
 }
--- a/packages/model-checker/src/control-machine.ts
+++ b/packages/model-checker/src/control-machine.ts
@@ -1,6 +1,6 @@
 /**
- * One machine of the control side: the shipped control node on a disk of the model, the asker that the operator's
- * calls go through and the feed server, wired as the shipped program wires them.
+ * One machine of the control cluster: the production control node on a model disk, the control client that operators'
+ * calls go through, and the feed server, wired as in the production program.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
@@ -16,13 +16,13 @@
 import { ModelDisk } from './model-disk.js';
 import type { Process } from './process.js';
 
-/** How an operator's call reaches the core through one machine. */
-export interface CoreAccess {
+/** How an operator's call reaches the control cluster through one machine. */
+export interface ControlAccess {
   readonly ask: (question: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
-/** The settings of the shipped program, in microseconds. */
+/** The settings of the production program, in microseconds. */
 const settings = {
   routerLeaseUs: 10_000_000,
   roleLeaseUs: 3_000_000,
@@ -31,12 +31,12 @@
   maxRetryDelayUs: 1_000_000,
 } as const;
 
-/** A machine that outlives the programs started on it. */
+/** A machine on which the program can be killed and restarted. */
 export class ControlMachine {
   readonly name: string;
   readonly disk: ModelDisk;
   private node: ControlNodeHost | undefined;
-  private coreAccess: CoreAccess | undefined;
+  private controlAccess: ControlAccess | undefined;
 
   constructor(
     private readonly kernel: Kernel,
@@ -52,25 +52,25 @@
     return this.node;
   }
 
-  /** The way for operators' calls, while the machine runs. */
-  access(): CoreAccess | undefined {
-    return this.coreAccess;
+  /** The access for operators' calls, while the machine runs. */
+  access(): ControlAccess | undefined {
+    return this.controlAccess;
   }
 
-  /** Whether it runs or has run. */
+  /** Whether the program was ever started on it. */
   wasStarted(): boolean {
     return this.process.alive || this.process.incarnation > 0;
   }
 
-  /** Starts the program; `founds` says whether it may found a core. */
-  start(founds: boolean): void {
+  /** Starts the program; `mayBootstrap` says whether it may bootstrap a cluster. */
+  start(mayBootstrap: boolean): void {
     const { kernel, process, seeds } = this;
     const self = process.address;
     kernel.start(process);
     const world = kernel.world(process);
-    const node = this.createNode(world, founds);
+    const node = this.createNode(world, mayBootstrap);
     const replicas = createReplicaAddressList(node.controlNode, self, () => seeds);
-    const asker = createControlClient(world, self, replicas);
+    const controlClient = createControlClient(world, self, replicas);
     const feed = createFeedServer(world, {
       self,
       zone: 'z',
@@ -79,51 +79,54 @@
       fetchWorkerList: async () => undefined,
     });
     process.receive = (message, from) => {
-      if (message.kind === 'Answer') asker.handleAnswer(message);
+      if (message.kind === 'Answer') controlClient.handleAnswer(message);
       else if (!feed.receive(message, from)) node.receive(message, from);
     };
     this.node = node;
-    this.coreAccess = { ask: (question) => new Promise((done) => asker.request(question, done)), now: world.now };
+    this.controlAccess = {
+      ask: (question) => new Promise((done) => controlClient.request(question, done)),
+      now: world.now,
+    };
     void node.start();
   }
 
-  /** Ends the program; of the writes that wait for their sync the first `kept` survive. */
+  /** Kills the program; the first `kept` unsynced writes survive. */
   crash(kept: number): void {
     this.kernel.kill(this.process);
     this.process.inputs.addText(`kept ${kept}`);
     this.disk.crash(kept);
     this.node = undefined;
-    this.coreAccess = undefined;
+    this.controlAccess = undefined;
   }
 
-  /** Empties the disk. */
-  loseDisk(): void {
+  /** Erases the disk. */
+  eraseDisk(): void {
     this.process.inputs.addText('disk lost');
-    this.disk.lose();
+    this.disk.erase();
   }
 
-  private createNode(world: World, founds: boolean): ControlNodeHost {
+  private createNode(world: World, mayBootstrap: boolean): ControlNodeHost {
     const { process, seeds } = this;
     const self = process.address;
     return createControlNodeHost(world, {
       ...settings,
       slot: undefined,
       bootstrapSlot: seeds.includes(self) ? seeds.indexOf(self) : undefined,
-      mayBootstrap: founds,
+      mayBootstrap,
       rejoinsWhenSuperseded: true,
       self,
       bootstrapMembers: seeds,
       seeds: [],
       newDiskId: () => `${process.name}.${Math.floor(world.random() * 2 ** 48).toString(36)}`,
-      open: (afresh, blank) => this.openDisk(afresh, blank),
+      open: (rewriteJournal, erases) => this.openDisk(rewriteJournal, erases),
     });
   }
 
-  private async openDisk(afresh: boolean, blank: boolean): Promise<E.Either<Error, OpenDisk>> {
-    if (blank) this.disk.lose();
+  private async openDisk(rewriteJournal: boolean, erases: boolean): Promise<E.Either<Error, OpenDisk>> {
+    if (erases) this.disk.erase();
     const found = [...this.disk.records()];
     const disk = this.disk.open(this.process);
-    if (afresh) await new Promise<void>((done) => disk.rewrite(found, () => done()));
+    if (rewriteJournal) await new Promise<void>((done) => disk.rewrite(found, () => done()));
     return E.right({ disk, storedRecords: found, truncatedBytes: 0 });
   }
 }
--- a/packages/model-checker/src/draws.ts
+++ b/packages/model-checker/src/draws.ts
@@ -1,4 +1,4 @@
-/** Draws moves of each kind at random, as far as the state allows. */
+/** Draws random moves of each kind that are possible in the current state. */
 import type { Cluster } from './cluster.js';
 import type { Move, MoveKind } from './moves.js';
 import { isLossy } from './pending-events.js';
@@ -44,8 +44,8 @@
 }
 
 function drawRun({ kernel }: Cluster, random: Random): Move | undefined {
-  const able = kernel.enabled().filter(({ kind }) => kind !== 'timer' && kind !== 'end-of-fault');
-  const event = pick(able, random);
+  const runnable = kernel.enabled().filter(({ kind }) => kind !== 'timer' && kind !== 'end-of-fault');
+  const event = pick(runnable, random);
   return event === undefined ? undefined : { kind: 'run', event: event.id };
 }
 
@@ -57,13 +57,13 @@
   return event === undefined ? undefined : { kind: 'delay', event: event.id, forUs: short(random) };
 }
 
-function drawCut(cluster: Cluster, random: Random): Move {
+function drawPartition(cluster: Cluster, random: Random): Move {
   const seeds = cluster.scope.statelessSeeds ? cluster.followers.map((follower) => follower.process.name) : [];
   const names = [...runningNames(cluster), ...seeds];
   const size = 1 + Math.floor(random() * Math.max(1, names.length >> 1));
   const group = [...names].sort(() => random() - 0.5).slice(0, size);
-  const way = pick(['in', 'out', 'both'] as const, random)!;
-  return { kind: 'cut', cut: { group, way, holds: random() < 0.5 }, forUs: long(random) };
+  const direction = pick(['in', 'out', 'both'] as const, random)!;
+  return { kind: 'cut', cut: { group, way: direction, holds: random() < 0.5 }, forUs: long(random) };
 }
 
 function drawLeave(cluster: Cluster, random: Random): Move | undefined {
@@ -77,7 +77,7 @@
   return spare === undefined ? undefined : { kind: 'join', spare };
 }
 
-function drawFollower(cluster: Cluster, random: Random): Move | undefined {
+function drawFollowerRestart(cluster: Cluster, random: Random): Move | undefined {
   const follower = pick(cluster.followers, random);
   return follower === undefined ? undefined : { kind: 'restart-follower', follower: follower.process.name };
 }
@@ -93,18 +93,18 @@
   }),
   power: (_cluster, random) => ({ kind: 'power', kept: Math.floor(random() * 3), forUs: short(random) }),
   wipe: onMachine((machine, _cluster, random) => ({ kind: 'wipe', machine, forUs: short(random) })),
-  cut: drawCut,
+  cut: drawPartition,
   freeze: onMachine((machine, _cluster, random) => ({ kind: 'freeze', machine, forUs: long(random) })),
   leave: drawLeave,
   join: drawJoin,
-  'restart-follower': drawFollower,
+  'restart-follower': drawFollowerRestart,
 };
 
-/** All kinds of moves. */
+/** All kinds of moves, in the order in which weights are drawn. */
 export const moveKinds = Object.keys(draws) as MoveKind[];
 
-/** How often a kind is drawn where all are equally rare. */
-export const usualWeights: { readonly [K in MoveKind]: number } = {
+/** The relative weights of the kinds of moves where none was used yet in the situation. */
+export const defaultWeights: { readonly [K in MoveKind]: number } = {
   run: 4,
   lose: 6,
   double: 4,
@@ -119,7 +119,7 @@
   'restart-follower': 1,
 };
 
-/** Draws a move of a kind; undefined where the state allows none. */
+/** Draws a move of a kind; undefined if the state allows none. */
 export function drawMove(kind: MoveKind, cluster: Cluster, random: Random): Move | undefined {
   return draws[kind](cluster, random);
 }
--- a/packages/model-checker/src/operator.ts
+++ b/packages/model-checker/src/operator.ts
@@ -1,39 +1,45 @@
 /**
- * A client of the configuration register. It makes reads and writes, sends each call to some machine, gives a call up
- * after a while and sends the same order again when it had no clear answer.
+ * A simulated operator: a client of the configuration register. It makes reads and writes, sends each call to a random
+ * machine, times out after a while and repeats a write request that had no definite answer.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
-import type { ControlMachine, CoreAccess } from './control-machine.js';
+import type { ControlMachine, ControlAccess } from './control-machine.js';
 import type { Kernel } from './kernel.js';
-import { never, type Operation, type Order, type ReadOperation, type WriteOperation } from './operation-history.js';
+import {
+  neverReturned,
+  type Operation,
+  type WriteRequest,
+  type ReadOperation,
+  type WriteOperation,
+} from './operation-history.js';
 import type { Process } from './process.js';
 import type { RegisterCalls } from './register-calls.js';
 
-/** What one operator works with, and whom it tells. */
+/** The dependencies and settings of one operator. */
 export interface OperatorOptions {
   readonly process: Process;
   readonly machines: () => readonly ControlMachine[];
   readonly calls: RegisterCalls;
   readonly record: (operation: Operation) => void;
-  /** A position in the global order of events. */
-  readonly tick: () => number;
-  /** Told when a machine has said that an order is taken, whether or not the operator hears of it. */
-  readonly acknowledged: (order: Order) => void;
-  readonly thinkUs: number;
-  readonly sendsAgain: number;
-  /** Of a hundred calls, how many are reads. */
+  /** Returns the next position in the global order of events. */
+  readonly nextPosition: () => number;
+  /** Called when a machine acknowledges a write, whether or not the answer reaches the operator. */
+  readonly onAcknowledged: (request: WriteRequest) => void;
+  readonly thinkTimeUs: number;
+  readonly maxRetries: number;
+  /** The percentage of calls that are reads. */
   readonly readsPercent: number;
 }
 
-const givesUpAfter = micros(1_000_000);
-/** How often an order that was answered is sent once more, as after an answer that was lost further on. */
-const repeatsAnswered = 0.2;
+const callTimeoutUs = micros(1_000_000);
+/** How often a request that was answered is repeated, as a client does when the answer is lost on the way to it. */
+const answeredRetryProbability = 0.2;
 
-/** One operator. */
+/** A simulated operator. */
 export class Operator {
   private readonly world: World;
-  private known = 0;
-  private orders = 0;
+  private knownVersion = 0;
+  private requestCount = 0;
   private stopped = false;
 
   constructor(
@@ -43,13 +49,13 @@
     this.world = kernel.world(options.process);
   }
 
-  /** Begins to make calls. */
+  /** Starts making calls. */
   start(): void {
     this.kernel.start(this.options.process);
-    this.world.after(micros(this.world.random() * this.options.thinkUs), () => this.next());
+    this.world.after(micros(this.world.random() * this.options.thinkTimeUs), () => this.next());
   }
 
-  /** Makes no further calls. */
+  /** Stops making calls. */
   stop(): void {
     this.stopped = true;
   }
@@ -57,67 +63,70 @@
   private next(): void {
     if (this.stopped) return;
     if (this.world.random() * 100 < this.options.readsPercent) return this.read();
-    this.orders += 1;
-    this.write({ change: `${this.options.process.name}.${this.orders}`, base: this.known }, this.options.sendsAgain);
+    this.requestCount += 1;
+    this.write(
+      { change: `${this.options.process.name}.${this.requestCount}`, expectedVersion: this.knownVersion },
+      this.options.maxRetries,
+    );
   }
 
-  private pause(then: () => void): void {
-    if (!this.stopped) this.world.after(micros((0.5 + this.world.random()) * this.options.thinkUs), then);
+  private scheduleNext(then: () => void): void {
+    if (!this.stopped) this.world.after(micros((0.5 + this.world.random()) * this.options.thinkTimeUs), then);
   }
 
   private read(): void {
-    const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: never };
-    const operation: ReadOperation = { kind: 'read', ...begun, seen: undefined };
+    const { calls, process, record, nextPosition } = this.options;
+    const common = { client: process.name, invoked: nextPosition(), returned: neverReturned };
+    const operation: ReadOperation = { kind: 'read', ...common, seen: undefined };
     record(operation);
     this.call(
       (access) => calls.read(access),
       (seen) => {
         if (seen !== undefined) {
           operation.seen = seen;
-          operation.returned = tick();
-          this.known = Math.max(this.known, seen.version);
+          operation.returned = nextPosition();
+          this.knownVersion = Math.max(this.knownVersion, seen.version);
         }
-        this.pause(() => this.next());
+        this.scheduleNext(() => this.next());
       },
     );
   }
 
-  private write(order: Order, again: number): void {
-    const { calls, process, record, tick } = this.options;
-    const begun = { client: process.name, invoked: tick(), returned: never };
-    const operation: WriteOperation = { kind: 'write', ...begun, order, outcome: 'unknown' };
+  private write(request: WriteRequest, retriesLeft: number): void {
+    const { calls, process, record, nextPosition } = this.options;
+    const common = { client: process.name, invoked: nextPosition(), returned: neverReturned };
+    const operation: WriteOperation = { kind: 'write', ...common, request, outcome: 'unknown' };
     record(operation);
     this.call(
       async (access) => {
-        const outcome = await calls.write(access, order);
-        if (outcome === 'done') this.options.acknowledged(order);
+        const outcome = await calls.write(access, request);
+        if (outcome === 'done') this.options.onAcknowledged(request);
         return outcome;
       },
       (outcome = 'unknown') => {
         operation.outcome = outcome;
-        if (outcome !== 'unknown') operation.returned = tick();
-        this.answered(operation, again);
+        if (outcome !== 'unknown') operation.returned = nextPosition();
+        this.handleOutcome(operation, retriesLeft);
       },
     );
   }
 
-  private answered({ order, outcome }: WriteOperation, again: number): void {
-    if (outcome === 'done') this.known = Math.max(this.known, order.base + 1);
-    const repeats = outcome === 'unknown' || this.world.random() < repeatsAnswered;
-    const left = outcome === 'unknown' ? again - 1 : 0;
-    if (repeats && again > 0) return this.pause(() => this.write(order, left));
-    this.pause(() => (outcome === 'refused' ? this.read() : this.next()));
+  private handleOutcome({ request, outcome }: WriteOperation, retriesLeft: number): void {
+    if (outcome === 'done') this.knownVersion = Math.max(this.knownVersion, request.expectedVersion + 1);
+    const repeats = outcome === 'unknown' || this.world.random() < answeredRetryProbability;
+    const remaining = outcome === 'unknown' ? retriesLeft - 1 : 0;
+    if (repeats && retriesLeft > 0) return this.scheduleNext(() => this.write(request, remaining));
+    this.scheduleNext(() => (outcome === 'refused' ? this.read() : this.next()));
   }
 
-  /** Sends a call to one machine and gives its answer once, or undefined when none came in time. */
-  private call<T>(make: (access: CoreAccess) => Promise<T>, done: (answer?: T) => void): void {
+  /** Sends a call to a random machine; calls `done` once with the answer, or with undefined after the timeout. */
+  private call<T>(make: (access: ControlAccess) => Promise<T>, done: (answer?: T) => void): void {
     const { process, machines } = this.options;
-    const able = machines();
-    const machine = able[Math.floor(this.world.random() * able.length)]!;
+    const targets = machines();
+    const machine = targets[Math.floor(this.world.random() * targets.length)]!;
     const label = `${process.name}>${machine.name}`;
     let open = true;
-    const cancel = this.world.after(givesUpAfter, () => finish(undefined));
+    const cancel = this.world.after(callTimeoutUs, () => finish(undefined));
     function finish(answer: T | undefined): void {
       if (!open) return;
       open = false;
@@ -136,10 +145,10 @@
   }
 }
 
-/** Makes a call at a machine that runs; one that is down gives no answer. */
+/** Makes a call on a machine; one that is down gives no answer. */
 async function answerOf<T>(
   machine: ControlMachine,
-  make: (access: CoreAccess) => Promise<T>,
+  make: (access: ControlAccess) => Promise<T>,
   answered: (answer: T) => void,
 ): Promise<void> {
   const access = machine.access();
--- a/packages/model-checker/src/walk.ts
+++ b/packages/model-checker/src/walk.ts
@@ -1,36 +1,36 @@
 /**
- * Long random walks. Every few events the walk makes a move; kinds of moves are drawn with weights that fall with how
- * often the kind was made in a situation like the present one, so that rare pairs of situation and move are sought
- * out. The weights are those of one walk, so its seed alone replays it.
+ * Long random walks. Every few events the walk makes a move. Kinds of moves are drawn with weights that decrease with
+ * how often the kind was used in the current situation, which favours rare pairs of situation and move. The weights
+ * belong to one walk, so its seed alone replays it.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { Cluster, Scope } from './cluster.js';
-import { drawMove, moveKinds, usualWeights } from './draws.js';
+import { drawMove, moveKinds, defaultWeights } from './draws.js';
 import type { Move, MoveKind } from './moves.js';
 import type { RegisterCalls } from './register-calls.js';
 import { playRun, type Outcome } from './schedule.js';
 import { situationOf } from './situation.js';
 
-/** One walk. */
+/** The settings of one walk. */
 export interface WalkOptions {
   readonly scope: Scope;
   readonly seed: number;
   readonly lengthUs: number;
   readonly calls?: RegisterCalls;
-  /** Collects the situations met, over as many walks as share it. */
+  /** Collects the situations reached; several walks may share it. */
   readonly situations?: Set<string>;
 }
 
-/** How many events lie between two moves on average, in a busy stretch and in a calm one. */
-const busyEvery = 6;
-const calmEvery = 60;
-const staysInStretch = 0.85;
+/** The mean number of events between two moves, in a busy stretch and in a calm one. */
+const busyMoveIntervalEvents = 6;
+const calmMoveIntervalEvents = 60;
+const stretchContinuationProbability = 0.85;
 const firstMoveUs = 1_500_000;
 
-class Guide {
-  private readonly made = new Map<string, number>();
+class GuidedChooser {
+  private readonly moveCounts = new Map<string, number>();
   private readonly random: () => number;
-  private every = calmEvery;
+  private moveIntervalEvents = calmMoveIntervalEvents;
 
   constructor(private readonly options: WalkOptions) {
     this.random = createSeededRandom(options.seed * 7919 + 17);
@@ -38,27 +38,30 @@
 
   choose(cluster: Cluster): Move | undefined {
     const from = cluster.scope.statelessSeeds ? 0 : firstMoveUs;
-    if (cluster.kernel.now() < from || this.random() >= 1 / this.every) return undefined;
-    if (this.random() >= staysInStretch) this.every = this.random() < 0.5 ? busyEvery : calmEvery;
+    if (cluster.kernel.now() < from || this.random() >= 1 / this.moveIntervalEvents) return undefined;
+    if (this.random() >= stretchContinuationProbability)
+      this.moveIntervalEvents = this.random() < 0.5 ? busyMoveIntervalEvents : calmMoveIntervalEvents;
     const situation = situationOf(cluster);
     this.options.situations?.add(situation);
     const kind = this.drawKind(situation);
     const pair = `${situation}/${kind}`;
-    this.made.set(pair, (this.made.get(pair) ?? 0) + 1);
+    this.moveCounts.set(pair, (this.moveCounts.get(pair) ?? 0) + 1);
     return drawMove(kind, cluster, this.random);
   }
 
   private drawKind(situation: string): MoveKind {
-    const weights = moveKinds.map((kind) => usualWeights[kind] / (1 + (this.made.get(`${situation}/${kind}`) ?? 0)));
-    let left = this.random() * weights.reduce((sum, weight) => sum + weight, 0);
-    const index = weights.findIndex((weight) => (left -= weight) <= 0);
+    const weights = moveKinds.map(
+      (kind) => defaultWeights[kind] / (1 + (this.moveCounts.get(`${situation}/${kind}`) ?? 0)),
+    );
+    let remainingWeight = this.random() * weights.reduce((sum, weight) => sum + weight, 0);
+    const index = weights.findIndex((weight) => (remainingWeight -= weight) <= 0);
     return moveKinds[Math.max(0, index)]!;
   }
 }
 
-/** Goes on a walk. */
+/** Plays one random walk. */
 export function walk(options: WalkOptions): Promise<Outcome> {
   const { scope, seed, lengthUs, calls } = options;
-  const guide = new Guide(options);
-  return playRun({ scope, seed, untilUs: lengthUs, calls, choose: (cluster) => guide.choose(cluster) });
+  const chooser = new GuidedChooser(options);
+  return playRun({ scope, seed, untilUs: lengthUs, calls, choose: (cluster) => chooser.choose(cluster) });
 }
