--- a/packages/duty-log/src/duty-record.ts
+++ b/packages/duty-log/src/duty-record.ts
@@ -42,7 +42,7 @@
   outcomes: Type.Array(LastOutcome),
 });
 
-/** A call that is recorded and not known to have ended. */
+/** A call that is recorded and open: it has no final outcome yet. */
 export type Intent = Static<typeof Intent>;
 /** How the last call for a subject ended. */
 export type LastOutcome = Static<typeof LastOutcome>;
@@ -86,7 +86,7 @@
   return { ...record, open: record.open.filter((entry) => entry.id !== id), outcomes };
 }
 
-/** The record with new intents, the intents that they superseded, and the number of planned calls that did not fit. */
+/** The record with new intents, the intents that they superseded, and the number of planned calls left out. */
 export interface PlannedRecord {
   readonly record: DutyRecord;
   readonly superseded: readonly Intent[];
--- a/packages/duty-log/src/duty-runner.test.ts
+++ b/packages/duty-log/src/duty-runner.test.ts
@@ -1,6 +1,7 @@
 /**
- * One runner in virtual time that always gets the lease: what it writes and calls, in which order and at which rate, and
- * how it handles each kind of answer. The model checker's duties cover several nodes with faults.
+ * One runner in virtual time, the only candidate for the leader role, which therefore always gets the lease: what it writes
+ * and calls, in which order and at which rate, and how it handles each kind of answer. Several nodes with faults are covered
+ * by the model checker's schedules for duties.
  */
 import { expect, it } from 'vitest';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
@@ -18,28 +19,32 @@
   readonly at: number;
 }
 
-interface Scene {
-  /** The calls to make, by duty. */
-  readonly wanted: Map<string, PlannedCall[]>;
-  /** How the platform answers; `never` stands for no answer at all. */
+interface Scenario {
+  /** The calls that each duty is to make, by its name. */
+  readonly callsToMake: Map<string, PlannedCall[]>;
+  /** How the platform answers. `never`: the call's promise is not settled; `unknown`: it resolves to that outcome. */
   answer: (call: DutyCall) => CallOutcome | 'never';
+  /** Whether writes of records succeed. */
   writable: boolean;
 }
 
-/** Plans the wanted calls that are newer than those in the record for their subject; contents are increasing numbers. */
-function planOf(wanted: readonly PlannedCall[]): (record: DutyRecord) => PlannedCall[] {
+/**
+ * Plans those calls whose content is higher than that of every call in the record for the same subject. The contents are
+ * numbers.
+ */
+function planOf(callsToMake: readonly PlannedCall[]): (record: DutyRecord) => PlannedCall[] {
   return function plan(record) {
     const known = [...record.open, ...record.outcomes];
-    return wanted.filter(
+    return callsToMake.filter(
       (call) => !known.some((entry) => entry.subject === call.subject && Number(entry.content) >= Number(call.content)),
     );
   };
 }
 
-function createScene(duties: readonly Pick<Duty, 'name' | 'maySupersede'>[], callsPerSecond = 4) {
+function createScenario(duties: readonly Pick<Duty, 'name' | 'maySupersede'>[], callsPerSecond = 4) {
   const clock = createVirtualClock();
-  const scene: Scene = {
-    wanted: new Map(duties.map(({ name }) => [name, []])),
+  const scenario: Scenario = {
+    callsToMake: new Map(duties.map(({ name }) => [name, []])),
     answer: () => 'accepted',
     writable: true,
   };
@@ -58,9 +63,9 @@
   function newestVersion(key: string): StoredVersion {
     return stored.get(key) ?? { version: 0, value: Buffer.alloc(0) };
   }
-  function recordOf(key: string): StoredValue {
+  function recordStoreOf(key: string): StoredValue {
     async function write(base: number, value: Buffer): Promise<number | undefined> {
-      if (!scene.writable || newestVersion(key).version !== base) return undefined;
+      if (!scenario.writable || newestVersion(key).version !== base) return undefined;
       stored.set(key, { version: base + 1, value });
       return base + 1;
     }
@@ -68,7 +73,7 @@
   }
   function call(request: DutyCall): Promise<CallOutcome> {
     calls.push({ ...request, at: clock.world.now() });
-    const outcome = scene.answer(request);
+    const outcome = scenario.answer(request);
     return new Promise((resolve) => {
       if (outcome !== 'never') clock.world.after(micros(answerDelay), () => resolve(outcome));
     });
@@ -88,8 +93,11 @@
       minTakeoverGap: 3 * second,
       callsPerSecond,
       callTimeout: 2 * second,
-      duties: duties.map((duty) => ({ ...duty, plan: (record) => planOf(scene.wanted.get(duty.name)!)(record) })),
-      record: recordOf,
+      duties: duties.map((duty) => ({
+        ...duty,
+        plan: (record) => planOf(scenario.callsToMake.get(duty.name)!)(record),
+      })),
+      record: recordStoreOf,
       port: { call },
     },
   );
@@ -98,15 +106,20 @@
     if (decoded._tag === 'Left') throw new Error(decoded.left);
     return decoded.right;
   }
+  /**
+   * Counts the logged events with a number. 3103: term acquired; 3104: call overdue; 3105: call fenced; 3106: call refused
+   * permanently; 3107: record cannot be decoded; 3108: open call superseded.
+   */
   function countEvents(event: number): number {
     return clock.logged.filter((entry) => entry.event === event).length;
   }
-  return { clock, scene, calls, stored, runner, recordNow, countEvents };
+  return { clock, scenario, calls, stored, runner, recordNow, countEvents };
 }
 
-function windows(first: number, last: number): PlannedCall[] {
+/** Calls for one subject, whose contents are the numbers from `first` to `last`. */
+function numberedCalls(first: number, last: number): PlannedCall[] {
   const planned: PlannedCall[] = [];
-  for (let window = first; window <= last; window += 1) planned.push({ subject: 'all', content: `${window}` });
+  for (let number = first; number <= last; number += 1) planned.push({ subject: 'all', content: `${number}` });
   return planned;
 }
 
@@ -114,8 +127,8 @@
 const scale = { name: 'scale', maySupersede: true };
 
 it('makes calls in order with the fence of its term, and records each outcome', async () => {
-  const { clock, scene, calls, recordNow, countEvents } = createScene([usage]);
-  scene.wanted.set('usage', [
+  const { clock, scenario, calls, recordNow, countEvents } = createScenario([usage]);
+  scenario.callsToMake.set('usage', [
     { subject: 'a', content: '1' },
     { subject: 'b', content: '2' },
   ]);
@@ -136,60 +149,65 @@
 });
 
 it('retries a call without an answer unchanged, with increasing backoff, and logs it as overdue', async () => {
-  const { clock, scene, calls, countEvents, runner } = createScene([usage]);
-  scene.wanted.set('usage', windows(1, 2));
-  scene.answer = () => 'never';
+  const { clock, scenario, calls, countEvents, runner } = createScenario([usage]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 2));
+  scenario.answer = () => 'never';
   await clock.runTo(40 * second);
   expect(new Set(calls.map(({ content, fence }) => `${content} ${fence}`))).toEqual(new Set(['1 1']));
   const gaps = calls.slice(1).map(({ at }, index) => at - calls[index]!.at);
+  // A gap is the call timeout and the backoff, which grows from 0.6 s to 4 s with jitter. The limits leave a margin.
   expect(gaps.length).toBeGreaterThan(4);
   expect(gaps.length).toBeLessThan(12);
   expect(gaps.at(-1)).toBeGreaterThan(2 * gaps[0]!);
+  // Both calls have the same subject, so the second waits for the first one and becomes overdue too.
   expect(countEvents(3104)).toBe(2);
   const { fence, open } = runner.status().duties[0]!;
   expect([fence, open.length, open[0]!.failures >= 5, open[0]!.age > 30 * second]).toEqual([1, 2, true, true]);
-  scene.answer = () => 'accepted';
+  scenario.answer = () => 'accepted';
   await clock.runTo(50 * second);
   expect(calls.slice(-2).map((call) => call.content)).toEqual(['1', '2']);
 });
 
-it('catches up in order within the rate limit, including calls that did not fit into the record', async () => {
-  const { clock, scene, calls, recordNow, runner } = createScene([usage]);
-  scene.wanted.set('usage', windows(1, 40));
-  scene.answer = () => 'busy';
+it('catches up in order within the rate limit, including calls beyond the maximum number of open intents', async () => {
+  const { clock, scenario, calls, recordNow, runner } = createScenario([usage]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 40));
+  scenario.answer = () => 'busy';
   await clock.runTo(10 * second);
-  scene.answer = () => 'accepted';
-  const before = calls.length;
+  scenario.answer = () => 'accepted';
+  const callsWhileBusy = calls.length;
   expect(recordNow('usage').open).toHaveLength(maxOpenIntents);
   expect(runner.status().duties[0]!.waiting).toBe(40 - maxOpenIntents);
   await clock.runTo(30 * second);
-  const accepted = calls.slice(before);
-  expect(accepted.map((call) => Number(call.content))).toEqual(windows(1, 40).map(({ content }) => Number(content)));
+  const accepted = calls.slice(callsWhileBusy);
+  expect(accepted.map((call) => Number(call.content))).toEqual(
+    numberedCalls(1, 40).map(({ content }) => Number(content)),
+  );
   expect(recordNow('usage').open).toEqual([]);
+  // The rate limit is the default of four calls a second.
   for (const [index, { at }] of calls.entries()) {
     const next = calls[index + 4];
     if (next !== undefined) expect(next.at - at).toBeGreaterThanOrEqual(second);
   }
 });
 
-it('does not let a duty whose calls are unanswered or rejected for now block another duty', async () => {
+it('does not let a duty whose calls are unanswered or temporarily rejected block another duty', async () => {
   for (const outcome of ['never', 'busy', 'unknown'] as const) {
-    const { clock, scene, calls } = createScene([usage, scale]);
-    scene.wanted.set('usage', windows(1, 3));
-    scene.answer = ({ duty }) => (duty === 'usage' ? outcome : 'accepted');
+    const { clock, scenario, calls } = createScenario([usage, scale]);
+    scenario.callsToMake.set('usage', numberedCalls(1, 3));
+    scenario.answer = ({ duty }) => (duty === 'usage' ? outcome : 'accepted');
     await clock.runTo(10 * second);
-    scene.wanted.set('scale', [{ subject: 'a', content: '5' }]);
+    scenario.callsToMake.set('scale', [{ subject: 'a', content: '5' }]);
     await clock.runTo(11 * second);
     expect([outcome, calls.filter(({ duty }) => duty === 'scale').length]).toEqual([outcome, 1]);
   }
 });
 
 it('shares the rate limit evenly between two duties', async () => {
-  const { clock, scene, calls } = createScene([usage, scale]);
-  scene.wanted.set('usage', windows(1, 16));
-  scene.wanted.set(
+  const { clock, scenario, calls } = createScenario([usage, scale]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 16));
+  scenario.callsToMake.set(
     'scale',
-    windows(1, 16).map(({ content }) => ({ subject: `s${content}`, content })),
+    numberedCalls(1, 16).map(({ content }) => ({ subject: `s${content}`, content })),
   );
   await clock.runTo(5 * second);
   const counts = ['usage', 'scale'].map((name) => calls.filter(({ duty }) => duty === name).length);
@@ -198,9 +216,9 @@
 });
 
 it('ends its term at once when the platform has seen a higher fence, and acquires a new term only after the hold-off', async () => {
-  const { clock, scene, calls, countEvents, runner } = createScene([usage]);
-  scene.wanted.set('usage', windows(1, 1));
-  scene.answer = ({ fence }) => (fence === 1 ? 'fenced' : 'accepted');
+  const { clock, scenario, calls, countEvents, runner } = createScenario([usage]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 1));
+  scenario.answer = ({ fence }) => (fence === 1 ? 'fenced' : 'accepted');
   await clock.runTo(2 * second);
   expect([calls.length, countEvents(3105), runner.status().duties[0]!.fence]).toEqual([1, 1, undefined]);
   await clock.runTo(10 * second);
@@ -208,60 +226,62 @@
     ['1', false],
     ['1', true],
   ]);
+  // The hold-off is the minimum takeover gap of 3 s plus the longest transit time of a call.
   expect(calls[1]!.at - calls[0]!.at).toBeGreaterThan(3 * second);
 });
 
 it('closes a call that is permanently refused, and logs it', async () => {
-  const { clock, scene, calls, countEvents, recordNow } = createScene([usage]);
-  scene.wanted.set('usage', windows(1, 2));
-  scene.answer = ({ content }) => (content === '1' ? 'refused' : 'accepted');
+  const { clock, scenario, calls, countEvents, recordNow } = createScenario([usage]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 2));
+  scenario.answer = ({ content }) => (content === '1' ? 'refused' : 'accepted');
   await clock.runTo(5 * second);
   expect(calls.map(({ content }) => content)).toEqual(['1', '2']);
   expect([countEvents(3106), recordNow('usage').open]).toEqual([1, []]);
 });
 
-it('makes no call that is not recorded, and none based on a record that cannot be decoded', async () => {
-  const unwritten = createScene([usage]);
-  unwritten.scene.wanted.set('usage', windows(1, 1));
-  unwritten.scene.writable = false;
+it('makes no call that is not recorded, and no call of a duty whose record cannot be decoded', async () => {
+  const unwritten = createScenario([usage]);
+  unwritten.scenario.callsToMake.set('usage', numberedCalls(1, 1));
+  unwritten.scenario.writable = false;
   await unwritten.clock.runTo(10 * second);
   expect(unwritten.calls).toEqual([]);
-  unwritten.scene.writable = true;
+  unwritten.scenario.writable = true;
   await unwritten.clock.runTo(12 * second);
   expect(unwritten.calls).toHaveLength(1);
 
-  const unreadable = createScene([usage, scale]);
+  const unreadable = createScenario([usage, scale]);
   unreadable.stored.set(dutyRecordKey('usage'), { version: 3, value: Buffer.from('{') });
-  for (const name of ['usage', 'scale']) unreadable.scene.wanted.set(name, windows(1, 1));
+  for (const name of ['usage', 'scale']) unreadable.scenario.callsToMake.set(name, numberedCalls(1, 1));
   await unreadable.clock.runTo(10 * second);
   expect(unreadable.calls.map(({ duty }) => duty)).toEqual(['scale']);
   expect(unreadable.countEvents(3107)).toBe(1);
 });
 
 it('finishes the calls that its predecessor left open, with a higher fence', async () => {
-  const { clock, stored, calls, scene } = createScene([usage]);
+  const { clock, stored, calls, scenario } = createScenario([usage]);
   const predecessorRecord: DutyRecord = {
     term: { holder: 'c1', id: 'x' },
     lastIntent: 4,
-    open: [{ id: 4, subject: 'all', content: 'as it was' }],
+    open: [{ id: 4, subject: 'all', content: 'recorded by c1' }],
     outcomes: [],
   };
   stored.set(dutyRecordKey('usage'), { version: 9, value: encodeDutyRecord(predecessorRecord) });
-  scene.wanted.set('usage', windows(1, 1));
+  scenario.callsToMake.set('usage', numberedCalls(1, 1));
   await clock.runTo(5 * second);
+  // The fence is the version of the write of the new term, the one after version 9.
   expect(calls.map(({ content, fence }) => [content, fence])).toEqual([
-    ['as it was', 10],
+    ['recorded by c1', 10],
     ['1', 10],
   ]);
 });
 
-it('lets a newer order supersede an open one, with a higher fence if that one got no answer', async () => {
-  const { clock, scene, calls, countEvents } = createScene([scale]);
-  scene.wanted.set('scale', [{ subject: 'a', content: '5' }]);
-  scene.answer = () => 'never';
+it('lets a newer order supersede an open one, with a higher fence if the superseded one got no answer', async () => {
+  const { clock, scenario, calls, countEvents } = createScenario([scale]);
+  scenario.callsToMake.set('scale', [{ subject: 'a', content: '5' }]);
+  scenario.answer = () => 'never';
   await clock.runTo(3.5 * second);
-  scene.wanted.set('scale', [{ subject: 'a', content: '6' }]);
-  scene.answer = () => 'accepted';
+  scenario.callsToMake.set('scale', [{ subject: 'a', content: '6' }]);
+  scenario.answer = () => 'accepted';
   await clock.runTo(10 * second);
   const [first, last] = [calls[0]!, calls.at(-1)!];
   expect([first.content, last.content, last.fence > first.fence, countEvents(3108)]).toEqual(['5', '6', true, 1]);
@@ -269,12 +289,12 @@
 });
 
 it('does nothing after it is stopped', async () => {
-  const { clock, scene, calls, runner, stored } = createScene([usage]);
-  scene.wanted.set('usage', windows(1, 5));
-  scene.answer = () => 'unknown';
+  const { clock, scenario, calls, runner, stored } = createScenario([usage]);
+  scenario.callsToMake.set('usage', numberedCalls(1, 5));
+  scenario.answer = () => 'unknown';
   await clock.runTo(2 * second);
   runner.stop();
-  const before = [calls.length, stored.get(dutyRecordKey('usage'))!.version];
+  const atStop = [calls.length, stored.get(dutyRecordKey('usage'))!.version];
   await clock.runTo(20 * second);
-  expect([calls.length, stored.get(dutyRecordKey('usage'))!.version]).toEqual(before);
+  expect([calls.length, stored.get(dutyRecordKey('usage'))!.version]).toEqual(atStop);
 });
--- a/packages/duty-log/src/duty-status.ts
+++ b/packages/duty-log/src/duty-status.ts
@@ -8,7 +8,7 @@
 export interface OpenCall extends Intent {
   /** How long this node has known that the call is open, in microseconds. */
   readonly age: number;
-  /** Consecutive attempts without a definite outcome. */
+  /** Consecutive attempts for the call's subject that were answered `busy` or got no definite answer. */
   readonly failures: number;
 }
 
@@ -19,7 +19,7 @@
   readonly fence: number | undefined;
   /** Open calls, oldest first; empty while this node has no term. */
   readonly open: readonly OpenCall[];
-  /** Number of planned calls that did not fit into the record yet. */
+  /** Number of planned calls without an intent, because the record has the maximum number of open intents. */
   readonly waiting: number;
 }
 
--- a/packages/duty-log/src/duty-task.ts
+++ b/packages/duty-log/src/duty-task.ts
@@ -1,9 +1,10 @@
 /**
- * Runs one duty at one node. The task first acquires the term, whose version becomes the fencing token of its calls.
- * Then each step writes the planned calls to the record as intents, makes the oldest open call, and writes its outcome
- * together with the next intents. Each write is conditional on the version last written or read. A write without an
- * answer may have taken effect, so the record is read again before anything else; if it names another term, this
- * node's term has ended.
+ * Runs one duty at one node. The task first acquires the term by a write to the duty's record; the version of that write is
+ * the fencing token of the term's calls. Then it works in steps. A step writes to the record an intent for each newly
+ * planned call, together with the outcomes received since the previous write, and then makes the call of the oldest open
+ * intent that is not backing off. So a call is made only after its intent is recorded. Each write is conditional on the
+ * version last written or read. A write that failed may still have taken effect if it got no answer, so the record is read
+ * again before anything else; if it names another term then, this node's term has ended.
  */
 import type { World } from '@tansypost/inner-protocol';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
@@ -34,25 +35,29 @@
   readonly rateLimiter: CallRateLimiter;
   /** Whether this node holds the lease of the leader role. */
   readonly isLeader: () => boolean;
-  /** Whether the lease lasts long enough for a call made now to end before a successor can make its first call. */
+  /**
+   * Whether enough of the lease is left to make a call, or to acquire the term: a call made now arrives, and the minimum
+   * takeover gap passes, before a successor can make its first call.
+   */
   readonly canCall: () => boolean;
-  /** How long a node that lost its term to another node waits before it tries to acquire a new one. */
+  /** How long a node that lost its term, or got the answer `fenced`, waits before it tries to acquire a new term. */
   readonly holdOffDuration: number;
-  /** Longest time that a call may spend in transit to the platform. */
+  /** Longest time that a call may spend in transit to the platform; used here as the first retry delay. */
   readonly maxCallTransit: number;
   /** How long to wait for the answer to a call. */
   readonly callTimeout: number;
-  /** Called when a step has changed something, so that the next step can follow at once. */
+  /** Called when the next step can follow at once: after a call, or after the term was ended in order to renew it. */
   readonly onProgress: () => void;
 }
 
 /** One duty at this node. */
 export interface DutyTask {
-  /** Starts the next step, unless one is in progress. */
+  /** Starts the next step if this node is the leader and no step is in progress. */
   readonly poll: () => void;
+  /** Ends this node's term without a write to the record, for example when it is no longer the leader. */
   readonly endTerm: () => void;
   readonly status: () => DutyStatus;
-  /** When its last call was made; -Infinity if there was none. */
+  /** When its last call was made, in microseconds; -Infinity if there was none. */
   readonly lastCallAt: () => number;
 }
 
@@ -62,9 +67,9 @@
   readonly backoff: RetryBackoff;
   readonly intentAges: OpenIntentAges;
   term: OwnTerm | undefined;
-  /** A term that this node ended itself to get a higher fence, until the next term replaces it. */
+  /** The term that this node has ended in order to acquire one with a higher fence, while it has not acquired that one. */
   termToRenew: OwnTerm | undefined;
-  /** Incremented by endTerm, also where there was no term, so that an acquisition in progress at that time is discarded. */
+  /** Incremented by every `endTerm`, even without a term, so that an acquisition that is in progress is discarded. */
   termGeneration: number;
   isStepping: boolean;
   holdOffUntil: number;
@@ -102,10 +107,10 @@
   if (state.isStepping || !state.options.isLeader()) return;
   logOverdueIntents(state);
   state.isStepping = true;
-  void advance(state).then(
-    (changed) => {
+  void doStep(state).then(
+    (canContinue) => {
       state.isStepping = false;
-      if (changed) state.options.onProgress();
+      if (canContinue) state.options.onProgress();
     },
     (error: unknown) => {
       state.isStepping = false;
@@ -114,14 +119,15 @@
   );
 }
 
-/** Does one step and returns whether it changed anything. */
-async function advance(state: TaskState): Promise<boolean> {
+/** Does one step and returns whether the next one can follow at once. */
+async function doStep(state: TaskState): Promise<boolean> {
   const term = await currentTerm(state);
   if (term === undefined) return false;
   const next = nextRecord(state, term);
   term.waiting = next.waiting;
   if (needsHigherFence(state, term, next.record)) {
     endTerm(state);
+    // Set after `endTerm`, which clears it.
     state.termToRenew = term;
     return true;
   }
@@ -133,9 +139,9 @@
 }
 
 /**
- * Whether an older call for the same subject, which got no answer and may still be in transit, could arrive after a new
- * one. With a higher fence on the new call, the platform rejects the older one. Duties whose calls are never superseded
- * repeat the older call unchanged instead.
+ * Whether a newly planned call needs a higher fence: an older call for its subject got no answer, so that one may still be
+ * in transit and arrive later. With a higher fence on the new call, the platform then rejects the older one. Duties whose
+ * calls are never superseded repeat the older call unchanged instead.
  */
 function needsHigherFence({ options }: TaskState, term: OwnTerm, next: DutyRecord): boolean {
   const planned = next.open.filter((intent) => intent.id > term.record.lastIntent);
@@ -158,7 +164,7 @@
   const record = stored === undefined ? undefined : readRecord(state, stored);
   if (stored === undefined || record === undefined || state.termGeneration !== termGeneration || !options.canCall())
     return;
-  if (state.termToRenew !== undefined && isTermLost(state, state.termToRenew, record)) return;
+  if (state.termToRenew !== undefined && endIfTermLost(state, state.termToRenew, record)) return;
   const id = newTermId(world);
   const ownRecord: DutyRecord = { ...record, term: { holder: options.member, id } };
   const fence = await options.record.write(stored.version, encodeDutyRecord(ownRecord));
@@ -169,19 +175,19 @@
   world.log(3103, { duty: options.duty.name, fence, open: ownRecord.open.length });
 }
 
-/** Reads the record after a write whose outcome is unknown. */
+/** Reads the record again after a write that failed or whose outcome is unknown. */
 async function rereadRecord(state: TaskState, term: OwnTerm): Promise<void> {
   const stored = await state.options.record.read();
   if (stored === undefined || state.term !== term) return;
   const record = readRecord(state, stored);
   if (record === undefined) return endTerm(state);
-  if (isTermLost(state, term, record)) return;
+  if (endIfTermLost(state, term, record)) return;
   term.needsReread = false;
   adoptRecord(state, term, stored.version, record);
 }
 
-/** Whether another node has taken over the term; if so, ends this node's term and holds off. */
-function isTermLost(state: TaskState, { id, fence }: OwnTerm, record: DutyRecord): boolean {
+/** If the record names a term other than the given one, ends this node's term and holds off. Returns whether it did so. */
+function endIfTermLost(state: TaskState, { id, fence }: OwnTerm, record: DutyRecord): boolean {
   if (record.term?.id === id) return false;
   state.world.log(3109, { duty: state.options.duty.name, fence, holder: record.term?.holder ?? '' });
   holdOff(state);
@@ -212,7 +218,7 @@
   return addPlannedIntents(record, options.duty.plan(record), options.duty.maySupersede);
 }
 
-/** Writes the record if its version is unchanged. False if the write's outcome is unknown or the term has ended. */
+/** Writes the record. False if its version had changed, if the outcome of the write is unknown, or if the term has ended. */
 async function commit(state: TaskState, term: OwnTerm, next: PlannedRecord): Promise<boolean> {
   const { world, options } = state;
   const version = await options.record.write(term.version, encodeDutyRecord(next.record));
@@ -227,7 +233,7 @@
   return true;
 }
 
-/** The oldest open call whose subject is not backing off, so that calls for one subject are made in order. */
+/** The oldest open call whose subject is not backing off. A backoff holds for all calls of a subject, which keeps their order. */
 function nextCall({ backoff }: TaskState, term: OwnTerm): Intent | undefined {
   return term.record.open.find((intent) => backoff.isElapsed(intent.subject));
 }
@@ -238,16 +244,19 @@
   state.lastCallAt = world.now();
   const call = { duty, subject, content, holder: options.member, fence: term.fence };
   const outcome = await callWithTimeout(world, options, call, (lateOutcome) =>
-    handleDefiniteOutcome(state, term, { id, subject, content }, lateOutcome),
+    handleFinalOutcome(state, term, { id, subject, content }, lateOutcome),
   );
   if (state.term !== term) return;
   if (outcome === 'unknown') term.uncertainSubjects.add(subject);
   if (outcome === 'busy' || outcome === 'unknown') return backoff.recordFailure(subject);
-  handleDefiniteOutcome(state, term, { id, subject, content }, outcome);
+  handleFinalOutcome(state, term, { id, subject, content }, outcome);
 }
 
-/** Handles an answer with a definite outcome, including one that arrives after the call timed out. */
-function handleDefiniteOutcome(
+/**
+ * Handles an outcome that closes the call or ends the term, also one that arrives after the call timed out. Of late answers,
+ * `busy` and `unknown` are ignored, as the call counts as failed already.
+ */
+function handleFinalOutcome(
   state: TaskState,
   term: OwnTerm,
   { id, subject, content }: Intent,
@@ -260,7 +269,7 @@
   if (outcome === 'refused') state.world.log(3106, { duty: state.options.duty.name, subject, content });
 }
 
-/** Ends the term: the platform has seen a higher fence, so another leader has made calls. */
+/** Ends the term: the platform has seen a higher fence, and so a call of a later term. */
 function handleFenced(state: TaskState, term: OwnTerm, subject: string): void {
   if (state.term !== term) return;
   state.world.log(3105, { duty: state.options.duty.name, subject, fence: term.fence });
@@ -274,7 +283,7 @@
   state.backoff.clear();
 }
 
-/** Ends the term and leaves the duty to the other node for the hold-off time. */
+/** Ends the term and acquires none for the hold-off time, which leaves the duty to the node that has taken it over. */
 function holdOff(state: TaskState): void {
   endTerm(state);
   state.holdOffUntil = state.world.now() + state.options.holdOffDuration;
--- a/packages/duty-log/src/late-answer.test.ts
+++ b/packages/duty-log/src/late-answer.test.ts
@@ -1,6 +1,6 @@
 /**
- * A platform that accepts every call but always answers shortly after the call timeout. The late answers must still close
- * the calls; otherwise the first call would be retried for ever and block all later ones of its subject.
+ * The platform accepts every call but always answers shortly after the call timeout. The late answers must still close the
+ * calls; otherwise the first call would be retried for ever and block all later ones of its subject.
  */
 import { expect, it } from 'vitest';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
@@ -14,7 +14,7 @@
 it('makes the calls for later windows even if every answer arrives after the timeout', async () => {
   const clock = createVirtualClock();
   let stored: StoredVersion = { version: 0, value: Buffer.alloc(0) };
-  const record: StoredValue = {
+  const recordStore: StoredValue = {
     read: async () => stored,
     write: async (base, value) => {
       stored = { version: base + 1, value };
@@ -26,7 +26,7 @@
   const task = createDutyTask(clock.world, {
     duty: { name: 'usage', maySupersede: false, plan: () => planned },
     member: 'c0',
-    record,
+    record: recordStore,
     port: {
       call: (call) => {
         calls.push(call);
--- a/packages/duty-log/src/own-term.ts
+++ b/packages/duty-log/src/own-term.ts
@@ -5,16 +5,18 @@
 /** A term, and this node's copy of the duty's record. */
 export interface OwnTerm {
   readonly id: string;
+  /** The version of the write that acquired the term; the fencing token of its calls. */
   readonly fence: number;
+  /** The version of `record` in the control state. */
   version: number;
   record: DutyRecord;
   /** A write failed or got no answer: the record must be read again before anything else. */
   needsReread: boolean;
-  /** Definite outcomes that are not in the record yet, by id of the intent. */
+  /** Final outcomes that are not in the record yet, by id of the intent. */
   readonly unrecordedOutcomes: Map<number, FinalOutcome>;
   /** Subjects for which a call with this fence may still be in transit. */
   readonly uncertainSubjects: Set<string>;
-  /** Number of planned calls that did not fit into the record yet. */
+  /** Number of planned calls without an intent, because the record has the maximum number of open intents. */
   waiting: number;
 }
 
--- a/packages/duty-log/src/plan-error.test.ts
+++ b/packages/duty-log/src/plan-error.test.ts
@@ -1,4 +1,4 @@
-/** A duty whose plan throws once must neither crash the process by an unhandled rejection nor stop for good. */
+/** A duty whose plan throws once continues, and causes no unhandled rejection, which would end the process. */
 import { expect, it } from 'vitest';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
 import { createVirtualClock } from '@tansypost/inner-protocol';
@@ -6,6 +6,7 @@
 import { createDutyTask } from './duty-task.js';
 import type { DutyCall, PlannedCall } from './ports.js';
 
+/** Runs more microtask turns than the chain of promises in one step needs. */
 async function flushMicrotasks(): Promise<void> {
   for (let turn = 0; turn < 50; turn += 1) await Promise.resolve();
 }
@@ -13,7 +14,7 @@
 it('continues a duty after its plan threw', async () => {
   const clock = createVirtualClock();
   let stored: StoredVersion = { version: 0, value: Buffer.alloc(0) };
-  const record: StoredValue = {
+  const recordStore: StoredValue = {
     read: async () => stored,
     write: async (base, value) => {
       stored = { version: base + 1, value };
@@ -34,7 +35,7 @@
   const task = createDutyTask(clock.world, {
     duty: { name: 'usage', maySupersede: false, plan },
     member: 'c0',
-    record,
+    record: recordStore,
     port: {
       call: async (call) => {
         calls.push(call);
@@ -44,6 +45,7 @@
     rateLimiter: createCallRateLimiter(clock.world, 10, () => undefined),
     isLeader: () => true,
     canCall: () => true,
+    // Virtual time stands still in this test, so these durations have no effect.
     holdOffDuration: 1,
     maxCallTransit: 1,
     callTimeout: 1,
--- a/packages/duty-log/src/ports.ts
+++ b/packages/duty-log/src/ports.ts
@@ -23,7 +23,7 @@
 
 /**
  * How a call ended. `fenced`: rejected because the platform has seen a higher fence. `refused`: rejected permanently for
- * another reason. `busy`: rejected for now. `unknown`: no definite answer, so the call may have been carried out.
+ * another reason. `busy`: rejected temporarily. `unknown`: no definite answer, so the call may have been carried out.
  */
 export type CallOutcome = 'accepted' | 'fenced' | 'refused' | 'busy' | 'unknown';
 
@@ -35,7 +35,7 @@
 /** A duty. The calls to make follow from its record and from the state that the implementation holds. */
 export interface Duty {
   readonly name: string;
-  /** Whether a newer call for a subject replaces an open one. */
+  /** Whether a newer call for a subject supersedes an open one, which is then no longer made. */
   readonly maySupersede: boolean;
   /**
    * The calls to make now beyond the open calls of the record, in order. Called with the newest record several times a
--- a/packages/duty-log/src/retry-backoff.ts
+++ b/packages/duty-log/src/retry-backoff.ts
@@ -1,16 +1,19 @@
-/** Exponential backoff with jitter, for each subject, between attempts of a call that had no definite outcome. */
+/**
+ * Exponential backoff with jitter, for each subject, between attempts of a call that was answered `busy` or got no
+ * definite answer.
+ */
 import type { World } from '@tansypost/inner-protocol';
 
 /** The backoff state of one duty. */
 export interface RetryBackoff {
   /** Whether a call for the subject may be made now. */
   readonly isElapsed: (subject: string) => boolean;
-  /** Records a call without a definite outcome. */
+  /** Records an attempt that has to be repeated. */
   readonly recordFailure: (subject: string) => void;
-  /** Ends the backoff of a subject after a call with a definite outcome. */
+  /** Ends the backoff of a subject after a call with a final outcome. */
   readonly reset: (subject: string) => void;
   readonly clear: () => void;
-  /** Calls without a definite outcome since the last one that had one. */
+  /** Number of recorded failures since the last reset. */
   readonly failures: (subject: string) => number;
 }
 
--- a/packages/scaling/src/scale-duty.test.ts
+++ b/packages/scaling/src/scale-duty.test.ts
@@ -1,4 +1,4 @@
-/** Scale orders as calls of a duty: the record decides which orders are still to be made. */
+/** Which orders the scale duty plans, given the record of its calls. */
 import { expect, it } from 'vitest';
 import type { ListedWorker } from '@tansypost/control-feed';
 import type { DutyRecord } from '@tansypost/duty-log';
@@ -22,7 +22,8 @@
   };
 }
 
-async function createObservingDuty() {
+/** Creates a duty that has observed an unchanged worker list long enough to plan its first order. */
+async function createDutyWithHistory() {
   const clock = createVirtualClock();
   const duty = createScaleDuty(clock.world, {
     services: () => [{ name: 's', scaling: { minWorkers: 2, maxWorkers: 9, bootTime: 8_000_000 } }],
@@ -32,11 +33,11 @@
   return duty;
 }
 
-it('orders the number of workers present once, whether that order is open or has ended', async () => {
-  const duty = await createObservingDuty();
+it('orders the current number of workers only once, whether that order is open or was refused', async () => {
+  const duty = await createDutyWithHistory();
   const order = toPlannedOrder({ service: 's', zone: 'z', workers: 4 });
   expect(duty.plan(emptyRecord)).toEqual([order]);
   expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...order }] })).toEqual([]);
-  const ended = { ...order, outcome: 'refused' as const, fence: 3 };
-  expect(duty.plan({ ...emptyRecord, outcomes: [ended] })).toEqual([]);
+  const refused = { ...order, outcome: 'refused' as const, fence: 3 };
+  expect(duty.plan({ ...emptyRecord, outcomes: [refused] })).toEqual([]);
 });
--- a/packages/scaling/src/scale-order.ts
+++ b/packages/scaling/src/scale-order.ts
@@ -1,4 +1,4 @@
-/** A scale order, which sets the number of workers of a service in a zone, as the subject and content of a duty's call. */
+/** Scale orders, each of which sets the number of workers of a service in a zone, and their encoding as calls of the scale duty. */
 
 /** The number of workers that a service is to have in a zone, prefill and decode workers together. */
 export interface ScaleOrder {
@@ -7,10 +7,10 @@
   readonly workers: number;
 }
 
-/** An order as a planned call of the duty. */
+/** An order in the form of a planned call of the scale duty (PlannedCall in duty-log). */
 export interface PlannedOrder {
   readonly subject: string;
-  /** JSON of a ScaleOrder; equal orders give equal strings. */
+  /** JSON of a ScaleOrder. Equal orders give equal strings, as calls are compared by content. */
   readonly content: string;
 }
 
--- a/packages/worker-stages/src/expiring-set.ts
+++ b/packages/worker-stages/src/expiring-set.ts
@@ -1,28 +1,28 @@
-/** A set of names, each of which expires after its own lifetime. */
+/** A set of keys, such as ids of workers, each of which expires after its own lifetime. */
 import type { World } from '@tansypost/inner-protocol';
 
 /** A set whose members expire. */
 export interface ExpiringSet {
-  readonly has: (name: string) => boolean;
-  /** Adds the name for `lifetime` microseconds from now; a present name gets the new expiry time. */
-  readonly add: (name: string, lifetime: number) => void;
-  readonly remove: (name: string) => void;
+  readonly has: (key: string) => boolean;
+  /** Adds the key for `lifetime` microseconds from now. If the set has the key already, its expiry time is replaced. */
+  readonly add: (key: string, lifetime: number) => void;
+  readonly remove: (key: string) => void;
 }
 
-/** An empty set. */
+/** Creates an empty set. */
 export function createExpiringSet(world: Pick<World, 'now'>): ExpiringSet {
   const expiryTimes = new Map<string, number>();
 
-  function has(name: string): boolean {
-    const expiresAt = expiryTimes.get(name);
+  function has(key: string): boolean {
+    const expiresAt = expiryTimes.get(key);
     if (expiresAt === undefined || expiresAt > world.now()) return expiresAt !== undefined;
-    expiryTimes.delete(name);
+    expiryTimes.delete(key);
     return false;
   }
 
-  function add(name: string, lifetime: number): void {
-    expiryTimes.set(name, world.now() + lifetime);
+  function add(key: string, lifetime: number): void {
+    expiryTimes.set(key, world.now() + lifetime);
   }
 
-  return { has, add, remove: (name) => void expiryTimes.delete(name) };
+  return { has, add, remove: (key) => void expiryTimes.delete(key) };
 }
