--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -1,5 +1,5 @@
 /**
- * Usage reports from a simulated fleet, compared with the requests that really started: routers are killed, restarted, frozen
+ * Usage reports from a simulated fleet, compared with the requests that really started. Routers are killed, restarted, frozen
  * and partitioned, leaders are replaced, messages are lost and repeated, and clocks step. Routers, control nodes and the
  * duty's record are simulated; messages pass through the real codec.
  */
@@ -18,23 +18,27 @@
 import { encodeUsageContent, type UsageContent } from './usage-content.js';
 import { createUsageCounter, type UsageCounter } from './usage-counter.js';
 
-const startTime = 1_790_000_001_234;
-const windowLength = 5000;
-const reportDelay = 10_000;
-const reserve = 4000;
-/** The accepted relative error of a report. */
+const startTimeMs = 1_790_000_001_234;
+const windowLengthMs = 5000;
+const reportDelayMs = 10_000;
+const reportingMarginMs = 4000;
+/**
+ * The accepted relative error of a tenant's count in a window. A request may be counted in a neighboring window, as routers
+ * only estimate true time; the totals are not affected by that.
+ */
 const tolerance = 0.05;
 const controlNodes = ['c0', 'c1', 'c2', 'c3', 'c4'];
-const tenants = 20;
-const heartbeatInterval = 500_000;
-const pollInterval = 200_000;
-/** The duration of a write of the record. */
-const writeDuration = 30_000;
-const followerTimeout = 3_000_000;
+const tenantCount = 20;
+const heartbeatIntervalUs = 500_000;
+const pollIntervalUs = 200_000;
+/** How long a write of the usage duty's record takes. */
+const writeDurationUs = 30_000;
+/** After this time without contact to the leader, a router is no longer polled. */
+const routerContactTimeoutUs = 3_000_000;
 
 interface FleetSettings {
   readonly seed: number;
-  readonly routers: number;
+  readonly routerCount: number;
   /** Requests a second, over all tenants. */
   readonly rate: number;
   /** Whether the next control node is the leader's standby. */
@@ -53,33 +57,38 @@
   starts: number;
   /** The requests that this process has counted, in order. */
   counted: StartedRequest[];
-  /** How many of them each control node has received. */
+  /** How many of these requests, from the first one on, each control node has received, by index of the node. */
   received: Map<number, number>;
 }
 
 interface Report {
   readonly content: UsageContent;
-  /** How long after the end of the window it was in the record, in milliseconds. */
+  /** Time from the end of the window until the report was in the record, in milliseconds. */
   readonly delay: number;
 }
 
-function createFleet({ seed, routers: count, rate, standby = false }: FleetSettings) {
+function createFleet({ seed, routerCount, rate, standby = false }: FleetSettings) {
   const random = createSeededRandom(seed);
   const engine = createEngine();
   const net = createNetwork(engine, random);
   const clockErrors = new Map<string, number>();
-  const truth = new Map<number, Map<string, number>>();
-  const lost: StartedRequest[] = [];
+  /** The requests that started, by window and tenant. */
+  const startedCounts = new Map<number, Map<string, number>>();
+  /** The requests that the kills of routers may have lost. */
+  const mayBeLost: StartedRequest[] = [];
   const reports = new Map<number, Report>();
   const violations: string[] = [];
-  const record = { closed: undefined as number | undefined, version: 0 };
+  /** The duty's record: the last window whose report is in it, and its version. */
+  const record = { closedThrough: undefined as number | undefined, version: 0 };
+  /** Logged requests that are in no report: received late by a collector (3501), and dropped by routers (3502). */
   const late = { received: 0, dropped: 0 };
-  const maxima = { windows: 0, lost: 0 };
+  /** The highest number of windows that a collector retained, and of requests that one kill may have lost. */
+  const maxima = { retainedWindows: 0, lostPerKill: 0 };
   let hasTraffic = true;
   let leader = 0;
 
   function trueTime(): number {
-    return startTime + engine.now() / 1000;
+    return startTimeMs + engine.now() / 1000;
   }
   function wallOf(machine: string): number {
     return trueTime() + (clockErrors.get(machine) ?? 0);
@@ -99,7 +108,7 @@
     return proc;
   }
 
-  /** Starts a router's process, which gets the time of day of the control nodes as if from their heartbeats. */
+  /** Starts a router's process, and simulates the clock samples that it gets from the heartbeats of the control nodes. */
   function startRouter(router: Router): void {
     const { proc, name } = router;
     proc.alive = true;
@@ -115,13 +124,14 @@
         const wall = wallOf(node) + random();
         world.after(micros(400 + random() * 2000), () => clock.addSample(node, wall, sentAt, world.now()));
       }
-      world.after(micros(heartbeatInterval), sampleClocks);
+      world.after(micros(heartbeatIntervalUs), sampleClocks);
     }
     sampleClocks();
     const counter = createUsageCounter(world, {
       router: `${name}:1`,
       process: `${name}-${router.starts}`,
-      windowLength,
+      windowLength: windowLengthMs,
+      // The estimate of this router, unlike the exact `trueTime` of the test.
       trueTime: clock.now,
     });
     router.counter = counter;
@@ -130,7 +140,7 @@
     };
   }
 
-  const routers = [...Array(count).keys()].map((i): Router => {
+  const routers = [...Array(routerCount).keys()].map((i): Router => {
     const name = `r${i}`;
     const proc = addProc(name);
     const router: Router = {
@@ -145,30 +155,31 @@
     return router;
   });
 
-  // The routers with recent contact to the leader; frozen and partitioned ones drop out after a timeout.
+  // Only routers with recent contact to the leader are polled; frozen and partitioned ones are left out after a timeout.
   const lastContactAt = new Map<Router, number>();
   function recordContacts(): void {
     for (const router of routers)
       if (router.proc.alive && !router.proc.frozen && !net.blocked(router.name, controlNodes[leader]!))
         lastContactAt.set(router, engine.now());
-    engine.at(engine.now() + heartbeatInterval, recordContacts);
+    engine.at(engine.now() + heartbeatIntervalUs, recordContacts);
   }
   recordContacts();
-  function followers(): Address[] {
-    const connected = routers.filter(
-      (router) => engine.now() - (lastContactAt.get(router) ?? -Infinity) < followerTimeout,
+  function connectedRouters(): Address[] {
+    const recent = routers.filter(
+      (router) => engine.now() - (lastContactAt.get(router) ?? -Infinity) < routerContactTimeoutUs,
     );
-    return connected.map((router) => `${router.name}:1` as Address);
+    return recent.map((router) => `${router.name}:1` as Address);
   }
 
   /** A write succeeds only if the record still has the version that it is based on. */
   function write(node: number, version: number, content: UsageContent): void {
     if (record.version !== version) return;
     if (node !== leader) violations.push('a write by a node that is not the leader');
-    if (record.closed !== undefined && content.window !== record.closed + 1) violations.push('a window was skipped');
+    if (record.closedThrough !== undefined && content.window !== record.closedThrough + 1)
+      violations.push('a window was skipped');
     record.version += 1;
-    record.closed = content.window;
-    const delay = trueTime() - (content.window + 1) * windowLength;
+    record.closedThrough = content.window;
+    const delay = trueTime() - (content.window + 1) * windowLengthMs;
     reports.set(content.window, { content, delay });
   }
 
@@ -178,31 +189,35 @@
   function recordReceived(node: number, answer: MessageOf<'UsageTold'>): void {
     const router = routers.find(({ name, starts }) => answer.process === `${name}-${starts}`);
     const receivedBefore = router?.received.get(node) ?? 0;
+    // An answer that starts after what the node has received would leave a gap, so it does not count.
     if (isCollecting(node) && answer.after <= receivedBefore)
       router?.received.set(node, Math.max(receivedBefore, answer.sequence));
   }
-  /** The requests that a kill loses: those that have not reached every collecting node. */
+  /**
+   * The requests that may be lost if the router is killed now: those that not every collecting node has received, in windows
+   * that are not closed.
+   */
   function unreceivedOf(router: Router): StartedRequest[] {
     const collecting = controlNodes.map((_, index) => index).filter(isCollecting);
     const received = Math.min(...collecting.map((node) => router.received.get(node) ?? 0));
-    return router.counted.slice(received).filter(({ window }) => window > (record.closed ?? 0));
+    return router.counted.slice(received).filter(({ window }) => window > (record.closedThrough ?? 0));
   }
 
-  /** Starts a control node, which stands in for the duty runner: it writes one window after the other to the record. */
+  /** Starts a control node. Its poll loop replaces the duty runner and writes one window after the other to the record. */
   function startNode(index: number): { proc: Proc; collector: UsageCollector } {
     const name = controlNodes[index]!;
     const proc = addProc(name);
     const world = worldOf(proc);
     const collector = createUsageCollector(world, {
       self: `${name}:1` as Address,
-      windowLength,
-      reportDelay,
-      reportingMargin: reserve,
-      routers: followers,
+      windowLength: windowLengthMs,
+      reportDelay: reportDelayMs,
+      reportingMargin: reportingMarginMs,
+      routers: connectedRouters,
       wallClock: () => wallOf(name),
       isLeader: () => leader === index,
       isStandby: () => isCollecting(index),
-      closedThrough: () => record.closed,
+      closedThrough: () => record.closedThrough,
     });
     const returned = new Map<number, string>();
     function poll(): void {
@@ -213,9 +228,9 @@
         returned.set(content.window, text);
       }
       const { version } = record;
-      if (ready.length > 0) world.after(micros(writeDuration), () => write(index, version, ready[0]!));
-      maxima.windows = Math.max(maxima.windows, collector.retained().windows.length);
-      world.after(micros(pollInterval), poll);
+      if (ready.length > 0) world.after(micros(writeDurationUs), () => write(index, version, ready[0]!));
+      maxima.retainedWindows = Math.max(maxima.retainedWindows, collector.retained().windows.length);
+      world.after(micros(pollIntervalUs), poll);
     }
     poll();
     proc.receive = (message) => {
@@ -227,16 +242,16 @@
   const nodes = controlNodes.map((_, index) => startNode(index));
 
   function drawTenant(): string {
-    // The square of a uniform draw makes a few tenants much larger than the others.
-    return `tenant-${Math.floor(tenants * random() ** 2)}`;
+    // The square of a uniform draw gives a few tenants many more requests than the others.
+    return `tenant-${Math.floor(tenantCount * random() ** 2)}`;
   }
   function startRequest(): void {
     if (!hasTraffic) return;
     const router = routers[Math.floor(random() * routers.length)]!;
     if (router.proc.alive && !router.proc.frozen) {
-      const request = { window: Math.floor(trueTime() / windowLength), tenant: drawTenant() };
-      const counts = truth.get(request.window) ?? new Map<string, number>();
-      truth.set(request.window, counts.set(request.tenant, (counts.get(request.tenant) ?? 0) + 1));
+      const request = { window: Math.floor(trueTime() / windowLengthMs), tenant: drawTenant() };
+      const counts = startedCounts.get(request.window) ?? new Map<string, number>();
+      startedCounts.set(request.window, counts.set(request.tenant, (counts.get(request.tenant) ?? 0) + 1));
       router.counter.recordStart(request.tenant);
       router.counted.push(request);
     }
@@ -247,10 +262,10 @@
   return {
     net,
     clockErrors,
-    truth,
+    startedCounts,
     reports,
     violations,
-    lost,
+    mayBeLost,
     late,
     maxima,
     routers,
@@ -258,16 +273,16 @@
     run: (seconds: number) => engine.run(engine.now() + seconds * 1_000_000),
     kill: (router: Router) => {
       const unreceived = unreceivedOf(router);
-      lost.push(...unreceived);
-      maxima.lost = Math.max(maxima.lost, unreceived.length);
+      mayBeLost.push(...unreceived);
+      maxima.lostPerKill = Math.max(maxima.lostPerKill, unreceived.length);
       die(router.proc);
     },
     start: startRouter,
     freeze: ({ proc }: { readonly proc: Proc }) => void (proc.frozen = true),
-    wake: ({ proc }: { readonly proc: Proc }) => wake(engine, proc),
-    cut: (...names: string[]) => net.cut('cut', (from, to) => names.includes(from) || names.includes(to)),
-    heal: () => net.heal('cut'),
-    /** Makes another node the leader; its term is written to the record. */
+    resume: ({ proc }: { readonly proc: Proc }) => wake(engine, proc),
+    partition: (...names: string[]) => net.cut('cut', (from, to) => names.includes(from) || names.includes(to)),
+    endPartition: () => net.heal('cut'),
+    /** Makes another node the leader, and raises the record's version as the write of its term would. */
     replaceLeader: (index: number) => {
       leader = index;
       record.version += 1;
@@ -282,43 +297,48 @@
 
 type Fleet = ReturnType<typeof createFleet>;
 
-function truthOf(fleet: Fleet, window: number, tenant: string): number {
-  return fleet.truth.get(window)?.get(tenant) ?? 0;
+function startedCountOf(fleet: Fleet, window: number, tenant: string): number {
+  return fleet.startedCounts.get(window)?.get(tenant) ?? 0;
 }
 
-/** Compares the reports with the truth: the sums, and the largest relative error of a tenant's count in a window. */
+/**
+ * Compares the reports with the requests that started: the totals of both, and the largest relative error of a tenant's count
+ * in a window.
+ */
 function compare(fleet: Fleet) {
   let started = 0;
   let reported = 0;
   let maxError = 0;
   for (const [window, { content }] of fleet.reports) {
-    const names = new Set([...Object.keys(content.counts), ...(fleet.truth.get(window)?.keys() ?? [])]);
+    const names = new Set([...Object.keys(content.counts), ...(fleet.startedCounts.get(window)?.keys() ?? [])]);
     for (const tenant of names) {
-      const truth = truthOf(fleet, window, tenant);
+      const startedCount = startedCountOf(fleet, window, tenant);
       const count = content.counts[tenant] ?? 0;
-      started += truth;
+      started += startedCount;
       reported += count;
-      maxError = Math.max(maxError, Math.abs(count - truth) / Math.max(truth, 1));
+      maxError = Math.max(maxError, Math.abs(count - startedCount) / Math.max(startedCount, 1));
     }
   }
   return { started, reported, maxError };
 }
 
-/** Expects that every window from the first one on was reported once, in order, in time and unchanged. */
+/** Expects that every window from the first on was reported once, in order, in time and with an unchanged content. */
 function expectAllReported(fleet: Fleet): void {
   expect(fleet.violations).toEqual([]);
-  const windows = [...fleet.truth.keys()].sort((a, b) => a - b);
+  const windows = [...fleet.startedCounts.keys()].sort((a, b) => a - b);
   for (let window = windows[0]!; window <= windows.at(-1)!; window += 1) {
     expect(fleet.reports.has(window)).toBe(true);
-    expect(fleet.reports.get(window)!.delay).toBeLessThan(reportDelay);
+    expect(fleet.reports.get(window)!.delay).toBeLessThan(reportDelayMs);
   }
-  expect(fleet.maxima.windows).toBeLessThanOrEqual(8);
+  // Windows that are not in the record yet, and the last ones that are, which are kept to count late requests.
+  expect(fleet.maxima.retainedWindows).toBeLessThanOrEqual(8);
+  // Without traffic, routers keep only the last windows that they do not know to be closed.
   for (const { counter, proc } of fleet.routers)
     if (proc.alive) expect(counter.windows().length).toBeLessThanOrEqual(2);
 }
 
-it('reports every request of a fleet without faults, seconds after the end of each window', async () => {
-  const fleet = createFleet({ seed: 1, routers: 10, rate: 400 });
+it('reports every request of a fleet without faults, within two seconds of the end of each window', async () => {
+  const fleet = createFleet({ seed: 1, routerCount: 10, rate: 400 });
   await fleet.run(60);
   await fleet.finish();
   expectAllReported(fleet);
@@ -328,7 +348,7 @@
   for (const { delay } of fleet.reports.values()) expect(delay).toBeLessThan(2000);
 });
 
-/** Drops, repeats and delays some of the usage messages. */
+/** Drops a quarter of the usage messages, and delivers another quarter twice, the second time up to four seconds later. */
 function disturbMessages(fleet: Fleet, seed: number): void {
   const random = createSeededRandom(seed);
   fleet.net.tamper((m: Message) => {
@@ -339,8 +359,8 @@
   });
 }
 
-it('counts every request exactly once if messages are lost, late and repeated', async () => {
-  const fleet = createFleet({ seed: 2, routers: 10, rate: 400 });
+it('counts every request exactly once if messages are lost, or repeated late', async () => {
+  const fleet = createFleet({ seed: 2, routerCount: 10, rate: 400 });
   disturbMessages(fleet, 3);
   await fleet.run(60);
   await fleet.finish();
@@ -350,10 +370,11 @@
   expect(maxError).toBeLessThan(tolerance);
 });
 
+/** What happens to a message; `stale`: an older message of the same link is delivered again before it. */
 type Disturbance = 'dropped' | 'repeated' | 'late' | 'stale';
 
-/** Disturbs every third message of one kind, as tests/messages.test.ts does. Returns how many it has disturbed. */
-function tamper(fleet: Fleet, kind: Message['kind'], disturbance: Disturbance): () => number {
+/** Disturbs every third message of one kind. Returns a function that returns how many it has disturbed so far. */
+function disturbEveryThird(fleet: Fleet, kind: Message['kind'], disturbance: Disturbance): () => number {
   const older = new Map<string, Message>();
   let [seen, disturbed] = [0, 0];
   fleet.net.tamper((m, from, to) => {
@@ -361,6 +382,7 @@
     seen += 1;
     const link = `${from}>${to}`;
     const stale = older.get(link);
+    // Only some messages are kept, so that a stale one is usually several messages old.
     if (seen % 7 === 1) older.set(link, m);
     if (seen % 3 !== 0) return undefined;
     disturbed += 1;
@@ -374,8 +396,8 @@
 
 describe.each(['dropped', 'repeated', 'late', 'stale'] as const)('%s', (disturbance) => {
   it.each(['UsageAsk', 'UsageTold'] as const)('%s', async (kind) => {
-    const fleet = createFleet({ seed: 6, routers: 10, rate: 400 });
-    const disturbedCount = tamper(fleet, kind, disturbance);
+    const fleet = createFleet({ seed: 6, routerCount: 10, rate: 400 });
+    const disturbedCount = disturbEveryThird(fleet, kind, disturbance);
     await fleet.run(30);
     await fleet.finish();
     expectAllReported(fleet);
@@ -385,8 +407,8 @@
   });
 });
 
-it('loses at most what a killed router counted since its last poll, which is about a second', async () => {
-  const fleet = createFleet({ seed: 4, routers: 10, rate: 400 });
+it('loses at most the requests that a killed router counted after it was last polled, about one second of them', async () => {
+  const fleet = createFleet({ seed: 4, routerCount: 10, rate: 400 });
   await fleet.run(3);
   for (let i = 0; i < 12; i += 1) {
     const router = fleet.routers[(3 * i) % 10]!;
@@ -398,23 +420,24 @@
   await fleet.finish();
   expectAllReported(fleet);
   const { started, reported } = compare(fleet);
-  expect(started - reported).toBe(fleet.lost.length);
-  // A tenth of the requests of 1.1 s, with a margin for random variation.
-  expect(fleet.maxima.lost).toBeLessThan(0.1 * 400 * 1.1 * 1.6);
+  expect(started - reported).toBe(fleet.mayBeLost.length);
+  // One of ten routers, 400 requests a second and at most about 1.1 s since the last poll; 1.6 allows for random variation.
+  expect(fleet.maxima.lostPerKill).toBeLessThan(0.1 * 400 * 1.1 * 1.6);
   // Apart from the lost requests, each tenant's count is right.
-  for (const { window, tenant } of fleet.lost) fleet.truth.get(window)!.set(tenant, truthOf(fleet, window, tenant) - 1);
+  for (const { window, tenant } of fleet.mayBeLost)
+    fleet.startedCounts.get(window)!.set(tenant, startedCountOf(fleet, window, tenant) - 1);
   expect(compare(fleet).maxError).toBeLessThan(tolerance);
 });
 
 it('waits for routers that are frozen or partitioned for some seconds, and loses none of their counts', async () => {
-  const fleet = createFleet({ seed: 5, routers: 10, rate: 400 });
+  const fleet = createFleet({ seed: 5, routerCount: 10, rate: 400 });
   await fleet.run(8);
   for (let i = 0; i < 4; i += 1) {
     fleet.freeze(fleet.routers[i]!);
-    fleet.cut('r8', 'r9');
+    fleet.partition('r8', 'r9');
     await fleet.run(4.5);
-    fleet.wake(fleet.routers[i]!);
-    fleet.heal();
+    fleet.resume(fleet.routers[i]!);
+    fleet.endPartition();
     await fleet.run(4);
   }
   await fleet.finish();
@@ -424,14 +447,14 @@
   expect(maxError).toBeLessThan(tolerance);
 });
 
-it('reports in time without a router that is frozen or partitioned for longer, and logs how much came late', async () => {
-  const fleet = createFleet({ seed: 6, routers: 10, rate: 400 });
+it('reports in time without routers that are frozen or partitioned for too long, and logs late counts', async () => {
+  const fleet = createFleet({ seed: 6, routerCount: 10, rate: 400 });
   await fleet.run(8);
   fleet.freeze(fleet.routers[0]!);
-  fleet.cut('r9');
+  fleet.partition('r9');
   await fleet.run(20);
-  fleet.wake(fleet.routers[0]!);
-  fleet.heal();
+  fleet.resume(fleet.routers[0]!);
+  fleet.endPartition();
   await fleet.run(10);
   await fleet.finish();
   expectAllReported(fleet);
@@ -443,7 +466,7 @@
 });
 
 it('continues if the leader is killed, frozen or partitioned, and reports every window exactly once', async () => {
-  const fleet = createFleet({ seed: 7, routers: 10, rate: 400 });
+  const fleet = createFleet({ seed: 7, routerCount: 10, rate: 400 });
   await fleet.run(11);
   fleet.replaceLeader(1);
   await fleet.run(9);
@@ -455,12 +478,12 @@
   await fleet.run(2);
   fleet.replaceLeader(3);
   await fleet.run(4);
-  fleet.wake(fleet.nodes[2]!);
-  fleet.cut('c3');
+  fleet.resume(fleet.nodes[2]!);
+  fleet.partition('c3');
   await fleet.run(3);
   fleet.replaceLeader(4);
   await fleet.run(4);
-  fleet.heal();
+  fleet.endPartition();
   fleet.replaceLeader(0);
   await fleet.run(8);
   await fleet.finish();
@@ -470,8 +493,8 @@
   expect(maxError).toBeLessThan(tolerance);
 });
 
-it('loses no more if a leader is killed together with routers while another node is the standby', async () => {
-  const fleet = createFleet({ seed: 11, routers: 10, rate: 400, standby: true });
+it('with a standby, loses only requests of killed routers if the leader is killed together with them', async () => {
+  const fleet = createFleet({ seed: 11, routerCount: 10, rate: 400, standby: true });
   await fleet.run(9);
   for (let leader = 0; leader < 4; leader += 1) {
     die(fleet.nodes[leader]!.proc);
@@ -486,13 +509,13 @@
   await fleet.finish();
   expectAllReported(fleet);
   const { started, reported } = compare(fleet);
-  expect(started - reported).toBeLessThanOrEqual(fleet.lost.length);
-  // Eight kills, each of a tenth of the requests of 1.1 s, with a margin for random variation.
-  expect(fleet.lost.length).toBeLessThan(8 * 0.1 * 400 * 1.1 * 1.3);
+  expect(started - reported).toBeLessThanOrEqual(fleet.mayBeLost.length);
+  // Eight kills, each as in the previous test of kills; 1.3 allows for the random variation of their sum.
+  expect(fleet.mayBeLost.length).toBeLessThan(8 * 0.1 * 400 * 1.1 * 1.3);
 });
 
 it('counts in true time while a minority of clocks steps by two seconds and back', async () => {
-  const fleet = createFleet({ seed: 8, routers: 10, rate: 400 });
+  const fleet = createFleet({ seed: 8, routerCount: 10, rate: 400 });
   await fleet.run(7);
   for (const [machines, by] of [
     [['r0', 'r1', 'r2', 'r3'], 2000],
@@ -513,7 +536,7 @@
 });
 
 it('limits losses and errors with 195 routers under message, clock, router and leader faults at once', async () => {
-  const fleet = createFleet({ seed: 9, routers: 195, rate: 800, standby: true });
+  const fleet = createFleet({ seed: 9, routerCount: 195, rate: 800, standby: true });
   disturbMessages(fleet, 10);
   await fleet.run(6);
   fleet.clockErrors.set('c2', 2000);
@@ -531,19 +554,19 @@
   await fleet.finish();
   expectAllReported(fleet);
   const { started, reported, maxError } = compare(fleet);
-  expect(started - reported).toBeLessThanOrEqual(fleet.lost.length + fleet.late.received + fleet.late.dropped);
+  expect(started - reported).toBeLessThanOrEqual(fleet.mayBeLost.length + fleet.late.received + fleet.late.dropped);
   expect(started - reported).toBeLessThan(0.01 * started);
   expect(maxError).toBeLessThan(0.2);
 });
 
-/** Expects that each count is right apart from the requests lost with killed routers. */
-function expectWithinLost(fleet: Fleet): void {
+/** Expects that each count is right, within the tolerance, apart from the requests lost with killed routers. */
+function expectErrorsWithinLosses(fleet: Fleet): void {
   for (const [window, { content }] of fleet.reports) {
-    for (const [tenant, truth] of fleet.truth.get(window) ?? []) {
+    for (const [tenant, startedCount] of fleet.startedCounts.get(window) ?? []) {
       const count = content.counts[tenant] ?? 0;
-      const lost = fleet.lost.filter((request) => request.window === window && request.tenant === tenant).length;
-      expect(count).toBeLessThanOrEqual(Math.ceil((1 + tolerance) * truth));
-      expect(count).toBeGreaterThanOrEqual(Math.floor((1 - tolerance) * truth) - lost);
+      const lost = fleet.mayBeLost.filter((request) => request.window === window && request.tenant === tenant).length;
+      expect(count).toBeLessThanOrEqual(Math.ceil((1 + tolerance) * startedCount));
+      expect(count).toBeGreaterThanOrEqual(Math.floor((1 - tolerance) * startedCount) - lost);
     }
   }
 }
@@ -565,22 +588,22 @@
     const router = randomRouter();
     fleet.freeze(router);
     await fleet.run(random() * 4.5);
-    fleet.wake(router);
+    fleet.resume(router);
   }
   async function partition(): Promise<void> {
-    fleet.cut(randomRouter().name, randomRouter().name);
+    fleet.partition(randomRouter().name, randomRouter().name);
     await fleet.run(random() * 4.5);
-    fleet.heal();
+    fleet.endPartition();
   }
   async function replaceLeader(): Promise<void> {
-    // The standby is elected; the frozen leader's later actions have no effect.
+    // The standby becomes the leader. Once the frozen leader resumes, its writes fail, as the record's version has changed.
     const frozen = fleet.nodes[leader]!;
     fleet.freeze(frozen);
     await fleet.run(random() * 3);
     leader = (leader + 1) % controlNodes.length;
     fleet.replaceLeader(leader);
     await fleet.run(random());
-    fleet.wake(frozen);
+    fleet.resume(frozen);
   }
   async function stepClocks(): Promise<void> {
     const machines = [randomRouter().name, controlNodes[Math.floor(random() * controlNodes.length)]!];
@@ -595,17 +618,20 @@
   }
 }
 
-it.each([21, 22, 23, 24, 25, 26])('tolerates random faults with seed %i', async (seed) => {
-  const fleet = createFleet({ seed, routers: 10 + (seed % 3) * 15, rate: 500, standby: true });
-  if (seed % 2 === 0) disturbMessages(fleet, seed + 100);
-  await fleet.run(5);
-  await injectFaults(fleet, seed + 200);
-  await fleet.finish();
-  expectAllReported(fleet);
-  const { started, reported } = compare(fleet);
-  expect(reported).toBeLessThanOrEqual(started);
-  expect(started - reported).toBeLessThanOrEqual(fleet.lost.length);
-  // Faults of a few seconds make no request late.
-  expect(fleet.late).toEqual({ received: 0, dropped: 0 });
-  expectWithinLost(fleet);
-});
+it.each([21, 22, 23, 24, 25, 26])(
+  'reports in time and loses only requests of killed routers under random faults (seed %i)',
+  async (seed) => {
+    const fleet = createFleet({ seed, routerCount: 10 + (seed % 3) * 15, rate: 500, standby: true });
+    if (seed % 2 === 0) disturbMessages(fleet, seed + 100);
+    await fleet.run(5);
+    await injectFaults(fleet, seed + 200);
+    await fleet.finish();
+    expectAllReported(fleet);
+    const { started, reported } = compare(fleet);
+    expect(reported).toBeLessThanOrEqual(started);
+    expect(started - reported).toBeLessThanOrEqual(fleet.mayBeLost.length);
+    // Faults of a few seconds make no request late.
+    expect(fleet.late).toEqual({ received: 0, dropped: 0 });
+    expectErrorsWithinLosses(fleet);
+  },
+);
