--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -394,8 +394,8 @@
   return () => disturbed;
 }
 
-describe.each(['dropped', 'repeated', 'late', 'stale'] as const)('%s', (disturbance) => {
-  it.each(['UsageAsk', 'UsageTold'] as const)('%s', async (kind) => {
+describe.each(['dropped', 'repeated', 'late', 'stale'] as const)('with %s messages', (disturbance) => {
+  it.each(['UsageAsk', 'UsageTold'] as const)('counts every request exactly once (%s)', async (kind) => {
     const fleet = createFleet({ seed: 6, routerCount: 10, rate: 400 });
     const disturbedCount = disturbEveryThird(fleet, kind, disturbance);
     await fleet.run(30);
