--- a/packages/scaling/src/scale-duty.ts
+++ b/packages/scaling/src/scale-duty.ts
@@ -42,7 +42,7 @@
   };
 }
 
-/** The number of workers in the newest order for each subject, open or ended. */
+/** The number of workers in the newest order for each subject, whether it is open or has an outcome. */
 function lastOrderedCounts({ open, outcomes }: DutyRecord): ReadonlyMap<string, number> {
   const counts = new Map<string, number>();
   for (const { subject, content } of [...outcomes, ...open]) {
--- a/packages/scaling/src/scale-planner.test.ts
+++ b/packages/scaling/src/scale-planner.test.ts
@@ -90,7 +90,7 @@
   return { run, ordered, record, settings, planner };
 }
 
-it('first orders the number of workers present, of both stages and without leaving ones, once per service and zone', () => {
+it('first orders the number of listed workers, of both stages and without leaving ones, once per service and zone', () => {
   const scenario = createScenario();
   expect(scenario.run(2.5, steadyLoad)).toEqual([]);
   expect(scenario.run(10, { ...steadyLoad, west: { workers: 20, load: 0.75, leaving: 2 } }).sort()).toEqual([
--- a/packages/scaling/src/scale-planner.ts
+++ b/packages/scaling/src/scale-planner.ts
@@ -36,7 +36,7 @@
 /** Dependencies and settings of the planner. */
 export interface ScalePlannerOptions {
   readonly services: () => readonly ScaledService[];
-  /** The number ordered last for a subject, by an open or ended order; undefined before the first order. */
+  /** The number ordered last for a subject, by an open order or one with an outcome; undefined before the first order. */
   readonly lastOrdered: (subject: string) => number | undefined;
   readonly thresholds?: ScalingThresholds;
 }
@@ -52,14 +52,16 @@
 interface ZoneState {
   readonly zone: string;
   readonly history: LoadHistory;
-  present: ZoneLoad;
+  /** The latest observation of the zone. */
+  latest: ZoneLoad;
   readonly firstSeenAt: number;
   /** Since when the number of listed workers has been the same. */
   unchangedSince: number;
   /** The highest number of listed workers since the zone was first seen. */
   maxListed: number;
-  /** The number ordered last as of the latest observation or plan, and since when. */
+  /** The number ordered last, as of the latest observation or plan. */
   ordered: number | undefined;
+  /** Since when `ordered` has had this value. */
   orderedSince: number;
 }
 
@@ -138,13 +140,13 @@
 }
 
 function observeService(state: PlannerState, service: ServiceState, now: number, view: FleetView): void {
-  const present = zoneLoads(service.name, view.workers, view.loads, now);
-  for (const zone of present.keys()) {
+  const loadsByZone = zoneLoads(service.name, view.workers, view.loads, now);
+  for (const zone of loadsByZone.keys()) {
     if (!service.zones.has(zone)) service.zones.set(zone, newZone(zone, service.windows, now));
   }
-  const serviceLoad = meanLoad([...present.values()]);
+  const serviceLoad = meanLoad([...loadsByZone.values()]);
   for (const zone of service.zones.values()) {
-    observeZone(zone, present.get(zone.zone) ?? { listed: 0, reported: 0, load: undefined }, serviceLoad, now);
+    observeZone(zone, loadsByZone.get(zone.zone) ?? { listed: 0, reported: 0, load: undefined }, serviceLoad, now);
     updateLastOrdered(state, service, zone, now);
   }
   observeTotal(service, now);
@@ -162,7 +164,7 @@
   return {
     zone,
     history: newHistory(windows),
-    present: noLoad,
+    latest: noLoad,
     firstSeenAt: now,
     unchangedSince: now,
     maxListed: 0,
@@ -171,11 +173,11 @@
   };
 }
 
-function observeZone(zone: ZoneState, present: ZoneLoad, serviceLoad: number, now: number): void {
-  if (present.listed !== zone.present.listed) zone.unchangedSince = now;
-  zone.present = present;
-  zone.maxListed = Math.max(zone.maxListed, present.listed);
-  const { load, reported } = present;
+function observeZone(zone: ZoneState, latest: ZoneLoad, serviceLoad: number, now: number): void {
+  if (latest.listed !== zone.latest.listed) zone.unchangedSince = now;
+  zone.latest = latest;
+  zone.maxListed = Math.max(zone.maxListed, latest.listed);
+  const { load, reported } = latest;
   if (load === undefined) return;
   // Reports of few workers fluctuate, so the load of a zone is weighted by its number of reporting workers.
   const smoothed = (load * reported + serviceLoad * serviceLoadWeight) / (reported + serviceLoadWeight);
@@ -187,13 +189,13 @@
   const ordered = state.options.lastOrdered(scaleSubject(service.name, zone.zone));
   if (ordered !== zone.ordered) zone.orderedSince = now;
   zone.ordered = ordered;
-  if (ordered !== undefined && zone.present.listed < minZoneShare * ordered) service.lastShortageAt = now;
+  if (ordered !== undefined && zone.latest.listed < minZoneShare * ordered) service.lastShortageAt = now;
 }
 
 function observeTotal(service: ServiceState, now: number): void {
-  const zones = [...service.zones.values()].filter(({ present }) => present.listed > 0);
-  if (zones.length === 0 || zones.some(({ present }) => present.load === undefined)) return;
-  const demand = zones.reduce((sum, { present }) => sum + present.load! * present.listed, 0);
+  const zones = [...service.zones.values()].filter(({ latest }) => latest.listed > 0);
+  if (zones.length === 0 || zones.some(({ latest }) => latest.load === undefined)) return;
+  const demand = zones.reduce((sum, { latest }) => sum + latest.load! * latest.listed, 0);
   service.total.add(now, demand, demand);
 }
 
@@ -215,8 +217,8 @@
 }
 
 /**
- * The target before scaling down: at first the number of workers present, later the number ordered last or more. Undefined
- * while the number of workers present is not known.
+ * The target before scaling down: at first the number of listed workers, later the number ordered last or more. Undefined
+ * while the first order still waits for listed workers, or for their number to be stable.
  */
 function targetWithoutScaleDown(
   state: PlannerState,
@@ -240,18 +242,18 @@
   return zone.history.growth(now, windows.trend, bounds.bootTime);
 }
 
-/** Whether the number of workers present is stable, or the longest wait for that is over. */
+/** Whether the number of listed workers is stable, or the longest wait for that is over. */
 function isReadyForFirstOrder(zone: ZoneState, now: number): boolean {
   return zone.maxListed > 0 && (isStable(zone, now) || now - zone.firstSeenAt >= maxSettleTimeUs);
 }
 
 function isStable(zone: ZoneState, now: number): boolean {
-  return zone.present.listed > 0 && now - zone.unchangedSince >= settleTimeUs;
+  return zone.latest.listed > 0 && now - zone.unchangedSince >= settleTimeUs;
 }
 
 /** The number of the first order: the number of listed workers if stable, else the highest number seen. */
 function initialCount(zone: ZoneState, now: number): number {
-  return isStable(zone, now) ? zone.present.listed : zone.maxListed;
+  return isStable(zone, now) ? zone.latest.listed : zone.maxListed;
 }
 
 /** Plans one scale-down step in each zone where that is safe, given the steps planned for the zones before it. */
@@ -265,7 +267,7 @@
   const { windows, bounds } = service;
   const total = service.total.peak(now, windows.stabilization);
   if (total === undefined || now - service.lastShortageAt < windows.stabilization) return;
-  const remaining = new Map(zones.map((zone) => [zone, Math.min(zone.present.listed, zone.ordered ?? 0)]));
+  const remaining = new Map(zones.map((zone) => [zone, Math.min(zone.latest.listed, zone.ordered ?? 0)]));
   for (const zone of zones) {
     const { ordered } = zone;
     const peak = zone.history.peak(now, windows.stabilization);
--- a/packages/scaling/src/zone-load.ts
+++ b/packages/scaling/src/zone-load.ts
@@ -35,20 +35,20 @@
   const byZone = new Map<string, ListedWorker[]>();
   for (const worker of workers) {
     if (worker.service !== service) continue;
-    const present = byZone.get(worker.zone) ?? [];
-    byZone.set(worker.zone, present);
-    if (!worker.leaving) present.push(worker);
+    const listed = byZone.get(worker.zone) ?? [];
+    byZone.set(worker.zone, listed);
+    if (!worker.leaving) listed.push(worker);
   }
-  return new Map([...byZone].map(([zone, present]) => [zone, zoneLoad(present, loads, now)]));
+  return new Map([...byZone].map(([zone, listed]) => [zone, zoneLoad(listed, loads, now)]));
 }
 
-function zoneLoad(present: readonly ListedWorker[], loads: ReadonlyMap<string, WorkerLoad>, now: number): ZoneLoad {
-  const known = present.filter((worker) => isKnown(loads.get(worker.id), now));
-  const byStage = stages.map((stage) => stageLoad(stage, present, known, loads));
+function zoneLoad(listed: readonly ListedWorker[], loads: ReadonlyMap<string, WorkerLoad>, now: number): ZoneLoad {
+  const known = listed.filter((worker) => isKnown(loads.get(worker.id), now));
+  const byStage = stages.map((stage) => stageLoad(stage, listed, known, loads));
   const isSufficient = known.length > 0 && !byStage.includes('unknown');
   const values = byStage.filter((value) => typeof value === 'number');
   const load = isSufficient ? Math.max(...values) : undefined;
-  return { listed: present.length, reported: known.length, load };
+  return { listed: listed.length, reported: known.length, load };
 }
 
 function isKnown(load: WorkerLoad | undefined, now: number): boolean {
@@ -57,11 +57,11 @@
 
 function stageLoad(
   stage: Stage,
-  present: readonly ListedWorker[],
+  listed: readonly ListedWorker[],
   known: readonly ListedWorker[],
   loads: ReadonlyMap<string, WorkerLoad>,
 ): number | 'none' | 'unknown' {
-  const total = present.filter((worker) => worker.part === stage).length;
+  const total = listed.filter((worker) => worker.part === stage).length;
   if (total === 0) return 'none';
   const reported = known.filter((worker) => worker.part === stage);
   if (reported.length < minReportedShare * total) return 'unknown';
--- a/packages/usage/src/usage-collector.test.ts
+++ b/packages/usage/src/usage-collector.test.ts
@@ -1,31 +1,31 @@
-/** When a window is closed, with which content, and that a returned content never changes: a collector with scripted routers. */
+/** A collector with scripted routers: when it closes a window and with which content, and that this content never changes. */
 import { expect, it } from 'vitest';
 import { createVirtualClock, type Address, type Message, type MessageOf } from '@tansypost/inner-protocol';
 import { createUsageCollector } from './usage-collector.js';
 
 const second = 1_000_000;
-const windowLength = 5000;
-const reportDelay = 10_000;
-const start = 1_790_000_000_000;
-/** The window that starts with the test. */
-const firstWindow = start / windowLength;
+const windowLengthMs = 5000;
+const reportDelayMs = 10_000;
+const startTimeMs = 1_790_000_000_000;
+/** Number of the window that starts with the test. */
+const firstWindow = startTimeMs / windowLengthMs;
 
-function createScene(routers: readonly string[] = ['r0:1', 'r1:1']) {
+function createScenario(routers: readonly string[] = ['r0:1', 'r1:1']) {
   const polls: { readonly to: string; readonly poll: MessageOf<'UsageAsk'> }[] = [];
   const clock = createVirtualClock({
     send: (to: Address, message: Message) => void (message.kind === 'UsageAsk' && polls.push({ to, poll: message })),
   });
-  const state = { leader: true, standby: false, closed: undefined as number | undefined, routers: [...routers] };
+  const state = { leader: true, standby: false, closedThrough: undefined as number | undefined, routers: [...routers] };
   const collector = createUsageCollector(clock.world, {
     self: 'c0:1' as Address,
-    windowLength,
-    reportDelay,
+    windowLength: windowLengthMs,
+    reportDelay: reportDelayMs,
     reportingMargin: 4000,
     routers: () => state.routers as Address[],
-    wallClock: () => start + clock.world.now() / 1000,
+    wallClock: () => startTimeMs + clock.world.now() / 1000,
     isLeader: () => state.leader,
     isStandby: () => state.standby,
-    closedThrough: () => state.closed,
+    closedThrough: () => state.closedThrough,
   });
   /** A router reports that `count` requests of one tenant started in a window. */
   function report(
@@ -34,7 +34,7 @@
     count: number,
     overrides: Partial<MessageOf<'UsageTold'>> = {},
   ): void {
-    const now = start + clock.world.now() / 1000;
+    const now = startTimeMs + clock.world.now() / 1000;
     const tables = count === 0 ? [] : [{ window, counts: [{ tenant: 'a', count }] }];
     const defaults = { kind: 'UsageTold', router, process: 'p', now, after: 0, sequence: count, tables } as const;
     collector.receive({ ...defaults, ...overrides });
@@ -42,6 +42,7 @@
   function readyWindows(): { window: number; count: number }[] {
     return collector.readyWindows().map(({ window, counts }) => ({ window, count: counts['a'] ?? 0 }));
   }
+  /** Number of late requests that were logged (event 3501). */
   function lateCount(): number {
     const events = clock.logged.filter(({ event }) => event === 3501);
     return events.reduce((sum, { fields }) => sum + (fields['count'] as number), 0);
@@ -60,7 +61,7 @@
 }
 
 it('closes a window once every router has reported a later time, and not before the settling time after its end', async () => {
-  const { runTo, report, readyWindows } = createScene();
+  const { runTo, report, readyWindows } = createScenario();
   await runTo(4.9);
   report('r0:1', firstWindow, 3);
   report('r1:1', firstWindow, 4);
@@ -74,7 +75,7 @@
 });
 
 it('waits for an unresponsive router until the reporting margin, and counts what it reports later as late', async () => {
-  const { runTo, report, readyWindows, lateCount, state } = createScene();
+  const { runTo, report, readyWindows, lateCount, state } = createScenario();
   await runTo(4);
   report('r0:1', firstWindow, 3);
   report('r1:1', firstWindow, 4);
@@ -88,16 +89,16 @@
   report('r1:1', firstWindow, 6);
   report('r1:1', firstWindow, 6);
   expect(readyWindows()[0]).toEqual({ window: firstWindow, count: 7 });
-  state.closed = firstWindow + 1;
+  state.closedThrough = firstWindow + 1;
   await runTo(12);
   expect(lateCount()).toBe(0);
-  state.closed = firstWindow + 2;
+  state.closedThrough = firstWindow + 2;
   await runTo(13);
   expect(lateCount()).toBe(2);
 });
 
 it('adds up the processes of a router, and ignores repeated or older tables', async () => {
-  const { runTo, report, readyWindows } = createScene(['r0:1']);
+  const { runTo, report, readyWindows } = createScenario(['r0:1']);
   await runTo(3);
   report('r0:1', firstWindow, 3);
   report('r0:1', firstWindow, 3);
@@ -111,7 +112,7 @@
 });
 
 it('polls each router once a second for the changes it does not know, including those in a gap left by an answer', async () => {
-  const { runTo, report, polls } = createScene();
+  const { runTo, report, polls } = createScenario();
   async function lastPoll(at: number): Promise<MessageOf<'UsageAsk'>> {
     await runTo(at);
     return polls.filter((poll) => poll.to === 'r0:1').at(-1)!.poll;
@@ -127,7 +128,7 @@
 });
 
 it('polls a router that answers once a second, and one that does not several times as often', async () => {
-  const { runTo, report, polls } = createScene();
+  const { runTo, report, polls } = createScenario();
   for (let i = 0; i < 100; i += 1) {
     await runTo(10 + i / 10);
     if (polls.at(-1)?.to === 'r0:1' || polls.at(-2)?.to === 'r0:1') report('r0:1', firstWindow, 1);
@@ -139,7 +140,7 @@
 });
 
 it('collects as the standby without reporting, and starts as the leader with all that it has collected', async () => {
-  const { runTo, report, readyWindows, state, polls } = createScene(['r0:1', 'r1:1']);
+  const { runTo, report, readyWindows, state, polls } = createScenario(['r0:1', 'r1:1']);
   state.leader = false;
   await runTo(3);
   expect(polls).toEqual([]);
@@ -159,7 +160,7 @@
 });
 
 it('starts with the first window that has counts, and then omits no window', async () => {
-  const { runTo, report, readyWindows, state } = createScene();
+  const { runTo, report, readyWindows, state } = createScenario();
   await runTo(31);
   expect(readyWindows()).toEqual([]);
   report('r0:1', firstWindow + 2, 3);
@@ -170,13 +171,13 @@
     { window: firstWindow + 4, count: 4 },
     { window: firstWindow + 5, count: 0 },
   ]);
-  state.closed = firstWindow + 4;
+  state.closedThrough = firstWindow + 4;
   expect(readyWindows()).toEqual([{ window: firstWindow + 5, count: 0 }]);
 });
 
 it('closes nothing as a new leader before the warm-up ends, and returns unchanged what it returned before', async () => {
-  const { runTo, report, readyWindows, state } = createScene();
-  state.closed = firstWindow - 1;
+  const { runTo, report, readyWindows, state } = createScenario();
+  state.closedThrough = firstWindow - 1;
   state.leader = false;
   await runTo(40);
   state.leader = true;
@@ -197,9 +198,9 @@
   expect(readyWindows()[0]).toEqual({ window: firstWindow, count: 7 });
 });
 
-it('holds windows back for longer if most routers are unresponsive, as it may be the one that is cut off', async () => {
-  const { runTo, report, readyWindows, state } = createScene(['r0:1', 'r1:1', 'r2:1']);
-  state.closed = firstWindow - 1;
+it('holds windows back for longer if most routers are unresponsive, as it may itself be partitioned from them', async () => {
+  const { runTo, report, readyWindows, state } = createScenario(['r0:1', 'r1:1', 'r2:1']);
+  state.closedThrough = firstWindow - 1;
   await runTo(4);
   for (const router of ['r0:1', 'r1:1', 'r2:1']) report(router, firstWindow, 3);
   await runTo(12);
@@ -212,15 +213,15 @@
 });
 
 it('stays bounded if the record cannot be written for hours', async () => {
-  const { runTo, report, collector, state } = createScene(['r0:1']);
-  state.closed = firstWindow - 1;
+  const { runTo, report, collector, state } = createScenario(['r0:1']);
+  state.closedThrough = firstWindow - 1;
   for (let i = 1; i < 500; i += 1) {
     await runTo(5 * i);
     report('r0:1', firstWindow + i - 1, 3, { process: `p${i}` });
   }
   expect(collector.retained().windows.length).toBeLessThanOrEqual(257);
   expect(collector.readyWindows().length).toBe(16);
-  state.closed = firstWindow + 498;
+  state.closedThrough = firstWindow + 498;
   await runTo(2500);
   expect(collector.retained().windows.length).toBeLessThanOrEqual(3);
 });
--- a/packages/usage/src/usage-collector.ts
+++ b/packages/usage/src/usage-collector.ts
@@ -65,8 +65,8 @@
 /** The minimum time between a window's end and its closing. */
 const settleTimeMs = 300;
 /**
- * If most routers are unresponsive, or none is known, this node itself may be cut off. A window is then held back for this
- * many times the report delay.
+ * If most routers are unresponsive, or none is known, this node itself may be partitioned from them. A window is then held
+ * back for this many times the report delay.
  */
 const maxWaitFactor = 3;
 const maxReadyWindows = 16;
--- a/packages/usage/src/usage-counter.test.ts
+++ b/packages/usage/src/usage-counter.test.ts
@@ -3,16 +3,16 @@
 import { encodeMessage, createSeededRandom, type MessageOf } from '@tansypost/inner-protocol';
 import { createUsageCounter } from './usage-counter.js';
 
-const windowLength = 5000;
-const start = 1_790_000_000_000;
-const firstWindow = start / windowLength;
+const windowLengthMs = 5000;
+const startTimeMs = 1_790_000_000_000;
+const firstWindow = startTimeMs / windowLengthMs;
 
-function createScene(maxWindows?: number) {
+function createScenario(maxWindows?: number) {
   const logged: { readonly event: number; readonly fields: Record<string, unknown> }[] = [];
-  const time = { now: start };
+  const time = { now: startTimeMs };
   const counter = createUsageCounter(
     { log: (event, fields) => logged.push({ event, fields }) },
-    { router: 'r:1', process: 'p1', windowLength, trueTime: () => time.now, maxWindows },
+    { router: 'r:1', process: 'p1', windowLength: windowLengthMs, trueTime: () => time.now, maxWindows },
   );
   function poll(overrides: Partial<MessageOf<'UsageAsk'>> = {}): MessageOf<'UsageTold'> {
     return counter.answer({ kind: 'UsageAsk', from: 'c:1', process: 'p1', after: 0, closedThrough: 0, ...overrides });
@@ -21,10 +21,10 @@
 }
 
 it('answers with the full counts of changed tenants, and with all counts to a collector that knows none of this process', () => {
-  const { counter, time, poll } = createScene();
+  const { counter, time, poll } = createScenario();
   for (const tenant of ['b', 'a', 'b']) counter.recordStart(tenant);
   const first = poll();
-  expect(first).toMatchObject({ router: 'r:1', process: 'p1', now: start, after: 0, sequence: 3 });
+  expect(first).toMatchObject({ router: 'r:1', process: 'p1', now: startTimeMs, after: 0, sequence: 3 });
   expect(first.tables).toEqual([
     {
       window: firstWindow,
@@ -36,7 +36,7 @@
   ]);
   expect(poll()).toEqual(first);
   expect(poll({ after: 3 }).tables).toEqual([]);
-  time.now += windowLength;
+  time.now += windowLengthMs;
   counter.recordStart('a');
   time.now -= 1;
   counter.recordStart('b');
@@ -49,9 +49,9 @@
 });
 
 it('keeps a window until it is closed, even after all of it has been sent', () => {
-  const { counter, time, poll, logged } = createScene();
+  const { counter, time, poll, logged } = createScenario();
   counter.recordStart('a');
-  time.now += windowLength;
+  time.now += windowLengthMs;
   counter.recordStart('a');
   poll({ after: 1 });
   poll({ after: 2, closedThrough: firstWindow - 1 });
@@ -63,7 +63,7 @@
 });
 
 it('logs how many counts it drops that no collector has received', () => {
-  const { counter, time, poll, logged } = createScene();
+  const { counter, time, poll, logged } = createScenario();
   counter.recordStart('a');
   counter.recordStart('b');
   poll({ after: 0 });
@@ -72,17 +72,17 @@
   poll({ after: 2, closedThrough: firstWindow });
   expect(logged).toEqual([{ event: 3502, fields: { router: 'r:1', window: firstWindow, count: 1 } }]);
   counter.recordStart('b');
-  time.now += windowLength;
+  time.now += windowLengthMs;
   poll({ after: 3, closedThrough: firstWindow });
   expect(logged).toHaveLength(2);
   expect(counter.windows()).toEqual([]);
 });
 
 it('keeps a bounded number of windows if no collector polls', () => {
-  const { counter, time, logged } = createScene(4);
+  const { counter, time, logged } = createScenario(4);
   for (let i = 0; i < 100; i += 1) {
     counter.recordStart('a');
-    time.now += windowLength;
+    time.now += windowLengthMs;
   }
   expect(counter.windows()).toEqual([96, 97, 98, 99].map((i) => firstWindow + i));
   expect(logged).toHaveLength(96);
@@ -90,7 +90,7 @@
 
 it('takes less than 250 bytes a second per router if 420 routers share 2,700 requests a second of 200 tenants', () => {
   const random = createSeededRandom(7);
-  const { counter, time, poll } = createScene();
+  const { counter, time, poll } = createScenario();
   const seconds = 60;
   let bytes = 0;
   let after = 0;
@@ -99,7 +99,7 @@
       time.now += 150;
       counter.recordStart(`tenant-${Math.floor(random() * 200)}`);
     }
-    time.now = start + (i + 1) * 1000;
+    time.now = startTimeMs + (i + 1) * 1000;
     const request = { process: 'p1', after, closedThrough: firstWindow + Math.floor(i / 5) - 2 };
     const answer = poll(request);
     bytes +=
--- a/packages/usage/src/usage-duty.test.ts
+++ b/packages/usage/src/usage-duty.test.ts
@@ -6,12 +6,12 @@
 
 const router = 'r1:1' as Address;
 const emptyRecord: DutyRecord = { term: null, lastIntent: 0, open: [], outcomes: [] };
-const startTime = 1_790_000_000_000;
-const windowLength = 5000;
-const firstWindow = startTime / windowLength;
+const startTimeMs = 1_790_000_000_000;
+const windowLengthMs = 5000;
+const firstWindow = startTimeMs / windowLengthMs;
 
 /** A node whose only router reports `count` requests in the first window whenever it is polled. */
-function createScene() {
+function createScenario() {
   const state = { count: 3, hasTerm: true };
   const polls: MessageOf<'UsageAsk'>[] = [];
   const clock = createVirtualClock({
@@ -20,11 +20,11 @@
     },
   });
   function now(): number {
-    return startTime + clock.world.now() / 1000;
+    return startTimeMs + clock.world.now() / 1000;
   }
   const duty = createUsageDuty(clock.world, {
     self: 'c1:1' as Address,
-    windowLength,
+    windowLength: windowLengthMs,
     reportDelay: 10_000,
     reportingMargin: 4000,
     routers: () => [router],
@@ -38,13 +38,13 @@
       duty.receive({ ...answer, tables });
     }
   }
-  async function pass(until: number): Promise<void> {
+  async function runTo(until: number): Promise<void> {
     for (let at: number = clock.world.now(); at < until; at += 100_000) {
       await clock.runTo(at);
       answerPolls();
     }
   }
-  return { duty, state, polls, pass };
+  return { duty, state, polls, runTo };
 }
 
 const content = JSON.stringify({ window: firstWindow, counts: { a: 3 } });
@@ -55,25 +55,25 @@
 };
 
 it('polls no router before it has read the record in a term of its own', async () => {
-  const { duty, state, polls, pass } = createScene();
-  await pass(2_000_000);
+  const { duty, state, polls, runTo } = createScenario();
+  await runTo(2_000_000);
   state.hasTerm = false;
   duty.plan(emptyRecord);
-  await pass(4_000_000);
+  await runTo(4_000_000);
   expect(polls).toEqual([]);
 });
 
 it('plans a window with the same content until the record holds it, and then the next window', async () => {
-  const { duty, state, pass } = createScene();
+  const { duty, state, runTo } = createScenario();
   duty.plan(emptyRecord);
-  await pass(8_000_000);
+  await runTo(8_000_000);
   const planned = [{ subject: 'windows', content }];
   expect(duty.plan(emptyRecord)).toEqual(planned);
   state.count = 5;
-  await pass(9_000_000);
+  await runTo(9_000_000);
   expect(duty.plan(emptyRecord)).toEqual(planned);
   expect(duty.plan({ ...emptyRecord, lastIntent: 1, open: [{ id: 1, ...planned[0]! }] })).toEqual([]);
-  await pass(14_000_000);
+  await runTo(14_000_000);
   const next = JSON.stringify({ window: firstWindow + 1, counts: {} });
   expect(duty.plan(reported)).toEqual([{ subject: 'windows', content: next }]);
 });
--- a/packages/worker-stages/src/decode-recovery.test.ts
+++ b/packages/worker-stages/src/decode-recovery.test.ts
@@ -45,7 +45,7 @@
   return { id, service, address: `${id}:1`, zone: 'z', slots: 8, leaving, coldMs: 0, part };
 }
 
-function createScene(list: readonly ListedWorker[], random: () => number = () => 0.5) {
+function createScenario(list: readonly ListedWorker[], random: () => number = () => 0.5) {
   const clock = createVirtualClock({ random });
   const workers = new Map<string, SimulatedWorker>();
   const orders: ReceivedOrder[] = [];
@@ -55,10 +55,13 @@
   const recoveries: DecodeRecovery[] = [];
   const voters: Voter[] = [];
   const disks: Map<string, number>[] = [];
-  const scene = {
+  const scenario = {
+    /** What happens to the next order. */
     fate: (): OrderFate => 'answered',
     served: ['s'],
+    /** Whether workers answer report requests. */
     reachable: () => true,
+    /** Whether writes of the order record succeed. */
     writable: () => true,
     /** The node that is partitioned from the other nodes; -1 for none. */
     partitionedNode: -1,
@@ -89,7 +92,7 @@
     });
   }
   function receiveOrder(order: ReceivedOrder & { readonly stage: Stage }): OrderOutcome {
-    const fate = scene.fate();
+    const fate = scenario.fate();
     if (fate === 'lost') return 'unknown';
     orders.push({ at: order.at, worker: order.worker, holder: order.holder, fence: order.fence });
     if (fate === 'refused') return 'refused';
@@ -102,7 +105,7 @@
     return (to: Address, message: Message) => {
       const target = Number(to.slice(1, 2));
       if (!alive.has(target) || !alive.has(from)) return;
-      if (target !== from && (scene.partitionedNode === target || scene.partitionedNode === from)) return;
+      if (target !== from && (scenario.partitionedNode === target || scenario.partitionedNode === from)) return;
       clock.world.after(1000 as never, () => {
         if (!alive.has(target)) return;
         if (message.kind === 'Ballot')
@@ -152,26 +155,26 @@
       member: name,
       controlNode: () => (alive.has(node) ? controlNode : undefined),
       workers: listed,
-      services: () => scene.served.map((service) => ({ name: service, stageSwitchTime })),
+      services: () => scenario.served.map((service) => ({ name: service, stageSwitchTime })),
       record: { read: async () => readStored(), write: async (base, value) => write(base, value) },
       workerClient: {
         report: async ({ id }) => {
           const entry = workers.get(id);
-          if (entry === undefined || !scene.reachable() || scene.unresponsive.has(id)) return undefined;
+          if (entry === undefined || !scenario.reachable() || scenario.unresponsive.has(id)) return undefined;
           return { stage: entry.listed.part, ...entry };
         },
         order: async ({ worker: to, stage, holder, fence }) =>
           alive.has(node) ? receiveOrder({ at: clock.world.now(), worker: to.id, holder, fence, stage }) : 'unknown',
       },
       leaseDuration,
-      minTakeoverGap: minTakeoverGap,
+      minTakeoverGap,
     });
   }
   function readStored(): StoredVersion {
     return { ...stored };
   }
   function write(base: number, value: Buffer): number | undefined {
-    if (base !== stored.version || !scene.writable()) return undefined;
+    if (base !== stored.version || !scenario.writable()) return undefined;
     Object.assign(stored, { version: base + 1, value });
     recordWrites.push({ at: clock.world.now(), version: stored.version });
     return stored.version;
@@ -181,23 +184,23 @@
     recoveries[node]!.stop();
   }
   for (let node = 0; node < nodeCount; node += 1) startNode(node);
-  return { clock, scene, orders, recordWrites, workers, setList, stored, kill, startNode, alive };
+  return { clock, scenario, orders, recordWrites, workers, setList, stored, kill, startNode, alive };
 }
 
 const prefill = ['r0', 'r1', 'r2'].map((id) => worker(id, 'prefill'));
 const decodeWorker = worker('d0', 'decode');
 
-it('orders nobody for a service with a decode worker, nor for one that gets no requests', async () => {
-  const withDecode = createScene([...prefill, decodeWorker]);
+it('orders no worker for a service with a decode worker, nor for one that gets no requests', async () => {
+  const withDecode = createScenario([...prefill, decodeWorker]);
   await withDecode.clock.runTo(60 * second);
   expect([withDecode.orders, withDecode.recordWrites]).toEqual([[], []]);
-  const notServed = createScene(prefill.map((entry) => ({ ...entry, service: 'stranger' })));
+  const notServed = createScenario(prefill.map((entry) => ({ ...entry, service: 'stranger' })));
   await notServed.clock.runTo(60 * second);
   expect([notServed.orders, notServed.recordWrites]).toEqual([[], []]);
 });
 
 it('orders one worker within two seconds when the last decode worker leaves gracefully, and records the order first', async () => {
-  const { clock, orders, recordWrites, setList, workers } = createScene([...prefill, decodeWorker]);
+  const { clock, orders, recordWrites, setList, workers } = createScenario([...prefill, decodeWorker]);
   await clock.runTo(10 * second);
   workers.get('r0')!.load = 5;
   setList([...prefill, { ...decodeWorker, leaving: true }]);
@@ -209,8 +212,8 @@
   expect(clock.logged.filter((entry) => entry.event === 4103)).toHaveLength(1);
 });
 
-it('waits for decode workers that vanished, and orders nobody if one comes back', async () => {
-  const { clock, orders, setList } = createScene([...prefill, decodeWorker]);
+it('waits for decode workers that vanished, and orders no worker if one comes back', async () => {
+  const { clock, orders, setList } = createScenario([...prefill, decodeWorker]);
   await clock.runTo(10 * second);
   setList(prefill);
   await clock.runTo(11.9 * second);
@@ -225,9 +228,9 @@
 
 it('RECOVER: orders a worker if all decode workers are listed but unresponsive, also right after a start', async () => {
   for (const unresponsiveFrom of [0, 20 * second]) {
-    const { clock, scene, orders } = createScene([...prefill, decodeWorker, worker('d1', 'decode')]);
+    const { clock, scenario, orders } = createScenario([...prefill, decodeWorker, worker('d1', 'decode')]);
     await clock.runTo(unresponsiveFrom);
-    scene.unresponsive = new Set(['d0', 'd1']);
+    scenario.unresponsive = new Set(['d0', 'd1']);
     await clock.runTo(unresponsiveFrom + 9 * second);
     expect([unresponsiveFrom, orders.length]).toEqual([unresponsiveFrom, 1]);
     await clock.runTo(unresponsiveFrom + 60 * second);
@@ -235,20 +238,20 @@
   }
 });
 
-it('orders nobody while one of many decode workers answers, nor if unresponsive ones soon answer again', async () => {
+it('orders no worker while one of many decode workers answers, nor if unresponsive ones soon answer again', async () => {
   const many = Array.from({ length: 9 }, (_, i) => worker(`d${i}`, 'decode'));
-  const { clock, scene, orders } = createScene([...prefill, ...many]);
-  scene.unresponsive = new Set(many.slice(1).map((entry) => entry.id));
+  const { clock, scenario, orders } = createScenario([...prefill, ...many]);
+  scenario.unresponsive = new Set(many.slice(1).map((entry) => entry.id));
   await clock.runTo(60 * second);
-  scene.unresponsive = new Set(many.map((entry) => entry.id));
+  scenario.unresponsive = new Set(many.map((entry) => entry.id));
   await clock.runTo(62 * second);
-  scene.unresponsive.clear();
+  scenario.unresponsive.clear();
   await clock.runTo(90 * second);
   expect(orders).toEqual([]);
 });
 
 it('gives decode workers time to start if none was seen yet, and then orders a prefill worker', async () => {
-  const { clock, orders } = createScene(prefill);
+  const { clock, orders } = createScenario(prefill);
   await clock.runTo(5.9 * second);
   expect(orders).toEqual([]);
   await clock.runTo(9 * second);
@@ -257,7 +260,7 @@
 
 it('orders more workers only when the first one runs requests, up to a third of all', async () => {
   const many = Array.from({ length: 12 }, (_, i) => worker(`r${i}`, 'prefill'));
-  const { clock, orders, workers } = createScene(many);
+  const { clock, orders, workers } = createScenario(many);
   await clock.runTo(30 * second);
   expect(orders).toHaveLength(1);
   for (const entry of workers.values()) entry.load = 1;
@@ -267,11 +270,11 @@
   expect(fences).toEqual([...fences].sort((a, b) => a - b));
 });
 
-it('asks a worker again after an order without an answer, and waits for it or orders it with a higher fence', async () => {
+it('asks a worker for a report after an order without an answer, and waits for it or orders it with a higher fence', async () => {
   for (const fate of ['taken', 'lost'] as const) {
-    const { clock, scene, orders, recordWrites } = createScene(prefill);
+    const { clock, scenario, orders, recordWrites } = createScenario(prefill);
     let first = true;
-    scene.fate = () => {
+    scenario.fate = () => {
       const next = first ? fate : 'answered';
       first = false;
       return next;
@@ -283,27 +286,27 @@
 });
 
 it('chooses another worker if one refuses, and orders none that does not answer', async () => {
-  const { clock, scene, orders } = createScene(prefill);
-  scene.fate = () => (orders.length === 0 ? 'refused' : 'answered');
+  const { clock, scenario, orders } = createScenario(prefill);
+  scenario.fate = () => (orders.length === 0 ? 'refused' : 'answered');
   await clock.runTo(20 * second);
   expect(new Set(orders.map((order) => order.worker)).size).toBe(2);
-  const unreachable = createScene(prefill);
-  unreachable.scene.reachable = () => false;
+  const unreachable = createScenario(prefill);
+  unreachable.scenario.reachable = () => false;
   await unreachable.clock.runTo(30 * second);
   expect(unreachable.orders).toEqual([]);
 });
 
 it('sends no order that is not recorded', async () => {
-  const { clock, scene, orders } = createScene(prefill);
-  scene.writable = () => clock.world.now() > 20 * second;
+  const { clock, scenario, orders } = createScenario(prefill);
+  scenario.writable = () => clock.world.now() > 20 * second;
   await clock.runTo(20 * second);
   expect(orders).toEqual([]);
   await clock.runTo(30 * second);
   expect(orders).toHaveLength(1);
 });
 
-it('orders nobody while the record cannot be decoded, and logs it', async () => {
-  const { clock, orders, stored } = createScene(prefill);
+it('orders no worker while the record cannot be decoded, and logs it', async () => {
+  const { clock, orders, stored } = createScenario(prefill);
   Object.assign(stored, { version: 3, value: Buffer.from('{') });
   await clock.runTo(20 * second);
   expect(orders).toEqual([]);
@@ -314,17 +317,17 @@
   let takeovers = 0;
   for (let seed = 1; seed <= 150; seed += 1) {
     const random = createSeededRandom(seed);
-    const { clock, scene, orders, kill, startNode, alive } = createScene(prefill, random);
+    const { clock, scenario, orders, kill, startNode, alive } = createScenario(prefill, random);
     // No order has an effect, so the same workers are ordered repeatedly, by one leader and by the next.
-    scene.fate = () => (random() < 0.9 ? 'heard' : 'refused');
+    scenario.fate = () => (random() < 0.9 ? 'heard' : 'refused');
     for (let at = 5 * second; at < 60 * second; at += second * (0.3 + 7 * random())) {
       await clock.runTo(at);
       const node = Math.floor(random() * nodeCount);
-      scene.partitionedNode = -1;
+      scenario.partitionedNode = -1;
       if (!alive.has(node)) startNode(node);
       else if (alive.size === nodeCount && random() < 0.5) kill(node);
       // Partitioned from the other nodes, but not from the workers.
-      else scene.partitionedNode = node;
+      else scenario.partitionedNode = node;
     }
     for (const [index, order] of orders.entries())
       for (const earlier of orders.slice(0, index)) {
