--- a/packages/duty-log/src/duty-task.ts
+++ b/packages/duty-log/src/duty-task.ts
@@ -4,7 +4,7 @@
  * planned call, together with the outcomes received since the previous write, and then makes the call of the oldest open
  * intent that is not backing off. So a call is made only after its intent is recorded. Each write is conditional on the
  * version last written or read. A write that failed may still have taken effect if it got no answer, so the record is read
- * again before anything else; if it names another term then, this node's term has ended.
+ * again before anything else; if it then names another term, this node's term has ended.
  */
 import type { World } from '@tansypost/inner-protocol';
 import type { StoredValue, StoredVersion } from '@tansypost/control-feed';
