--- a/packages/control-feed/src/configuration-feed.test.ts
+++ b/packages/control-feed/src/configuration-feed.test.ts
@@ -12,7 +12,15 @@
   type Message,
   type World,
 } from '@tansypost/inner-protocol';
-import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
+import {
+  createEngine,
+  createNetwork,
+  createSimProcess,
+  killProcess,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from '@tansypost/simulator';
 import { configurationKey } from './configuration.js';
 import { createControlFeed, type ControlFeed } from './control-feed.js';
 import { createFeedServer } from './feed-server.js';
@@ -20,7 +28,7 @@
 interface FakeNode {
   readonly name: string;
   readonly address: Address;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   version: number;
   leased: boolean;
   /** The version of the additional key. */
@@ -29,7 +37,7 @@
 interface Router {
   readonly name: string;
   readonly feed: ControlFeed;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   /** The adopted versions, with the time in milliseconds. */
   readonly adopted: { readonly version: number; readonly at: number }[];
   /** The received versions of the additional key. */
@@ -53,13 +61,13 @@
   const net = createNetwork(engine, random);
   const sent: { readonly kind: MessageKind; readonly from: string; readonly to: string; readonly message: Message }[] =
     [];
-  net.tamper((message, from, to) => {
+  net.intercept((message, from, to) => {
     if (from !== to) sent.push({ kind: message.kind, from, to, message });
     return undefined;
   });
 
-  function worldOf(proc: Proc, address: Address): World {
-    return procWorld(
+  function worldOf(proc: SimProcess, address: Address): World {
+    return createProcessWorld(
       engine,
       proc,
       random,
@@ -68,8 +76,8 @@
     );
   }
 
-  function startProc(name: string): { proc: Proc; address: Address; world: World } {
-    const proc = createProc(name, name);
+  function startProc(name: string): { proc: SimProcess; address: Address; world: World } {
+    const proc = createSimProcess(name, name);
     const address = `${name}:1` as Address;
     net.add(address, proc);
     proc.alive = true;
@@ -176,8 +184,8 @@
     configurationsSentTo,
     now: () => engine.now() / 1000,
     run: (ms: number) => engine.run(micros(engine.now() + ms * 1000)),
-    cut: (...names: string[]) => net.cut('cut', (a, b) => names.includes(a) !== names.includes(b)),
-    wake: (node: FakeNode) => wake(engine, node.proc),
+    cut: (...names: string[]) => net.partition('cut', (a, b) => names.includes(a) !== names.includes(b)),
+    wake: (node: FakeNode) => resumeProcess(engine, node.proc),
   };
 }
 
@@ -263,7 +271,7 @@
   const fleet = createFleet(5);
   fleet.commit(1);
   await fleet.run(500);
-  fleet.net.tamper((m) => (m.kind === 'Beat' ? [{ m, after: 800_000 }] : undefined));
+  fleet.net.intercept((m) => (m.kind === 'Beat' ? [{ message: m, delayUs: 800_000 }] : undefined));
   const router = fleet.router('r');
   await fleet.run(2500);
   expect(adoptedVersions(router)).toEqual([]);
@@ -294,7 +302,7 @@
       await fleet.run(2000 + 45 * seed);
       const [source, ...others] = fleet.nodes;
       expect(router.feed.source()).toBe(source!.address);
-      if (failure === 'dies') die(source!.proc);
+      if (failure === 'dies') killProcess(source!.proc);
       else if (failure === 'freezes') source!.proc.frozen = true;
       else if (failure === 'is cut off') fleet.cut('c0');
       const committedAt = fleet.now();
@@ -319,10 +327,10 @@
   const router = fleet.router('r');
   await fleet.run(1000);
   let lost = 0;
-  fleet.net.tamper((m) => {
+  fleet.net.intercept((m) => {
     if (m.kind !== 'ConfigurationPatch') return undefined;
     lost += 1;
-    return lost === 1 ? [] : [{ m: { ...m, digest: 'another' } }];
+    return lost === 1 ? [] : [{ message: { ...m, digest: 'another' } }];
   });
   fleet.commit(2);
   await fleet.run(1500);
--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -4,8 +4,8 @@
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import {
   createControlCluster,
-  foundControlCluster,
-  seedNames,
+  bootstrapControlCluster,
+  bootstrapMemberNames,
   type ControlCluster,
   type Network,
 } from '@tansypost/simulator';
@@ -13,7 +13,7 @@
 import { configurationKey } from './configuration.js';
 import type { ControlFeed } from './control-feed.js';
 
-type Tamper = Parameters<Network['tamper']>[0];
+type Tamper = Parameters<Network['intercept']>[0];
 interface TestCluster extends ControlCluster {
   readonly write: (via: string, base: number, text: string) => Promise<ControlResponse>;
   readonly read: (via: string) => Promise<ControlResponse>;
@@ -32,11 +32,11 @@
   }
   function write(via: string, base: number, text: string): Promise<ControlResponse> {
     return responseOf(
-      cluster.ask(via, { op: 'write', key: configurationKey, change: text, base, value: Buffer.from(text) }),
+      cluster.request(via, { op: 'write', key: configurationKey, change: text, base, value: Buffer.from(text) }),
     );
   }
   function read(via: string): Promise<ControlResponse> {
-    return responseOf(cluster.ask(via, { op: 'read', key: configurationKey }));
+    return responseOf(cluster.request(via, { op: 'read', key: configurationKey }));
   }
   return {
     ...cluster,
@@ -48,13 +48,13 @@
   };
 }
 
-async function founded(seed: number, names = seedNames): Promise<TestCluster> {
-  return withCalls(await foundControlCluster(seed, names));
+async function founded(seed: number, names = bootstrapMemberNames): Promise<TestCluster> {
+  return withCalls(await bootstrapControlCluster(seed, names));
 }
 
 it('is bootstrapped by its seeds, and brings acknowledged writes to every router', async () => {
   const cluster = await founded(1);
-  expect(cluster.voting()).toEqual(seedNames);
+  expect(cluster.voting()).toEqual(bootstrapMemberNames);
   const router = cluster.router('r');
   expect(await cluster.put('c1', 0, 'one')).toBe('done');
   expect(await cluster.put('c2', 0, 'two')).toBe('lost');
@@ -66,7 +66,7 @@
 
 it('never bootstraps with an empty disk unless configured to', async () => {
   const cluster = createControlCluster(2);
-  for (const name of seedNames) {
+  for (const name of bootstrapMemberNames) {
     cluster.add(name);
     cluster.start(name, name !== 'c2' && false);
   }
@@ -90,12 +90,12 @@
 it('readmits a replica with a wiped disk within two seconds with all data, and then tolerates the next loss', async () => {
   const cluster = await founded(4);
   expect(await cluster.put('c0', 0, 'one')).toBe('done');
-  for (const [i, name] of seedNames.entries()) {
+  for (const [i, name] of bootstrapMemberNames.entries()) {
     cluster.wipe(name);
     await cluster.run(700);
     cluster.start(name);
     await cluster.run(2000);
-    expect(cluster.voting()).toEqual(seedNames);
+    expect(cluster.voting()).toEqual(bootstrapMemberNames);
     expect(await cluster.get(name)).toBe(i === 0 ? 'one' : `after ${i - 1}`);
     expect(await cluster.put(name, i + 1, `after ${i}`)).toBe('done');
   }
@@ -103,28 +103,28 @@
 
 it('readmits a replica with a wiped disk although all its seeds are gone and the first hellos of the cluster are lost', async () => {
   const cluster = await founded(12);
-  cluster.net.tamper((m, _from, to) =>
+  cluster.network.intercept((m, _from, to) =>
     m.kind === 'ReplicaHello' && m.replicas.length > 0 && to === 'c0' ? [] : undefined,
   );
   cluster.wipe('c0');
   cluster.start('c0', false, ['x0', 'x1', 'x2']);
   await cluster.run(700);
-  cluster.net.tamper(undefined);
+  cluster.network.intercept(undefined);
   await cluster.run(1300);
-  expect(cluster.voting()).toEqual(seedNames);
+  expect(cluster.voting()).toEqual(bootstrapMemberNames);
 });
 
 it('lets no wiped disk vote before it has copied from enough replicas to have every acknowledged write', async () => {
   const cluster = await founded(11);
   for (const unresponsive of ['c1', 'c2']) {
-    cluster.net.tamper((m, from) => (m.kind === 'CopyPage' && from === unresponsive ? [] : undefined));
+    cluster.network.intercept((m, from) => (m.kind === 'CopyPage' && from === unresponsive ? [] : undefined));
     cluster.wipe('c0');
     cluster.start('c0');
     await cluster.run(2500);
     expect(cluster.voting()).toEqual(['c1', 'c2']);
-    cluster.net.tamper(undefined);
+    cluster.network.intercept(undefined);
     await cluster.run(1000);
-    expect(cluster.voting()).toEqual(seedNames);
+    expect(cluster.voting()).toEqual(bootstrapMemberNames);
   }
 });
 
@@ -132,7 +132,7 @@
   const cluster = await founded(5);
   const router = cluster.router('r');
   expect(await cluster.put('c0', 0, 'v0')).toBe('done');
-  for (const [i, name] of seedNames.entries()) {
+  for (const [i, name] of bootstrapMemberNames.entries()) {
     cluster.kill(name);
     cluster.add(`n${i}`);
     await cluster.run(500);
@@ -152,7 +152,7 @@
   cluster.add('n');
   cluster.start('n');
   await cluster.run(3000);
-  expect(cluster.voting()).toEqual(seedNames);
+  expect(cluster.voting()).toEqual(bootstrapMemberNames);
   expect(await cluster.get('n')).toBe('one');
   cluster.machine('c1').host!.leave(5_000_000, () => undefined);
   await cluster.run(700);
@@ -169,7 +169,7 @@
   await cluster.run(5000);
   expect(cluster.replicas('n')).toEqual(['c0', 'c2', 'n']);
   expect(await cluster.put('n', 1, 'two')).toBe('done');
-  cluster.wake('c1');
+  cluster.resume('c1');
   await cluster.run(50);
   expect(await cluster.put('c1', 1, 'three')).not.toBe('done');
   await cluster.run(3000);
@@ -186,13 +186,13 @@
   cluster.add('n');
   cluster.start('n');
   await cluster.run(1000);
-  for (const name of seedNames) {
+  for (const name of bootstrapMemberNames) {
     cluster.machine(name).proc.frozen = true;
     await cluster.run(900);
-    cluster.wake(name);
+    cluster.resume(name);
     await cluster.run(1500);
   }
-  expect(cluster.replicas('c0')).toEqual(seedNames);
+  expect(cluster.replicas('c0')).toEqual(bootstrapMemberNames);
 });
 
 it('acknowledges at most one of several writes on the same version, whichever machines they reach', async () => {
@@ -201,9 +201,9 @@
     expect(await cluster.put('c0', 0, 'one')).toBe('done');
     const request = { op: 'write', key: configurationKey, base: 1 } as const;
     const statuses: string[] = [];
-    for (const [i, name] of seedNames.entries())
+    for (const [i, name] of bootstrapMemberNames.entries())
       void cluster
-        .ask(name, { ...request, change: `x${i}`, value: Buffer.from(`x${i}`) })
+        .request(name, { ...request, change: `x${i}`, value: Buffer.from(`x${i}`) })
         .then((response) => statuses.push(response.status));
     if (seed % 2 === 0) cluster.kill('c0');
     await cluster.run(2500);
@@ -215,9 +215,9 @@
 it('serves all acknowledged writes again within two seconds after all replicas were killed', async () => {
   const cluster = await founded(9);
   expect(await cluster.put('c2', 0, 'one')).toBe('done');
-  for (const name of seedNames) cluster.kill(name);
+  for (const name of bootstrapMemberNames) cluster.kill(name);
   await cluster.run(1000);
-  for (const name of seedNames) cluster.start(name);
+  for (const name of bootstrapMemberNames) cluster.start(name);
   await cluster.run(300);
   expect(await cluster.get('c1')).toBe('one');
   expect(await cluster.put('c0', 1, 'two')).toBe('done');
@@ -226,11 +226,11 @@
 it('keeps acknowledging writes at every node while one disk hangs or is full', async () => {
   const cluster = await founded(10);
   let version = 0;
-  for (const name of seedNames) {
+  for (const name of bootstrapMemberNames) {
     const disk = cluster.machine(name).disk;
     for (const fault of ['stalled', 'full'] as const) {
       disk[fault] = true;
-      for (const via of seedNames) {
+      for (const via of bootstrapMemberNames) {
         const previous = version;
         for (let attempts = 0; attempts < 3 && version === previous; attempts += 1)
           if ((await cluster.put(via, version, `v${version}`)) === 'done') version += 1;
@@ -241,7 +241,7 @@
       await cluster.run(2500);
     }
   }
-  expect(cluster.voting()).toEqual(seedNames);
+  expect(cluster.voting()).toEqual(bootstrapMemberNames);
 });
 
 it('brings an acknowledged write to routers although the leader of the key was killed right after it', async () => {
@@ -250,11 +250,11 @@
     const routers = [cluster.router('r0'), cluster.router('r1')];
     await cluster.run(1000);
     let leader = '';
-    cluster.net.tamper((m, from) =>
+    cluster.network.intercept((m, from) =>
       m.kind === 'News' && m.news.length > 0 && (leader === '' || from === leader) ? [] : undefined,
     );
     expect(await cluster.put('c0', 0, 'one')).toBe('done');
-    leader = seedNames.find((name) =>
+    leader = bootstrapMemberNames.find((name) =>
       cluster
         .machine(name)
         .host!.core()!
@@ -273,11 +273,11 @@
  */
 async function injectFaults(seed: number, rounds: number, tamper?: Tamper): Promise<string[]> {
   const random = createSeededRandom(seed * 7919);
-  const names = seed % 3 === 0 ? ['c0', 'c1', 'c2', 'c3', 'c4'] : [...seedNames];
+  const names = seed % 3 === 0 ? ['c0', 'c1', 'c2', 'c3', 'c4'] : [...bootstrapMemberNames];
   const cluster = await founded(seed, names);
   await cluster.run(2000);
   const feeds = [cluster.router('r0'), cluster.router('r1')];
-  cluster.net.tamper(tamper);
+  cluster.network.intercept(tamper);
   const acknowledged = new Map<number, string>();
   const seenVersions = feeds.map(() => 0);
   const violations: string[] = [];
@@ -331,8 +331,8 @@
     if (fault === 'freeze') machine.proc.frozen = true;
     if (fault === 'stall') machine.disk.stalled = true;
     if (fault === 'full') machine.disk.full = true;
-    if (fault === 'slow') machine.disk.slowUs = 125_000;
-    if (fault === 'cut') cluster.net.cut('k', (from, to) => (from === name) !== (to === name));
+    if (fault === 'slow') machine.disk.extraLatencyUs = 125_000;
+    if (fault === 'cut') cluster.network.partition('k', (from, to) => (from === name) !== (to === name));
     if (fault === 'herd') for (const other of names) cluster.kill(other);
     if (fault === 'leave') machine.host?.leave(5_000_000, () => undefined);
     if (fault === 'replace') {
@@ -347,11 +347,11 @@
       await cluster.run(random() * 500);
       if (i === 2) for (const other of names) if (!cluster.machine(other).proc.alive) cluster.start(other);
     }
-    cluster.net.heal('k');
+    cluster.network.heal('k');
     machine.disk.full = false;
-    machine.disk.slowUs = 0;
+    machine.disk.extraLatencyUs = 0;
     machine.disk.resume();
-    if (machine.proc.frozen) cluster.wake(name);
+    if (machine.proc.frozen) cluster.resume(name);
     if (fault === 'leave') cluster.kill(name);
     for (const other of names) if (!cluster.machine(other).proc.alive) cluster.start(other);
     await cluster.run(3000);
@@ -417,10 +417,10 @@
     }
     counter.count += 1;
     if (method === 'dropped') return [];
-    if (method === 'repeated') return [{ m }, { m }];
-    if (method === 'late') return [{ m, after: 400_000 }];
+    if (method === 'repeated') return [{ message: m }, { message: m }];
+    if (method === 'late') return [{ message: m, delayUs: 400_000 }];
     const stale = earlier.get(`${from}>${to}`);
-    return stale === undefined ? undefined : [{ m: stale }, { m }];
+    return stale === undefined ? undefined : [{ message: stale }, { message: m }];
   };
 }
 
@@ -437,17 +437,20 @@
   const cluster = await founded(21);
   expect(await cluster.put('c0', 0, 'one')).toBe('done');
   await cluster.run(500);
-  for (const cut of seedNames) {
-    const [via] = seedNames.filter((name) => name !== cut);
+  for (const cut of bootstrapMemberNames) {
+    const [via] = bootstrapMemberNames.filter((name) => name !== cut);
     const routerName = `r-${cut}`;
-    cluster.net.cut('apart', (from, to) => [cut, routerName].includes(from) !== [cut, routerName].includes(to));
+    cluster.network.partition(
+      'apart',
+      (from, to) => [cut, routerName].includes(from) !== [cut, routerName].includes(to),
+    );
     await cluster.run(2500);
-    const version = 1 + seedNames.indexOf(cut);
+    const version = 1 + bootstrapMemberNames.indexOf(cut);
     expect(await cluster.put(via!, version, `after ${cut}`)).toBe('done');
     const router = cluster.router(routerName);
     await cluster.run(2000);
     expect(router.configuration()).toBeUndefined();
-    cluster.net.heal('apart');
+    cluster.network.heal('apart');
     await cluster.run(1000);
     expect(router.configuration()).toEqual({ version: version + 1, value: Buffer.from(`after ${cut}`) });
   }
--- a/packages/control-feed/src/control-feed.test.ts
+++ b/packages/control-feed/src/control-feed.test.ts
@@ -1,7 +1,7 @@
 /** The feed between two control nodes without replicas and one router, over the simulated network. */
 import { expect, it } from 'vitest';
 import { micros, createSeededRandom, type Address, type Message } from '@tansypost/inner-protocol';
-import { createEngine, createNetwork, createProc, die, procWorld } from '@tansypost/simulator';
+import { createEngine, createNetwork, createSimProcess, killProcess, createProcessWorld } from '@tansypost/simulator';
 import { configurationKey } from './configuration.js';
 import { createControlFeed } from './control-feed.js';
 import { createFeedServer } from './feed-server.js';
@@ -23,11 +23,11 @@
   const clockReadings: { source: string; wall: number; requestedAt: number; receivedAt: number }[] = [];
   const changes: string[] = [];
   const controlNodes = ['k0', 'k1'].map((name) => {
-    const proc = createProc(name, name);
+    const proc = createSimProcess(name, name);
     net.add(`${name}:1`, proc);
     proc.alive = true;
     const server = createFeedServer(
-      procWorld(
+      createProcessWorld(
         engine,
         proc,
         random,
@@ -48,11 +48,11 @@
     proc.receive = (message, from) => void server.receive(message, from);
     return proc;
   });
-  const proc = createProc('r', 'r');
+  const proc = createSimProcess('r', 'r');
   net.add('r:1', proc);
   proc.alive = true;
   const feed = createControlFeed(
-    procWorld(
+    createProcessWorld(
       engine,
       proc,
       random,
@@ -108,7 +108,7 @@
 it('sends only the changes to a router with the previous list, and the complete list to others', async () => {
   const fleet = createFleet(2);
   const sent: Message[] = [];
-  fleet.net.tamper((message) => {
+  fleet.net.intercept((message) => {
     if (message.kind === 'WorkerList') sent.push(message);
     return undefined;
   });
@@ -122,7 +122,7 @@
   expect(
     changes.every((message) => message.kind === 'WorkerList' && message.base !== 0 && message.workers.length === 1),
   ).toBe(true);
-  fleet.net.tamper((message) => (message.kind === 'WorkerList' && message.base !== 0 ? [] : undefined));
+  fleet.net.intercept((message) => (message.kind === 'WorkerList' && message.base !== 0 ? [] : undefined));
   fleet.list.now = [worker('a')];
   await fleet.run(2500);
   expect(fleet.workers()).toEqual(['a']);
@@ -131,7 +131,7 @@
 it('fetches the list itself, not too often, while no control node sends it, and keeps its list if that fails', async () => {
   const fleet = createFleet(3);
   await fleet.run(2000);
-  for (const proc of fleet.controlNodes) die(proc);
+  for (const proc of fleet.controlNodes) killProcess(proc);
   fleet.fetches.router = 0;
   fleet.list.now = [worker('a', true)];
   await fleet.run(3000);
@@ -145,7 +145,7 @@
 
 it('reports the time of day of control nodes, and between which local times each was read', async () => {
   const fleet = createFleet(4);
-  fleet.net.tamper((m) => (m.kind === 'Beat' ? [{ m }, { m, after: 700_000 }] : undefined));
+  fleet.net.intercept((m) => (m.kind === 'Beat' ? [{ message: m }, { message: m, delayUs: 700_000 }] : undefined));
   await fleet.run(5000);
   expect(fleet.clockReadings.length).toBeGreaterThan(8);
   for (const { source, wall, requestedAt, receivedAt } of fleet.clockReadings) {
--- a/packages/control-feed/src/control-safety.test.ts
+++ b/packages/control-feed/src/control-safety.test.ts
@@ -6,7 +6,12 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { encodeMembership, servingLeaseUs, membershipKey, readJournal } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
-import { foundControlCluster, seedNames, type ClusterMachine, type ControlCluster } from '@tansypost/simulator';
+import {
+  bootstrapControlCluster,
+  bootstrapMemberNames,
+  type ClusterMachine,
+  type ControlCluster,
+} from '@tansypost/simulator';
 import type { ControlResponse } from './control-client.js';
 import { configurationKey } from './configuration.js';
 
@@ -22,7 +27,7 @@
 
 function write(cluster: ControlCluster, via: string, base: number, text: string, key = configurationKey) {
   const value = Buffer.from(text);
-  return responseOf(cluster, cluster.ask(via, { op: 'write', key, change: text, base, value }));
+  return responseOf(cluster, cluster.request(via, { op: 'write', key, change: text, base, value }));
 }
 
 function replicaOf(machine: ClusterMachine) {
@@ -41,24 +46,24 @@
 
 describe('serving leases', () => {
   it('serves a version as current only for a limited time after a majority confirmed it, and again after reconnecting', async () => {
-    const cluster = await foundControlCluster(21);
+    const cluster = await bootstrapControlCluster(21);
     expect((await write(cluster, 'c1', 0, 'one')).status).toBe('done');
     await cluster.run(100);
-    for (const name of seedNames) expect(await leasedAt(cluster, name)).toBe(true);
-    cluster.net.cut('alone', (from, to) => (from === 'c0') !== (to === 'c0'));
+    for (const name of bootstrapMemberNames) expect(await leasedAt(cluster, name)).toBe(true);
+    cluster.network.partition('alone', (from, to) => (from === 'c0') !== (to === 'c0'));
     expect((await write(cluster, 'c1', 1, 'two')).status).toBe('done');
     await cluster.run(servingLeaseUs / 1000);
     expect(follow(cluster, 'c0')).toMatchObject({ version: 1, voting: true, leased: false });
     expect(await leasedAt(cluster, 'c1')).toBe(true);
     await cluster.run(20_000);
     expect(follow(cluster, 'c0').leased).toBe(false);
-    cluster.net.heal('alone');
+    cluster.network.heal('alone');
     await cluster.run(1000);
     expect(follow(cluster, 'c0')).toMatchObject({ version: 2, leased: true });
   });
 
   it('holds no lease after a freeze until a majority has confirmed again', async () => {
-    const cluster = await foundControlCluster(22);
+    const cluster = await bootstrapControlCluster(22);
     expect((await write(cluster, 'c1', 0, 'one')).status).toBe('done');
     expect(await leasedAt(cluster, 'c0')).toBe(true);
     cluster.machine('c0').proc.frozen = true;
@@ -68,11 +73,11 @@
   });
 
   it('is not renewed if a majority has something newer than what the node serves', async () => {
-    const cluster = await foundControlCluster(23);
+    const cluster = await bootstrapControlCluster(23);
     expect((await write(cluster, 'c1', 0, 'one')).status).toBe('done');
-    for (const name of seedNames) expect(await leasedAt(cluster, name)).toBe(true);
+    for (const name of bootstrapMemberNames) expect(await leasedAt(cluster, name)).toBe(true);
     // This node votes and receives everything but the messages that carry newer values.
-    cluster.net.tamper((message, _from, to) =>
+    cluster.network.intercept((message, _from, to) =>
       to === 'c0' && ['Accept', 'Committed', 'CopyPage', 'News'].includes(message.kind) ? [] : undefined,
     );
     expect((await write(cluster, 'c1', 1, 'two')).status).toBe('done');
@@ -83,31 +88,31 @@
 
 describe('a partitioned leader', () => {
   it('answers neither reads nor writes, although it knows the last committed version', async () => {
-    const cluster = await foundControlCluster(37);
+    const cluster = await bootstrapControlCluster(37);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     const leader = cluster.leaders()[0]!;
-    const others = seedNames.filter((name) => name !== leader);
-    cluster.net.cut('alone', (from, to) => (from === leader) !== (to === leader));
+    const others = bootstrapMemberNames.filter((name) => name !== leader);
+    cluster.network.partition('alone', (from, to) => (from === leader) !== (to === leader));
     expect((await write(cluster, others[0]!, 1, 'two')).status).toBe('done');
     for (let round = 0; round < 20; round += 1) {
-      const startedAt = cluster.e.now();
-      const read = await responseOf(cluster, cluster.ask(leader, { op: 'read', key: configurationKey }));
+      const startedAt = cluster.engine.now();
+      const read = await responseOf(cluster, cluster.request(leader, { op: 'read', key: configurationKey }));
       const [repeated, stale, next] = await Promise.all([
         write(cluster, leader, 0, 'one'),
         write(cluster, leader, 0, 'stale'),
         write(cluster, leader, 1, 'next'),
       ]);
       for (const answer of [read, repeated, stale, next]) expect(answer.status).toBe('unknown');
-      expect(cluster.e.now() - startedAt).toBeLessThan(2_000_000);
+      expect(cluster.engine.now() - startedAt).toBeLessThan(2_000_000);
     }
   });
 });
 
 describe('idempotency of writes', () => {
   it('acknowledges a write that is repeated after hundreds of others, at any node and also after leadership changes', async () => {
-    const cluster = await foundControlCluster(24);
+    const cluster = await bootstrapControlCluster(24);
     for (let n = 0; n < 600; n += 1)
-      expect((await write(cluster, seedNames[n % 3]!, n, `write ${n}`)).status).toBe('done');
+      expect((await write(cluster, bootstrapMemberNames[n % 3]!, n, `write ${n}`)).status).toBe('done');
     for (const [stopped, contacted] of [
       ['c0', 'c1'],
       ['c1', 'c2'],
@@ -124,7 +129,7 @@
   });
 
   it('writes no more to disk for the six hundredth write than for the first ones', async () => {
-    const cluster = await foundControlCluster(25);
+    const cluster = await bootstrapControlCluster(25);
     const bytesWritten: number[] = [];
     for (let n = 0; n < 600; n += 1) {
       const sizeBefore = cluster.machine('c1').disk.bytes().length;
@@ -137,9 +142,11 @@
   });
 
   it('acknowledges only one of two conflicting writes with the same base, and every copy of that one', async () => {
-    const cluster = await foundControlCluster(26);
+    const cluster = await bootstrapControlCluster(26);
     for (let base = 0; base < 12; base += 1) {
-      const copies = seedNames.concat(seedNames).map((via) => write(cluster, via, base, `left ${base}`));
+      const copies = bootstrapMemberNames
+        .concat(bootstrapMemberNames)
+        .map((via) => write(cluster, via, base, `left ${base}`));
       const others = ['c0', 'c1'].map((via) => write(cluster, via, base, `right ${base}`));
       const [left, right] = [await Promise.all(copies), await Promise.all(others)];
       const leftWon = left.some((answer) => answer.status === 'done');
@@ -153,12 +160,12 @@
 
 describe('membership changes', () => {
   it('adds a machine to the record only once it has caught up, and lets it vote within 100 ms after that', async () => {
-    const cluster = await foundControlCluster(27);
+    const cluster = await bootstrapControlCluster(27);
     for (let n = 0; n < 40; n += 1) await write(cluster, 'c0', 0, `value ${n}`, `paths/${n}`);
     cluster.kill('c2');
     await cluster.run(2000);
     cluster.add('n');
-    cluster.machine('n').disk.slowUs = 30_000;
+    cluster.machine('n').disk.extraLatencyUs = 30_000;
     cluster.start('n', false, ['n', 'c0', 'c1']);
     for (let ms = 0; !cluster.replicas('c0').includes('n'); ms += 10) {
       expect(ms).toBeLessThan(4000);
@@ -172,36 +179,36 @@
   });
 
   it('does not replace a replica that any other replica is still in contact with', async () => {
-    const cluster = await foundControlCluster(28);
+    const cluster = await bootstrapControlCluster(28);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     cluster.add('n');
     cluster.start('n', false, ['n', 'c0', 'c1', 'c2']);
-    for (const isolated of seedNames) {
-      const unheard = seedNames[(seedNames.indexOf(isolated) + 1) % 3]!;
-      cluster.net.cut('one way', (from, to) => from === unheard && to === isolated);
+    for (const isolated of bootstrapMemberNames) {
+      const unheard = bootstrapMemberNames[(bootstrapMemberNames.indexOf(isolated) + 1) % 3]!;
+      cluster.network.partition('one way', (from, to) => from === unheard && to === isolated);
       await cluster.run(6000);
-      expect(cluster.replicas('n')).toEqual(seedNames);
-      cluster.net.heal('one way');
+      expect(cluster.replicas('n')).toEqual(bootstrapMemberNames);
+      cluster.network.heal('one way');
       await cluster.run(1500);
     }
   });
 
   it('keeps a replica that was frozen for less than the time after which it may be replaced', async () => {
-    const cluster = await foundControlCluster(29);
+    const cluster = await bootstrapControlCluster(29);
     cluster.add('n');
     cluster.start('n', false, ['n', 'c0', 'c1', 'c2']);
     await cluster.run(1000);
     cluster.machine('c1').proc.frozen = true;
     await cluster.run(1100);
-    cluster.wake('c1');
+    cluster.resume('c1');
     await cluster.run(3000);
-    expect(cluster.voting()).toEqual(seedNames);
+    expect(cluster.voting()).toEqual(bootstrapMemberNames);
   });
 });
 
 describe('a leaving replica', () => {
   it('stops only once a successor votes, if a standby machine is available', async () => {
-    const cluster = await foundControlCluster(30);
+    const cluster = await bootstrapControlCluster(30);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     cluster.add('n');
     cluster.start('n', false, ['n', 'c0', 'c1', 'c2']);
@@ -215,13 +222,13 @@
   });
 
   it('copies a value that only one other replica has to all remaining replicas before it stops', async () => {
-    const cluster = await foundControlCluster(31);
+    const cluster = await bootstrapControlCluster(31);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     const leader = cluster.leaders()[0]!;
-    const [outdated, leaver] = seedNames.filter((name) => name !== leader) as [string, string];
+    const [outdated, leaver] = bootstrapMemberNames.filter((name) => name !== leader) as [string, string];
     // The third replica is up but receives no new values; once the other one leaves, only those that it sends.
     let leaving = false;
-    cluster.net.tamper((message, from, to) => {
+    cluster.network.intercept((message, from, to) => {
       if (to !== outdated || !['Accept', 'CopyPage'].includes(message.kind)) return undefined;
       const repair = message.kind === 'Accept' && message.id.startsWith('repair/');
       return leaving && from === leaver && message.kind === 'Accept' && !repair ? undefined : [];
@@ -237,12 +244,14 @@
   });
 
   it('reports that the handover is incomplete if the remaining replicas are no majority', async () => {
-    const cluster = await foundControlCluster(32);
+    const cluster = await bootstrapControlCluster(32);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     cluster.kill('c0');
     const ended: { result?: string; at?: number } = {};
-    const startedAt = cluster.e.now();
-    cluster.machine('c1').host!.leave(3_000_000, (result) => Object.assign(ended, { result, at: cluster.e.now() }));
+    const startedAt = cluster.engine.now();
+    cluster
+      .machine('c1')
+      .host!.leave(3_000_000, (result) => Object.assign(ended, { result, at: cluster.engine.now() }));
     await cluster.run(5000);
     expect(ended.result).toBe('incomplete');
     expect(ended.at! - startedAt).toBeLessThanOrEqual(3_100_000);
@@ -251,7 +260,7 @@
 
 describe('catching up', () => {
   it('brings a replica that was stopped up to date within a second, whatever the number of keys', async () => {
-    const cluster = await foundControlCluster(33);
+    const cluster = await bootstrapControlCluster(33);
     cluster.kill('c2');
     for (let n = 0; n < 120; n += 1) await write(cluster, 'c0', 0, `value ${n}`, `paths/${n}`);
     cluster.start('c2');
@@ -261,10 +270,10 @@
   });
 
   it('brings a replica up to date that was partitioned while its process kept running', async () => {
-    const cluster = await foundControlCluster(34);
-    cluster.net.cut('alone', (from, to) => (from === 'c2') !== (to === 'c2'));
+    const cluster = await bootstrapControlCluster(34);
+    cluster.network.partition('alone', (from, to) => (from === 'c2') !== (to === 'c2'));
     for (let n = 0; n < 120; n += 1) await write(cluster, 'c0', 0, `value ${n}`, `paths/${n}`);
-    cluster.net.heal('alone');
+    cluster.network.heal('alone');
     await cluster.run(1500);
     for (let n = 0; n < 120; n += 1)
       expect(replicaOf(cluster.machine('c2')).row(`paths/${n}`).value.toString()).toBe(`value ${n}`);
@@ -273,7 +282,7 @@
 
 describe('a disk of another cluster or with an unreadable membership record', () => {
   async function restartWithRecord(seed: number, value: Buffer): Promise<ControlCluster> {
-    const cluster = await foundControlCluster(seed);
+    const cluster = await bootstrapControlCluster(seed);
     expect((await write(cluster, 'c0', 0, 'one')).status).toBe('done');
     const replica = replicaOf(cluster.machine('c2'));
     const row = replica.row(membershipKey);
@@ -297,13 +306,13 @@
   });
 
   it('neither votes nor spreads its membership record with the disk of another cluster', async () => {
-    const entries = seedNames.map((name, slot) => ({ slot, address: `${name}:1`, disk: `other${slot}` }));
-    const foreign = await foundControlCluster(36);
+    const entries = bootstrapMemberNames.map((name, slot) => ({ slot, address: `${name}:1`, disk: `other${slot}` }));
+    const foreign = await bootstrapControlCluster(36);
     const own = replicaOf(foreign.machine('c2')).diskId();
     const record = encodeMembership('other', [...entries.slice(0, 2), { slot: 2, address: 'c2:1', disk: own }]);
     const cluster = await restartWithRecord(36, record);
     expect(replicaOf(cluster.machine('c2')).state()).toBe('unusable');
-    expect(cluster.replicas('c0')).toEqual(seedNames);
+    expect(cluster.replicas('c0')).toEqual(bootstrapMemberNames);
     expect((await write(cluster, 'c0', 1, 'two')).status).toBe('done');
   });
 });
--- a/packages/simulator/src/control-runs/catch-up-run.ts
+++ b/packages/simulator/src/control-runs/catch-up-run.ts
@@ -5,10 +5,10 @@
 import { configurationKey } from '@tansypost/control-feed';
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach, ControlHistory } from './control-history.js';
-import { judgeControl } from './control-judge.js';
+import { checkControlInvariants } from './control-invariants.js';
 import { createControlRun, type ControlRun } from './control-run.js';
-import { memberNames } from './cut-run.js';
-import { catchUp } from './loss-run.js';
+import { memberNames } from './partition-run.js';
+import { catchUpTimeMs } from './loss-run.js';
 
 export const absences = ['killed', 'frozen', 'cut off', 'emptied', 'full disk', 'slow disk'] as const;
 export type Absence = (typeof absences)[number];
@@ -19,7 +19,7 @@
   /** How many changes are made in all. */
   readonly changes: number;
   /** How many changes are made while each member is away. */
-  readonly changesAway?: number;
+  readonly changesPerAbsence?: number;
   readonly service?: ConfigService;
 }
 
@@ -28,7 +28,7 @@
   readonly node: string;
   readonly changesBefore: number;
   /** Milliseconds from the return until the member votes and holds what was acknowledged; undefined if it did not. */
-  readonly tookMs: number | undefined;
+  readonly durationMs: number | undefined;
 }
 
 export interface CatchUpRunResult {
@@ -52,16 +52,16 @@
   await cluster.run(o.members > 3 ? 4000 : 1000);
   const router = run.startRouter('r');
   const catchUps: CatchUpTime[] = [];
-  const away = o.changesAway ?? Math.max(20, Math.round(o.changes / (2 * absences.length * 2)));
+  const away = o.changesPerAbsence ?? Math.max(20, Math.round(o.changes / (2 * absences.length * 2)));
   let made = 0;
   let unreachable: string | undefined;
 
   function reachable(): string[] {
-    return run.running().filter((n) => n !== unreachable);
+    return run.runningNodes().filter((n) => n !== unreachable);
   }
   async function change(): Promise<void> {
     const state = { over: false };
-    void run.change(reachable, orderWithin).then((taken) => {
+    void run.submitChange(reachable, orderWithin).then((taken) => {
       state.over = true;
       if (!taken) run.breaches.push({ check: 'majorityTakesOrders', what: `change ${made + 1} is not taken` });
     });
@@ -85,16 +85,19 @@
     for (let i = 0; i < away; i += 1) await change();
     comeBack(run, node, absence);
     unreachable = undefined;
-    catchUps.push({ absence, node, changesBefore: made, tookMs: await timeToCatchUp(run, node, withReads) });
+    catchUps.push({ absence, node, changesBefore: made, durationMs: await timeToCatchUp(run, node, withReads) });
   }
   await cluster.run(2500);
   judgeCatchUps(run, catchUps);
   const document = router.configuration();
-  const routerHas = document === undefined ? 0 : history.views.at(-1)!.revision;
-  if (routerHas < run.newestTaken())
-    run.breaches.push({ check: 'routersCurrent', what: `the router has ${routerHas}, not ${run.newestTaken()}` });
+  const routerHas = document === undefined ? 0 : history.appliedConfigurations.at(-1)!.revision;
+  if (routerHas < run.newestAcknowledgedRevision())
+    run.breaches.push({
+      check: 'routersCurrent',
+      what: `the router has ${routerHas}, not ${run.newestAcknowledgedRevision()}`,
+    });
   const journalBytes = cluster.machine(names[0]!).disk.bytes().length;
-  return { breaches: [...run.breaches, ...judgeControl(history)], history, catchUps, journalBytes };
+  return { breaches: [...run.breaches, ...checkControlInvariants(history)], history, catchUps, journalBytes };
 }
 
 function goAway(run: ControlRun, node: string, absence: Absence): void {
@@ -102,24 +105,24 @@
   if (absence === 'killed') run.kill(node);
   if (absence === 'emptied') run.wipe(node);
   if (absence === 'frozen') run.freeze(node);
-  if (absence === 'cut off') run.cluster.net.cut('away', (from, to) => (from === node) !== (to === node));
+  if (absence === 'cut off') run.cluster.network.partition('away', (from, to) => (from === node) !== (to === node));
   if (absence === 'full disk') disk.full = true;
-  if (absence === 'slow disk') disk.slowUs = slowSync;
+  if (absence === 'slow disk') disk.extraLatencyUs = slowSync;
 }
 
 function comeBack(run: ControlRun, node: string, absence: Absence): void {
   const { disk } = run.cluster.machine(node);
   if (absence === 'killed' || absence === 'emptied') run.cluster.start(node);
-  if (absence === 'frozen') run.wake(node);
-  run.cluster.net.heal('away');
+  if (absence === 'frozen') run.resume(node);
+  run.cluster.network.heal('away');
   disk.full = false;
-  disk.slowUs = 0;
+  disk.extraLatencyUs = 0;
 }
 
 /** No change is made meanwhile. With reads, they go through the member that is back, so that old state would be seen. */
 async function timeToCatchUp(run: ControlRun, node: string, withReads: boolean): Promise<number | undefined> {
   const from = run.now();
-  const wanted = run.newestTaken();
+  const wanted = run.newestAcknowledgedRevision();
   const state = { reading: withReads };
   async function read(): Promise<void> {
     while (state.reading) {
@@ -149,9 +152,9 @@
 
 function judgeCatchUps(run: ControlRun, catchUps: readonly CatchUpTime[]): void {
   for (const c of catchUps)
-    if (c.tookMs === undefined || c.tookMs > catchUp)
+    if (c.durationMs === undefined || c.durationMs > catchUpTimeMs)
       run.breaches.push({
         check: 'caughtUpInTime',
-        what: `${c.node}, ${c.absence}, after ${c.changesBefore} changes: ${c.tookMs ?? `more than ${longestCatchUp}`} ms`,
+        what: `${c.node}, ${c.absence}, after ${c.changesBefore} changes: ${c.durationMs ?? `more than ${longestCatchUp}`} ms`,
       });
 }
--- a/packages/simulator/src/control-runs/config-service.ts
+++ b/packages/simulator/src/control-runs/config-service.ts
@@ -12,7 +12,7 @@
 }
 
 /** What a read of the configuration was answered with. */
-export interface ReadAnswer {
+export interface ReadResult {
   readonly code: number;
   readonly text: string;
 }
@@ -20,15 +20,15 @@
 export interface ConfigService {
   /** Gives the status of the answer to an order on the revision `base`. */
   readonly put: (w: ServiceWorld, text: string, base: number) => Promise<number>;
-  readonly get: (w: ServiceWorld) => Promise<ReadAnswer>;
+  readonly get: (w: ServiceWorld) => Promise<ReadResult>;
   /** A proper configuration of that revision; configurations with different labels differ. */
-  readonly textOf: (revision: number, label: string) => string;
+  readonly renderConfiguration: (revision: number, label: string) => string;
 }
 
 const readPatience = 850_000;
 const codes: Record<SubmitAnswer, number> = { taken: 200, refused: 412, 'not now': 503 };
 
-async function read(w: ServiceWorld): Promise<ReadAnswer> {
+async function read(w: ServiceWorld): Promise<ReadResult> {
   const a = await w.ask({ op: 'read', key: configurationKey, deadline: w.now() + readPatience });
   return a.status === 'value' && a.version > 0 ? { code: 200, text: a.value.toString() } : { code: 503, text: '' };
 }
@@ -37,10 +37,10 @@
 export const simulatedConfigService: ConfigService = {
   put: async (w, text, base) => codes[await submit({ ...w, blind: true }, text, base)],
   get: read,
-  textOf: (revision, label) => JSON.stringify({ revision, label }),
+  renderConfiguration: (revision, label) => JSON.stringify({ revision, label }),
 };
 
 /** The revision that a configuration states. */
-export function revisionIn(text: string): number {
+export function parseRevision(text: string): number {
   return tableOf(text)?.revision ?? 0;
 }
--- a/packages/simulator/src/control-runs/control-cluster.ts
+++ b/packages/simulator/src/control-runs/control-cluster.ts
@@ -17,14 +17,14 @@
   type MessageObserver,
   type SimulatedMachine,
   type StartedControlNode,
-  type VirtualSite,
-} from '../core-machine.js';
+  type SimulationEnvironment,
+} from '../simulated-control-node.js';
 import { createEngine } from '../engine.js';
 import { createNetwork, type Network } from '../network.js';
-import { createProc, die, procWorld, wake, type Proc } from '../process.js';
+import { createSimProcess, killProcess, createProcessWorld, resumeProcess, type SimProcess } from '../process.js';
 
 /** A question without the time by which it must be answered. */
-export type Question = Omit<ControlRequest, 'deadline'>;
+export type RequestWithoutDeadline = Omit<ControlRequest, 'deadline'>;
 
 /** A machine of the cluster and the control node that was last started on it. */
 export interface ClusterMachine extends SimulatedMachine {
@@ -34,11 +34,11 @@
 /** A router that follows the cluster; started again under its name it begins anew and knows nothing. */
 export interface ClusterRouter {
   readonly name: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly feed: ControlFeed;
 }
 
-export interface ControlCluster extends VirtualSite {
+export interface ControlCluster extends SimulationEnvironment {
   readonly machines: ReadonlyMap<string, ClusterMachine>;
   readonly machine: (name: string) => ClusterMachine;
   readonly add: (name: string) => ClusterMachine;
@@ -48,9 +48,9 @@
   readonly kill: (name: string) => void;
   /** Takes the power and the disk away. */
   readonly wipe: (name: string) => void;
-  readonly wake: (name: string) => void;
+  readonly resume: (name: string) => void;
   readonly startRouter: (name: string, changed?: (feed: ControlFeed) => void) => ClusterRouter;
-  readonly ask: (via: string, q: Question, patience?: number) => Promise<ControlResponse>;
+  readonly request: (via: string, q: RequestWithoutDeadline, patience?: number) => Promise<ControlResponse>;
   /** Passes virtual time. */
   readonly run: (ms: number) => Promise<void>;
   /** Which machines run and vote. */
@@ -62,7 +62,7 @@
 }
 
 /** The names of the machines that found a cluster. */
-export const seedNames: readonly string[] = ['c0', 'c1', 'c2'];
+export const bootstrapMemberNames: readonly string[] = ['c0', 'c1', 'c2'];
 const questionPatience = 850_000;
 const workers: readonly ListedWorker[] = ['a', 'b'].map((id) => ({
   id,
@@ -95,14 +95,14 @@
 export interface ControlClusterOptions {
   readonly observer?: MessageObserver;
   /** The size of a journal in bytes above which it is rewritten, where it isn't the usual one. */
-  readonly rewriteOver?: number;
+  readonly compactAboveBytes?: number;
 }
 
 export function createControlCluster(seed: number, o: ControlClusterOptions = {}): ControlCluster {
   const random = createSeededRandom(seed);
   const e = createEngine();
   const net: Network = createNetwork(e, random);
-  const site: VirtualSite = { e, net, random };
+  const site: SimulationEnvironment = { engine: e, network: net, random };
   const machines = new Map<string, ClusterMachine>();
   const routers = new Map<string, ClusterRouter>();
 
@@ -114,30 +114,30 @@
     machines.set(name, m);
     return m;
   }
-  function start(name: string, bootstrap = false, told: readonly string[] = seedNames): void {
+  function start(name: string, bootstrap = false, told: readonly string[] = bootstrapMemberNames): void {
     const seeds = told.map(addressOf);
     const m = machine(name);
     m.node = startControlNode(site, m, {
-      founders: seeds,
+      bootstrapMembers: seeds,
       seeds: () => seeds,
-      bootstrap,
-      dutyTenure: 3_000_000,
+      mayBootstrap: bootstrap,
+      roleLeaseUs: 3_000_000,
       feed: () => feedSources,
       ...o,
     });
   }
   function kill(name: string): void {
-    die(machine(name).proc);
+    killProcess(machine(name).proc);
     machine(name).disk.crash();
   }
   function startRouter(name: string, changed?: (feed: ControlFeed) => void): ClusterRouter {
     const before = routers.get(name);
-    if (before !== undefined) die(before.proc);
-    const proc = createProc(name, name);
+    if (before !== undefined) killProcess(before.proc);
+    const proc = createSimProcess(name, name);
     const self = addressOf(name);
     proc.alive = true;
     net.add(self, proc);
-    const w = procWorld(
+    const w = createProcessWorld(
       e,
       proc,
       random,
@@ -148,7 +148,7 @@
       self,
       member: name,
       zone: 'z',
-      seeds: seedNames.map(addressOf),
+      seeds: bootstrapMemberNames.map(addressOf),
       fetchWorkerList: async () => undefined,
       onChange: (what) => {
         if (what === 'configuration') changed?.(feed);
@@ -159,8 +159,8 @@
     routers.set(name, router);
     return router;
   }
-  function ask(via: string, q: Question, patience = questionPatience): Promise<ControlResponse> {
-    const { asker, world } = machine(via).node!;
+  function ask(via: string, q: RequestWithoutDeadline, patience = questionPatience): Promise<ControlResponse> {
+    const { client: asker, world } = machine(via).node!;
     return new Promise((done) => asker.request({ ...q, deadline: world.now() + patience }, done));
   }
   function votes(m: ClusterMachine): boolean {
@@ -187,11 +187,11 @@
     kill,
     wipe: (name) => {
       kill(name);
-      machine(name).disk.lose();
+      machine(name).disk.wipe();
     },
-    wake: (name) => wake(e, machine(name).proc),
+    resume: (name) => resumeProcess(e, machine(name).proc),
     startRouter,
-    ask,
+    request: ask,
     run: (ms) => e.run(e.now() + ms * 1000),
     voting: () => namesWhere(votes),
     leaders: () => namesWhere(leads),
@@ -201,9 +201,9 @@
 }
 
 /** Adds machines with empty disks and lets them found a cluster. */
-export async function foundControlCluster(
+export async function bootstrapControlCluster(
   seed: number,
-  names: readonly string[] = seedNames,
+  names: readonly string[] = bootstrapMemberNames,
   o: ControlClusterOptions = {},
 ): Promise<ControlCluster> {
   const c = createControlCluster(seed, o);
--- a/packages/simulator/src/control-runs/control-command.ts
+++ b/packages/simulator/src/control-runs/control-command.ts
@@ -7,11 +7,11 @@
 import {
   drawnLossJobs,
   lossJobs,
-  reportBlanks,
+  reportEmptyDisks,
   reportChanges,
-  reportCuts,
+  reportPartitions,
   reportJournals,
-  reportLeavers,
+  reportGracefulLeaves,
   reportLosses,
   reportRaces,
   reportRepairs,
@@ -27,10 +27,10 @@
 /** Runs that are about a majority of two. */
 const threeOnly: ReadonlySet<Point> = new Set<Point>(['leavers', 'blanks']);
 const breachesShown = 20;
-const slowSyncs = [0, 125];
+const extraSyncTimesMs = [0, 125];
 const earlyRewrite = 100_000;
 
-export class Control extends Command {
+export class ControlCommand extends Command {
   static override paths = [['control']];
   static override usage = Command.Usage({
     description: 'Play cuts, races, losses and long histories of the control side. Ends with 1 on any breach.',
@@ -75,9 +75,9 @@
     const o = { members, seeds };
     switch (point) {
       case 'cuts':
-        return reportCuts(o);
+        return reportPartitions(o);
       case 'races':
-        return reportRaces({ ...o, others: Number(this.others) });
+        return reportRaces({ ...o, interveningUpdates: Number(this.others) });
       case 'losses': {
         const one = { members, seeds: { ...seeds, count: 1 } };
         return this.playLosses([...lossJobs({ ...one, step: Number(this.step), to: Number(this.to) })]);
@@ -87,9 +87,9 @@
       case 'repairs':
         return joinReports(await this.playRepairs(o));
       case 'leavers':
-        return reportLeavers(seeds, 250);
+        return reportGracefulLeaves(seeds, 250);
       case 'blanks':
-        return reportBlanks(seeds);
+        return reportEmptyDisks(seeds);
       case 'changes':
         return reportChanges({ ...o, changes: Number(this.changes) });
       case 'journal':
@@ -100,7 +100,7 @@
   /** A journal that is rewritten early shows in a run of this length that its size is bounded. */
   private async playJournals(members: number, seeds: SeedRange): Promise<ControlReport> {
     const o = { members, seeds: { ...seeds, count: 1 }, changes: Number(this.changes) };
-    const reports = [await reportJournals(o), await reportJournals({ ...o, rewriteOver: earlyRewrite })];
+    const reports = [await reportJournals(o), await reportJournals({ ...o, compactAboveBytes: earlyRewrite })];
     if (this.out !== undefined)
       await writePlots(
         this.out,
@@ -112,7 +112,7 @@
 
   private async playRepairs(o: { members: number; seeds: SeedRange }): Promise<ControlReport[]> {
     const reports: ControlReport[] = [];
-    for (const slowDisks of slowSyncs) reports.push(await reportRepairs({ ...o, slowDisks }));
+    for (const extraSyncMs of extraSyncTimesMs) reports.push(await reportRepairs({ ...o, extraSyncMs }));
     return reports;
   }
 
@@ -137,7 +137,7 @@
 
   private print(point: Point, report: ControlReport): void {
     const { stdout } = this.context;
-    for (const figure of report.figures) stdout.write(`${figure}\n`);
+    for (const figure of report.summaryLines) stdout.write(`${figure}\n`);
     for (const b of report.breaches.slice(0, breachesShown)) stdout.write(`  breach, ${b.check}: ${b.what}\n`);
     stdout.write(`${point}: ${report.runs} runs, ${report.breaches.length} breaches\n`);
   }
@@ -147,7 +147,7 @@
   return {
     runs: reports.reduce((n, r) => n + r.runs, 0),
     breaches: reports.flatMap((r) => r.breaches),
-    figures: reports.flatMap((r) => r.figures),
+    summaryLines: reports.flatMap((r) => r.summaryLines),
   };
 }
 
@@ -164,7 +164,7 @@
       y: 'bytes',
       value: (j: JournalSize) => j.bytesPerChange,
     },
-    { name: 'journal-read', title: 'Time to read the journal', y: 'ms', value: (j: JournalSize) => j.openMs },
+    { name: 'journal-read', title: 'Time to read the journal', y: 'ms', value: (j: JournalSize) => j.readMs },
   ];
   for (const p of plots) {
     const series = runs.map((run, i) => ({
--- a/packages/simulator/src/control-runs/control-history.ts
+++ b/packages/simulator/src/control-runs/control-history.ts
@@ -4,7 +4,7 @@
  */
 import { configurationKey } from '@tansypost/control-feed';
 import type { Address, Message } from '@tansypost/inner-protocol';
-import type { MessageObserver } from '../core-machine.js';
+import type { MessageObserver } from '../simulated-control-node.js';
 
 /** A number that no configuration has yet: the revision that the first one builds on. */
 export const noRevision = 0;
@@ -17,18 +17,18 @@
   /** Of an order: its text, the revision in it and the revision that it builds on. */
   readonly text?: string;
   readonly revision?: number;
-  readonly base?: number;
+  readonly expectedRevision?: number;
   /** When the answer came, and its status; undefined when none came. */
   answeredAt?: number;
   code?: number;
   /** Of a read: what was given. */
-  found?: { readonly revision: number; readonly text: string };
+  readResult?: { readonly revision: number; readonly text: string };
   /** Whether the machine ran, neither killed nor frozen, for as long as an answer may take. */
-  nodeRan: boolean;
+  nodeWasAvailable: boolean;
 }
 
 /** A configuration that a router put into force. */
-export interface RouterView {
+export interface AppliedConfiguration {
   readonly router: string;
   readonly startedAt: number;
   readonly at: number;
@@ -53,7 +53,7 @@
 
 export interface ControlHistory {
   readonly calls: ConfigCall[];
-  readonly views: RouterView[];
+  readonly appliedConfigurations: AppliedConfiguration[];
   readonly rounds: Map<string, ObservedRound>;
   readonly answers: ForwardedAnswer[];
 }
@@ -65,7 +65,7 @@
 }
 
 export function createControlHistory(): ControlHistory {
-  return { calls: [], views: [], rounds: new Map(), answers: [] };
+  return { calls: [], appliedConfigurations: [], rounds: new Map(), answers: [] };
 }
 
 export function machineOf(address: Address): string {
@@ -73,7 +73,7 @@
 }
 
 /** Records the rounds on the configuration; `members` tells how many replicas a machine believes there are. */
-export function observeRounds(
+export function createRoundObserver(
   h: ControlHistory,
   now: () => number,
   members: (machine: string) => number,
--- a/packages/simulator/src/control-runs/control-judge.test.ts
+++ b/packages/simulator/src/control-runs/control-invariants.test.ts
@@ -1,8 +1,8 @@
 /** Each judge on a sound history, in which it finds nothing, and on histories broken in one way each. */
 import { describe, expect, it } from 'vitest';
 import { createControlHistory, type ConfigCall, type ControlHistory } from './control-history.js';
-import { judgeGrowth, type JournalSize } from './journal-run.js';
-import { controlJudges, judgeControl } from './control-judge.js';
+import { checkGrowth, type JournalSize } from './journal-run.js';
+import { controlInvariants, checkControlInvariants } from './control-invariants.js';
 
 const second = 1_000_000;
 const answerTime = 20_000;
@@ -14,10 +14,10 @@
     sentAt: at * second,
     text: `${base + 1}${label}`,
     revision: base + 1,
-    base,
-    nodeRan: true,
+    expectedRevision: base,
+    nodeWasAvailable: true,
   };
-  if (code === undefined) return { ...call, nodeRan: false };
+  if (code === undefined) return { ...call, nodeWasAvailable: false };
   return { ...call, code, answeredAt: at * second + answerTime };
 }
 
@@ -28,8 +28,8 @@
     sentAt: at * second,
     answeredAt: at * second + answerTime,
     code: 200,
-    found: { revision, text: `${revision}${label}` },
-    nodeRan: true,
+    readResult: { revision, text: `${revision}${label}` },
+    nodeWasAvailable: true,
   };
 }
 
@@ -45,7 +45,7 @@
 }
 
 function found(h: ControlHistory): string[] {
-  return [...new Set(judgeControl(h).map((b) => b.check))].sort();
+  return [...new Set(checkControlInvariants(h).map((b) => b.check))].sort();
 }
 
 const sound = [
@@ -61,13 +61,13 @@
 
 it('finds nothing in a sound history', () => {
   const h = historyOf(...sound);
-  h.views.push({ router: 'r', startedAt: second, at: 2 * second, revision: 1 });
-  h.views.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
-  h.views.push({ router: 'r', startedAt: 6 * second, at: 7 * second, revision: 2 });
-  expect(judgeControl(h)).toEqual([]);
+  h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 2 * second, revision: 1 });
+  h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
+  h.appliedConfigurations.push({ router: 'r', startedAt: 6 * second, at: 7 * second, revision: 2 });
+  expect(checkControlInvariants(h)).toEqual([]);
 });
 
-const broken: Record<keyof typeof controlJudges, () => ControlHistory> = {
+const broken: Record<keyof typeof controlInvariants, () => ControlHistory> = {
   oneOrderPerBase: () => historyOf(...sound, put(8, 1, 'd', 200)),
   takenStaysTaken: () => historyOf(...sound, put(8, 1, 'b', 412)),
   refusedNeverInForce: () => historyOf(...sound, put(8, 2, 'e', 412), get(9, 3, 'e')),
@@ -81,21 +81,21 @@
   answeredInTime: () => historyOf(...sound, { ...put(8, 2, 'e', 503), answeredAt: 9.1 * second }),
   routersNeverGoBack: () => {
     const h = historyOf(...sound);
-    h.views.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
-    h.views.push({ router: 'r', startedAt: second, at: 6 * second, revision: 1 });
+    h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
+    h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 6 * second, revision: 1 });
     return h;
   },
   startedRoutersAreCurrent: () => {
     const h = historyOf(...sound);
-    h.views.push({ router: 'r', startedAt: 9 * second, at: 9.5 * second, revision: 1 });
+    h.appliedConfigurations.push({ router: 'r', startedAt: 9 * second, at: 9.5 * second, revision: 1 });
     return h;
   },
 };
 
 describe('each judge finds what it is for', () => {
-  it.each(Object.keys(broken) as (keyof typeof controlJudges)[])('%s', (check) => {
+  it.each(Object.keys(broken) as (keyof typeof controlInvariants)[])('%s', (check) => {
     const h = broken[check]();
-    expect(controlJudges[check](h).length).toBeGreaterThan(0);
+    expect(controlInvariants[check](h).length).toBeGreaterThan(0);
     expect(found(h)).toContain(check);
   });
 });
@@ -123,7 +123,7 @@
     h.answers.push({ from: 'c0', to: 'c1', at: order.sentAt + 4000 });
     expect(found(h)).toContain('answersStandOnRounds');
     h.answers.push({ from: 'c0', to: 'c1', at: order.sentAt + 6000 });
-    expect(judgeControl(h)).toEqual([]);
+    expect(checkControlInvariants(h)).toEqual([]);
   });
 });
 
@@ -133,15 +133,15 @@
 
 it('lets a started router take what was replaced just before, and after a while whatever it can get', () => {
   const h = historyOf(...sound);
-  h.views.push({ router: 'r', startedAt: 5.5 * second, at: 5.6 * second, revision: 1 });
-  h.views.push({ router: 's', startedAt: 9 * second, at: 12.1 * second, revision: 1 });
-  expect(judgeControl(h)).toEqual([]);
+  h.appliedConfigurations.push({ router: 'r', startedAt: 5.5 * second, at: 5.6 * second, revision: 1 });
+  h.appliedConfigurations.push({ router: 's', startedAt: 9 * second, at: 12.1 * second, revision: 1 });
+  expect(checkControlInvariants(h)).toEqual([]);
 });
 
 it('finds a journal in which a change costs more the more came before', () => {
   function size(changes: number, bytesPerChange: number): JournalSize {
-    return { changes, bytes: changes * bytesPerChange, bytesPerChange, openMs: 1 };
+    return { changes, bytes: changes * bytesPerChange, bytesPerChange, readMs: 1 };
   }
-  expect(judgeGrowth([size(10, 100), size(100, 101), size(1000, 104)])).toEqual([]);
-  expect(judgeGrowth([size(10, 100), size(100, 140), size(1000, 151)]).length).toBe(1);
+  expect(checkGrowth([size(10, 100), size(100, 101), size(1000, 104)])).toEqual([]);
+  expect(checkGrowth([size(10, 100), size(100, 140), size(1000, 151)]).length).toBe(1);
 });
--- a/packages/simulator/src/control-runs/control-report.ts
+++ b/packages/simulator/src/control-runs/control-report.ts
@@ -2,14 +2,14 @@
  * The runs of the control side put together by point: what is played, and what is printed of it. The command plays them
  * at length, the tests in short form with fixed seeds.
  */
-import { playBlankRun } from './blank-run.js';
+import { playEmptyDiskRun } from './empty-disk-run.js';
 import { playCatchUpRun, type CatchUpRunOptions } from './catch-up-run.js';
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach } from './control-history.js';
-import { cutKinds, cutTargets, playCutRun } from './cut-run.js';
+import { partitionKinds, partitionTargets, playPartitionRun } from './partition-run.js';
 import { playJournalRun, type JournalRunOptions, type JournalSize } from './journal-run.js';
 import {
-  catchUp,
+  catchUpTimeMs,
   firstLosses,
   playLossRun,
   secondLosses,
@@ -17,7 +17,7 @@
   type LossRunOptions,
   type SecondLoss,
 } from './loss-run.js';
-import { playLeaverRun } from './leaver-run.js';
+import { playGracefulLeaveRun } from './graceful-leave-run.js';
 import { playRaceRun } from './race-run.js';
 
 /** What a set of runs showed. */
@@ -25,7 +25,7 @@
   readonly runs: number;
   readonly breaches: readonly ControlBreach[];
   /** Lines for the reader. */
-  readonly figures: readonly string[];
+  readonly summaryLines: readonly string[];
 }
 
 /** Which seeds a set of runs takes. */
@@ -42,7 +42,7 @@
 }
 
 /** The bounds on catching up that repairs are printed against, in milliseconds. */
-export const catchUpBounds: readonly number[] = [catchUp, 6000];
+export const catchUpBoundsMs: readonly number[] = [catchUpTimeMs, 6000];
 
 function* seedsOf(r: SeedRange): Generator<number> {
   for (let i = 0; i < r.count; i += 1) yield r.from + i;
@@ -54,20 +54,20 @@
 }
 
 /** Point 1: every kind of cut of every target. */
-export async function reportCuts(o: ReportOptions): Promise<ControlReport> {
+export async function reportPartitions(o: ReportOptions): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   const figures: string[] = [];
   let runs = 0;
-  for (const kind of cutKinds)
-    for (const target of cutTargets) {
+  for (const kind of partitionKinds)
+    for (const target of partitionTargets) {
       const taken: number[] = [];
       const beside: number[] = [];
       let broken = 0;
       for (const seed of seedsOf(o.seeds)) {
-        const r = await playCutRun({ ...o, seed, kind, target });
+        const r = await playPartitionRun({ ...o, seed, kind, target });
         runs += 1;
-        taken.push(r.takenByMajority);
-        beside.push(r.takenBesideTarget);
+        taken.push(r.acknowledgedByMajority);
+        beside.push(r.acknowledgedByTarget);
         if (r.breaches.length > 0) broken += 1;
         breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}, ${kind}, ${target}: ${b.what}` })));
       }
@@ -77,11 +77,11 @@
           `by the one ${Math.min(...beside)} to ${Math.max(...beside)}`,
       );
     }
-  return { runs, breaches, figures };
+  return { runs, breaches, summaryLines: figures };
 }
 
 /** Point 2: races and repeated orders. */
-export async function reportRaces(o: ReportOptions & { readonly others: number }): Promise<ControlReport> {
+export async function reportRaces(o: ReportOptions & { readonly interveningUpdates: number }): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   const answers: Record<string, number> = {};
   let runs = 0;
@@ -90,14 +90,16 @@
     const r = await playRaceRun({ ...o, seed });
     runs += 1;
     calls += r.history.calls.length;
-    for (const [code, n] of Object.entries(r.lateAnswers)) answers[code] = (answers[code] ?? 0) + n;
+    for (const [code, n] of Object.entries(r.repeatedAnswers)) answers[code] = (answers[code] ?? 0) + n;
     breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}: ${b.what}` })));
   }
   const late = Object.entries(answers).map(([code, n]) => `${n} times ${code}`);
   return {
     runs,
     breaches,
-    figures: [`${o.members} members: ${runs} runs, ${calls} calls; after ${o.others} other orders: ${late.join(', ')}`],
+    summaryLines: [
+      `${o.members} members: ${runs} runs, ${calls} calls; after ${o.interveningUpdates} other orders: ${late.join(', ')}`,
+    ],
   };
 }
 
@@ -109,7 +111,7 @@
     for (const second of secondLosses)
       for (const seed of seedsOf(o.seeds))
         for (let offset = 0, i = 0; offset <= o.to; offset += o.step, i += 1)
-          yield { members: o.members, first, second, offset, seed: seed * 1000 + i };
+          yield { members: o.members, first, second, offsetMs: offset, seed: seed * 1000 + i };
 }
 
 /** Pairs of losses drawn by seed. */
@@ -117,22 +119,26 @@
   for (const seed of seedsOf(o.seeds)) {
     const first: FirstLoss = firstLosses[Math.floor(random() * firstLosses.length)]!;
     const second: SecondLoss = secondLosses[Math.floor(random() * secondLosses.length)]!;
-    yield { members: o.members, first, second, offset: Math.floor(random() * 6000), seed };
+    yield { members: o.members, first, second, offsetMs: Math.floor(random() * 6000), seed };
   }
 }
 
 /** What one pair of losses gave, as far as the report needs it. */
 export interface LossOutcome {
   readonly job: LossRunOptions;
-  readonly withinBudget: boolean;
+  readonly withinFaultBudget: boolean;
   readonly breaches: readonly ControlBreach[];
 }
 
 /** Plays one pair. */
 export async function playLossJob(job: LossRunOptions): Promise<LossOutcome> {
-  const { withinBudget, breaches } = await playLossRun(job);
-  const { members, first, second, offset, seed, slowDisks } = job;
-  return { job: { members, first, second, offset, seed, slowDisks } as LossRunOptions, withinBudget, breaches };
+  const { withinFaultBudget: withinBudget, breaches } = await playLossRun(job);
+  const { members, first, second, offsetMs: offset, seed, extraSyncMs: slowDisks } = job;
+  return {
+    job: { members, first, second, offsetMs: offset, seed, extraSyncMs: slowDisks } as LossRunOptions,
+    withinFaultBudget: withinBudget,
+    breaches,
+  };
 }
 
 /** Point 3: the pairs of losses, counted by their kinds. */
@@ -143,15 +149,15 @@
     groups.set(key, [...(groups.get(key) ?? []), x]);
   }
   const figures = [...groups].map(([key, xs]) => {
-    const broken = xs.filter((x) => x.breaches.length > 0).map((x) => x.job.offset);
+    const broken = xs.filter((x) => x.breaches.length > 0).map((x) => x.job.offsetMs);
     const where = broken.length === 0 ? '' : ` at ${Math.min(...broken)} to ${Math.max(...broken)} ms`;
-    return `${key}: ${xs.length} runs, ${xs.filter((x) => x.withinBudget).length} within the budget, ${broken.length} with a breach${where}`;
+    return `${key}: ${xs.length} runs, ${xs.filter((x) => x.withinFaultBudget).length} within the budget, ${broken.length} with a breach${where}`;
   });
-  return { runs: outcomes.length, breaches: outcomes.flatMap((x) => x.breaches), figures };
+  return { runs: outcomes.length, breaches: outcomes.flatMap((x) => x.breaches), summaryLines: figures };
 }
 
 /** Point 3: how long each first loss leaves less redundancy than before. */
-export async function reportRepairs(o: ReportOptions & { readonly slowDisks: number }): Promise<ControlReport> {
+export async function reportRepairs(o: ReportOptions & { readonly extraSyncMs: number }): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   const figures: string[] = [];
   let runs = 0;
@@ -160,47 +166,47 @@
     const ahead: number[] = [];
     let never = 0;
     for (const seed of seedsOf(o.seeds)) {
-      const r = await playLossRun({ ...o, seed, first, offset: 0 });
+      const r = await playLossRun({ ...o, seed, first, offsetMs: 0 });
       runs += 1;
       breaches.push(...r.breaches);
-      if (r.repair.redundantAfter === undefined) never += 1;
-      else whole.push(r.repair.redundantAfter);
-      ahead.push(r.repair.recordAheadFor);
+      if (r.repair.redundancyRestoredAfterMs === undefined) never += 1;
+      else whole.push(r.repair.redundancyRestoredAfterMs);
+      ahead.push(r.repair.membershipAheadMs);
     }
     const worst = Math.max(...whole);
-    const bounds = catchUpBounds.map((b) => `${worst <= b && never === 0 ? 'within' : 'NOT within'} ${b / 1000} s`);
+    const bounds = catchUpBoundsMs.map((b) => `${worst <= b && never === 0 ? 'within' : 'NOT within'} ${b / 1000} s`);
     figures.push(
-      `${o.members} members, syncs ${o.slowDisks} ms longer, ${first}: whole again after ${percentile(whole, 0.5)} ms in the middle, ` +
+      `${o.members} members, syncs ${o.extraSyncMs} ms longer, ${first}: whole again after ${percentile(whole, 0.5)} ms in the middle, ` +
         `${worst} at most (${bounds.join(', ')}; ${never} of ${o.seeds.count} never); ` +
         `record ahead of the votes ${percentile(ahead, 0.5)} ms in the middle, ${Math.max(...ahead)} at most`,
     );
   }
-  return { runs, breaches, figures };
+  return { runs, breaches, summaryLines: figures };
 }
 
 /** Point 3: leavers that hold one of two fresh copies, at several times after the third member's return. */
-export async function reportLeavers(seeds: SeedRange, step: number): Promise<ControlReport> {
+export async function reportGracefulLeaves(seeds: SeedRange, step: number): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   let runs = 0;
   for (const successor of ['ready', 'after'] as const)
     for (const seed of seedsOf(seeds))
-      for (let leaveAfter = 0; leaveAfter <= catchUp; leaveAfter += step) {
-        breaches.push(...(await playLeaverRun({ seed, leaveAfter, successor })));
+      for (let leaveAfter = 0; leaveAfter <= catchUpTimeMs; leaveAfter += step) {
+        breaches.push(...(await playGracefulLeaveRun({ seed, leaveDelayMs: leaveAfter, successor })));
         runs += 1;
       }
-  return { runs, breaches, figures: [] };
+  return { runs, breaches, summaryLines: [] };
 }
 
 /** Point 3: an empty disk beside a member that is behind, while the only complete copy is frozen. */
-export async function reportBlanks(seeds: SeedRange): Promise<ControlReport> {
+export async function reportEmptyDisks(seeds: SeedRange): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   let runs = 0;
   for (const returned of ['same address', 'successor'] as const)
     for (const seed of seedsOf(seeds)) {
-      breaches.push(...(await playBlankRun({ seed, returned })));
+      breaches.push(...(await playEmptyDiskRun({ seed, replacement: returned })));
       runs += 1;
     }
-  return { runs, breaches, figures: [] };
+  return { runs, breaches, summaryLines: [] };
 }
 
 /** Point 4: many changes with members away. */
@@ -214,7 +220,7 @@
     journals.push(r.journalBytes);
     for (const c of r.catchUps) {
       const times = byAbsence.get(c.absence) ?? [];
-      byAbsence.set(c.absence, [...times, c.tookMs ?? Infinity]);
+      byAbsence.set(c.absence, [...times, c.durationMs ?? Infinity]);
     }
   }
   const figures = [...byAbsence].map(
@@ -224,12 +230,12 @@
   figures.push(
     `${o.members} members, ${o.changes} changes with members away: the journal of one that stayed takes ${Math.max(...journals)} B at most`,
   );
-  return { runs: o.seeds.count, breaches, figures };
+  return { runs: o.seeds.count, breaches, summaryLines: figures };
 }
 
 /** Point 4: the journal with every member there; the sizes are of the first seed. */
 export async function reportJournals(
-  o: ReportOptions & Pick<JournalRunOptions, 'changes' | 'rewriteOver'>,
+  o: ReportOptions & Pick<JournalRunOptions, 'changes' | 'compactAboveBytes'>,
 ): Promise<ControlReport & { readonly sizes: readonly JournalSize[] }> {
   const breaches: ControlBreach[] = [];
   let sizes: readonly JournalSize[] = [];
@@ -240,7 +246,7 @@
   }
   const figures = sizes.map(
     (j) =>
-      `${o.members} members, ${j.changes} changes: journal ${j.bytes} B, ${j.bytesPerChange} B a change, read in ${j.openMs} ms`,
+      `${o.members} members, ${j.changes} changes: journal ${j.bytes} B, ${j.bytesPerChange} B a change, read in ${j.readMs} ms`,
   );
-  return { runs: o.seeds.count, breaches, figures, sizes };
+  return { runs: o.seeds.count, breaches, summaryLines: figures, sizes };
 }
--- a/packages/simulator/src/control-runs/control-run.ts
+++ b/packages/simulator/src/control-runs/control-run.ts
@@ -3,24 +3,24 @@
  * history. Runs bring the losses about through it, so that it knows which machines could answer.
  */
 import type { ControlFeed } from '@tansypost/control-feed';
-import { into, die } from '../process.js';
-import { revisionIn, simulatedConfigService, type ConfigService } from './config-service.js';
-import { foundControlCluster, type ControlCluster } from './control-cluster.js';
+import { deliver, killProcess } from '../process.js';
+import { parseRevision, simulatedConfigService, type ConfigService } from './config-service.js';
+import { bootstrapControlCluster, type ControlCluster } from './control-cluster.js';
 import {
   createControlHistory,
   noRevision,
-  observeRounds,
+  createRoundObserver,
   type ConfigCall,
   type ControlBreach,
   type ControlHistory,
 } from './control-history.js';
-import { answerWithin } from './control-judge.js';
+import { answerTimeoutUs } from './control-invariants.js';
 
 /** An order as an operator sends it, any number of times. */
-export interface ConfigOrder {
+export interface ConfigUpdate {
   readonly text: string;
   readonly revision: number;
-  readonly base: number;
+  readonly expectedRevision: number;
 }
 
 export interface ControlRun {
@@ -28,32 +28,32 @@
   readonly history: ControlHistory;
   /** What a run itself finds broken, beside what the judges read from the history. */
   readonly breaches: ControlBreach[];
-  readonly order: (base: number, revision?: number) => ConfigOrder;
+  readonly createUpdate: (base: number, revision?: number) => ConfigUpdate;
   /** Sends an order once; undefined when no answer came within the second. */
-  readonly put: (node: string, order: ConfigOrder) => Promise<number | undefined>;
+  readonly put: (node: string, order: ConfigUpdate) => Promise<number | undefined>;
   /** Reads once; undefined unless it was answered 200. */
   readonly get: (node: string) => Promise<number | undefined>;
   /** Reads a base and sends an order on it until its answer is clear; gives whether it was taken. */
-  readonly change: (nodes: () => readonly string[], patience: number) => Promise<boolean>;
+  readonly submitChange: (nodes: () => readonly string[], patience: number) => Promise<boolean>;
   /** Passes virtual time until some work is done; undefined when it is not within the limit. */
-  readonly finish: <T>(work: Promise<T>, limit: number) => Promise<T | undefined>;
+  readonly waitFor: <T>(work: Promise<T>, limit: number) => Promise<T | undefined>;
   readonly sleep: (ms: number) => Promise<void>;
   readonly startRouter: (name: string) => ControlFeed;
   readonly freeze: (name: string) => void;
-  readonly wake: (name: string) => void;
+  readonly resume: (name: string) => void;
   readonly kill: (name: string) => void;
   readonly wipe: (name: string) => void;
   /** SIGTERM: the control node hands over, then ends. */
   readonly leave: (name: string) => void;
   /** The machines on which a control node runs and is not frozen. */
-  readonly running: () => string[];
+  readonly runningNodes: () => string[];
   /** The newest revision that was acknowledged. */
-  readonly newestTaken: () => number;
+  readonly newestAcknowledgedRevision: () => number;
   readonly now: () => number;
 }
 
 /** How long a control node may take to hand over after SIGTERM. */
-export const handOverLimit = 6500;
+export const gracefulLeaveTimeoutMs = 6500;
 const pauseBetweenTries = 100;
 const finishStep = 10;
 
@@ -64,21 +64,21 @@
 ): Promise<ControlRun> {
   const history = createControlHistory();
   const later: { cluster?: ControlCluster } = {};
-  const observer = observeRounds(
+  const observer = createRoundObserver(
     history,
-    () => later.cluster?.e.now() ?? 0,
+    () => later.cluster?.engine.now() ?? 0,
     (m) => later.cluster?.replicas(m).length ?? names.length,
   );
-  const cluster = await foundControlCluster(seed, names, { observer });
+  const cluster = await bootstrapControlCluster(seed, names, { observer });
   later.cluster = cluster;
-  const { e, random } = cluster;
+  const { engine: e, random } = cluster;
   const open = new Set<ConfigCall>();
   let orders = 0;
   let newest = noRevision;
 
   /** Calls under way to a machine that stops running may stay without an answer. */
   function excuse(node: string): void {
-    for (const c of open) if (c.node === node) c.nodeRan = false;
+    for (const c of open) if (c.node === node) c.nodeWasAvailable = false;
   }
 
   function sleep(ms: number): Promise<void> {
@@ -89,15 +89,15 @@
   function call<T>(c: ConfigCall, f: () => Promise<T>, answered: (x: T) => void): Promise<void> {
     const { proc } = cluster.machine(c.node);
     history.calls.push(c);
-    c.nodeRan = proc.alive && !proc.frozen;
+    c.nodeWasAvailable = proc.alive && !proc.frozen;
     return new Promise((done) => {
       open.add(c);
       function end(): void {
         if (open.delete(c)) done();
       }
-      e.at(e.now() + answerWithin + 1, end);
+      e.at(e.now() + answerTimeoutUs + 1, end);
       const { incarnation } = proc;
-      into(proc, incarnation, () => {
+      deliver(proc, incarnation, () => {
         void f().then((x) => {
           if (!open.has(c) || proc.incarnation !== incarnation) return;
           c.answeredAt = e.now();
@@ -109,15 +109,15 @@
   }
 
   function serviceWorld(node: string): Parameters<ConfigService['get']>[0] {
-    const { asker, world } = cluster.machine(node).node!;
+    const { client: asker, world } = cluster.machine(node).node!;
     return { ask: (q) => new Promise((done) => asker.request(q, done)), now: world.now };
   }
 
-  async function put(node: string, order: ConfigOrder): Promise<number | undefined> {
-    const c: ConfigCall = { kind: 'put', node, sentAt: e.now(), ...order, nodeRan: true };
+  async function put(node: string, order: ConfigUpdate): Promise<number | undefined> {
+    const c: ConfigCall = { kind: 'put', node, sentAt: e.now(), ...order, nodeWasAvailable: true };
     await call(
       c,
-      () => service.put(serviceWorld(node), order.text, order.base),
+      () => service.put(serviceWorld(node), order.text, order.expectedRevision),
       (code) => {
         c.code = code;
         if (code === 200) newest = Math.max(newest, order.revision);
@@ -127,21 +127,21 @@
   }
 
   async function get(node: string): Promise<number | undefined> {
-    const c: ConfigCall = { kind: 'get', node, sentAt: e.now(), nodeRan: true };
+    const c: ConfigCall = { kind: 'get', node, sentAt: e.now(), nodeWasAvailable: true };
     await call(
       c,
       () => service.get(serviceWorld(node)),
       (a) => {
         c.code = a.code;
-        if (a.code === 200) c.found = { revision: revisionIn(a.text), text: a.text };
+        if (a.code === 200) c.readResult = { revision: parseRevision(a.text), text: a.text };
       },
     );
-    return c.found?.revision;
+    return c.readResult?.revision;
   }
 
-  function order(base: number, revision = base + 1): ConfigOrder {
+  function order(base: number, revision = base + 1): ConfigUpdate {
     orders += 1;
-    return { base, revision, text: service.textOf(revision, `o${orders}`) };
+    return { expectedRevision: base, revision, text: service.renderConfiguration(revision, `o${orders}`) };
   }
 
   function anyOf(nodes: readonly string[]): string | undefined {
@@ -150,7 +150,7 @@
 
   async function change(nodes: () => readonly string[], patience: number): Promise<boolean> {
     const until = e.now() + patience * 1000;
-    let wanted: ConfigOrder | undefined;
+    let wanted: ConfigUpdate | undefined;
     while (e.now() < until) {
       const node = anyOf(nodes());
       if (wanted === undefined) {
@@ -177,8 +177,8 @@
   function startRouter(router: string): ControlFeed {
     const startedAt = e.now();
     return cluster.startRouter(router, (feed) => {
-      const revision = revisionIn(feed.configuration()!.value.toString());
-      history.views.push({ router, startedAt, at: e.now(), revision });
+      const revision = parseRevision(feed.configuration()!.value.toString());
+      history.appliedConfigurations.push({ router, startedAt, at: e.now(), revision });
     }).feed;
   }
 
@@ -191,11 +191,11 @@
     cluster,
     history,
     breaches: [],
-    order,
+    createUpdate: order,
     put,
     get,
-    change,
-    finish,
+    submitChange: change,
+    waitFor: finish,
     sleep,
     startRouter,
     kill,
@@ -203,7 +203,7 @@
       excuse(node);
       cluster.machine(node).proc.frozen = true;
     },
-    wake: cluster.wake,
+    resume: cluster.resume,
     wipe: (node) => {
       excuse(node);
       cluster.wipe(node);
@@ -211,14 +211,14 @@
     leave: (node) => {
       const { proc, host } = cluster.machine(node);
       const { incarnation } = proc;
-      host?.leave(handOverLimit * 1000, () => {
+      host?.leave(gracefulLeaveTimeoutMs * 1000, () => {
         if (proc.incarnation !== incarnation) return;
         excuse(node);
-        die(proc);
+        killProcess(proc);
       });
     },
-    running: () => [...cluster.machines.values()].filter((m) => m.proc.alive && !m.proc.frozen).map((m) => m.name),
-    newestTaken: () => newest,
+    runningNodes: () => [...cluster.machines.values()].filter((m) => m.proc.alive && !m.proc.frozen).map((m) => m.name),
+    newestAcknowledgedRevision: () => newest,
     now: e.now,
   };
 }
--- a/packages/simulator/src/control-runs/control-runs.test.ts
+++ b/packages/simulator/src/control-runs/control-runs.test.ts
@@ -5,11 +5,11 @@
   drawnLossJobs,
   lossJobs,
   playLossJob,
-  reportBlanks,
+  reportEmptyDisks,
   reportChanges,
-  reportCuts,
+  reportPartitions,
   reportJournals,
-  reportLeavers,
+  reportGracefulLeaves,
   reportLosses,
   reportRaces,
   reportRepairs,
@@ -25,13 +25,13 @@
 
 describe.each([3, 5])('with %i members', (members) => {
   it('serves nothing old and answers in time while one is cut off or frozen for twenty seconds', async () => {
-    const report = await reportCuts({ members, seeds: { from: 1, count: 3 } });
+    const report = await reportPartitions({ members, seeds: { from: 1, count: 3 } });
     expect(report.breaches).toEqual([]);
     expect(report.runs).toBe(24);
   });
 
   it('takes one order of a race, and knows it again after five hundred others', async () => {
-    const report = await reportRaces({ members, seeds: { from: 1, count: 2 }, others: 500 });
+    const report = await reportRaces({ members, seeds: { from: 1, count: 2 }, interveningUpdates: 500 });
     expect(report.breaches).toEqual([]);
   });
 
@@ -43,14 +43,14 @@
     );
     const report = reportLosses([...outcomes, ...drawn]);
     expect(report.breaches).toEqual([]);
-    expect(outcomes.filter((x) => x.withinBudget).length).toBeGreaterThan(30);
+    expect(outcomes.filter((x) => x.withinFaultBudget).length).toBeGreaterThan(30);
   });
 
   it('is whole again within the time allowed after a loss', async () => {
-    for (const slowDisks of [0, 125]) {
-      const report = await reportRepairs({ members, seeds: { from: 1, count: 2 }, slowDisks });
+    for (const extraSyncMs of [0, 125]) {
+      const report = await reportRepairs({ members, seeds: { from: 1, count: 2 }, extraSyncMs });
       expect(report.breaches).toEqual([]);
-      expect(report.figures.filter((f) => f.includes('NOT within'))).toEqual([]);
+      expect(report.summaryLines.filter((f) => f.includes('NOT within'))).toEqual([]);
     }
   });
 
@@ -61,7 +61,12 @@
 
   it('adds as much to the journal for each change however many came before, and rewrites it', async () => {
     const limit = 20_000;
-    const report = await reportJournals({ members, seeds: { from: 1, count: 1 }, changes: 500, rewriteOver: limit });
+    const report = await reportJournals({
+      members,
+      seeds: { from: 1, count: 1 },
+      changes: 500,
+      compactAboveBytes: limit,
+    });
     expect(report.breaches).toEqual([]);
     const [largest, last] = [Math.max(...report.sizes.map((s) => s.bytes)), report.sizes.at(-1)!];
     expect(last.changes).toBe(500);
@@ -70,11 +75,11 @@
 });
 
 it('keeps what a leaver and one other hold though the other is lost once the time allowed has passed', async () => {
-  const report = await reportLeavers({ from: 1, count: 2 }, 1000);
+  const report = await reportGracefulLeaves({ from: 1, count: 2 }, 1000);
   expect(report.breaches).toEqual([]);
 });
 
 it('serves nothing from an empty disk and a copy that is behind', async () => {
-  const report = await reportBlanks({ from: 1, count: 6 });
+  const report = await reportEmptyDisks({ from: 1, count: 6 });
   expect(report.breaches).toEqual([]);
 });
--- a/packages/simulator/src/control-runs/blank-run.ts
+++ b/packages/simulator/src/control-runs/empty-disk-run.ts
@@ -5,14 +5,14 @@
  */
 import { configurationKey } from '@tansypost/control-feed';
 import type { ControlBreach } from './control-history.js';
-import { judgeControl } from './control-judge.js';
+import { checkControlInvariants } from './control-invariants.js';
 import { createControlRun } from './control-run.js';
-import { memberNames } from './cut-run.js';
+import { memberNames } from './partition-run.js';
 
-export interface BlankRunOptions {
+export interface EmptyDiskRunOptions {
   readonly seed: number;
   /** Whether the empty disk is back at the address of the lost one, or on a new machine. */
-  readonly returned: 'same address' | 'successor';
+  readonly replacement: 'same address' | 'successor';
 }
 
 const changesBehind = 3;
@@ -24,15 +24,15 @@
 const pauseBetweenReads = 40;
 
 /** Plays one such loss, with reads through every machine all the time. */
-export async function playBlankRun(o: BlankRunOptions): Promise<readonly ControlBreach[]> {
+export async function playEmptyDiskRun(o: EmptyDiskRunOptions): Promise<readonly ControlBreach[]> {
   const names = memberNames(3);
   const run = await createControlRun(o.seed, names);
   const { cluster } = run;
   await cluster.run(1000);
   async function mustChange(nodes: readonly string[], within: number, when: string): Promise<void> {
     if (
-      (await run.finish(
-        run.change(() => nodes, within),
+      (await run.waitFor(
+        run.submitChange(() => nodes, within),
         within + orderWithin,
       )) !== true
     )
@@ -43,17 +43,17 @@
   const leader = cluster.leaders()[0] ?? names[0]!;
   const [behind, third] = names.filter((n) => n !== leader) as [string, string];
   const [lost, complete] = cluster.random() < 0.5 ? [leader, third] : [third, leader];
-  const back = o.returned === 'successor' ? 'n0' : lost;
-  cluster.net.tamper((m, from, to) => {
+  const back = o.replacement === 'successor' ? 'n0' : lost;
+  cluster.network.intercept((m, from, to) => {
     const tellsValue = (m.kind === 'Accept' && m.key === configurationKey) || m.kind === 'CopyPage';
     if (tellsValue && to === behind) return [];
     // What the complete copy tells comes late, so there is a moment in which the empty disk has at most an old copy.
-    return tellsValue && to === back && from === complete ? [{ m, after: copyTime }] : undefined;
+    return tellsValue && to === back && from === complete ? [{ message: m, delayUs: copyTime }] : undefined;
   });
   for (let i = 0; i < changesBehind; i += 1) await mustChange([lost, complete], orderWithin, 'by two of three');
 
   run.wipe(lost);
-  if (o.returned === 'successor') cluster.add(back);
+  if (o.replacement === 'successor') cluster.add(back);
   cluster.start(back, false, [...new Set([back, ...names])]);
   const state = { reading: true };
   async function read(node: string): Promise<void> {
@@ -69,10 +69,10 @@
     for (let waited = 0; waited < longestRepair && !cluster.voting().includes(back); waited += 1) await cluster.run(1);
   run.freeze(complete);
   await cluster.run(frozenFor);
-  run.wake(complete);
-  cluster.net.tamper(undefined);
+  run.resume(complete);
+  cluster.network.intercept(undefined);
   await mustChange([complete, behind], recoverWithin, 'after the complete copy came back');
   state.reading = false;
-  await run.finish(Promise.all(readers), orderWithin);
-  return [...run.breaches, ...judgeControl(run.history)];
+  await run.waitFor(Promise.all(readers), orderWithin);
+  return [...run.breaches, ...checkControlInvariants(run.history)];
 }
--- a/packages/simulator/src/control-runs/journal-run.ts
+++ b/packages/simulator/src/control-runs/journal-run.ts
@@ -5,16 +5,16 @@
 import { performance } from 'node:perf_hooks';
 import { configurationKey, type ControlResponse } from '@tansypost/control-feed';
 import { readJournal } from '@tansypost/control-state';
-import { foundControlCluster, type ControlCluster } from './control-cluster.js';
+import { bootstrapControlCluster, type ControlCluster } from './control-cluster.js';
 import type { ControlBreach } from './control-history.js';
-import { memberNames } from './cut-run.js';
+import { memberNames } from './partition-run.js';
 
 export interface JournalRunOptions {
   readonly seed: number;
   readonly members: number;
   readonly changes: number;
   /** The size in bytes above which the journal is rewritten, where it isn't the usual one. */
-  readonly rewriteOver?: number;
+  readonly compactAboveBytes?: number;
 }
 
 /** The journal of one member after a number of changes. */
@@ -24,7 +24,7 @@
   /** Bytes that each of the last changes added to the journal. */
   readonly bytesPerChange: number;
   /** Milliseconds of real time to read the journal; a figure of the machine, judged by nobody. */
-  readonly openMs: number;
+  readonly readMs: number;
 }
 
 /** By what factor the bytes of a change may grow from the early changes to any later ones. */
@@ -44,7 +44,7 @@
   const state: { answer?: ControlResponse } = {};
   const value = Buffer.alloc(valueBytes, version % 251);
   void c
-    .ask(via, { op: 'write', key: configurationKey, change: `change-${version}`, base: version, value })
+    .request(via, { op: 'write', key: configurationKey, change: `change-${version}`, base: version, value })
     .then((answer) => (state.answer = answer));
   for (let waited = 0; waited < answerWithin && state.answer === undefined; waited += 1) await c.run(1);
   return state.answer?.status === 'done';
@@ -55,10 +55,10 @@
   o: JournalRunOptions,
 ): Promise<{ readonly breaches: readonly ControlBreach[]; readonly sizes: readonly JournalSize[] }> {
   const names = memberNames(o.members);
-  const cluster = await foundControlCluster(
+  const cluster = await bootstrapControlCluster(
     o.seed,
     names,
-    o.rewriteOver === undefined ? {} : { rewriteOver: o.rewriteOver },
+    o.compactAboveBytes === undefined ? {} : { compactAboveBytes: o.compactAboveBytes },
   );
   await cluster.run(o.members > 3 ? 4000 : 1000);
   const measured = names[0]!;
@@ -84,14 +84,19 @@
     const from = performance.now();
     readJournal(bytes);
     const openMs = Math.round((performance.now() - from) * 100) / 100;
-    sizes.push({ changes: made, bytes: size, bytesPerChange: Math.round(since.written / since.changes), openMs });
+    sizes.push({
+      changes: made,
+      bytes: size,
+      bytesPerChange: Math.round(since.written / since.changes),
+      readMs: openMs,
+    });
     Object.assign(since, { changes: 0, written: 0 });
   }
-  return { breaches: [...breaches, ...judgeGrowth(sizes)], sizes };
+  return { breaches: [...breaches, ...checkGrowth(sizes)], sizes };
 }
 
 /** A change costs the journal about the same however many came before. */
-export function judgeGrowth(sizes: readonly JournalSize[]): ControlBreach[] {
+export function checkGrowth(sizes: readonly JournalSize[]): ControlBreach[] {
   const first = sizes[0];
   return sizes
     .filter((s) => first !== undefined && s.bytesPerChange > growthAllowed * first.bytesPerChange)
--- a/packages/simulator/src/control-runs/loss-run.ts
+++ b/packages/simulator/src/control-runs/loss-run.ts
@@ -4,9 +4,9 @@
  */
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach, ControlHistory } from './control-history.js';
-import { judgeControl } from './control-judge.js';
+import { checkControlInvariants } from './control-invariants.js';
 import { createControlRun, type ControlRun } from './control-run.js';
-import { memberNames } from './cut-run.js';
+import { memberNames } from './partition-run.js';
 
 export const firstLosses = ['planned', 'planned at once', 'replaced', 'disk lost', 'restarted'] as const;
 /**
@@ -26,30 +26,30 @@
   /** None where only the repair of the first loss is measured. */
   readonly second?: SecondLoss;
   /** How long after the first loss the second one comes, in milliseconds. */
-  readonly offset: number;
+  readonly offsetMs: number;
   /** How much longer than usual each sync of a disk takes, in milliseconds. */
-  readonly slowDisks?: number;
+  readonly extraSyncMs?: number;
   readonly service?: ConfigService;
 }
 
 /** Times in milliseconds; undefined where what is waited for did not come. */
 export interface RepairTimes {
   /** From the first loss until as many machines as before vote under one record. */
-  readonly redundantAfter: number | undefined;
+  readonly redundancyRestoredAfterMs: number | undefined;
   /** For how long the record named a member that did not vote, after the first loss. */
-  readonly recordAheadFor: number;
+  readonly membershipAheadMs: number;
 }
 
 export interface LossRunResult {
   readonly breaches: readonly ControlBreach[];
   readonly history: ControlHistory;
   /** Whether the fault budget allows the second loss at that time. */
-  readonly withinBudget: boolean;
+  readonly withinFaultBudget: boolean;
   readonly repair: RepairTimes;
 }
 
 /** A machine counts as lost until this long after its return or start, in milliseconds. */
-export const catchUp = 4000;
+export const catchUpTimeMs = 4000;
 /** How many members may be lost at once. */
 function lossesAllowed(members: number): number {
   return members >= 5 ? 2 : 1;
@@ -81,13 +81,14 @@
     if (!whole) seen.redundantAt = undefined;
     else seen.redundantAt ??= run.now();
     if ((record?.epoch ?? 0) > before && !named.every((n) => voting.has(n))) seen.ahead += step;
-    run.cluster.e.at(run.now() + step * 1000, look);
+    run.cluster.engine.at(run.now() + step * 1000, look);
   }
   look();
   return {
     times: () => ({
-      redundantAfter: seen.redundantAt === undefined ? undefined : Math.round((seen.redundantAt - from) / 1000),
-      recordAheadFor: seen.ahead,
+      redundancyRestoredAfterMs:
+        seen.redundantAt === undefined ? undefined : Math.round((seen.redundantAt - from) / 1000),
+      membershipAheadMs: seen.ahead,
     }),
     stop: () => {
       seen.over = true;
@@ -96,7 +97,7 @@
 }
 
 function newestRecord(run: ControlRun): { epoch: number; members: string[] } | undefined {
-  const records = run.running().flatMap((n) => {
+  const records = run.runningNodes().flatMap((n) => {
     const record = run.cluster.machine(n).host?.core()?.replica.membership();
     return record === undefined ? [] : [{ epoch: record.membershipEpoch, members: run.cluster.replicas(n) }];
   });
@@ -106,7 +107,7 @@
 /** Starts a machine that asks the others for a slot. */
 export function startSuccessor(run: ControlRun, name: string): void {
   run.cluster.add(name);
-  run.cluster.start(name, false, [name, ...run.running().filter((n) => n !== name)]);
+  run.cluster.start(name, false, [name, ...run.runningNodes().filter((n) => n !== name)]);
 }
 
 /** Brings the first loss about; gives when the machine stops counting as lost, in microseconds. */
@@ -114,7 +115,7 @@
   const { cluster } = run;
   if (first === 'planned' || first === 'planned at once') {
     startSuccessor(run, 'n0');
-    const counted = run.now() + catchUp * 1000;
+    const counted = run.now() + catchUpTimeMs * 1000;
     if (first === 'planned') await cluster.run(plannedAhead);
     ended();
     run.leave(name);
@@ -124,11 +125,11 @@
   if (first === 'disk lost') run.wipe(name);
   else run.kill(name);
   const back = run.now() + startAgainAfter * 1000;
-  cluster.e.at(back, () => {
+  cluster.engine.at(back, () => {
     if (first === 'replaced') startSuccessor(run, 'n0');
     else cluster.start(name);
   });
-  return back + catchUp * 1000;
+  return back + catchUpTimeMs * 1000;
 }
 
 function loseSecond(run: ControlRun, second: SecondLoss, name: string): void {
@@ -148,26 +149,26 @@
   const run = await createControlRun(o.seed, names, o.service);
   const { cluster, history } = run;
   await cluster.run(o.members > 3 ? 4000 : 1000);
-  for (const m of cluster.machines.values()) m.disk.slowUs = (o.slowDisks ?? 0) * 1000;
+  for (const m of cluster.machines.values()) m.disk.extraLatencyUs = (o.extraSyncMs ?? 0) * 1000;
   const state = { operating: true };
   // While a majority may be missing an order that is not taken breaks nothing.
   async function operate(): Promise<void> {
     while (state.operating) {
-      await run.change(run.running, serveAgainWithin);
+      await run.submitChange(run.runningNodes, serveAgainWithin);
       await run.sleep(pauseBetweenOrders);
     }
   }
   const operator = operate();
   await cluster.run(1500);
 
-  const [firstName, secondName] = pickTwo(names, cluster.random());
+  const [firstName, secondName] = pickDistinctPair(names, cluster.random());
   const watched: { redundancy?: Redundancy } = {};
   const countedUntil = await loseFirst(run, o.first, firstName, () => {
     watched.redundancy = watchRedundancy(run, o.members);
   });
-  await cluster.run(o.offset);
+  await cluster.run(o.offsetMs);
   const withinBudget = lossesAllowed(o.members) > 1 || run.now() >= countedUntil;
-  const acknowledged = run.newestTaken();
+  const acknowledged = run.newestAcknowledgedRevision();
   if (o.second === undefined) await cluster.run(longestRepair);
   else loseSecond(run, o.second, secondName);
   if (withinBudget) await judgeServed(run, acknowledged, o);
@@ -177,8 +178,8 @@
   await cluster.run(serveAgainWithin + 1500);
   await operator;
   // Two lost disks at once may take acknowledged changes with them; that is outside of what the budget allows.
-  const judged = withinBudget || !losesTwoDisks(o) ? judgeControl(history) : [];
-  return { breaches: [...run.breaches, ...judged], history, withinBudget, repair };
+  const judged = withinBudget || !losesTwoDisks(o) ? checkControlInvariants(history) : [];
+  return { breaches: [...run.breaches, ...judged], history, withinFaultBudget: withinBudget, repair };
 }
 
 function losesTwoDisks(o: LossRunOptions): boolean {
@@ -186,7 +187,7 @@
 }
 
 /** Draws two different ones. */
-export function pickTwo(names: readonly string[], share: number): [string, string] {
+export function pickDistinctPair(names: readonly string[], share: number): [string, string] {
   const pairs = names.flatMap((a) => names.filter((b) => b !== a).map((b): [string, string] => [a, b]));
   return pairs[Math.floor(share * pairs.length)]!;
 }
@@ -198,7 +199,7 @@
   let newestRead = 0;
   async function read(): Promise<void> {
     while (run.now() < until && newestRead < acknowledged) {
-      const node = run.running()[0];
+      const node = run.runningNodes()[0];
       newestRead = (node === undefined ? undefined : await run.get(node)) ?? 0;
       await run.sleep(50);
     }
@@ -207,7 +208,7 @@
   await run.cluster.run(serveAgainWithin);
   // The operator goes on all the time; a second one would only race with it.
   const taken = run.history.calls.some((c) => c.kind === 'put' && c.code === 200 && c.sentAt >= from);
-  const second = o.second === undefined ? 'no second' : `second ${o.second} after ${o.offset} ms`;
+  const second = o.second === undefined ? 'no second' : `second ${o.second} after ${o.offsetMs} ms`;
   const where = `${o.members} members, first ${o.first}, ${second}, seed ${o.seed}`;
   if (newestRead < acknowledged)
     run.breaches.push({
--- a/packages/simulator/src/control-runs/cut-run.ts
+++ b/packages/simulator/src/control-runs/partition-run.ts
@@ -5,31 +5,31 @@
 import { configurationKey } from '@tansypost/control-feed';
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach, ControlHistory } from './control-history.js';
-import { judgeControl } from './control-judge.js';
+import { checkControlInvariants } from './control-invariants.js';
 import { createControlRun, type ControlRun } from './control-run.js';
 
-export const cutKinds = ['both', 'outgoing', 'incoming', 'freeze'] as const;
+export const partitionKinds = ['both', 'outgoing', 'incoming', 'freeze'] as const;
 /** What is cut: all that the node sends, all that it should receive, both, or the node stands still. */
-export type CutKind = (typeof cutKinds)[number];
-export const cutTargets = ['leader', 'follower'] as const;
-export type CutTarget = (typeof cutTargets)[number];
+export type PartitionKind = (typeof partitionKinds)[number];
+export const partitionTargets = ['leader', 'follower'] as const;
+export type PartitionTarget = (typeof partitionTargets)[number];
 
-export interface CutRunOptions {
+export interface PartitionRunOptions {
   readonly seed: number;
   readonly members: number;
-  readonly kind: CutKind;
-  readonly target: CutTarget;
+  readonly kind: PartitionKind;
+  readonly target: PartitionTarget;
   /** How long the fault lasts, in milliseconds. */
-  readonly length?: number;
+  readonly durationMs?: number;
   readonly service?: ConfigService;
 }
 
 /** What a run gave: its breaches, and how many orders of which side were taken while the fault lasted. */
-export interface CutRunResult {
+export interface PartitionRunResult {
   readonly breaches: readonly ControlBreach[];
   readonly history: ControlHistory;
-  readonly takenByMajority: number;
-  readonly takenBesideTarget: number;
+  readonly acknowledgedByMajority: number;
+  readonly acknowledgedByTarget: number;
 }
 
 const usualLength = 20_000;
@@ -48,17 +48,17 @@
   return Array.from({ length: members }, (_, i) => `c${i}`);
 }
 
-function cutOff(run: ControlRun, target: string, kind: CutKind, beside: ReadonlySet<string>): void {
+function cutOff(run: ControlRun, target: string, kind: PartitionKind, beside: ReadonlySet<string>): void {
   if (kind === 'freeze') return run.freeze(target);
-  run.cluster.net.cut('cut-off', (from, to) => {
+  run.cluster.network.partition('cut-off', (from, to) => {
     if (beside.has(from) === beside.has(to)) return false;
     return kind === 'both' || beside.has(kind === 'outgoing' ? from : to);
   });
 }
 
-function heal(run: ControlRun, target: string, kind: CutKind): void {
-  if (kind === 'freeze') run.wake(target);
-  else run.cluster.net.heal('cut-off');
+function heal(run: ControlRun, target: string, kind: PartitionKind): void {
+  if (kind === 'freeze') run.resume(target);
+  else run.cluster.network.heal('cut-off');
 }
 
 /** Who is cut off, and who talks to whom. */
@@ -82,7 +82,7 @@
   const nodes = side === 'majority' ? scene.others : [scene.target];
   while (state.operating) {
     const from = run.now();
-    const taken = await run.change(() => nodes, orderWithin);
+    const taken = await run.submitChange(() => nodes, orderWithin);
     if (taken && !state.faultOver) state[side === 'majority' ? 'takenByMajority' : 'takenBesideTarget'] += 1;
     if (side === 'majority' && !taken) {
       const what = `no order taken by ${nodes.join()} from ${(from / 1e6).toFixed(1)} s for ${orderWithin} ms`;
@@ -100,14 +100,14 @@
 }
 
 /** Founds the cluster, has a first order taken, and picks the machine that is to be cut off. */
-async function prepare(o: CutRunOptions): Promise<CutScene> {
+async function prepare(o: PartitionRunOptions): Promise<CutScene> {
   const names = memberNames(o.members);
   const run = await createControlRun(o.seed, names, o.service);
   await run.cluster.run(o.members > 3 ? 4000 : 1000);
   for (const r of ['r-majority', 'r-target']) run.startRouter(r);
   if (
-    (await run.finish(
-      run.change(() => names, orderWithin),
+    (await run.waitFor(
+      run.submitChange(() => names, orderWithin),
       orderWithin,
     )) !== true
   )
@@ -118,7 +118,7 @@
 }
 
 /** Plays one fault. */
-export async function playCutRun(o: CutRunOptions): Promise<CutRunResult> {
+export async function playPartitionRun(o: PartitionRunOptions): Promise<PartitionRunResult> {
   const scene = await prepare(o);
   const { run, target } = scene;
   const { cluster, history } = run;
@@ -128,7 +128,7 @@
   cutOff(run, target, o.kind, new Set([target, 'r-target', 'r-target-new']));
   void restartRouters(run, 'r-target-new', state);
   void restartRouters(run, 'r-majority-new', state);
-  await cluster.run(o.length ?? usualLength);
+  await cluster.run(o.durationMs ?? usualLength);
   state.faultOver = true;
   heal(run, target, o.kind);
   await cluster.run(healWithin);
@@ -137,7 +137,12 @@
   await Promise.all(operators);
   await judgeHealed(run, target);
   const { takenByMajority, takenBesideTarget } = state;
-  return { breaches: [...run.breaches, ...judgeControl(history)], history, takenByMajority, takenBesideTarget };
+  return {
+    breaches: [...run.breaches, ...checkControlInvariants(history)],
+    history,
+    acknowledgedByMajority: takenByMajority,
+    acknowledgedByTarget: takenBesideTarget,
+  };
 }
 
 /** The machine that was away serves reads again, and every router has what is in force. */
@@ -153,8 +158,11 @@
   if (held < newest)
     run.breaches.push({ check: 'caughtUp', what: `${target} holds version ${held} of ${newest} after the fault` });
   for (const r of ['r-majority', 'r-target', 'r-majority-new', 'r-target-new']) {
-    const revision = run.history.views.filter((v) => v.router === r).at(-1)?.revision ?? 0;
-    if (revision < run.newestTaken())
-      run.breaches.push({ check: 'routersCurrent', what: `${r} has ${revision}, not ${run.newestTaken()}` });
+    const revision = run.history.appliedConfigurations.filter((v) => v.router === r).at(-1)?.revision ?? 0;
+    if (revision < run.newestAcknowledgedRevision())
+      run.breaches.push({
+        check: 'routersCurrent',
+        what: `${r} has ${revision}, not ${run.newestAcknowledgedRevision()}`,
+      });
   }
 }
--- a/packages/simulator/src/decisions/decision-day.ts
+++ b/packages/simulator/src/decisions/decision-day.ts
@@ -15,7 +15,7 @@
   readonly day: DecisionDay;
   readonly seed: number;
   /** Seconds of traffic. */
-  readonly span: number;
+  readonly durationSeconds: number;
 }
 
 function trouble(at: number, what: PassedTrouble['do'], lasting: number, who: number): PassedTrouble {
@@ -42,7 +42,7 @@
 }
 
 /** Plays the day and scores it; the same run gives the same score. */
-export async function playDecisionDay({ site, day, seed, span }: DecisionRun): Promise<DecisionScore> {
+export async function playDecisionDay({ site, day, seed, durationSeconds: span }: DecisionRun): Promise<DecisionScore> {
   const { history } = await playPassedDay({
     d: site.deployment,
     seed,
@@ -50,7 +50,7 @@
     troubles: troublesOf(day, span),
     closing: 'none',
     replicas: site.replicas,
-    shared: site.shared,
+    shared: site.colocatedRouters,
     rate: loads[day],
   });
   return scoreDay(history, site);
--- a/packages/simulator/src/decisions/decision-score.ts
+++ b/packages/simulator/src/decisions/decision-score.ts
@@ -13,11 +13,11 @@
   readonly windows: number;
   readonly worstKind: number;
   readonly nines: number;
-  readonly unserved: number;
-  readonly asked: number;
+  readonly unservedShare: number;
+  readonly requests: number;
   readonly late: number;
-  readonly reread: number;
-  readonly moved: number;
+  readonly recomputeCost: number;
+  readonly transferCost: number;
 }
 
 /** One request of a client with all its tries. */
@@ -135,9 +135,9 @@
   const windows = worstWindowsOf(tasks);
   const worstKind = worstKindOf(tasks);
   const nines = ninesOf(unserved);
-  const reread = ((history.costs.reread / 1000) * site.rates.reread) / owed;
-  const moved = ((history.costs.moved / 1000) * site.rates.move) / owed;
-  const { goal } = site;
+  const reread = ((history.costs.reread / 1000) * site.rates.recompute) / owed;
+  const moved = ((history.costs.moved / 1000) * site.rates.transfer) / owed;
+  const { weights: goal } = site;
   // Zones are served alike but for chance here, so the whole day stands for the worst of them.
   const parts =
     goal.mean * mean + goal.windows * windows + goal.kinds * worstKind + goal.zones * mean + goal.nines * nines;
@@ -148,10 +148,10 @@
     windows,
     worstKind,
     nines,
-    unserved,
-    asked: tasks.length,
+    unservedShare: unserved,
+    requests: tasks.length,
     late,
-    reread,
-    moved,
+    recomputeCost: reread,
+    transferCost: moved,
   };
 }
--- a/packages/simulator/src/decisions/decision-sites.ts
+++ b/packages/simulator/src/decisions/decision-sites.ts
@@ -7,7 +7,7 @@
 import { mainService, type PassedDeployment, type PassedKind } from '../pass-through/passed-deployment.js';
 
 /** How the parts of a day's worth are weighed; they add up to 1. */
-export interface Goal {
+export interface ScoreWeights {
   readonly mean: number;
   readonly windows: number;
   readonly kinds: number;
@@ -18,9 +18,9 @@
 /** What is charged, in worth. */
 export interface CostRates {
   /** For each thousand tokens of shared parts that are read again. */
-  readonly reread: number;
+  readonly recompute: number;
   /** For each thousand tokens of memory moved. */
-  readonly move: number;
+  readonly transfer: number;
 }
 
 /** A deployment with its goal. */
@@ -29,13 +29,13 @@
   readonly deployment: PassedDeployment;
   /** Machines that hold control state, and whether they run routers as well. */
   readonly replicas: number;
-  readonly shared: boolean;
-  readonly goal: Goal;
+  readonly colocatedRouters: boolean;
+  readonly weights: ScoreWeights;
   readonly rates: CostRates;
 }
 
 const millisecond = 1000;
-const usualRates: CostRates = { reread: 0.2, move: 0.0074 };
+const usualRates: CostRates = { recompute: 0.2, transfer: 0.0074 };
 
 /** Engines of two sizes: a mixture of experts with small memory for each token, and a dense model with large. */
 const sparseEngine: EngineShape = {
@@ -161,9 +161,9 @@
   };
 }
 
-const ninesGoal: Goal = { mean: 0.4, windows: 0.15, kinds: 0.1, zones: 0, nines: 0.35 };
-const kindsGoal: Goal = { mean: 0.4, windows: 0.1, kinds: 0.3, zones: 0.2, nines: 0 };
-const windowsGoal: Goal = { mean: 0.6, windows: 0.25, kinds: 0.15, zones: 0, nines: 0 };
+const ninesGoal: ScoreWeights = { mean: 0.4, windows: 0.15, kinds: 0.1, zones: 0, nines: 0.35 };
+const kindsGoal: ScoreWeights = { mean: 0.4, windows: 0.1, kinds: 0.3, zones: 0.2, nines: 0 };
+const windowsGoal: ScoreWeights = { mean: 0.6, windows: 0.25, kinds: 0.15, zones: 0, nines: 0 };
 
 function terms(over: Partial<KindTerms> & Pick<KindTerms, 'rate' | 'aimMs' | 'worth' | 'rank'>): KindTerms {
   return { deadlineMs: 8000, pauseMs: 300, sends: 2, resumable: false, ...over };
@@ -173,8 +173,8 @@
 const dense: DecisionSite = {
   name: 'dense',
   replicas: 6,
-  shared: true,
-  goal: ninesGoal,
+  colocatedRouters: true,
+  weights: ninesGoal,
   rates: usualRates,
   deployment: {
     name: 'dense',
@@ -224,7 +224,7 @@
 
 function sparse(
   name: string,
-  goal: Goal,
+  goal: ScoreWeights,
   shape: { zones: number; routers: number; workers: number; rate: number; replicas: number },
 ): DecisionSite {
   const { rate } = shape;
@@ -232,9 +232,9 @@
   return {
     name,
     replicas: shape.replicas,
-    shared: false,
-    goal,
-    rates: { reread: 0.22, move: 0.00756 },
+    colocatedRouters: false,
+    weights: goal,
+    rates: { recompute: 0.22, transfer: 0.00756 },
     deployment: {
       name,
       zones: ['a', 'b', 'c', 'd'].slice(0, shape.zones),
@@ -285,7 +285,7 @@
  * A site that nobody has seen: other sizes, speeds, shares, mixes and aims, with machines for control alone or without.
  * The same seed gives the same site.
  */
-export function drawSite(seed: number): DecisionSite {
+export function generateSite(seed: number): DecisionSite {
   const random = createSeededRandom(seed * 2671 + 5);
   function between(low: number, high: number): number {
     return low + (high - low) * random();
@@ -323,9 +323,9 @@
   return {
     name: `drawn-${seed}`,
     replicas: random() < 0.5 ? 3 : 5,
-    shared: random() < 0.5,
-    goal: [ninesGoal, kindsGoal, windowsGoal][Math.floor(random() * 3)]!,
-    rates: { reread: between(0.1, 0.3), move: between(0.003, 0.015) },
+    colocatedRouters: random() < 0.5,
+    weights: [ninesGoal, kindsGoal, windowsGoal][Math.floor(random() * 3)]!,
+    rates: { recompute: between(0.1, 0.3), transfer: between(0.003, 0.015) },
     deployment: {
       name: `drawn-${seed}`,
       zones,
--- a/packages/simulator/src/engine.ts
+++ b/packages/simulator/src/engine.ts
@@ -8,7 +8,7 @@
   readonly now: () => Micros;
   readonly at: (t: number, f: () => void) => void;
   readonly run: (until: number) => Promise<void>;
-  readonly events: () => number;
+  readonly scheduledCount: () => number;
 }
 interface Event {
   readonly t: number;
@@ -67,7 +67,7 @@
     }
     t = Math.max(t, until);
   }
-  return { now: () => micros(t), at, run, events: () => n };
+  return { now: () => micros(t), at, run, scheduledCount: () => n };
 }
 
 if (import.meta.vitest) {
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,6 +1,6 @@
 export * from './checks.js';
 export * from './control-runs/index.js';
-export * from './core-machine.js';
+export * from './simulated-control-node.js';
 export * from './engine.js';
 export * from './faults.js';
 export * from './history.js';
--- a/packages/simulator/src/main.ts
+++ b/packages/simulator/src/main.ts
@@ -6,13 +6,13 @@
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { DutiesCommand, ModelCommand, MutantsCommand, WalkCommand } from '@tansypost/model-checker/commands';
 import { deployments } from '@tansypost/requester-stand-in';
-import { Control } from './control-runs/control-command.js';
+import { ControlCommand } from './control-runs/control-command.js';
 import { shrink, type SimFault } from './faults.js';
 import { loads, measureOne, policies, type Figure, type Load, type Policy } from './measure.js';
 import { runOne, type OneResult } from './one.js';
 import { measureParts } from './measure-parts.js';
 import { fleetShows, measureVerdict, type Harm } from './verdicts.js';
-import { weighScaling } from './scaling/scaling-weighed.js';
+import { compareScalingPolicies } from './scaling/scaling-comparison.js';
 import {
   passedDeployments,
   passedTroubleKinds,
@@ -274,7 +274,7 @@
   async execute(): Promise<void> {
     const { stdout } = this.context;
     stdout.write('day | policy | requests | late | failed | worker seconds | orders | value\n');
-    for (const figures of weighScaling(Number(this.seeds))) {
+    for (const figures of compareScalingPolicies(Number(this.seeds))) {
       const { day, policy, requests, late, failed, workerSeconds, orders, value } = figures;
       const seconds = Math.round(workerSeconds);
       const shares = [late, failed].map((count) => `${((100 * count) / requests).toFixed(2)} %`);
@@ -346,7 +346,7 @@
   cli.register(Parts);
   cli.register(Passed);
   cli.register(Scaling);
-  cli.register(Control);
+  cli.register(ControlCommand);
   cli.register(ModelCommand);
   cli.register(WalkCommand);
   cli.register(DutiesCommand);
--- a/packages/simulator/src/network.ts
+++ b/packages/simulator/src/network.ts
@@ -5,35 +5,37 @@
  */
 import { decoderForOwnSchemas, encodeMessage, type Address, type Message } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
-import { into, type Proc } from './process.js';
+import { deliver, type SimProcess } from './process.js';
 
-export interface Tampered {
-  readonly m: Message;
-  readonly after?: number;
+export interface InterceptedMessage {
+  readonly message: Message;
+  readonly delayUs?: number;
 }
 export interface Network {
-  readonly add: (a: string, p: Proc) => void;
+  readonly add: (a: string, p: SimProcess) => void;
   readonly remove: (a: string) => void;
-  readonly proc: (a: string) => Proc | undefined;
-  readonly send: (from: Proc, fromAddress: string, to: Address, m: Message) => void;
-  readonly blocked: (from: string, to: string) => boolean;
-  readonly cut: (name: string, f: (from: string, to: string) => boolean) => void;
+  readonly process: (a: string) => SimProcess | undefined;
+  readonly send: (from: SimProcess, fromAddress: string, to: Address, m: Message) => void;
+  readonly isBlocked: (from: string, to: string) => boolean;
+  readonly partition: (name: string, f: (from: string, to: string) => boolean) => void;
   readonly heal: (name: string) => void;
-  readonly slow: (machine: string, us: number) => void;
+  readonly setExtraLatency: (machine: string, us: number) => void;
   /** How long something takes; `draw` gives random numbers of the caller's own. */
   readonly latency: (from: string, to: string, draw?: () => number) => number;
   readonly onHeal: (f: () => void) => void;
-  readonly tamper: (f: ((m: Message, from: string, to: string) => Tampered[] | undefined) | undefined) => void;
+  readonly intercept: (
+    f: ((m: Message, from: string, to: string) => InterceptedMessage[] | undefined) | undefined,
+  ) => void;
 }
 
 export function createNetwork(e: Engine, random: () => number): Network {
-  const procs = new Map<string, Proc>();
+  const procs = new Map<string, SimProcess>();
   const cuts = new Map<string, (from: string, to: string) => boolean>();
   const slowed = new Map<string, number>();
   const last = new Map<string, number>();
   let held: { from: string; to: string; go: () => void }[] = [];
   let waiting: (() => void)[] = [];
-  let change: ((m: Message, from: string, to: string) => Tampered[] | undefined) | undefined;
+  let change: ((m: Message, from: string, to: string) => InterceptedMessage[] | undefined) | undefined;
   const decode = decoderForOwnSchemas();
 
   function blocked(from: string, to: string): boolean {
@@ -45,14 +47,14 @@
     return 200 + draw() * 1200 + (slowed.get(from) ?? 0) + (slowed.get(to) ?? 0);
   }
 
-  function send(from: Proc, fromAddress: string, to: Address, m: Message): void {
+  function send(from: SimProcess, fromAddress: string, to: Address, m: Message): void {
     const found = procs.get(to);
     if (found === undefined) return;
-    const p: Proc = found;
-    const ms = change === undefined ? [{ m }] : (change(m, from.machine, p.machine) ?? [{ m }]);
+    const p: SimProcess = found;
+    const ms = change === undefined ? [{ message: m }] : (change(m, from.machine, p.machine) ?? [{ message: m }]);
     for (const x of ms) {
-      const b = encodeMessage(x.m);
-      const wait = (x as Tampered).after ?? 0;
+      const b = encodeMessage(x.message);
+      const wait = (x as InterceptedMessage).delayUs ?? 0;
       const link = `${fromAddress}>${to}`;
       function go(): void {
         const t =
@@ -61,7 +63,7 @@
         e.at(t, () => {
           if (blocked(from.machine, p.machine)) return;
           const incarnation = p.incarnation;
-          into(p, incarnation, () => {
+          deliver(p, incarnation, () => {
             const d = decode(b);
             if (d._tag === 'Right' && d.right.known) p.receive(d.right.message, fromAddress as Address);
           });
@@ -88,18 +90,18 @@
   return {
     add: (a, p) => procs.set(a, p),
     remove: (a) => procs.delete(a),
-    proc: (a) => procs.get(a),
+    process: (a) => procs.get(a),
     send,
-    blocked,
+    isBlocked: blocked,
     latency,
     heal,
-    cut: (name, f) => cuts.set(name, f),
-    slow: (m, us) => {
+    partition: (name, f) => cuts.set(name, f),
+    setExtraLatency: (m, us) => {
       if (us > 0) slowed.set(m, us);
       else slowed.delete(m);
     },
     onHeal: (f) => waiting.push(f),
-    tamper: (f) => {
+    intercept: (f) => {
       change = f;
     },
   };
--- a/packages/simulator/src/pass-through/ground.ts
+++ b/packages/simulator/src/pass-through/ground.ts
@@ -17,8 +17,8 @@
   readonly spoil?: (m: Model) => Model;
 }
 export interface Ground {
-  readonly e: Engine;
-  readonly net: Network;
+  readonly engine: Engine;
+  readonly network: Network;
   readonly random: () => number;
   readonly d: PassedDeployment;
   readonly h: PassedHistory;
@@ -29,7 +29,7 @@
   readonly silent: Set<string>;
 }
 export function sleep(g: Ground, us: number): Promise<void> {
-  return new Promise((ok) => g.e.at(g.e.now() + us, ok));
+  return new Promise((ok) => g.engine.at(g.engine.now() + us, ok));
 }
 export function oneOf<T>(xs: readonly T[], share: number): T | undefined {
   return xs[Math.min(xs.length - 1, Math.floor(share * xs.length))];
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -39,7 +39,7 @@
     // Verdicts of so short days hang on the draw, which is that of requesters who connect anew.
     keptConnections: 0,
     net: (n) =>
-      n.tamper((m) => {
+      n.intercept((m) => {
         sent?.(m);
         if (m.kind === 'Accept' && m.key === recordKey) written.push(readRecord(m.value));
         return undefined;
--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -71,7 +71,17 @@
   const net = createNetwork(e, random);
   const h = emptyHistory();
   const tenants = d.tenants === undefined ? noTenants : createVirtualTenants(d.tenants, o.seed);
-  const g: Ground = { e, net, random, d, h, tenants, spoil: o.spoil, learning: o.learning, silent: new Set() };
+  const g: Ground = {
+    engine: e,
+    network: net,
+    random,
+    d,
+    h,
+    tenants,
+    spoil: o.spoil,
+    learning: o.learning,
+    silent: new Set(),
+  };
   const names = Array.from({ length: o.replicas ?? 3 }, (_, i) => `c${i}`);
   const workers = createVirtualWorkers(g);
   const losses = names.length >= 5 ? 2 : 1;
@@ -144,7 +154,7 @@
     later(s, () => Object.assign(workers.mischief, { kind: 'none', share: 0 }));
   }
   function cut(name: string, f: (a: string, b: string) => boolean, s: number): void {
-    net.cut(name, f);
+    net.partition(name, f);
     later(s, () => {
       net.heal(name);
       for (const machine of core.machines.keys()) core.reached(machine);
@@ -362,7 +372,7 @@
           for (const n of [m.name, ...others]) {
             noteMachine(n, t.do, s + 2);
             killMachine(n, true);
-            core.machines.get(n)!.disk.lose();
+            core.machines.get(n)!.disk.wipe();
             later(0.5, () => restart(n));
           }
         };
@@ -375,10 +385,10 @@
         trouble('core', t.do, s);
         if (t.do === 'disk-full') disk.full = true;
         if (t.do === 'disk-stalled') disk.stalled = true;
-        if (t.do === 'disk-slow') disk.slowUs = 100_000;
+        if (t.do === 'disk-slow') disk.extraLatencyUs = 100_000;
         return later(s, () => {
           disk.full = false;
-          disk.slowUs = 0;
+          disk.extraLatencyUs = 0;
           disk.resume();
         });
       }
@@ -439,7 +449,7 @@
     trouble('core lost', c, 1);
     for (const n of coreNames) {
       core.kill(n, c !== 'all-killed');
-      if (lost.includes(n)) core.machines.get(n)!.disk.lose();
+      if (lost.includes(n)) core.machines.get(n)!.disk.wipe();
     }
     for (const r of routers) {
       r.kill(c !== 'all-killed');
@@ -465,5 +475,5 @@
   void operator.readAgain(contact);
   await e.run(us(end + 9));
   h.to = e.now();
-  return { history: h, events: e.events(), figures: routers.map((r) => r.figures()) };
+  return { history: h, events: e.scheduledCount(), figures: routers.map((r) => r.figures()) };
 }
--- a/packages/simulator/src/pass-through/pipe.ts
+++ b/packages/simulator/src/pass-through/pipe.ts
@@ -19,7 +19,7 @@
     busy = x !== undefined;
     if (x === undefined) return;
     e.at(Math.max(x.t, e.now()), () => {
-      if (net.blocked(from, to)) return net.onHeal(next);
+      if (net.isBlocked(from, to)) return net.onHeal(next);
       q.shift();
       x.f();
       next();
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -19,8 +19,8 @@
 import type { BootstrapSize } from '@tansypost/control-state';
 import type { Address } from '@tansypost/inner-protocol';
 import { createDecodeRecovery, orderRecordKey, type ServedService } from '@tansypost/worker-stages';
-import { addMachine, startControlNode, type SimulatedMachine } from '../core-machine.js';
-import { die, into, wake, type Proc } from '../process.js';
+import { addMachine, startControlNode, type SimulatedMachine } from '../simulated-control-node.js';
+import { killProcess, deliver, resumeProcess, type SimProcess } from '../process.js';
 import type { Ground } from './ground.js';
 import type { SeedsOf } from './seed-lists.js';
 import { submit, tableOf, type SubmitAnswer } from './submit.js';
@@ -49,7 +49,10 @@
   /** From now on the settings of each machine name these machines. */
   readonly reseed: (seedsOf: SeedsOf) => void;
   readonly listDown: (on: boolean) => void;
-  readonly fetchList: (machine: string, proc: Proc) => () => Promise<ReturnType<VirtualWorkers['list']> | undefined>;
+  readonly fetchList: (
+    machine: string,
+    proc: SimProcess,
+  ) => () => Promise<ReturnType<VirtualWorkers['list']> | undefined>;
 }
 export interface VirtualCoreOptions {
   /** The machines that all are told of at the first start. */
@@ -75,7 +78,7 @@
 }
 
 export function createVirtualCore(g: Ground, workers: VirtualWorkers, options: VirtualCoreOptions): VirtualCore {
-  const { e, net, random } = g;
+  const { engine: e, network: net, random } = g;
   const machines = new Map<string, CoreMachine>();
   let seedsOf: SeedsOf = firstSeeds;
   let down = false;
@@ -88,13 +91,13 @@
     return seedsOf(machine).map((name) => `${name}:1` as Address);
   }
 
-  function fetchList(machine: string, proc: Proc): () => Promise<ReturnType<VirtualWorkers['list']> | undefined> {
+  function fetchList(machine: string, proc: SimProcess): () => Promise<ReturnType<VirtualWorkers['list']> | undefined> {
     const incarnation = proc.incarnation;
     return function fetch() {
       return new Promise((ok) => {
-        const lost = down || net.blocked(machine, 'list') || net.blocked('list', machine);
+        const lost = down || net.isBlocked(machine, 'list') || net.isBlocked('list', machine);
         const xs = lost ? undefined : workers.list();
-        e.at(e.now() + (lost ? 700_000 : 2000 + 4000 * random()), () => into(proc, incarnation, () => ok(xs)));
+        e.at(e.now() + (lost ? 700_000 : 2000 + 4000 * random()), () => deliver(proc, incarnation, () => ok(xs)));
       });
     };
   }
@@ -110,7 +113,7 @@
   }
 
   // What asks one worker for its load; a worker that is gone or out of reach gives none, after a while.
-  function fetchLoad(machine: string, proc: Proc): NonNullable<FeedServerOptions['fetchWorkerLoad']> {
+  function fetchLoad(machine: string, proc: SimProcess): NonNullable<FeedServerOptions['fetchWorkerLoad']> {
     const incarnation = proc.incarnation;
     return function fetch(x) {
       const life = workers.lifeAt(x.address);
@@ -120,11 +123,11 @@
         !life.alive() ||
         life.isDark() ||
         life.o.id !== x.id ||
-        net.blocked(machine, at) ||
-        net.blocked(at, machine);
+        net.isBlocked(machine, at) ||
+        net.isBlocked(at, machine);
       const l = lost ? undefined : { id: x.id, ...life.load(), part: life.part() };
       return new Promise((ok) => {
-        e.at(e.now() + (lost ? 300_000 : 2000 + 2000 * random()), () => into(proc, incarnation, () => ok(l)));
+        e.at(e.now() + (lost ? 300_000 : 2000 + 2000 * random()), () => deliver(proc, incarnation, () => ok(l)));
       });
     };
   }
@@ -133,20 +136,20 @@
     const m = machines.get(name)!;
     if (m.proc.alive) return;
     g.silent.delete(name);
-    const { world, asker } = startControlNode(g, m, {
-      founders: seeds(name).sort(),
+    const { world, client: asker } = startControlNode(g, m, {
+      bootstrapMembers: seeds(name).sort(),
       seeds: () => seeds(name),
-      bootstrap,
-      dutyTenure,
-      sweepEvery: 2_000_000,
-      wantedReplicas: options.wantedReplicas,
-      founderCount: options.founderCount,
+      mayBootstrap: bootstrap,
+      roleLeaseUs: dutyTenure,
+      antiEntropyIntervalUs: 2_000_000,
+      targetReplicas: options.wantedReplicas,
+      bootstrapSize: options.founderCount,
       feed: (proc) => ({
         fetchWorkerList: fetchList(name, proc),
         fetchWorkerLoad: fetchLoad(name, proc),
         loadPollInterval: 1_000_000,
       }),
-      beside: (w, host, coreAsker, listed) => {
+      attachComponents: (w, host, coreAsker, listed) => {
         const learning = createControlNodeLearning(w, {
           self: m.address,
           member: name,
@@ -192,7 +195,7 @@
       g.silent.add(name);
       m.disk.crash();
     }
-    die(m.proc);
+    killProcess(m.proc);
   }
   function leave(name: string): void {
     const m = machines.get(name)!;
@@ -211,7 +214,7 @@
     leave,
     wake: (name) => {
       reached(name);
-      wake(e, machines.get(name)!.proc);
+      resumeProcess(e, machines.get(name)!.proc);
     },
     reached,
     running: () => [...machines.values()].filter((m) => m.proc.alive),
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -5,7 +5,7 @@
 import { createPipe } from './pipe.js';
 import type { ControlResponse } from '@tansypost/control-feed';
 import type { Address } from '@tansypost/inner-protocol';
-import { into, type Proc } from '../process.js';
+import { deliver, type SimProcess } from '../process.js';
 import type { VirtualRouter } from './virtual-router.js';
 import type { CoreMachine, VirtualCore } from './virtual-core.js';
 import { tableOf, type SubmitAnswer } from './submit.js';
@@ -36,7 +36,7 @@
   core: VirtualCore,
   gateways: () => readonly VirtualRouter[],
 ): VirtualOperator {
-  const { e, net, random, h } = g;
+  const { engine: e, network: net, random, h } = g;
 
   function servers(): Server[] {
     const nodes = core.running().map((machine): Server => ({ kind: 'control node', machine }));
@@ -64,7 +64,7 @@
   }
 
   /** A call over the network to a process; after a second of silence it is given up. */
-  function exchange<T>(machine: string, proc: Proc, f: () => Promise<T>, none: T): Promise<T> {
+  function exchange<T>(machine: string, proc: SimProcess, f: () => Promise<T>, none: T): Promise<T> {
     return new Promise((done) => {
       let over = false;
       function end(x: T): void {
@@ -77,7 +77,7 @@
       const back = createPipe(e, net, machine, 'operator');
       const { incarnation } = proc;
       there(() =>
-        into(proc, incarnation, () => {
+        deliver(proc, incarnation, () => {
           void f().then((x) => back(() => end(x)));
         }),
       );
--- a/packages/simulator/src/pass-through/virtual-orders.ts
+++ b/packages/simulator/src/pass-through/virtual-orders.ts
@@ -2,7 +2,7 @@
 import type { ListedWorker } from '@tansypost/control-feed';
 import { hash32, createSeededRandom } from '@tansypost/inner-protocol';
 import type { OrderOutcome, StageOrder, WorkerStageClient } from '@tansypost/worker-stages';
-import { into, type Proc } from '../process.js';
+import { deliver, type SimProcess } from '../process.js';
 import type { Ground } from './ground.js';
 import { createPipe } from './pipe.js';
 import type { VirtualWorkers } from './virtual-workers.js';
@@ -19,8 +19,8 @@
 };
 
 /** The orders of the control node `proc` on a machine of that name. */
-export function createVirtualOrders(ground: Ground, workers: VirtualWorkers, proc: Proc): WorkerStageClient {
-  const { e: engine, net, h: history } = ground;
+export function createVirtualOrders(ground: Ground, workers: VirtualWorkers, proc: SimProcess): WorkerStageClient {
+  const { engine: engine, network: net, h: history } = ground;
   const { machine, incarnation } = proc;
   // How often workers are asked for reports shifts no other draw of the day.
   const drawReport = createSeededRandom(hash32(machine) + incarnation);
@@ -33,7 +33,7 @@
       const back = createPipe(engine, net, away, machine, draw);
       let over = false;
       function end(answer: T | undefined): void {
-        if (!over) into(proc, incarnation, () => done(answer));
+        if (!over) deliver(proc, incarnation, () => done(answer));
         over = true;
       }
       engine.at(engine.now() + patience, () => end(undefined));
--- a/packages/simulator/src/pass-through/virtual-port.ts
+++ b/packages/simulator/src/pass-through/virtual-port.ts
@@ -14,13 +14,13 @@
 } from '@tansypost/pass-through';
 import type { Engine } from '../engine.js';
 import type { Network } from '../network.js';
-import { into, type Proc } from '../process.js';
+import { deliver, type SimProcess } from '../process.js';
 import { createPipe } from './pipe.js';
 import type { ArrivalSeen } from './passed-history.js';
 import type { WorkerCall, WorkerLife } from './virtual-worker.js';
 
 export interface VirtualPortOptions {
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly net: Network;
   readonly random: () => number;
   readonly lifeAt: (address: string) => WorkerLife | undefined;
@@ -68,7 +68,7 @@
         if (over) return;
         over = true;
         gone.removeEventListener('abort', stop);
-        proc.deaths.delete(died);
+        proc.exitHandlers.delete(died);
         done(x);
       }
       function close(): void {
@@ -107,11 +107,11 @@
         const life = o.lifeAt(w.address);
         const machine = o.machineAt(w.address);
         const rtt = net.latency(me, machine) + net.latency(machine, me);
-        const silent = net.blocked(me, machine) || net.blocked(machine, me) || o.silentMachine(machine);
+        const silent = net.isBlocked(me, machine) || net.isBlocked(machine, me) || o.silentMachine(machine);
         const reset = life === undefined || !life.alive() || random() < o.resets();
         const after = silent ? connectPatience : rtt + 1000;
         e.at(e.now() + after, () =>
-          into(proc, incarnation, () => {
+          deliver(proc, incarnation, () => {
             if (over) return;
             if (silent || reset) return end({ tag: 'unsent', why: silent ? 'no connection in time' : 'reset' });
             conn = { life: life!, surplus: false };
@@ -125,7 +125,7 @@
         const there = createPipe(e, net, me, life.o.machine);
         const back = createPipe(e, net, life.o.machine, me);
         function toRouter(f: () => void | Promise<void>): void {
-          back(() => into(proc, incarnation, () => handle(f)));
+          back(() => deliver(proc, incarnation, () => handle(f)));
         }
         const wc: WorkerCall = {
           ...c,
@@ -182,7 +182,7 @@
 
       if (gone.aborted) return end({ tag: 'unsent', why: 'left' });
       gone.addEventListener('abort', stop, { once: true });
-      proc.deaths.add(died);
+      proc.exitHandlers.add(died);
       const free = idle.get(w.address)?.filter((k) => k.life.alive() || random() < 0.1) ?? [];
       conn = free.pop();
       idle.set(w.address, free);
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -46,7 +46,7 @@
   routers: readonly VirtualRouter[],
   keepsConnection: number,
 ): VirtualRequesters {
-  const { e, net, random, h, d } = g;
+  const { engine: e, network: net, random, h, d } = g;
   const misses = new Map<string, number>();
   // Drawn apart, so that other draws of a day are the same whoever keeps connections.
   const drawClient = createSeededRandom(clientSeed);
@@ -56,7 +56,7 @@
 
   function probe(): void {
     for (const r of routers) {
-      const ok = r.ready() && !net.blocked('clients', r.name) && !net.blocked(r.name, 'clients');
+      const ok = r.ready() && !net.isBlocked('clients', r.name) && !net.isBlocked(r.name, 'clients');
       misses.set(r.name, ok ? 0 : (misses.get(r.name) ?? 2) + 1);
     }
     e.at(e.now() + probeEvery, probe);
@@ -219,7 +219,7 @@
         e.at(e.now() + 250_000, watch);
       }
       // Cut off or without power: the connection does not come up.
-      if (net.blocked('clients', router.name) || net.blocked(router.name, 'clients') || g.silent.has(router.name))
+      if (net.isBlocked('clients', router.name) || net.isBlocked(router.name, 'clients') || g.silent.has(router.name))
         return e.at(e.now() + Math.min(connectPatience, left / 3), () => settle('unread', 'no connection'));
       if (!router.proc.alive) return e.at(e.now() + 1000, () => settle('unread', 'nobody there'));
       way.leave = router.take(
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -23,7 +23,14 @@
 } from '@tansypost/pass-through';
 import { placementDefaults } from '@tansypost/placement';
 import { validateRouteTable, type RouteTable } from '@tansypost/paths';
-import { createProc, die, into, procWorld, wake, type Proc } from '../process.js';
+import {
+  createSimProcess,
+  killProcess,
+  deliver,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from '../process.js';
 import type { Ground } from './ground.js';
 import type { TrySeen } from './passed-history.js';
 import { createPipe } from './pipe.js';
@@ -43,7 +50,7 @@
   readonly name: string;
   readonly machine: string;
   readonly zone: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly start: () => void;
   readonly kill: (power: boolean) => void;
   readonly wake: () => void;
@@ -131,10 +138,10 @@
   place: RouterPlace,
   resets: () => number,
 ): VirtualRouter {
-  const { e, net, random, h } = g;
+  const { engine: e, network: net, random, h } = g;
   const { name, zone, machine } = place;
   const holdsControlState = machine !== name;
-  const proc = createProc(name, machine);
+  const proc = createSimProcess(name, machine);
   const self = `${machine}:${holdsControlState ? 2 : 1}` as Address;
   net.add(self, proc);
   let course: RequestHandler | undefined;
@@ -152,7 +159,7 @@
     life += 1;
     const mine = life;
     h.lives.push({ router: name, life, from: e.now(), to: Infinity });
-    const w = procWorld(
+    const w = createProcessWorld(
       e,
       proc,
       random,
@@ -283,7 +290,7 @@
   function kill(power: boolean): void {
     if (!proc.alive) return;
     if (power) g.silent.add(machine);
-    die(proc);
+    killProcess(proc);
     course = undefined;
     ended('the router died', power);
   }
@@ -293,7 +300,7 @@
     if (g.spoil === 'leaves-at-once') left();
   }
   function left(): void {
-    die(proc);
+    killProcess(proc);
     course = undefined;
     ended('the router left in order', false);
     e.at(e.now() + startAgainAfter, start);
@@ -347,7 +354,7 @@
     connection.busy = true;
     open.set(t, (why) => finish(t.readAt === undefined ? 'unread' : 'cut', why));
     there(() =>
-      into(proc, incarnation, () => {
+      deliver(proc, incarnation, () => {
         if (!connections.has(connection)) return finish('unread', 'the connection was closed');
         t.readAt = e.now();
         const refusal = shutdown?.checkArrival(connection.used);
@@ -364,7 +371,9 @@
               const copy = Buffer.from(b);
               back(() => told.bytes(copy));
               if (random() > 0.05) return undefined;
-              return new Promise((ok) => e.at(e.now() + random() * 20_000, () => into(proc, incarnation, () => ok())));
+              return new Promise((ok) =>
+                e.at(e.now() + random() * 20_000, () => deliver(proc, incarnation, () => ok())),
+              );
             },
             end: () => finish('whole', ''),
             abort: () => finish('cut', 'cut by the router'),
@@ -376,7 +385,7 @@
       }),
     );
     return function leave() {
-      there(() => into(proc, incarnation, () => gone.abort()));
+      there(() => deliver(proc, incarnation, () => gone.abort()));
     };
   }
 
@@ -388,7 +397,7 @@
     start,
     kill,
     roll,
-    wake: () => wake(e, proc),
+    wake: () => resumeProcess(e, proc),
     ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.isReady() === true,
     controlNode: () => (proc.alive ? controlFeed?.source() : undefined),
     figures: () => ({ ...course?.metrics(), learning: learning?.figures() }),
--- a/packages/simulator/src/pass-through/virtual-workers.ts
+++ b/packages/simulator/src/pass-through/virtual-workers.ts
@@ -38,7 +38,7 @@
 const usedAgain = 2_000_000;
 
 export function createVirtualWorkers(g: Ground): VirtualWorkers {
-  const { e, d, random } = g;
+  const { engine: e, d, random } = g;
   const at = new Map<string, WorkerLife>();
   const machines = new Map<string, string>();
   const entries: Entry[] = [];
@@ -84,7 +84,7 @@
       mischief: () => (random() < mischief.share ? mischief.kind : 'none'),
       moveTime: (from, tokens) => {
         const m = machines.get(from) ?? '';
-        if (g.net.blocked(machine, m) || g.net.blocked(m, machine)) return undefined;
+        if (g.network.isBlocked(machine, m) || g.network.isBlocked(m, machine)) return undefined;
         return (
           ((tokens * engine.tokenBytes * 8) / engine.linkMbps) *
           (at.get(from)?.o.zone === zone ? 1 : 2) *
--- a/packages/simulator/src/process.ts
+++ b/packages/simulator/src/process.ts
@@ -5,7 +5,7 @@
 import { micros, type Address, type Cancel, type Message, type World } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
 
-export interface Proc {
+export interface SimProcess {
   readonly name: string;
   readonly machine: string;
   alive: boolean;
@@ -13,10 +13,10 @@
   incarnation: number;
   backlog: (() => void)[];
   receive: (m: Message, from: Address) => void;
-  deaths: Set<() => void>;
+  exitHandlers: Set<() => void>;
 }
 
-export function createProc(name: string, machine: string): Proc {
+export function createSimProcess(name: string, machine: string): SimProcess {
   return {
     name,
     machine,
@@ -25,42 +25,48 @@
     incarnation: 0,
     backlog: [],
     receive: () => undefined,
-    deaths: new Set(),
+    exitHandlers: new Set(),
   };
 }
 
-export function into(p: Proc, incarnation: number, f: () => void): void {
+export function deliver(p: SimProcess, incarnation: number, f: () => void): void {
   if (!p.alive || p.incarnation !== incarnation) return;
   if (p.frozen) p.backlog.push(f);
   else f();
 }
 
-export function die(p: Proc): void {
+export function killProcess(p: SimProcess): void {
   if (!p.alive) return;
   p.alive = false;
   p.frozen = false;
   p.incarnation += 1;
   p.backlog = [];
-  const ds = [...p.deaths];
-  p.deaths.clear();
+  const ds = [...p.exitHandlers];
+  p.exitHandlers.clear();
   for (const d of ds) d();
 }
 
-export function wake(e: Engine, p: Proc): void {
+export function resumeProcess(e: Engine, p: SimProcess): void {
   if (!p.frozen) return;
   p.frozen = false;
   const incarnation = p.incarnation;
   const b = p.backlog;
   p.backlog = [];
-  for (const f of b) e.at(e.now(), () => into(p, incarnation, f));
+  for (const f of b) e.at(e.now(), () => deliver(p, incarnation, f));
 }
 
-export function procWorld(e: Engine, p: Proc, random: () => number, send: World['send'], log: World['log']): World {
+export function createProcessWorld(
+  e: Engine,
+  p: SimProcess,
+  random: () => number,
+  send: World['send'],
+  log: World['log'],
+): World {
   const incarnation = p.incarnation;
   function after(d: number, f: () => void): Cancel {
     let off = false;
     e.at(e.now() + Math.max(0, d), () =>
-      into(p, incarnation, () => {
+      deliver(p, incarnation, () => {
         if (!off) f();
       }),
     );
--- a/packages/simulator/src/scaling/fleet-model.ts
+++ b/packages/simulator/src/scaling/fleet-model.ts
@@ -7,22 +7,22 @@
 import { micros, createSeededRandom } from '@tansypost/inner-protocol';
 
 /** What the model is built from. */
-export interface FleetShape {
+export interface FleetModelOptions {
   readonly zones: number;
   /** Workers of each zone at the start, and the bounds of orders. */
-  readonly workers: number;
-  readonly least: number;
-  readonly most: number;
+  readonly initialWorkers: number;
+  readonly minWorkers: number;
+  readonly maxWorkers: number;
   readonly bootTime: number;
   /** One worker in so many reads prompts. */
   readonly prefillShare: number;
   /** The mean time to read a prompt, and the shape of its log-normal spread. */
-  readonly readTime: number;
-  readonly readSpread: number;
+  readonly prefillTime: number;
+  readonly prefillSpread: number;
   readonly decodeTime: number;
   readonly slots: number;
   /** The time to the first token within which a request is in time, and that after which it is given up. */
-  readonly aim: number;
+  readonly targetLatency: number;
   readonly deadline: number;
 }
 
@@ -39,17 +39,17 @@
 /** Decides the number of workers of each zone; called twice a second with what a control node sees. */
 export interface ScalePolicy {
   readonly name: string;
-  readonly look: (at: number, view: ModelView) => readonly number[];
+  readonly decide: (at: number, view: ObservedFleet) => readonly number[];
 }
 
 /** What a control node sees of the model. */
-export interface ModelView {
+export interface ObservedFleet {
   readonly workers: readonly ListedWorker[];
   readonly loads: ReadonlyMap<string, WorkerLoad>;
 }
 
 /** How a day ended. */
-export interface DayFigures {
+export interface DayStatistics {
   readonly requests: number;
   readonly late: number;
   readonly failed: number;
@@ -70,7 +70,7 @@
 }
 
 interface Run {
-  readonly shape: FleetShape;
+  readonly shape: FleetModelOptions;
   readonly day: DemandDay;
   readonly random: () => number;
   workers: ModelWorker[];
@@ -87,19 +87,19 @@
 const otherZoneCost = 0.1;
 
 /** Plays a day under a policy. */
-export function playDay(shape: FleetShape, day: DemandDay, policy: ScalePolicy, seed: number): DayFigures {
+export function playDay(shape: FleetModelOptions, day: DemandDay, policy: ScalePolicy, seed: number): DayStatistics {
   const random = createSeededRandom(seed);
   const figures = { requests: 0, late: 0, failed: 0, workerSeconds: 0, orders: 0 };
   const run: Run = { shape, day, random, workers: [], names: 0, figures };
-  for (let zone = 0; zone < shape.zones; zone += 1) start(run, zone, shape.workers, -shape.bootTime);
+  for (let zone = 0; zone < shape.zones; zone += 1) start(run, zone, shape.initialWorkers, -shape.bootTime);
   let reports: ReadonlyMap<string, WorkerLoad> = new Map();
-  let numbers: readonly number[] = new Array<number>(shape.zones).fill(shape.workers);
+  let numbers: readonly number[] = new Array<number>(shape.zones).fill(shape.initialWorkers);
   for (let step = 0; step * tick < day.length; step += 1) {
     const at = step * tick;
     arrivals(run, at);
     if (step % Math.round(reportEvery / tick) === 0) reports = reportsOf(run, at);
     if (step % Math.round(lookEvery / tick) === 0) {
-      const wanted = policy.look(at, { workers: listed(run, at), loads: reports });
+      const wanted = policy.decide(at, { workers: listed(run, at), loads: reports });
       figures.orders += wanted.filter((number, zone) => number !== numbers[zone]).length;
       numbers = wanted;
       wanted.forEach((number, zone) => order(run, zone, number, at));
@@ -149,12 +149,12 @@
 
 function arrivals(run: Run, at: number): void {
   const { shape, day } = run;
-  const readers = shape.workers * shape.prefillShare;
+  const readers = shape.initialWorkers * shape.prefillShare;
   const byPart = { prefill: serving(run, at, 'prefill'), decode: serving(run, at, 'decode') };
   for (const worker of run.workers)
     if (worker.ends.length > 0 && worker.ends[0]! <= at) worker.ends = worker.ends.filter((end) => end > at);
   for (let zone = 0; zone < shape.zones; zone += 1) {
-    const mean = ((day.load(at, zone) * readers) / shape.readTime) * tick;
+    const mean = ((day.load(at, zone) * readers) / shape.prefillTime) * tick;
     for (let left = poisson(run, mean); left > 0; left -= 1) serve(run, zone, at, byPart);
   }
 }
@@ -168,7 +168,7 @@
 
 function readTimeOf({ shape, random }: Run): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
-  return shape.readTime * Math.exp(shape.readSpread * normal - shape.readSpread ** 2 / 2);
+  return shape.prefillTime * Math.exp(shape.prefillSpread * normal - shape.prefillSpread ** 2 / 2);
 }
 
 /** Two workers drawn at random in its zone and one of all, of which that with the shortest queue as seen is taken. */
@@ -202,7 +202,7 @@
   if (first > shape.deadline) return void (figures.failed += 1);
   reader.ends.push(at + read);
   maker.ends.push(at + first + shape.decodeTime);
-  if (first > shape.aim) figures.late += 1;
+  if (first > shape.targetLatency) figures.late += 1;
 }
 
 function listed(run: Run, at: number): ListedWorker[] {
--- a/packages/simulator/src/scaling/scaling-weighed.test.ts
+++ b/packages/simulator/src/scaling/scaling-comparison.test.ts
@@ -1,17 +1,23 @@
 /** The planner on the closed model, one seed a day: what it may cost in late requests and in seconds of workers. */
 import { expect, it } from 'vitest';
-import { usualFleet, usualWorths, weighedDays, weighScaling, type WeighedFigures } from './scaling-weighed.js';
+import {
+  defaultFleet,
+  defaultPricing,
+  comparisonDays,
+  compareScalingPolicies,
+  type PolicyStatistics,
+} from './scaling-comparison.js';
 
-function played(name: string): (policy: string) => WeighedFigures {
-  const figures = weighScaling(
+function played(name: string): (policy: string) => PolicyStatistics {
+  const figures = compareScalingPolicies(
     1,
-    usualFleet,
-    usualWorths,
-    weighedDays.filter((day) => day.name === name),
+    defaultFleet,
+    defaultPricing,
+    comparisonDays.filter((day) => day.name === name),
   );
   return (policy) => figures.find((each) => each.policy === policy)!;
 }
-function lateShare({ late, failed, requests }: WeighedFigures): number {
+function lateShare({ late, failed, requests }: PolicyStatistics): number {
   return (late + failed) / requests;
 }
 
--- a/packages/simulator/src/scaling/scaling-weighed.ts
+++ b/packages/simulator/src/scaling/scaling-comparison.ts
@@ -6,10 +6,16 @@
   defaultThresholds,
   type ScalingThresholds,
 } from '@tansypost/scaling';
-import { playDay, type DayFigures, type DemandDay, type FleetShape, type ScalePolicy } from './fleet-model.js';
+import {
+  playDay,
+  type DayStatistics,
+  type DemandDay,
+  type FleetModelOptions,
+  type ScalePolicy,
+} from './fleet-model.js';
 
 /** One policy on one day, over all seeds. */
-export interface WeighedFigures extends DayFigures {
+export interface PolicyStatistics extends DayStatistics {
   readonly day: string;
   readonly policy: string;
   /** Worth earned of worth owed, less the price of the workers. */
@@ -17,29 +23,29 @@
 }
 
 /** What is earned, in the worth of a request that is in time, and what a second of a worker costs in it. */
-export interface Worths {
-  readonly late: number;
-  readonly workerSecond: number;
+export interface Pricing {
+  readonly lateRequestValue: number;
+  readonly workerSecondCost: number;
 }
 
 /** The model's fleet: prompts keep half of its prefill workers busy on a usual day. */
-export const usualFleet: FleetShape = {
+export const defaultFleet: FleetModelOptions = {
   zones: 4,
-  workers: 24,
-  least: 16,
-  most: 48,
+  initialWorkers: 24,
+  minWorkers: 16,
+  maxWorkers: 48,
   bootTime: 8,
   prefillShare: 0.4,
-  readTime: 0.08,
-  readSpread: 1.3,
+  prefillTime: 0.08,
+  prefillSpread: 1.3,
   decodeTime: 0.2,
   slots: 48,
-  aim: 0.8,
+  targetLatency: 0.8,
   deadline: 8,
 };
 
 /** A late request earns a third; a worker's second costs as much as a fifth of a request in time earns. */
-export const usualWorths: Worths = { late: 0.3, workerSecond: 0.2 };
+export const defaultPricing: Pricing = { lateRequestValue: 0.3, workerSecondCost: 0.2 };
 
 const length = 180;
 function never(): boolean {
@@ -53,7 +59,7 @@
 }
 
 /** The days that are weighed; loads are those of the prefill workers of the start. */
-export const weighedDays: readonly DemandDay[] = [
+export const comparisonDays: readonly DemandDay[] = [
   day('calm wave', (at, zone) => 0.55 * wave(at, zone)),
   day('busy wave', (at, zone) => 0.75 * wave(at, zone)),
   day('lull of 90 s', (at, zone) => (at > 60 && at < 150 ? 0.2 : 0.55) * wave(at, zone)),
@@ -68,30 +74,36 @@
   ),
 ];
 
-function always(name: string, number: number, shape: FleetShape): ScalePolicy {
-  return { name, look: () => new Array<number>(shape.zones).fill(number) };
+function always(name: string, number: number, shape: FleetModelOptions): ScalePolicy {
+  return { name, decide: () => new Array<number>(shape.zones).fill(number) };
 }
 
 /** The planner, with the role held by one node all day and orders accepted at once. */
-export function planned(shape: FleetShape, thresholds: ScalingThresholds = defaultThresholds): ScalePolicy {
+export function plannerPolicy(
+  shape: FleetModelOptions,
+  thresholds: ScalingThresholds = defaultThresholds,
+): ScalePolicy {
   const record = new Map<string, number>();
-  const { least, most, bootTime } = shape;
+  const { minWorkers: least, maxWorkers: most, bootTime } = shape;
   const planner = createScalePlanner({
     services: () => [{ name: 's', scaling: { minWorkers: least, maxWorkers: most, bootTime: bootTime * 1_000_000 } }],
     lastOrdered: (subject) => record.get(subject),
     thresholds: thresholds,
   });
-  function look(at: number, { workers, loads }: Parameters<ScalePolicy['look']>[1]): readonly number[] {
+  function look(at: number, { workers, loads }: Parameters<ScalePolicy['decide']>[1]): readonly number[] {
     const now = at * 1_000_000;
     planner.observe(now, { workers, loads, listAge: 0 });
     for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
-    return Array.from({ length: shape.zones }, (_, zone) => record.get(scaleSubject('s', `z${zone}`)) ?? shape.workers);
+    return Array.from(
+      { length: shape.zones },
+      (_, zone) => record.get(scaleSubject('s', `z${zone}`)) ?? shape.initialWorkers,
+    );
   }
-  return { name: 'planner', look };
+  return { name: 'planner', decide: look };
 }
 
 /** Knows the load of the day, a boot time ahead and for as long behind, and orders what keeps it at 0.7. */
-function oracle(shape: FleetShape, { load, isLost }: DemandDay): ScalePolicy {
+function oracle(shape: FleetModelOptions, { load, isLost }: DemandDay): ScalePolicy {
   const aimed = 0.7;
   function highest(at: number, zone: number): number {
     const moments = Array.from({ length: 2 * shape.bootTime }, (_, n) => at - shape.bootTime / 2 + n);
@@ -104,29 +116,29 @@
     return load(at, zone) + lost.reduce((sum, other) => sum + load(at, other), 0) / (shape.zones - lost.length);
   }
   function number(at: number, zone: number): number {
-    const wanted = Math.ceil((highest(at, zone) * shape.workers) / aimed);
-    return Math.min(shape.most, Math.max(shape.least, wanted));
+    const wanted = Math.ceil((highest(at, zone) * shape.initialWorkers) / aimed);
+    return Math.min(shape.maxWorkers, Math.max(shape.minWorkers, wanted));
   }
-  return { name: 'oracle', look: (at) => Array.from({ length: shape.zones }, (_, zone) => number(at, zone)) };
+  return { name: 'oracle', decide: (at) => Array.from({ length: shape.zones }, (_, zone) => number(at, zone)) };
 }
 
-function policiesFor(shape: FleetShape, demand: DemandDay): readonly ScalePolicy[] {
+function policiesFor(shape: FleetModelOptions, demand: DemandDay): readonly ScalePolicy[] {
   return [
-    always('all always', shape.most, shape),
-    always('as at the start', shape.workers, shape),
-    always('least always', shape.least, shape),
-    planned(shape),
+    always('all always', shape.maxWorkers, shape),
+    always('as at the start', shape.initialWorkers, shape),
+    always('least always', shape.minWorkers, shape),
+    plannerPolicy(shape),
     oracle(shape, demand),
   ];
 }
 
 /** Plays each day under each policy with the seeds from 1 on. */
-export function weighScaling(
+export function compareScalingPolicies(
   seeds: number,
-  shape: FleetShape = usualFleet,
-  worths: Worths = usualWorths,
-  days: readonly DemandDay[] = weighedDays,
-): readonly WeighedFigures[] {
+  shape: FleetModelOptions = defaultFleet,
+  worths: Pricing = defaultPricing,
+  days: readonly DemandDay[] = comparisonDays,
+): readonly PolicyStatistics[] {
   return days.flatMap((demand) => {
     const names = policiesFor(shape, demand).map(({ name }) => name);
     return names.map((policy, index) => {
@@ -138,13 +150,13 @@
   });
 }
 
-function weighed(demand: string, policy: string, plays: readonly DayFigures[], worths: Worths): WeighedFigures {
-  function sum(of: (figures: DayFigures) => number): number {
+function weighed(demand: string, policy: string, plays: readonly DayStatistics[], worths: Pricing): PolicyStatistics {
+  function sum(of: (figures: DayStatistics) => number): number {
     return plays.reduce((all, figures) => all + of(figures), 0);
   }
   const [requests, late, failed] = [sum((f) => f.requests), sum((f) => f.late), sum((f) => f.failed)];
   const workerSeconds = sum((f) => f.workerSeconds);
-  const earned = requests - failed - late * (1 - worths.late);
-  const value = (earned - workerSeconds * worths.workerSecond) / requests;
+  const earned = requests - failed - late * (1 - worths.lateRequestValue);
+  const value = (earned - workerSeconds * worths.workerSecondCost) / requests;
   return { day: demand, policy, requests, late, failed, workerSeconds, orders: sum((f) => f.orders), value };
 }
--- a/packages/simulator/src/sim-disk.ts
+++ b/packages/simulator/src/sim-disk.ts
@@ -5,18 +5,18 @@
 import type { Disk, JournalRecord } from '@tansypost/control-state';
 import { encodeRecord, encodeSnapshot } from '@tansypost/control-state';
 import type { Engine } from './engine.js';
-import { into, type Proc } from './process.js';
+import { deliver, type SimProcess } from './process.js';
 
 export interface SimDisk {
-  readonly open: (p: Proc) => Disk;
+  readonly open: (p: SimProcess) => Disk;
   readonly bytes: () => Buffer;
   // Cuts away a torn tail, as opening the file does.
-  readonly cut: (good: number) => void;
+  readonly truncate: (good: number) => void;
   readonly crash: () => void;
-  readonly lose: () => void;
+  readonly wipe: () => void;
   // Alters one byte with whole records behind it.
-  readonly damage: () => void;
-  slowUs: number;
+  readonly corrupt: () => void;
+  extraLatencyUs: number;
   stalled: boolean;
   full: boolean;
   readonly resume: () => void;
@@ -28,12 +28,12 @@
   let era = 0;
   let waiting: (() => void)[] = [];
 
-  function open(p: Proc): Disk {
+  function open(p: SimProcess): Disk {
     const incarnation = p.incarnation;
     const mine = era;
     let last = 0;
     function soon(f: () => void): void {
-      const t = Math.max(e.now() + 300 + random() * 2500 + disk.slowUs, last + 1);
+      const t = Math.max(e.now() + 300 + random() * 2500 + disk.extraLatencyUs, last + 1);
       last = t;
       e.at(t, () => {
         if (disk.stalled) waiting.push(f);
@@ -41,7 +41,7 @@
       });
     }
     function finish(done: (x?: Error) => void, err?: Error): void {
-      into(p, incarnation, () => done(err));
+      deliver(p, incarnation, () => done(err));
     }
     function append(r: JournalRecord, done: (x?: Error) => void): void {
       const b = encodeRecord(r);
@@ -71,11 +71,11 @@
 
   const disk: SimDisk = {
     open,
-    slowUs: 0,
+    extraLatencyUs: 0,
     stalled: false,
     full: false,
     bytes: () => synced,
-    cut: (good) => {
+    truncate: (good) => {
       synced = synced.subarray(0, good);
     },
     crash: () => {
@@ -84,13 +84,13 @@
       synced = Buffer.concat([synced, loose.subarray(0, Math.floor(random() * (loose.length + 1)))]);
       loose = Buffer.alloc(0);
     },
-    lose: () => {
+    wipe: () => {
       era += 1;
       waiting = [];
       synced = Buffer.alloc(0);
       loose = Buffer.alloc(0);
     },
-    damage: () => {
+    corrupt: () => {
       const b = Buffer.from(synced);
       const at = Math.floor((0.1 + 0.6 * random()) * b.length);
       if (b.length > 0) b[at] = b[at]! ^ 0x55;
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -37,7 +37,14 @@
 import { createEngine, type Engine } from './engine.js';
 import { newHistory, type History, type RequestSeen } from './history.js';
 import { createNetwork, type Network } from './network.js';
-import { createProc, die, into, procWorld, wake, type Proc } from './process.js';
+import {
+  createSimProcess,
+  killProcess,
+  deliver,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from './process.js';
 import { createSimDisk, type SimDisk } from './sim-disk.js';
 import { createSimWorkers, type SimWorker, type SimWorkers } from './sim-workers.js';
 import type { SimFault } from './faults.js';
@@ -75,7 +82,7 @@
 }
 
 interface Node {
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly start: () => void;
   stop: () => void;
   running: boolean;
@@ -221,14 +228,14 @@
       if (o.keepLogs === true) h.logs.push({ at: e.now(), who, event, fields });
     };
   }
-  function world(p: Proc, a: string): ReturnType<typeof procWorld> {
-    return procWorld(e, p, r, (to, m) => net.send(p, a, to, m), log(p.name));
+  function world(p: SimProcess, a: string): ReturnType<typeof createProcessWorld> {
+    return createProcessWorld(e, p, r, (to, m) => net.send(p, a, to, m), log(p.name));
   }
 
   // The core places.
   const keepers: ControlNodeProcess[] = coreAt.map((a, slot) => keeper(`keeper${slot}`, slot, a));
   function keeper(name: string, slot: number, a: string): ControlNodeProcess {
-    const proc = createProc(name, `m${slot}`);
+    const proc = createSimProcess(name, `m${slot}`);
     const n: ControlNodeProcess = {
       proc,
       disk: createSimDisk(e, r),
@@ -261,8 +268,8 @@
     async function open(afresh: boolean): Promise<E.Either<Error, OpenDisk>> {
       if (afresh) n.disk.crash();
       const f = readJournal(n.disk.bytes());
-      if (E.isLeft(f)) n.disk.lose();
-      else n.disk.cut(f.right.validBytes);
+      if (E.isLeft(f)) n.disk.wipe();
+      else n.disk.truncate(f.right.validBytes);
       const found = E.isLeft(f) ? [] : f.right.records;
       const disk = n.disk.open(proc);
       const err = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
@@ -274,7 +281,7 @@
   }
 
   const agents: AgentNode[] = Array.from({ length: d.machines }, (_, i) => {
-    const proc = createProc(`agent${i}`, `m${i}`);
+    const proc = createSimProcess(`agent${i}`, `m${i}`);
     net.add(`agent${i}:1`, proc);
     const n: AgentNode = {
       proc,
@@ -320,7 +327,7 @@
             train: (v) => {
               const m = t.train(v, v.n);
               const b = encodeModel(o.sabotage === undefined ? m : spoiled(m, o.sabotage));
-              return new Promise((ok) => e.at(e.now() + 400_000, () => into(proc, incarnation, () => ok(b))));
+              return new Promise((ok) => e.at(e.now() + 400_000, () => deliver(proc, incarnation, () => ok(b))));
             },
           },
           save: (x) => {
@@ -343,7 +350,7 @@
   });
 
   const routers: RouterNode[] = Array.from({ length: d.machines }, (_, i) => {
-    const proc = createProc(`router${i}`, `m${i}`);
+    const proc = createSimProcess(`router${i}`, `m${i}`);
     const a = `router${i}:1`;
     net.add(a, proc);
     const n: RouterNode = { proc, core: undefined, closed: false, running: false, start, stop: () => n.core?.stop() };
@@ -411,7 +418,7 @@
   }
 
   function sendOn(
-    p: Proc,
+    p: SimProcess,
     incarnation: number,
     to: string,
     q: Incoming,
@@ -424,10 +431,10 @@
       let order = 0;
       function home(f: () => void): void {
         order = Math.max(e.now() + net.latency(n!.proc.machine, p.machine), order + 1);
-        e.at(order, () => into(p, incarnation, f));
+        e.at(order, () => deliver(p, incarnation, f));
       }
-      if (n === undefined || net.blocked(p.machine, n.proc.machine))
-        return e.at(e.now() + 500_000, () => into(p, incarnation, () => ok(false)));
+      if (n === undefined || net.isBlocked(p.machine, n.proc.machine))
+        return e.at(e.now() + 500_000, () => deliver(p, incarnation, () => ok(false)));
       e.at(e.now() + net.latency(p.machine, n.proc.machine), () => {
         if (!n.proc.alive || n.closed) return home(() => ok(false));
         // The short question before it: a frozen router does not answer it.
@@ -438,9 +445,9 @@
             ok(true);
           });
         }
-        n.proc.deaths.add(died);
+        n.proc.exitHandlers.add(died);
         h.requests.find((x) => x.id === q.id)!.via.add(to);
-        into(
+        deliver(
           n.proc,
           n.proc.incarnation,
           () =>
@@ -453,14 +460,14 @@
                     void reply.chunk(t);
                   }),
                 end: (finish) => {
-                  n.proc.deaths.delete(died);
+                  n.proc.exitHandlers.delete(died);
                   home(() => {
                     reply.end(finish);
                     ok(true);
                   });
                 },
                 fail: (f) => {
-                  n.proc.deaths.delete(died);
+                  n.proc.exitHandlers.delete(died);
                   home(() => {
                     if (f.kind === 'no_tenure' || f.kind === 'stopping') return ok(false);
                     reply.fail(f);
@@ -524,7 +531,7 @@
     function end(ended: string, ran?: 'no' | 'maybe', retryAfter = false): void {
       if (out) return;
       out = true;
-      p.deaths.delete(died);
+      p.exitHandlers.delete(died);
       Object.assign(q, { end: e.now(), ended, ran, retryAfter, verdict: judge(a.prompt, a.maxTokens, text) });
     }
     function died(): void {
@@ -532,13 +539,13 @@
     }
     e.at(e.now() + 200, () => {
       if (!p.alive || pick.x.closed) return end('unreachable');
-      p.deaths.add(died);
+      p.exitHandlers.add(died);
       e.at(q.at + q.patience + s(14), () => {
         if (out) return;
         end('broken');
         gone.abort();
       });
-      into(
+      deliver(
         p,
         p.incarnation,
         () =>
@@ -616,7 +623,7 @@
       if (lost !== undefined) {
         // One disk is gone, and the other two machines come back on whatever of their tails was synced.
         keepers.forEach(killNode);
-        lost.disk.lose();
+        lost.disk.wipe();
         e.at(e.now() + s(0.5), () => keepers.forEach(startNode));
       }
       if (x.answer === 'acknowledged' && crashOnAck > 0) {
@@ -625,7 +632,7 @@
         e.at(e.now() + s(0.5), () => keepers.forEach(startNode));
       }
     }
-    into(at.proc, incarnation, () => void go());
+    deliver(at.proc, incarnation, () => void go());
     return at;
   }
   function lookUp(c: History['changes'][number]): void {
@@ -671,7 +678,7 @@
     return [agents[i]!, routers[i]!, ...(i < 3 ? [keepers[i]!] : [])];
   }
   function wipe(n: Node): void {
-    if ('disk' in n) (n as ControlNodeProcess).disk.lose();
+    if ('disk' in n) (n as ControlNodeProcess).disk.wipe();
     if ('persisted' in n) (n as AgentNode).persisted = agentDefaults.persisted;
   }
   // One core machine on one side with a part of the others, routers and workers; the other two on the other.
@@ -695,7 +702,7 @@
   }
   function killNode(n: Node): void {
     if (!n.proc.alive) return;
-    die(n.proc);
+    killProcess(n.proc);
     n.running = false;
     if ('disk' in n) (n as ControlNodeProcess).disk.crash();
   }
@@ -720,7 +727,7 @@
         const n = node(f.who)!;
         n.proc.frozen = n.proc.alive;
         for (const q of h.requests) q.excused ||= q.end === undefined && q.via.has(f.who);
-        e.at(end, () => wake(e, n.proc));
+        e.at(end, () => resumeProcess(e, n.proc));
         return;
       }
       case 'drain':
@@ -728,18 +735,18 @@
       case 'empty': {
         const n = node(f.who) as ControlNodeProcess;
         killNode(n);
-        n.disk.lose();
+        n.disk.wipe();
         e.at(end, () => startNode(n));
         return;
       }
       case 'replace-core':
         return replaceCore(Number(f.who.slice(6)), end);
       case 'isolate':
-        net.cut(name, (a, b) => a === f.who || b === f.who);
+        net.partition(name, (a, b) => a === f.who || b === f.who);
         e.at(end, () => net.heal(name));
         return;
       case 'one-way':
-        net.cut(name, (a) => a === f.who);
+        net.partition(name, (a) => a === f.who);
         e.at(end, () => net.heal(name));
         return;
       case 'split': {
@@ -747,7 +754,7 @@
         function side(m: string): boolean {
           return Number(m.slice(1)) % (k + 1) === 0;
         }
-        net.cut(name, (a, b) => a.startsWith('m') && b.startsWith('m') && side(a) !== side(b));
+        net.partition(name, (a, b) => a.startsWith('m') && b.startsWith('m') && side(a) !== side(b));
         e.at(end, () => net.heal(name));
         return;
       }
@@ -759,9 +766,9 @@
       }
       case 'disk-slow': {
         const x = keepers[Number(f.who.slice(6))]!.disk;
-        x.slowUs = 300_000;
+        x.extraLatencyUs = 300_000;
         e.at(end, () => {
-          x.slowUs = 0;
+          x.extraLatencyUs = 0;
         });
         return;
       }
@@ -776,7 +783,7 @@
       case 'disk-damage': {
         const n = node(f.who) as ControlNodeProcess;
         killNode(n);
-        n.disk.damage();
+        n.disk.corrupt();
         e.at(end, () => startNode(n));
         return;
       }
@@ -799,13 +806,13 @@
         return;
       case 'worker-freeze':
         w!.proc.frozen = w!.proc.alive;
-        e.at(end, () => wake(e, w!.proc));
+        e.at(end, () => resumeProcess(e, w!.proc));
         return;
       case 'worker-release':
         return release(w!, end);
       case 'worker-slow-link':
-        net.slow(w!.proc.machine, 200_000);
-        e.at(end, () => net.slow(w!.proc.machine, 0));
+        net.setExtraLatency(w!.proc.machine, 200_000);
+        e.at(end, () => net.setExtraLatency(w!.proc.machine, 0));
         return;
       case 'lapse':
         for (const x of workers.all) if (x.proc.alive) x.core.lapse();
@@ -840,7 +847,7 @@
         for (const n of ns) n.proc.frozen = n.proc.alive;
         for (const q of h.requests) q.excused ||= q.end === undefined && ns.some((n) => q.via.has(n.proc.name));
         e.at(end, () => {
-          for (const n of ns) wake(e, n.proc);
+          for (const n of ns) resumeProcess(e, n.proc);
         });
         return;
       }
@@ -848,13 +855,13 @@
         return replaceSeed(Number(f.who.slice(5)), end);
       case 'link-one-way': {
         const [a, b] = f.who.split('>');
-        net.cut(name, (x, y) => x === a && y === b);
+        net.partition(name, (x, y) => x === a && y === b);
         e.at(end, () => net.heal(name));
         return;
       }
       case 'core-split': {
         const alone = f.who;
-        net.cut(name, (x, y) => apart(alone, x, y));
+        net.partition(name, (x, y) => apart(alone, x, y));
         e.at(end, () => net.heal(name));
         return;
       }
@@ -979,11 +986,11 @@
     e.at(span, () => {
       h.calmFrom = e.now();
       for (const n of [...keepers, ...agents, ...routers]) {
-        wake(e, n.proc);
+        resumeProcess(e, n.proc);
         startNode(n);
       }
       for (const w of workers.all) {
-        wake(e, w.proc);
+        resumeProcess(e, w.proc);
         w.dark = false;
         if (!w.proc.alive) {
           workers.start(w);
@@ -1019,7 +1026,7 @@
     if (o.closing !== undefined) {
       const n = keepers[o.closing]!;
       killNode(n);
-      n.disk.lose();
+      n.disk.wipe();
     }
     const at = liveAgent()!;
     void at.core!.readDesired().then((x) => {
--- a/packages/simulator/src/sim-workers.ts
+++ b/packages/simulator/src/sim-workers.ts
@@ -10,11 +10,11 @@
 import type { Engine } from './engine.js';
 import type { History } from './history.js';
 import type { Network } from './network.js';
-import { createProc, die, into, procWorld, type Proc } from './process.js';
+import { createSimProcess, killProcess, deliver, createProcessWorld, type SimProcess } from './process.js';
 
 export interface SimWorker {
   readonly name: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly pace: number;
   core: WorkerCore;
   incarnation: number;
@@ -22,10 +22,13 @@
 }
 export interface SimWorkers {
   readonly all: SimWorker[];
-  readonly portFor: (p: Proc, incarnation: number) => WorkerPort;
-  readonly fetchFor: (p: Proc, incarnation: number) => (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
+  readonly portFor: (p: SimProcess, incarnation: number) => WorkerPort;
+  readonly fetchFor: (
+    p: SimProcess,
+    incarnation: number,
+  ) => (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   readonly orderFor: (
-    p: Proc,
+    p: SimProcess,
     incarnation: number,
   ) => (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
   readonly start: (w: SimWorker) => void;
@@ -43,7 +46,7 @@
   const memoryOf = new Map<string, string>();
   const all: SimWorker[] = Array.from({ length: count }, (_, i) => ({
     name: `worker${i}`,
-    proc: createProc(`worker${i}`, `w${i}`),
+    proc: createSimProcess(`worker${i}`, `w${i}`),
     pace: paces[i % paces.length]!,
     core: undefined as unknown as WorkerCore,
     incarnation: 0,
@@ -54,7 +57,7 @@
     w.proc.alive = true;
     w.incarnation += 1;
     w.dark = false;
-    const world = procWorld(
+    const world = createProcessWorld(
       e,
       w.proc,
       random,
@@ -80,22 +83,22 @@
     });
   }
   function kill(w: SimWorker): void {
-    die(w.proc);
+    killProcess(w.proc);
   }
 
   // Brings f to the worker as a connection would: refused when nobody listens, held or lost in a cut, waiting
   // in a frozen one. `lost` says that no connection came about.
-  function reach(p: Proc, m: WorkerStateEntry, f: (w: SimWorker) => void, lost: (why: string) => void): void {
+  function reach(p: SimProcess, m: WorkerStateEntry, f: (w: SimWorker) => void, lost: (why: string) => void): void {
     const w = all.find((x) => x.name === m.worker);
     if (w === undefined) return lost('ECONNREFUSED');
     function arrive(): void {
       const incarnation = w!.proc.incarnation;
       if (!w!.proc.alive) return lost('ECONNREFUSED');
-      into(w!.proc, incarnation, () => {
+      deliver(w!.proc, incarnation, () => {
         if (!w!.dark) f(w!);
       });
     }
-    if (net.blocked(p.machine, w.proc.machine)) {
+    if (net.isBlocked(p.machine, w.proc.machine)) {
       const pooled = random() < 0.6;
       if (!pooled) e.at(e.now() + 1_500_000, () => lost('UND_ERR_CONNECT_TIMEOUT'));
       else if (random() < 0.5) net.onHeal(() => e.at(e.now() + net.latency(p.machine, w.proc.machine), arrive));
@@ -104,14 +107,14 @@
     e.at(e.now() + net.latency(p.machine, w.proc.machine), arrive);
   }
 
-  function back(p: Proc, incarnation: number, w: SimWorker, f: () => void): void {
+  function back(p: SimProcess, incarnation: number, w: SimWorker, f: () => void): void {
     e.at(e.now() + net.latency(w.proc.machine, p.machine), () => {
-      if (net.blocked(w.proc.machine, p.machine)) net.onHeal(() => into(p, incarnation, f));
-      else into(p, incarnation, f);
+      if (net.isBlocked(w.proc.machine, p.machine)) net.onHeal(() => deliver(p, incarnation, f));
+      else deliver(p, incarnation, f);
     });
   }
 
-  function portFor(p: Proc, incarnation: number): WorkerPort {
+  function portFor(p: SimProcess, incarnation: number): WorkerPort {
     function prefill(m: WorkerStateEntry, j: WorkerJob, signal: AbortSignal): Promise<PrefillResult> {
       return new Promise((ok) => {
         let off: (() => void) | undefined;
@@ -135,9 +138,9 @@
             function broke(): void {
               back(p, incarnation, w, () => done({ tag: 'unknown', why: 'ECONNRESET' }));
             }
-            w.proc.deaths.add(broke);
+            w.proc.exitHandlers.add(broke);
             dead = () => {
-              w.proc.deaths.delete(broke);
+              w.proc.exitHandlers.delete(broke);
             };
             off = w.core.prefill({ request: j.request, prompt: j.prompt, maxTokens: j.maxTokens }, (a) => {
               if (a.tag === 'refused') return back(p, incarnation, w, () => done({ tag: 'notStarted', why: a.why }));
@@ -158,7 +161,7 @@
               );
             });
           },
-          (why) => into(p, incarnation, () => done({ tag: 'notStarted', why })),
+          (why) => deliver(p, incarnation, () => done({ tag: 'notStarted', why })),
         );
       });
     }
@@ -209,12 +212,12 @@
             function broke(): void {
               back(p, incarnation, w, () => done({ tag: 'unknown', why: 'ECONNRESET' }));
             }
-            w.proc.deaths.add(broke);
+            w.proc.exitHandlers.add(broke);
             dead = () => {
-              w.proc.deaths.delete(broke);
+              w.proc.exitHandlers.delete(broke);
             };
             takeFrom(w, hd, (why, of) =>
-              into(w.proc, wgen, () => {
+              deliver(w.proc, wgen, () => {
                 if (why !== undefined) return back(p, incarnation, w, () => done({ tag: 'lapsed', why }));
                 if (signal.aborted && random() < 0.8) return;
                 memoryOf.set(`${w.name}/${j.request}`, of!);
@@ -222,13 +225,13 @@
                 function piece(f: () => void): void {
                   order = Math.max(e.now() + net.latency(w.proc.machine, p.machine), order + 1);
                   e.at(order, () => {
-                    if (net.blocked(w.proc.machine, p.machine))
+                    if (net.isBlocked(w.proc.machine, p.machine))
                       return net.onHeal(() =>
-                        into(p, incarnation, () => {
+                        deliver(p, incarnation, () => {
                           if (!over) done({ tag: 'unknown', why: 'cut' });
                         }),
                       );
-                    into(p, incarnation, () => {
+                    deliver(p, incarnation, () => {
                       if (!over) f();
                     });
                   });
@@ -241,7 +244,7 @@
               }),
             );
           },
-          (why) => into(p, incarnation, () => done({ tag: 'notStarted', why })),
+          (why) => deliver(p, incarnation, () => done({ tag: 'notStarted', why })),
         );
       });
     }
@@ -251,7 +254,7 @@
   function takeFrom(w: SimWorker, hd: Handle, done: (why: string | undefined, of?: string) => void): void {
     const from = all.find((x) => x.name === hd.worker)!;
     const l = from === w ? 0 : net.latency(w.proc.machine, from.proc.machine);
-    if (net.blocked(w.proc.machine, from.proc.machine) || !from.proc.alive || from.dark || from.proc.frozen)
+    if (net.isBlocked(w.proc.machine, from.proc.machine) || !from.proc.alive || from.dark || from.proc.frozen)
       return e.at(e.now() + 2_000_000, () => done('memory_lapsed'));
     e.at(e.now() + l, () => {
       if (!from.proc.alive) return done('memory_lapsed');
@@ -260,11 +263,11 @@
     });
   }
 
-  function fetchFor(p: Proc, incarnation: number): (m: WorkerStateEntry) => Promise<FetchedReport | undefined> {
+  function fetchFor(p: SimProcess, incarnation: number): (m: WorkerStateEntry) => Promise<FetchedReport | undefined> {
     return function fetch(m) {
       h.probes.push(e.now());
       return new Promise((ok) => {
-        e.at(e.now() + 1_500_000, () => into(p, incarnation, () => ok(undefined)));
+        e.at(e.now() + 1_500_000, () => deliver(p, incarnation, () => ok(undefined)));
         reach(
           p,
           m,
@@ -272,19 +275,19 @@
             const r = w.core.report();
             back(p, incarnation, w, () => ok(r));
           },
-          () => into(p, incarnation, () => ok(undefined)),
+          () => deliver(p, incarnation, () => ok(undefined)),
         );
       });
     };
   }
 
   function orderFor(
-    p: Proc,
+    p: SimProcess,
     incarnation: number,
   ): (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined> {
     return function order(m, epoch, part) {
       return new Promise((ok) => {
-        e.at(e.now() + 1_500_000, () => into(p, incarnation, () => ok(undefined)));
+        e.at(e.now() + 1_500_000, () => deliver(p, incarnation, () => ok(undefined)));
         reach(
           p,
           m,
@@ -293,7 +296,7 @@
             h.orders.push({ at: e.now(), worker: `${w.name}/${w.incarnation}`, epoch, part, obeyed, by: p.name });
             back(p, incarnation, w, () => ok(obeyed));
           },
-          () => into(p, incarnation, () => ok(undefined)),
+          () => deliver(p, incarnation, () => ok(undefined)),
         );
       });
     };
--- a/packages/simulator/src/core-machine.ts
+++ b/packages/simulator/src/simulated-control-node.ts
@@ -16,13 +16,13 @@
 import { micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
 import type { Network } from './network.js';
-import { createProc, procWorld, type Proc } from './process.js';
+import { createSimProcess, createProcessWorld, type SimProcess } from './process.js';
 import { createSimDisk, type SimDisk } from './sim-disk.js';
 
 /** The virtual time, network and randomness that all machines of a run share. */
-export interface VirtualSite {
-  readonly e: Engine;
-  readonly net: Network;
+export interface SimulationEnvironment {
+  readonly engine: Engine;
+  readonly network: Network;
   readonly random: () => number;
 }
 
@@ -30,7 +30,7 @@
 export interface SimulatedMachine {
   readonly name: string;
   readonly address: Address;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly disk: SimDisk;
   host: ControlNodeHost | undefined;
 }
@@ -42,22 +42,22 @@
 }
 
 /** What one start of a control node is given. */
-export interface ControlNodeStart {
+export interface ControlNodeOptions {
   /** Who founds the core together, in the order of their slots. */
-  readonly founders: readonly Address[];
+  readonly bootstrapMembers: readonly Address[];
   /** Whom to ask where no replica is known, as the settings say it now. */
   readonly seeds: () => readonly Address[];
-  readonly bootstrap: boolean;
-  readonly dutyTenure: number;
-  readonly sweepEvery?: number;
-  readonly wantedReplicas?: number;
+  readonly mayBootstrap: boolean;
+  readonly roleLeaseUs: number;
+  readonly antiEntropyIntervalUs?: number;
+  readonly targetReplicas?: number;
   /** With how many machines a cluster is founded where no seed holds state. */
-  readonly founderCount?: BootstrapSize;
+  readonly bootstrapSize?: BootstrapSize;
   /** The size of the journal in bytes above which it is rewritten, where it isn't the usual one. */
-  readonly rewriteOver?: number;
-  readonly feed: (proc: Proc) => Omit<FeedServerOptions, 'controlNode' | 'self'>;
+  readonly compactAboveBytes?: number;
+  readonly feed: (proc: SimProcess) => Omit<FeedServerOptions, 'controlNode' | 'self'>;
   /** Builds what else runs on the machine; it gets the messages before the control node and says which it took. */
-  readonly beside?: (
+  readonly attachComponents?: (
     w: World,
     host: ControlNodeHost,
     asker: ControlClient,
@@ -70,22 +70,22 @@
 export interface StartedControlNode {
   readonly world: World;
   readonly host: ControlNodeHost;
-  readonly asker: ControlClient;
+  readonly client: ControlClient;
 }
 
 const beginAgainAfter = micros(300_000);
 
 /** Adds a machine with an empty disk to the network; nothing runs on it yet. */
-export function addMachine(site: VirtualSite, name: string): SimulatedMachine {
-  const proc = createProc(name, name);
+export function addMachine(site: SimulationEnvironment, name: string): SimulatedMachine {
+  const proc = createSimProcess(name, name);
   const machine: SimulatedMachine = {
     name,
     address: `${name}:1` as Address,
     proc,
-    disk: createSimDisk(site.e, site.random),
+    disk: createSimDisk(site.engine, site.random),
     host: undefined,
   };
-  site.net.add(machine.address, proc);
+  site.network.add(machine.address, proc);
   return machine;
 }
 
@@ -95,9 +95,9 @@
   afresh: boolean,
   blank: boolean,
 ): Promise<E.Either<Error, OpenDisk>> {
-  if (blank) machine.disk.lose();
+  if (blank) machine.disk.wipe();
   const journal = readJournal(machine.disk.bytes());
-  if (E.isRight(journal)) machine.disk.cut(journal.right.validBytes);
+  if (E.isRight(journal)) machine.disk.truncate(journal.right.validBytes);
   const found = E.isLeft(journal) ? [] : journal.right.records;
   const disk = machine.disk.open(machine.proc);
   const error = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
@@ -106,19 +106,19 @@
 
 /** Starts a control node on a machine on which none runs. */
 export function startControlNode(
-  site: VirtualSite,
+  site: SimulationEnvironment,
   machine: SimulatedMachine,
-  o: ControlNodeStart,
+  o: ControlNodeOptions,
 ): StartedControlNode {
   const { proc, address: self } = machine;
   proc.alive = true;
-  const outer = procWorld(
-    site.e,
+  const outer = createProcessWorld(
+    site.engine,
     proc,
     site.random,
     (to, m) => {
       o.observer?.sent(m, self, to);
-      site.net.send(proc, self, to, m);
+      site.network.send(proc, self, to, m);
     },
     () => undefined,
   );
@@ -127,11 +127,11 @@
     if (to === self) outer.after(micros(0), () => proc.receive(m, self));
     else outer.send(to, m);
   }
-  const { founders } = o;
+  const { bootstrapMembers: founders } = o;
   const host = createControlNodeHost(world, {
     slot: undefined,
     bootstrapSlot: founders.includes(self) ? founders.indexOf(self) : undefined,
-    mayBootstrap: o.bootstrap,
+    mayBootstrap: o.mayBootstrap,
     rejoins: true,
     firstPause: 300_000,
     longestPause: 1_000_000,
@@ -140,17 +140,17 @@
     initialSeeds: [...founders],
     seeds: [],
     routerLeaseUs: 10_000_000,
-    dutyTenure: o.dutyTenure,
-    ...(o.sweepEvery === undefined ? {} : { antiEntropyIntervalUs: o.sweepEvery }),
-    ...(o.wantedReplicas === undefined ? {} : { targetReplicas: o.wantedReplicas }),
-    ...(o.founderCount === undefined ? {} : { bootstrapSize: o.founderCount }),
-    ...(o.rewriteOver === undefined ? {} : { compactAboveBytes: o.rewriteOver }),
+    dutyTenure: o.roleLeaseUs,
+    ...(o.antiEntropyIntervalUs === undefined ? {} : { antiEntropyIntervalUs: o.antiEntropyIntervalUs }),
+    ...(o.targetReplicas === undefined ? {} : { targetReplicas: o.targetReplicas }),
+    ...(o.bootstrapSize === undefined ? {} : { bootstrapSize: o.bootstrapSize }),
+    ...(o.compactAboveBytes === undefined ? {} : { compactAboveBytes: o.compactAboveBytes }),
     newDiskId: () => Math.floor(site.random() * 2 ** 48).toString(36),
     open: (afresh, blank) => openDisk(machine, afresh, blank),
   });
   const asker = createControlClient(world, self, createReplicaAddressList(host.core, self, o.seeds));
   const feed = createFeedServer(world, { self, controlNode: host.core, seeds: o.seeds, ...o.feed(proc) });
-  const beside = o.beside?.(world, host, asker, feed.workers);
+  const beside = o.attachComponents?.(world, host, asker, feed.workers);
   proc.receive = (m, from) => {
     o.observer?.received(m, self, from);
     if (m.kind === 'Answer') asker.handleAnswer(m);
@@ -162,5 +162,5 @@
     if (E.isLeft(await host.begin())) outer.after(beginAgainAfter, () => void begin());
   }
   void begin();
-  return { world, host, asker };
+  return { world, host, client: asker };
 }
--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -12,7 +12,15 @@
   type MessageOf,
   type World,
 } from '@tansypost/inner-protocol';
-import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
+import {
+  createEngine,
+  createNetwork,
+  createSimProcess,
+  killProcess,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from '@tansypost/simulator';
 import { createFleetClock } from './fleet-clock.js';
 import { createUsageCollector, type UsageCollector } from './usage-collector.js';
 import { encodeUsageContent, type UsageContent } from './usage-content.js';
@@ -48,7 +56,7 @@
 
 interface Router {
   readonly name: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   counter: UsageCounter;
   starts: number;
   /** The requests that this process has counted, in order. */
@@ -88,12 +96,12 @@
     if (event === 3501) late.received += fields['count'] as number;
     if (event === 3502) late.dropped += fields['count'] as number;
   }
-  function worldOf(proc: Proc): World {
+  function worldOf(proc: SimProcess): World {
     const address = `${proc.machine}:1`;
-    return procWorld(engine, proc, random, (to, message) => net.send(proc, address, to, message), log);
+    return createProcessWorld(engine, proc, random, (to, message) => net.send(proc, address, to, message), log);
   }
-  function addProc(name: string): Proc {
-    const proc = createProc(name, name);
+  function addProc(name: string): SimProcess {
+    const proc = createSimProcess(name, name);
     net.add(`${name}:1`, proc);
     proc.alive = true;
     return proc;
@@ -110,7 +118,7 @@
     const clock = createFleetClock(world, { wallClock: () => wallOf(name) });
     function sampleClocks(): void {
       for (const node of controlNodes) {
-        if (net.blocked(node, name)) continue;
+        if (net.isBlocked(node, name)) continue;
         const sentAt = world.now();
         const wall = wallOf(node) + random();
         world.after(micros(400 + random() * 2000), () => clock.addSample(node, wall, sentAt, world.now()));
@@ -149,7 +157,7 @@
   const lastContactAt = new Map<Router, number>();
   function recordContacts(): void {
     for (const router of routers)
-      if (router.proc.alive && !router.proc.frozen && !net.blocked(router.name, controlNodes[leader]!))
+      if (router.proc.alive && !router.proc.frozen && !net.isBlocked(router.name, controlNodes[leader]!))
         lastContactAt.set(router, engine.now());
     engine.at(engine.now() + heartbeatInterval, recordContacts);
   }
@@ -189,7 +197,7 @@
   }
 
   /** Starts a control node, which stands in for the duty runner: it writes one window after the other to the record. */
-  function startNode(index: number): { proc: Proc; collector: UsageCollector } {
+  function startNode(index: number): { proc: SimProcess; collector: UsageCollector } {
     const name = controlNodes[index]!;
     const proc = addProc(name);
     const world = worldOf(proc);
@@ -260,12 +268,12 @@
       const unreceived = unreceivedOf(router);
       lost.push(...unreceived);
       maxima.lost = Math.max(maxima.lost, unreceived.length);
-      die(router.proc);
+      killProcess(router.proc);
     },
     start: startRouter,
-    freeze: ({ proc }: { readonly proc: Proc }) => void (proc.frozen = true),
-    wake: ({ proc }: { readonly proc: Proc }) => wake(engine, proc),
-    cut: (...names: string[]) => net.cut('cut', (from, to) => names.includes(from) || names.includes(to)),
+    freeze: ({ proc }: { readonly proc: SimProcess }) => void (proc.frozen = true),
+    wake: ({ proc }: { readonly proc: SimProcess }) => resumeProcess(engine, proc),
+    cut: (...names: string[]) => net.partition('cut', (from, to) => names.includes(from) || names.includes(to)),
     heal: () => net.heal('cut'),
     /** Makes another node the leader; its term is written to the record. */
     replaceLeader: (index: number) => {
@@ -331,11 +339,11 @@
 /** Drops, repeats and delays some of the usage messages. */
 function disturbMessages(fleet: Fleet, seed: number): void {
   const random = createSeededRandom(seed);
-  fleet.net.tamper((m: Message) => {
+  fleet.net.intercept((m: Message) => {
     if (m.kind !== 'UsageAsk' && m.kind !== 'UsageTold') return undefined;
     const draw = random();
     if (draw < 0.25) return [];
-    return draw < 0.5 ? [{ m }, { m, after: Math.floor(random() * 4_000_000) }] : undefined;
+    return draw < 0.5 ? [{ message: m }, { message: m, delayUs: Math.floor(random() * 4_000_000) }] : undefined;
   });
 }
 
@@ -356,7 +364,7 @@
 function tamper(fleet: Fleet, kind: Message['kind'], disturbance: Disturbance): () => number {
   const older = new Map<string, Message>();
   let [seen, disturbed] = [0, 0];
-  fleet.net.tamper((m, from, to) => {
+  fleet.net.intercept((m, from, to) => {
     if (m.kind !== kind) return undefined;
     seen += 1;
     const link = `${from}>${to}`;
@@ -365,9 +373,9 @@
     if (seen % 3 !== 0) return undefined;
     disturbed += 1;
     if (disturbance === 'dropped') return [];
-    if (disturbance === 'repeated') return [{ m }, { m }];
-    if (disturbance === 'late') return [{ m, after: 400_000 }];
-    return stale === undefined ? undefined : [{ m: stale }, { m }];
+    if (disturbance === 'repeated') return [{ message: m }, { message: m }];
+    if (disturbance === 'late') return [{ message: m, delayUs: 400_000 }];
+    return stale === undefined ? undefined : [{ message: stale }, { message: m }];
   });
   return () => disturbed;
 }
@@ -447,7 +455,7 @@
   await fleet.run(11);
   fleet.replaceLeader(1);
   await fleet.run(9);
-  die(fleet.nodes[1]!.proc);
+  killProcess(fleet.nodes[1]!.proc);
   await fleet.run(3);
   fleet.replaceLeader(2);
   await fleet.run(7);
@@ -474,7 +482,7 @@
   const fleet = createFleet({ seed: 11, routers: 10, rate: 400, standby: true });
   await fleet.run(9);
   for (let leader = 0; leader < 4; leader += 1) {
-    die(fleet.nodes[leader]!.proc);
+    killProcess(fleet.nodes[leader]!.proc);
     const killed = [fleet.routers[leader]!, fleet.routers[leader + 5]!];
     killed.forEach(fleet.kill);
     await fleet.run(0.5);
--- a/programs/fleet-runner/src/control-scenario.ts
+++ b/programs/fleet-runner/src/control-scenario.ts
@@ -87,10 +87,10 @@
   async noteInitial(agent: string): Promise<void> {
     const sentAt = this.now();
     const revision = await this.get(agent);
-    const found = this.history.calls.at(-1)?.found;
+    const found = this.history.calls.at(-1)?.readResult;
     if (revision === undefined || found === undefined) return;
-    const taken = { kind: 'put', node: agent, sentAt, answeredAt: sentAt, code: 200, nodeRan: true } as const;
-    this.history.calls.unshift({ ...taken, text: found.text, revision, base: revision - 1 });
+    const taken = { kind: 'put', node: agent, sentAt, answeredAt: sentAt, code: 200, nodeWasAvailable: true } as const;
+    this.history.calls.unshift({ ...taken, text: found.text, revision, expectedRevision: revision - 1 });
   }
 
   /** Sends an order once; gives the answer's status, undefined where none came. */
@@ -102,8 +102,8 @@
       sentAt: this.now(),
       text: textOf(state),
       revision: order.base + 1,
-      base: order.base,
-      nodeRan: true,
+      expectedRevision: order.base,
+      nodeWasAvailable: true,
     };
     this.history.calls.push(call);
     const body = JSON.stringify({ base: order.base, change: order.change, state });
@@ -116,7 +116,7 @@
 
   /** Reads once; gives the version, undefined where it was not given. */
   async get(agent: string): Promise<number | undefined> {
-    const call: ConfigCall = { kind: 'get', node: agent, sentAt: this.now(), nodeRan: true };
+    const call: ConfigCall = { kind: 'get', node: agent, sentAt: this.now(), nodeWasAvailable: true };
     this.history.calls.push(call);
     const answer = await this.call(agent, 'GET');
     if (answer === undefined) return undefined;
@@ -124,7 +124,7 @@
     call.code = answer.code;
     const { version, state } = answer.body as { version?: number; state?: unknown };
     if (answer.code !== 200 || version === undefined) return undefined;
-    call.found = { revision: version, text: textOf(state) };
+    call.readResult = { revision: version, text: textOf(state) };
     return version;
   }
 
--- a/tests/closing-faults.test.ts
+++ b/tests/closing-faults.test.ts
@@ -28,7 +28,7 @@
   const places = step % 2 === 0 ? 3 : 5;
   function look(second: number, core: Parameters<NonNullable<PassedDayOptions['look']>>[1]): void {
     for (const machine of core.machines.values()) {
-      machine.disk.slowUs = slowSyncMicros;
+      machine.disk.extraLatencyUs = slowSyncMicros;
       // The kill of this second came first; what no disk had synced is now lost with the power.
       if (losesPower && second === killAt) machine.disk.crash();
     }
