--- a/tests/control-config.test.ts
+++ b/tests/control-config.test.ts
@@ -3,7 +3,7 @@
  * configuration and of the version that an order builds on, in place of the simulator's.
  */
 import { describe, expect, it } from 'vitest';
-import { reportCuts, reportRaces, type ConfigService } from '@tansypost/simulator';
+import { reportPartitions, reportRaces, type ConfigService } from '@tansypost/simulator';
 import { getConfig, putConfig } from '../platform/src/config-calls.js';
 
 const platformService: ConfigService = {
@@ -12,7 +12,7 @@
     const answer = await getConfig(w);
     return { code: answer.code, text: answer.body.toString() };
   },
-  textOf: (revision, label) =>
+  renderConfiguration: (revision, label) =>
     JSON.stringify({
       revision,
       routes: [
@@ -27,7 +27,7 @@
   const o = { members, service: platformService };
 
   it('serves nothing old and answers in time while one is cut off or frozen', async () => {
-    const report = await reportCuts({ ...o, seeds: { from: 11, count: 1 } });
+    const report = await reportPartitions({ ...o, seeds: { from: 11, count: 1 } });
     expect(report.breaches).toEqual([]);
   });
 
--- a/tests/messages.test.ts
+++ b/tests/messages.test.ts
@@ -38,7 +38,7 @@
   let seen = 0;
   const old = new Map<string, Message>();
   return function set(net) {
-    net.tamper((m, from, to) => {
+    net.intercept((m, from, to) => {
       if (m.kind !== kind) return undefined;
       seen += 1;
       if (seen % (fewOnly.has(kind) ? 2 : 3) !== 0) {
@@ -47,10 +47,10 @@
       }
       counted.n += 1;
       if (way === 'dropped') return [];
-      if (way === 'repeated') return [{ m }, { m }];
-      if (way === 'late') return [{ m, after: 400_000 }];
+      if (way === 'repeated') return [{ message: m }, { message: m }];
+      if (way === 'late') return [{ message: m, delayUs: 400_000 }];
       const o = old.get(`${from}>${to}`);
-      return o === undefined ? undefined : [{ m: o }, { m }];
+      return o === undefined ? undefined : [{ message: o }, { message: m }];
     });
   };
 }
@@ -121,11 +121,11 @@
 
 it('serves without a breach while every second machine is of a release that lacks the newest fields', async () => {
   function old(net: Network): void {
-    net.tamper((m, from) => {
+    net.intercept((m, from) => {
       if (!/^m[13]$/.test(from)) return undefined;
-      if (m.kind === 'Feed') return [{ m: { ...m, contact: false } }];
-      if (m.kind === 'RouterState') return [{ m: { ...m, have: [] } }];
-      if (m.kind === 'Reports') return [{ m: { ...m, relay: false } }];
+      if (m.kind === 'Feed') return [{ message: { ...m, contact: false } }];
+      if (m.kind === 'RouterState') return [{ message: { ...m, have: [] } }];
+      if (m.kind === 'Reports') return [{ message: { ...m, relay: false } }];
       return m.kind === 'Claim' || m.kind === 'MarksDigest' ? [] : undefined;
     });
   }
