--- a/packages/simulator/src/control-runs/config-service.ts
+++ b/packages/simulator/src/control-runs/config-service.ts
@@ -1,46 +1,48 @@
 /**
- * The operators' calls on the configuration as the machines of the core serve them. The programs of a platform have
- * their own form of them and of the configuration's text; a run takes either.
+ * The operators' configuration API as the control machines serve it. Platform programs have their own form of the API
+ * and of the configuration text; a run works with any implementation of `ConfigService`.
  */
 import { configurationKey, type ControlResponse, type ControlRequest } from '@tansypost/control-feed';
 import { submit, tableOf, type SubmitAnswer } from '../pass-through/submit.js';
 
-/** How a served call reaches the core, and the clock it goes by. */
+/** Access of an API server to the control cluster, and its clock. */
 export interface ServiceWorld {
-  readonly ask: (q: ControlRequest) => Promise<ControlResponse>;
+  readonly ask: (request: ControlRequest) => Promise<ControlResponse>;
   readonly now: () => number;
 }
 
-/** What a read of the configuration was answered with. */
+/** The status and text of the response to a read of the configuration. */
 export interface ReadResult {
   readonly code: number;
   readonly text: string;
 }
 
 export interface ConfigService {
-  /** Gives the status of the answer to an order on the revision `base`. */
-  readonly put: (w: ServiceWorld, text: string, base: number) => Promise<number>;
-  readonly get: (w: ServiceWorld) => Promise<ReadResult>;
-  /** A proper configuration of that revision; configurations with different labels differ. */
+  /** Submits an update that replaces the revision `base`; returns the response status. */
+  readonly put: (world: ServiceWorld, text: string, base: number) => Promise<number>;
+  readonly get: (world: ServiceWorld) => Promise<ReadResult>;
+  /** Returns a valid configuration with this revision; configurations with different labels differ. */
   readonly renderConfiguration: (revision: number, label: string) => string;
 }
 
-const readPatience = 850_000;
-const codes: Record<SubmitAnswer, number> = { taken: 200, refused: 412, 'not now': 503 };
+const readTimeoutUs = 850_000;
+const statusCodes: Record<SubmitAnswer, number> = { taken: 200, refused: 412, 'not now': 503 };
 
-async function read(w: ServiceWorld): Promise<ReadResult> {
-  const a = await w.ask({ op: 'read', key: configurationKey, deadline: w.now() + readPatience });
-  return a.status === 'value' && a.version > 0 ? { code: 200, text: a.value.toString() } : { code: 503, text: '' };
+async function read(world: ServiceWorld): Promise<ReadResult> {
+  const response = await world.ask({ op: 'read', key: configurationKey, deadline: world.now() + readTimeoutUs });
+  return response.status === 'value' && response.version > 0
+    ? { code: 200, text: response.value.toString() }
+    : { code: 503, text: '' };
 }
 
-/** The calls as the simulated machines serve them: any text that states a revision is a proper configuration. */
+/** The API of the simulated machines, which accept any text that states a revision as a valid configuration. */
 export const simulatedConfigService: ConfigService = {
-  put: async (w, text, base) => codes[await submit({ ...w, blind: true }, text, base)],
+  put: async (world, text, base) => statusCodes[await submit({ ...world, blind: true }, text, base)],
   get: read,
   renderConfiguration: (revision, label) => JSON.stringify({ revision, label }),
 };
 
-/** The revision that a configuration states. */
+/** Returns the revision that a configuration text states, 0 where it states none. */
 export function parseRevision(text: string): number {
   return tableOf(text)?.revision ?? 0;
 }
--- a/packages/simulator/src/control-runs/control-cluster.ts
+++ b/packages/simulator/src/control-runs/control-cluster.ts
@@ -1,6 +1,6 @@
 /**
- * A cluster of control nodes in virtual time, with the routers that follow it. Every machine runs the real control
- * node; a router is the real follower of the configuration feed and nothing else.
+ * A control cluster in virtual time, with routers that subscribe to it. Every machine runs the real control node; a
+ * router consists of the real client of the configuration feed and nothing else.
  */
 import {
   createControlFeed,
@@ -23,15 +23,15 @@
 import { createNetwork, type Network } from '../network.js';
 import { createSimProcess, killProcess, createProcessWorld, resumeProcess, type SimProcess } from '../process.js';
 
-/** A question without the time by which it must be answered. */
+/** A control request whose deadline is filled in when it is sent. */
 export type RequestWithoutDeadline = Omit<ControlRequest, 'deadline'>;
 
-/** A machine of the cluster and the control node that was last started on it. */
+/** A machine of the cluster with the control node that was last started on it. */
 export interface ClusterMachine extends SimulatedMachine {
   node: StartedControlNode | undefined;
 }
 
-/** A router that follows the cluster; started again under its name it begins anew and knows nothing. */
+/** A router that subscribes to the cluster. A restart under the same name loses all its state. */
 export interface ClusterRouter {
   readonly name: string;
   readonly proc: SimProcess;
@@ -42,28 +42,29 @@
   readonly machines: ReadonlyMap<string, ClusterMachine>;
   readonly machine: (name: string) => ClusterMachine;
   readonly add: (name: string) => ClusterMachine;
-  /** Starts a control node; `told` names the machines that its settings give as seeds. */
-  readonly start: (name: string, bootstrap?: boolean, told?: readonly string[]) => void;
-  /** Takes the power away: what was not synced may be lost. */
+  /** Starts a control node; `seeds` are the machines that its settings name as seeds. */
+  readonly start: (name: string, mayBootstrap?: boolean, seeds?: readonly string[]) => void;
+  /** Simulates a power failure: data that was not synced may be lost. */
   readonly kill: (name: string) => void;
-  /** Takes the power and the disk away. */
+  /** Simulates a power failure that also loses the disk. */
   readonly wipe: (name: string) => void;
   readonly resume: (name: string) => void;
-  readonly startRouter: (name: string, changed?: (feed: ControlFeed) => void) => ClusterRouter;
-  readonly request: (via: string, q: RequestWithoutDeadline, patience?: number) => Promise<ControlResponse>;
-  /** Passes virtual time. */
+  readonly startRouter: (name: string, onConfiguration?: (feed: ControlFeed) => void) => ClusterRouter;
+  /** Sends a request through one machine; the timeout is in microseconds. */
+  readonly request: (via: string, request: RequestWithoutDeadline, timeoutUs?: number) => Promise<ControlResponse>;
+  /** Advances virtual time. */
   readonly run: (ms: number) => Promise<void>;
-  /** Which machines run and vote. */
+  /** The machines that run a voting replica. */
   readonly voting: () => string[];
-  /** The members that a machine knows of. */
+  /** The replicas in the membership record of one machine. */
   readonly replicas: (via: string) => string[];
-  /** The machines that take themselves for the leader of the configuration. */
+  /** The machines that consider themselves leader of the configuration key. */
   readonly leaders: () => string[];
 }
 
-/** The names of the machines that found a cluster. */
+/** The default bootstrap members, which are also the default seeds. */
 export const bootstrapMemberNames: readonly string[] = ['c0', 'c1', 'c2'];
-const questionPatience = 850_000;
+const requestTimeoutUs = 850_000;
 const workers: readonly ListedWorker[] = ['a', 'b'].map((id) => ({
   id,
   service: 's',
@@ -76,8 +77,8 @@
 }));
 const feedSources = {
   fetchWorkerList: async () => workers,
-  fetchWorkerLoad: async (x: ListedWorker) => ({
-    id: x.id,
+  fetchWorkerLoad: async (worker: ListedWorker) => ({
+    id: worker.id,
     queued: 1,
     active: 2,
     kvUsed: 3,
@@ -91,18 +92,18 @@
   return `${name}:1` as Address;
 }
 
-/** What may differ between clusters. */
+/** Optional settings of a cluster. */
 export interface ControlClusterOptions {
   readonly observer?: MessageObserver;
-  /** The size of a journal in bytes above which it is rewritten, where it isn't the usual one. */
+  /** The journal size in bytes above which the journal is compacted, where it differs from the default. */
   readonly compactAboveBytes?: number;
 }
 
-export function createControlCluster(seed: number, o: ControlClusterOptions = {}): ControlCluster {
+export function createControlCluster(seed: number, options: ControlClusterOptions = {}): ControlCluster {
   const random = createSeededRandom(seed);
-  const e = createEngine();
-  const net: Network = createNetwork(e, random);
-  const site: SimulationEnvironment = { engine: e, network: net, random };
+  const engine = createEngine();
+  const network: Network = createNetwork(engine, random);
+  const environment: SimulationEnvironment = { engine, network, random };
   const machines = new Map<string, ClusterMachine>();
   const routers = new Map<string, ClusterRouter>();
 
@@ -110,48 +111,48 @@
     return machines.get(name)!;
   }
   function add(name: string): ClusterMachine {
-    const m: ClusterMachine = Object.assign(addMachine(site, name), { node: undefined });
-    machines.set(name, m);
-    return m;
+    const added: ClusterMachine = Object.assign(addMachine(environment, name), { node: undefined });
+    machines.set(name, added);
+    return added;
   }
-  function start(name: string, bootstrap = false, told: readonly string[] = bootstrapMemberNames): void {
-    const seeds = told.map(addressOf);
-    const m = machine(name);
-    m.node = startControlNode(site, m, {
-      bootstrapMembers: seeds,
-      seeds: () => seeds,
-      mayBootstrap: bootstrap,
+  function start(name: string, mayBootstrap = false, seeds: readonly string[] = bootstrapMemberNames): void {
+    const addresses = seeds.map(addressOf);
+    const target = machine(name);
+    target.node = startControlNode(environment, target, {
+      bootstrapMembers: addresses,
+      seeds: () => addresses,
+      mayBootstrap,
       roleLeaseUs: 3_000_000,
       feed: () => feedSources,
-      ...o,
+      ...options,
     });
   }
   function kill(name: string): void {
     killProcess(machine(name).proc);
     machine(name).disk.crash();
   }
-  function startRouter(name: string, changed?: (feed: ControlFeed) => void): ClusterRouter {
-    const before = routers.get(name);
-    if (before !== undefined) killProcess(before.proc);
+  function startRouter(name: string, onConfiguration?: (feed: ControlFeed) => void): ClusterRouter {
+    const previous = routers.get(name);
+    if (previous !== undefined) killProcess(previous.proc);
     const proc = createSimProcess(name, name);
     const self = addressOf(name);
     proc.alive = true;
-    net.add(self, proc);
-    const w = createProcessWorld(
-      e,
+    network.add(self, proc);
+    const world = createProcessWorld(
+      engine,
       proc,
       random,
-      (to, m) => net.send(proc, self, to, m),
+      (to, message) => network.send(proc, self, to, message),
       () => undefined,
     );
-    const feed: ControlFeed = createControlFeed(w, {
+    const feed: ControlFeed = createControlFeed(world, {
       self,
       member: name,
       zone: 'z',
       seeds: bootstrapMemberNames.map(addressOf),
       fetchWorkerList: async () => undefined,
       onChange: (what) => {
-        if (what === 'configuration') changed?.(feed);
+        if (what === 'configuration') onConfiguration?.(feed);
       },
     });
     proc.receive = feed.receive;
@@ -159,27 +160,31 @@
     routers.set(name, router);
     return router;
   }
-  function ask(via: string, q: RequestWithoutDeadline, patience = questionPatience): Promise<ControlResponse> {
-    const { client: asker, world } = machine(via).node!;
-    return new Promise((done) => asker.request({ ...q, deadline: world.now() + patience }, done));
+  function request(
+    via: string,
+    controlRequest: RequestWithoutDeadline,
+    timeoutUs = requestTimeoutUs,
+  ): Promise<ControlResponse> {
+    const { client, world } = machine(via).node!;
+    return new Promise((done) => client.request({ ...controlRequest, deadline: world.now() + timeoutUs }, done));
   }
-  function votes(m: ClusterMachine): boolean {
-    return m.proc.alive && m.host?.core()?.replica.state() === 'voting';
+  function isVoting(candidate: ClusterMachine): boolean {
+    return candidate.proc.alive && candidate.host?.core()?.replica.state() === 'voting';
   }
-  function leads(m: ClusterMachine): boolean {
+  function isLeading(candidate: ClusterMachine): boolean {
     return (
-      votes(m) &&
-      m
+      isVoting(candidate) &&
+      candidate
         .host!.core()!
         .ledKeys()
-        .some((k) => k.key === configurationKey)
+        .some((led) => led.key === configurationKey)
     );
   }
-  function namesWhere(f: (m: ClusterMachine) => boolean): string[] {
-    return [...machines.values()].filter(f).map((m) => m.name);
+  function namesWhere(predicate: (candidate: ClusterMachine) => boolean): string[] {
+    return [...machines.values()].filter(predicate).map((match) => match.name);
   }
   return {
-    ...site,
+    ...environment,
     machines,
     machine,
     add,
@@ -189,28 +194,30 @@
       kill(name);
       machine(name).disk.wipe();
     },
-    resume: (name) => resumeProcess(e, machine(name).proc),
+    resume: (name) => resumeProcess(engine, machine(name).proc),
     startRouter,
-    request: ask,
-    run: (ms) => e.run(e.now() + ms * 1000),
-    voting: () => namesWhere(votes),
-    leaders: () => namesWhere(leads),
+    request,
+    run: (ms) => engine.run(engine.now() + ms * 1000),
+    voting: () => namesWhere(isVoting),
+    leaders: () => namesWhere(isLeading),
     replicas: (via) =>
-      (machine(via).host?.core()?.replica.membership().replicas ?? []).map((p) => p.address.split(':')[0]!).sort(),
+      (machine(via).host?.core()?.replica.membership().replicas ?? [])
+        .map((replica) => replica.address.split(':')[0]!)
+        .sort(),
   };
 }
 
-/** Adds machines with empty disks and lets them found a cluster. */
+/** Adds machines with empty disks and bootstraps a cluster from them. */
 export async function bootstrapControlCluster(
   seed: number,
   names: readonly string[] = bootstrapMemberNames,
-  o: ControlClusterOptions = {},
+  options: ControlClusterOptions = {},
 ): Promise<ControlCluster> {
-  const c = createControlCluster(seed, o);
-  for (const n of names) {
-    c.add(n);
-    c.start(n, true);
+  const cluster = createControlCluster(seed, options);
+  for (const name of names) {
+    cluster.add(name);
+    cluster.start(name, true);
   }
-  await c.run(3000);
-  return c;
+  await cluster.run(3000);
+  return cluster;
 }
--- a/packages/simulator/src/control-runs/control-history.ts
+++ b/packages/simulator/src/control-runs/control-history.ts
@@ -1,33 +1,33 @@
 /**
- * What is recorded of a run of the control side: every call of an operator, every configuration that a router took, and
- * every round of votes as the network saw it. The judges read nothing else.
+ * The recorded history of a control run: every call of an operator, every configuration that a router applied, and
+ * every vote round as observed on the network. The invariant checks read nothing else.
  */
 import { configurationKey } from '@tansypost/control-feed';
 import type { Address, Message } from '@tansypost/inner-protocol';
 import type { MessageObserver } from '../simulated-control-node.js';
 
-/** A number that no configuration has yet: the revision that the first one builds on. */
+/** The expected revision of the first update; no configuration has this revision. */
 export const noRevision = 0;
 
-/** One call of an operator to one machine. */
+/** One API call of an operator to one machine. Times are in microseconds. */
 export interface ConfigCall {
   readonly kind: 'put' | 'get';
   readonly node: string;
   readonly sentAt: number;
-  /** Of an order: its text, the revision in it and the revision that it builds on. */
+  /** Of an update: its text, the revision in the text, and the revision that it replaces. */
   readonly text?: string;
   readonly revision?: number;
   readonly expectedRevision?: number;
-  /** When the answer came, and its status; undefined when none came. */
+  /** Arrival time and status of the response; undefined without a response. */
   answeredAt?: number;
   code?: number;
-  /** Of a read: what was given. */
+  /** Of a successful read: the configuration returned. */
   readResult?: { readonly revision: number; readonly text: string };
-  /** Whether the machine ran, neither killed nor frozen, for as long as an answer may take. */
+  /** Whether the machine was neither killed nor frozen between the call and the end of its timeout. */
   nodeWasAvailable: boolean;
 }
 
-/** A configuration that a router put into force. */
+/** A configuration that a router applied. */
 export interface AppliedConfiguration {
   readonly router: string;
   readonly startedAt: number;
@@ -35,7 +35,7 @@
   readonly revision: number;
 }
 
-/** A round of votes on the configuration, begun by one machine. */
+/** A vote round on the configuration key, started by one machine. */
 export interface ObservedRound {
   readonly node: string;
   readonly startedAt: number;
@@ -44,7 +44,7 @@
   wonAt?: number;
 }
 
-/** An answer about the configuration that one machine gave to another that had passed a question on. */
+/** A response about the configuration from one machine to another that had forwarded a request to it. */
 export interface ForwardedAnswer {
   readonly from: string;
   readonly to: string;
@@ -58,7 +58,7 @@
   readonly answers: ForwardedAnswer[];
 }
 
-/** One thing that must never happen and did. */
+/** One violation of an invariant. */
 export interface ControlBreach {
   readonly check: string;
   readonly what: string;
@@ -72,30 +72,30 @@
   return address.split(':')[0]!;
 }
 
-/** Records the rounds on the configuration; `members` tells how many replicas a machine believes there are. */
+/** Records the vote rounds on the configuration key; `members` returns the replica count that a machine knows of. */
 export function createRoundObserver(
-  h: ControlHistory,
+  history: ControlHistory,
   now: () => number,
   members: (machine: string) => number,
 ): MessageObserver {
-  function sent(m: Message, from: Address): void {
-    if (m.kind !== 'Prepare' && m.kind !== 'Accept' && m.kind !== 'Check') return;
-    // A repair of one replica is no round: nobody counts its votes.
-    if (m.key !== configurationKey || m.id.startsWith('repair/') || h.rounds.has(m.id)) return;
-    // Nor is the renewal of a lease to serve reads one that an order may stand on.
-    if (m.kind === 'Check' && m.epoch === Number.MAX_SAFE_INTEGER) return;
+  function sent(message: Message, from: Address): void {
+    if (message.kind !== 'Prepare' && message.kind !== 'Accept' && message.kind !== 'Check') return;
+    // The repair of a single replica is not a round, as its votes are not counted.
+    if (message.key !== configurationKey || message.id.startsWith('repair/') || history.rounds.has(message.id)) return;
+    // A renewal of the read lease does not confirm updates, so it is not a round either.
+    if (message.kind === 'Check' && message.epoch === Number.MAX_SAFE_INTEGER) return;
     const node = machineOf(from);
     const majority = Math.floor(members(node) / 2) + 1;
-    h.rounds.set(m.id, { node, startedAt: now(), majority, slots: new Set() });
+    history.rounds.set(message.id, { node, startedAt: now(), majority, slots: new Set() });
   }
-  function received(m: Message, at: Address, from: Address): void {
-    if (m.kind === 'Answer' && m.key === configurationKey && from !== at)
-      h.answers.push({ from: machineOf(from), to: machineOf(at), at: now() });
-    if (m.kind !== 'Vote' || !m.ok || !m.voting) return;
-    const round = h.rounds.get(m.id);
+  function received(message: Message, at: Address, from: Address): void {
+    if (message.kind === 'Answer' && message.key === configurationKey && from !== at)
+      history.answers.push({ from: machineOf(from), to: machineOf(at), at: now() });
+    if (message.kind !== 'Vote' || !message.ok || !message.voting) return;
+    const round = history.rounds.get(message.id);
     if (round === undefined || round.wonAt !== undefined) return;
-    round.slots.add(m.slot);
-    // The machine that asks has its own vote besides.
+    round.slots.add(message.slot);
+    // The initiating machine's own vote is not sent over the network, so it is counted separately.
     if (round.slots.size >= round.majority - 1) round.wonAt = now();
   }
   return { sent, received };
--- a/packages/simulator/src/control-runs/control-invariants.ts
+++ b/packages/simulator/src/control-runs/control-invariants.ts
@@ -1,14 +1,14 @@
 /**
- * What a recorded run of the control side must never show. Each judge reads a history and gives the breaches that it
- * finds; none knows how the run came about.
+ * Invariants of the control cluster. Each check reads a recorded history and returns the breaches that it finds, without
+ * knowledge of the run that produced the history.
  */
 import { noRevision, type ConfigCall, type ControlBreach, type ControlHistory } from './control-history.js';
 
-/** Every call is answered within this time, in microseconds; what is not known by then is answered 503. */
+/** Every call is answered within this time; a call whose outcome is still unknown by then is answered 503. */
 export const answerTimeoutUs = 1_000_000;
-/** A running router has a change at most this long after its acknowledgement. */
+/** A running router applies an update within this time of its acknowledgement. */
 export const applyTimeoutUs = 2_000_000;
-/** For this long a router that starts looks for a configuration that is certainly current. */
+/** How long a starting router waits for a configuration that is confirmed as current. */
 export const initialContactTimeoutUs = 3_000_000;
 
 interface SubmittedUpdate {
@@ -22,172 +22,213 @@
   return code !== undefined && code >= 400 && code < 500;
 }
 
-function describeCall(c: ConfigCall): string {
-  const what = c.kind === 'put' ? `order ${c.revision} on ${c.expectedRevision}` : 'read';
-  return `${what} to ${c.node} at ${(c.sentAt / 1e6).toFixed(3)} s`;
+function describeCall(call: ConfigCall): string {
+  const what = call.kind === 'put' ? `update to revision ${call.revision} from ${call.expectedRevision}` : 'read';
+  return `${what} sent to ${call.node} at ${(call.sentAt / 1e6).toFixed(3)} s`;
 }
 
-/** The orders of a history, each with all the calls by which it was sent. */
-function submittedUpdates(h: ControlHistory): SubmittedUpdate[] {
-  const orders = new Map<string, SubmittedUpdate>();
-  for (const c of h.calls) {
-    if (c.kind !== 'put') continue;
-    const key = `${c.expectedRevision}/${c.text}`;
-    const order = orders.get(key) ?? {
-      text: c.text!,
-      revision: c.revision!,
-      expectedRevision: c.expectedRevision!,
+/** The updates in a history, each with all calls that submitted it. */
+function submittedUpdates(history: ControlHistory): SubmittedUpdate[] {
+  const updates = new Map<string, SubmittedUpdate>();
+  for (const call of history.calls) {
+    if (call.kind !== 'put') continue;
+    const key = `${call.expectedRevision}/${call.text}`;
+    const update = updates.get(key) ?? {
+      text: call.text!,
+      revision: call.revision!,
+      expectedRevision: call.expectedRevision!,
       calls: [],
     };
-    order.calls.push(c);
-    orders.set(key, order);
+    update.calls.push(call);
+    updates.set(key, update);
   }
-  return [...orders.values()];
+  return [...updates.values()];
 }
 
-/** When a revision was first known to be in force: by the answer to its order or by a read. */
-function firstKnown(h: ControlHistory): Map<number, number> {
+/** When each revision was first known to be in force: by the acknowledgement of its update or by a read. */
+function firstKnown(history: ControlHistory): Map<number, number> {
   const known = new Map<number, number>([[noRevision, -Infinity]]);
-  for (const c of h.calls) {
-    if (c.code !== 200) continue;
-    const revision = c.kind === 'put' ? c.revision! : c.readResult!.revision;
-    known.set(revision, Math.min(known.get(revision) ?? Infinity, c.answeredAt!));
+  for (const call of history.calls) {
+    if (call.code !== 200) continue;
+    const revision = call.kind === 'put' ? call.revision! : call.readResult!.revision;
+    known.set(revision, Math.min(known.get(revision) ?? Infinity, call.answeredAt!));
   }
   return known;
 }
 
-/** No two orders that build on the same revision are both acknowledged. */
-export function oneOrderPerBase(h: ControlHistory): ControlBreach[] {
-  const taken = new Map<number, string>();
+/** No two updates that replace the same revision are both acknowledged. */
+export function oneOrderPerBase(history: ControlHistory): ControlBreach[] {
+  const acknowledgedByBase = new Map<number, string>();
   const breaches: ControlBreach[] = [];
-  for (const o of submittedUpdates(h)) {
-    const done = o.calls.find((c) => c.code === 200);
-    if (done === undefined) continue;
-    const other = taken.get(o.expectedRevision);
+  for (const update of submittedUpdates(history)) {
+    const acknowledged = update.calls.find((call) => call.code === 200);
+    if (acknowledged === undefined) continue;
+    const other = acknowledgedByBase.get(update.expectedRevision);
     if (other !== undefined)
       breaches.push({
         check: 'oneOrderPerBase',
-        what: `two on ${o.expectedRevision}: ${other} and ${describeCall(done)}`,
+        what: `two updates of revision ${update.expectedRevision} acknowledged: ${other} and ${describeCall(acknowledged)}`,
       });
-    taken.set(o.expectedRevision, describeCall(done));
+    acknowledgedByBase.set(update.expectedRevision, describeCall(acknowledged));
   }
   return breaches;
 }
 
-/** An order that was acknowledged, or read back, is never answered 4xx afterwards. */
-export function takenStaysTaken(h: ControlHistory): ControlBreach[] {
-  return submittedUpdates(h).flatMap((o) => {
-    const reads = h.calls.filter((c) => c.kind === 'get' && c.code === 200 && c.readResult!.text === o.text);
-    const known = Math.min(...[...o.calls.filter((c) => c.code === 200), ...reads].map((c) => c.answeredAt!), Infinity);
-    return o.calls
-      .filter((c) => isClientError(c.code) && c.answeredAt! > known)
-      .map((c) => ({
+/** An update that was acknowledged, or read back, is never answered 4xx afterwards. */
+export function takenStaysTaken(history: ControlHistory): ControlBreach[] {
+  return submittedUpdates(history).flatMap((update) => {
+    const reads = history.calls.filter(
+      (call) => call.kind === 'get' && call.code === 200 && call.readResult!.text === update.text,
+    );
+    const known = Math.min(
+      ...[...update.calls.filter((call) => call.code === 200), ...reads].map((call) => call.answeredAt!),
+      Infinity,
+    );
+    return update.calls
+      .filter((call) => isClientError(call.code) && call.answeredAt! > known)
+      .map((call) => ({
         check: 'takenStaysTaken',
-        what: `${describeCall(c)} was answered ${c.code} though it had been taken`,
+        what: `${describeCall(call)} was answered ${call.code} although the update was already in force`,
       }));
   });
 }
 
-/** An order that was answered 4xx, and never 200, is never in force. */
-export function refusedNeverInForce(h: ControlHistory): ControlBreach[] {
-  return submittedUpdates(h).flatMap((o) => {
-    if (!o.calls.some((c) => isClientError(c.code)) || o.calls.some((c) => c.code === 200)) return [];
-    const refused = o.calls.find((c) => isClientError(c.code))!;
-    return h.calls.some((c) => c.kind === 'get' && c.code === 200 && c.readResult!.text === o.text)
-      ? [{ check: 'refusedNeverInForce', what: `${describeCall(refused)} was answered ${refused.code} and read back` }]
+/** An update that was answered 4xx, and never 200, is never in force. */
+export function refusedNeverInForce(history: ControlHistory): ControlBreach[] {
+  return submittedUpdates(history).flatMap((update) => {
+    if (!update.calls.some((call) => isClientError(call.code)) || update.calls.some((call) => call.code === 200))
+      return [];
+    const rejected = update.calls.find((call) => isClientError(call.code))!;
+    return history.calls.some(
+      (call) => call.kind === 'get' && call.code === 200 && call.readResult!.text === update.text,
+    )
+      ? [
+          {
+            check: 'refusedNeverInForce',
+            what: `${describeCall(rejected)} was answered ${rejected.code} but read back later`,
+          },
+        ]
       : [];
   });
 }
 
-/** An order is refused only when another one on the same base had been sent, or its base was never in force. */
-export function properOrdersNotRefused(h: ControlHistory): ControlBreach[] {
-  const known = firstKnown(h);
-  const orders = submittedUpdates(h);
-  return orders.flatMap((o) =>
-    o.calls
-      .filter((c) => isClientError(c.code) && (known.get(o.expectedRevision) ?? Infinity) <= c.sentAt)
+/** An update is rejected only if another update of the same revision was sent, or that revision was never in force. */
+export function properOrdersNotRefused(history: ControlHistory): ControlBreach[] {
+  const known = firstKnown(history);
+  const updates = submittedUpdates(history);
+  return updates.flatMap((update) =>
+    update.calls
+      .filter((call) => isClientError(call.code) && (known.get(update.expectedRevision) ?? Infinity) <= call.sentAt)
       .filter(
-        (c) =>
-          !orders.some(
-            (x) => x.expectedRevision === o.expectedRevision && x.text !== o.text && x.calls[0]!.sentAt < c.answeredAt!,
+        (call) =>
+          !updates.some(
+            (other) =>
+              other.expectedRevision === update.expectedRevision &&
+              other.text !== update.text &&
+              other.calls[0]!.sentAt < call.answeredAt!,
           ),
       )
-      .map((c) => ({
+      .map((call) => ({
         check: 'properOrdersNotRefused',
-        what: `${describeCall(c)} was answered ${c.code} with no rival`,
+        what: `${describeCall(call)} was answered ${call.code} without a concurrent update`,
       })),
   );
 }
 
-/** An answer to an order, 200 or 4xx, stands on a round that began after the order came. */
-export function answersStandOnRounds(h: ControlHistory): ControlBreach[] {
-  const won = [...h.rounds.values()].filter((r) => r.wonAt !== undefined);
-  function backed(c: ConfigCall): boolean {
-    return won.some((r) => {
-      if (r.startedAt < c.sentAt || r.wonAt! > c.answeredAt!) return false;
-      if (r.node === c.node) return true;
-      return h.answers.some((a) => a.from === r.node && a.to === c.node && a.at >= r.wonAt! && a.at <= c.answeredAt!);
+/** A 200 or 4xx answer to an update is backed by a vote round that started after the call was sent. */
+export function answersStandOnRounds(history: ControlHistory): ControlBreach[] {
+  const won = [...history.rounds.values()].filter((round) => round.wonAt !== undefined);
+  function isBacked(call: ConfigCall): boolean {
+    return won.some((round) => {
+      if (round.startedAt < call.sentAt || round.wonAt! > call.answeredAt!) return false;
+      if (round.node === call.node) return true;
+      return history.answers.some(
+        (answer) =>
+          answer.from === round.node &&
+          answer.to === call.node &&
+          answer.at >= round.wonAt! &&
+          answer.at <= call.answeredAt!,
+      );
     });
   }
-  return h.calls
-    .filter((c) => c.kind === 'put' && (c.code === 200 || isClientError(c.code)) && !backed(c))
-    .map((c) => ({ check: 'answersStandOnRounds', what: `${describeCall(c)} was answered ${c.code} without a round` }));
+  return history.calls
+    .filter((call) => call.kind === 'put' && (call.code === 200 || isClientError(call.code)) && !isBacked(call))
+    .map((call) => ({
+      check: 'answersStandOnRounds',
+      what: `${describeCall(call)} was answered ${call.code} without a vote round`,
+    }));
 }
 
-/** A read gives nothing older than what was acknowledged, or read by anyone, before it was asked. */
-export function readsAreCurrent(h: ControlHistory): ControlBreach[] {
-  const known = [...firstKnown(h)];
-  const texts = new Map(submittedUpdates(h).map((o) => [o.text, o]));
-  return h.calls.flatMap((c) => {
-    if (c.kind !== 'get' || c.code !== 200) return [];
-    const found = c.readResult!;
-    const newest = Math.max(...known.filter(([, at]) => at < c.sentAt).map(([r]) => r));
-    const order = texts.get(found.text);
-    if (found.revision < newest)
+/** A read returns nothing older than what was acknowledged, or returned by any read, before it was sent. */
+export function readsAreCurrent(history: ControlHistory): ControlBreach[] {
+  const known = [...firstKnown(history)];
+  const updatesByText = new Map(submittedUpdates(history).map((update) => [update.text, update]));
+  return history.calls.flatMap((call) => {
+    if (call.kind !== 'get' || call.code !== 200) return [];
+    const result = call.readResult!;
+    const newest = Math.max(...known.filter(([, at]) => at < call.sentAt).map(([revision]) => revision));
+    const update = updatesByText.get(result.text);
+    if (result.revision < newest)
       return [
-        { check: 'readsAreCurrent', what: `${describeCall(c)} gave ${found.revision} after ${newest} was known` },
+        {
+          check: 'readsAreCurrent',
+          what: `${describeCall(call)} returned revision ${result.revision} after ${newest} was known to be in force`,
+        },
+      ];
+    if (update === undefined || update.calls[0]!.sentAt > call.answeredAt!)
+      return [
+        {
+          check: 'readsAreCurrent',
+          what: `${describeCall(call)} returned revision ${result.revision}, which had not been submitted`,
+        },
       ];
-    if (order === undefined || order.calls[0]!.sentAt > c.answeredAt!)
-      return [{ check: 'readsAreCurrent', what: `${describeCall(c)} gave ${found.revision}, which nobody had sent` }];
     return [];
   });
 }
 
-/** A machine that runs answers every call within the second. */
-export function answeredInTime(h: ControlHistory): ControlBreach[] {
-  return h.calls
-    .filter((c) => c.nodeWasAvailable && (c.answeredAt === undefined || c.answeredAt - c.sentAt > answerTimeoutUs))
-    .map((c) => ({ check: 'answeredInTime', what: `${describeCall(c)} was not answered within the second` }));
+/** A running machine answers every call within `answerTimeoutUs`. */
+export function answeredInTime(history: ControlHistory): ControlBreach[] {
+  return history.calls
+    .filter(
+      (call) =>
+        call.nodeWasAvailable && (call.answeredAt === undefined || call.answeredAt - call.sentAt > answerTimeoutUs),
+    )
+    .map((call) => ({ check: 'answeredInTime', what: `${describeCall(call)} was not answered within 1 s` }));
 }
 
 /** No router goes back to an older configuration. */
-export function routersNeverGoBack(h: ControlHistory): ControlBreach[] {
+export function routersNeverGoBack(history: ControlHistory): ControlBreach[] {
   const newest = new Map<string, number>();
   const breaches: ControlBreach[] = [];
-  for (const v of h.appliedConfigurations) {
-    const life = `${v.router}/${v.startedAt}`;
-    const before = newest.get(life) ?? noRevision;
-    if (v.revision < before)
-      breaches.push({ check: 'routersNeverGoBack', what: `${v.router} went from ${before} to ${v.revision}` });
-    newest.set(life, Math.max(before, v.revision));
+  for (const applied of history.appliedConfigurations) {
+    const incarnation = `${applied.router}/${applied.startedAt}`;
+    const previous = newest.get(incarnation) ?? noRevision;
+    if (applied.revision < previous)
+      breaches.push({
+        check: 'routersNeverGoBack',
+        what: `${applied.router} went from revision ${previous} back to ${applied.revision}`,
+      });
+    newest.set(incarnation, Math.max(previous, applied.revision));
   }
   return breaches;
 }
 
-/** A router that has just started takes nothing that was out of date long before it started. */
-export function startedRoutersAreCurrent(h: ControlHistory): ControlBreach[] {
-  const known = [...firstKnown(h)];
-  return h.appliedConfigurations.flatMap((v) => {
-    if (v.at - v.startedAt >= initialContactTimeoutUs) return [];
-    const newest = Math.max(...known.filter(([, at]) => at < v.startedAt - applyTimeoutUs).map(([r]) => r));
-    if (v.revision >= newest) return [];
-    const started = (v.startedAt / 1e6).toFixed(3);
-    const what = `${v.router}, started at ${started} s, took ${v.revision} when ${newest} had long been in force`;
+/** A router that has just started applies nothing that was already outdated `applyTimeoutUs` before its start. */
+export function startedRoutersAreCurrent(history: ControlHistory): ControlBreach[] {
+  const known = [...firstKnown(history)];
+  return history.appliedConfigurations.flatMap((applied) => {
+    if (applied.at - applied.startedAt >= initialContactTimeoutUs) return [];
+    const newest = Math.max(
+      ...known.filter(([, at]) => at < applied.startedAt - applyTimeoutUs).map(([revision]) => revision),
+    );
+    if (applied.revision >= newest) return [];
+    const started = (applied.startedAt / 1e6).toFixed(3);
+    const what = `${applied.router}, started at ${started} s, applied revision ${applied.revision} after ${newest} was in force`;
     return [{ check: 'startedRoutersAreCurrent', what }];
   });
 }
 
-/** All judges of a history, by name. */
+/** All invariants of a history, by name. */
 export const controlInvariants = {
   oneOrderPerBase,
   takenStaysTaken,
@@ -200,7 +241,7 @@
   startedRoutersAreCurrent,
 } as const;
 
-/** Every breach that the judges find in a history. */
-export function checkControlInvariants(h: ControlHistory): ControlBreach[] {
-  return Object.values(controlInvariants).flatMap((judge) => judge(h));
+/** Returns every breach of an invariant in a history. */
+export function checkControlInvariants(history: ControlHistory): ControlBreach[] {
+  return Object.values(controlInvariants).flatMap((check) => check(history));
 }
