--- a/packages/simulator/src/control-runs/control-invariants.test.ts
+++ b/packages/simulator/src/control-runs/control-invariants.test.ts
@@ -1,32 +1,32 @@
-/** Each judge on a sound history, in which it finds nothing, and on histories broken in one way each. */
+/** Checks each invariant on a valid history and on histories that violate one invariant each. */
 import { describe, expect, it } from 'vitest';
 import { createControlHistory, type ConfigCall, type ControlHistory } from './control-history.js';
 import { checkGrowth, type JournalSize } from './journal-run.js';
 import { controlInvariants, checkControlInvariants } from './control-invariants.js';
 
-const second = 1_000_000;
-const answerTime = 20_000;
+const secondUs = 1_000_000;
+const answerTimeUs = 20_000;
 
-function put(at: number, base: number, label: string, code: number | undefined, node = 'c0'): ConfigCall {
+function put(at: number, expectedRevision: number, label: string, code: number | undefined, node = 'c0'): ConfigCall {
   const call: ConfigCall = {
     kind: 'put',
     node,
-    sentAt: at * second,
-    text: `${base + 1}${label}`,
-    revision: base + 1,
-    expectedRevision: base,
+    sentAt: at * secondUs,
+    text: `${expectedRevision + 1}${label}`,
+    revision: expectedRevision + 1,
+    expectedRevision,
     nodeWasAvailable: true,
   };
   if (code === undefined) return { ...call, nodeWasAvailable: false };
-  return { ...call, code, answeredAt: at * second + answerTime };
+  return { ...call, code, answeredAt: at * secondUs + answerTimeUs };
 }
 
 function get(at: number, revision: number, label: string, node = 'c0'): ConfigCall {
   return {
     kind: 'get',
     node,
-    sentAt: at * second,
-    answeredAt: at * second + answerTime,
+    sentAt: at * secondUs,
+    answeredAt: at * secondUs + answerTimeUs,
     code: 200,
     readResult: { revision, text: `${revision}${label}` },
     nodeWasAvailable: true,
@@ -34,21 +34,21 @@
 }
 
 function historyOf(...calls: ConfigCall[]): ControlHistory {
-  const h = createControlHistory();
-  h.calls.push(...calls);
-  calls.forEach((c, i) => addRound(h, `r${i}`, c.node, c.sentAt + 1000, c.sentAt + 5000));
-  return h;
+  const history = createControlHistory();
+  history.calls.push(...calls);
+  calls.forEach((call, i) => addRound(history, `r${i}`, call.node, call.sentAt + 1000, call.sentAt + 5000));
+  return history;
 }
 
-function addRound(h: ControlHistory, id: string, node: string, startedAt: number, wonAt: number): void {
-  h.rounds.set(id, { node, startedAt, majority: 2, slots: new Set([1]), wonAt });
+function addRound(history: ControlHistory, id: string, node: string, startedAt: number, wonAt: number): void {
+  history.rounds.set(id, { node, startedAt, majority: 2, slots: new Set([1]), wonAt });
 }
 
-function found(h: ControlHistory): string[] {
-  return [...new Set(checkControlInvariants(h).map((b) => b.check))].sort();
+function breachedChecks(history: ControlHistory): string[] {
+  return [...new Set(checkControlInvariants(history).map((breach) => breach.check))].sort();
 }
 
-const sound = [
+const validCalls = [
   put(1, 0, 'a', 200),
   get(2, 1, 'a'),
   put(3, 1, 'b', undefined),
@@ -59,86 +59,86 @@
   get(7, 2, 'b', 'c1'),
 ];
 
-it('finds nothing in a sound history', () => {
-  const h = historyOf(...sound);
-  h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 2 * second, revision: 1 });
-  h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
-  h.appliedConfigurations.push({ router: 'r', startedAt: 6 * second, at: 7 * second, revision: 2 });
-  expect(checkControlInvariants(h)).toEqual([]);
+it('finds no breach in a valid history', () => {
+  const history = historyOf(...validCalls);
+  history.appliedConfigurations.push({ router: 'r', startedAt: secondUs, at: 2 * secondUs, revision: 1 });
+  history.appliedConfigurations.push({ router: 'r', startedAt: secondUs, at: 5 * secondUs, revision: 2 });
+  history.appliedConfigurations.push({ router: 'r', startedAt: 6 * secondUs, at: 7 * secondUs, revision: 2 });
+  expect(checkControlInvariants(history)).toEqual([]);
 });
 
-const broken: Record<keyof typeof controlInvariants, () => ControlHistory> = {
-  oneOrderPerBase: () => historyOf(...sound, put(8, 1, 'd', 200)),
-  takenStaysTaken: () => historyOf(...sound, put(8, 1, 'b', 412)),
-  refusedNeverInForce: () => historyOf(...sound, put(8, 2, 'e', 412), get(9, 3, 'e')),
-  properOrdersNotRefused: () => historyOf(...sound, put(8, 2, 'e', 412)),
+const brokenHistories: Record<keyof typeof controlInvariants, () => ControlHistory> = {
+  oneOrderPerBase: () => historyOf(...validCalls, put(8, 1, 'd', 200)),
+  takenStaysTaken: () => historyOf(...validCalls, put(8, 1, 'b', 412)),
+  refusedNeverInForce: () => historyOf(...validCalls, put(8, 2, 'e', 412), get(9, 3, 'e')),
+  properOrdersNotRefused: () => historyOf(...validCalls, put(8, 2, 'e', 412)),
   answersStandOnRounds: () => {
-    const h = historyOf(...sound);
-    h.calls.push(put(8, 2, 'e', 200));
-    return h;
+    const history = historyOf(...validCalls);
+    history.calls.push(put(8, 2, 'e', 200));
+    return history;
   },
-  readsAreCurrent: () => historyOf(...sound, get(8, 1, 'a', 'c1')),
-  answeredInTime: () => historyOf(...sound, { ...put(8, 2, 'e', 503), answeredAt: 9.1 * second }),
+  readsAreCurrent: () => historyOf(...validCalls, get(8, 1, 'a', 'c1')),
+  answeredInTime: () => historyOf(...validCalls, { ...put(8, 2, 'e', 503), answeredAt: 9.1 * secondUs }),
   routersNeverGoBack: () => {
-    const h = historyOf(...sound);
-    h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 5 * second, revision: 2 });
-    h.appliedConfigurations.push({ router: 'r', startedAt: second, at: 6 * second, revision: 1 });
-    return h;
+    const history = historyOf(...validCalls);
+    history.appliedConfigurations.push({ router: 'r', startedAt: secondUs, at: 5 * secondUs, revision: 2 });
+    history.appliedConfigurations.push({ router: 'r', startedAt: secondUs, at: 6 * secondUs, revision: 1 });
+    return history;
   },
   startedRoutersAreCurrent: () => {
-    const h = historyOf(...sound);
-    h.appliedConfigurations.push({ router: 'r', startedAt: 9 * second, at: 9.5 * second, revision: 1 });
-    return h;
+    const history = historyOf(...validCalls);
+    history.appliedConfigurations.push({ router: 'r', startedAt: 9 * secondUs, at: 9.5 * secondUs, revision: 1 });
+    return history;
   },
 };
 
-describe('each judge finds what it is for', () => {
-  it.each(Object.keys(broken) as (keyof typeof controlInvariants)[])('%s', (check) => {
-    const h = broken[check]();
-    expect(controlInvariants[check](h).length).toBeGreaterThan(0);
-    expect(found(h)).toContain(check);
+describe('each check finds a violation of its invariant', () => {
+  it.each(Object.keys(brokenHistories) as (keyof typeof controlInvariants)[])('%s', (check) => {
+    const history = brokenHistories[check]();
+    expect(controlInvariants[check](history).length).toBeGreaterThan(0);
+    expect(breachedChecks(history)).toContain(check);
   });
 });
 
 describe('answersStandOnRounds', () => {
-  const order = put(8, 2, 'e', 200, 'c1');
+  const update = put(8, 2, 'e', 200, 'c1');
 
-  it('does not take a round that began before the order came, or was won after its answer', () => {
+  it('does not accept a round that started before the call was sent or was won after its answer', () => {
     for (const [startedAt, wonAt] of [
-      [order.sentAt - 1, order.sentAt + 5000],
-      [order.sentAt + 1, order.answeredAt! + 1],
+      [update.sentAt - 1, update.sentAt + 5000],
+      [update.sentAt + 1, update.answeredAt! + 1],
     ] as const) {
-      const h = historyOf(...sound);
-      h.calls.push(order);
-      addRound(h, 'x', 'c1', startedAt, wonAt);
-      expect(found(h)).toContain('answersStandOnRounds');
+      const history = historyOf(...validCalls);
+      history.calls.push(update);
+      addRound(history, 'x', 'c1', startedAt, wonAt);
+      expect(breachedChecks(history)).toContain('answersStandOnRounds');
     }
   });
 
-  it('takes the round of another machine only where that machine answered afterwards', () => {
-    const h = historyOf(...sound);
-    h.calls.push(order);
-    addRound(h, 'x', 'c0', order.sentAt + 1000, order.sentAt + 5000);
-    expect(found(h)).toContain('answersStandOnRounds');
-    h.answers.push({ from: 'c0', to: 'c1', at: order.sentAt + 4000 });
-    expect(found(h)).toContain('answersStandOnRounds');
-    h.answers.push({ from: 'c0', to: 'c1', at: order.sentAt + 6000 });
-    expect(checkControlInvariants(h)).toEqual([]);
+  it('accepts a round of another machine only if that machine answered after winning it', () => {
+    const history = historyOf(...validCalls);
+    history.calls.push(update);
+    addRound(history, 'x', 'c0', update.sentAt + 1000, update.sentAt + 5000);
+    expect(breachedChecks(history)).toContain('answersStandOnRounds');
+    history.answers.push({ from: 'c0', to: 'c1', at: update.sentAt + 4000 });
+    expect(breachedChecks(history)).toContain('answersStandOnRounds');
+    history.answers.push({ from: 'c0', to: 'c1', at: update.sentAt + 6000 });
+    expect(checkControlInvariants(history)).toEqual([]);
   });
 });
 
-it('counts a text that nobody had sent as no current read', () => {
-  expect(found(historyOf(...sound, get(8, 3, 'nobody')))).toContain('readsAreCurrent');
+it('rejects a read that returns a text nobody submitted', () => {
+  expect(breachedChecks(historyOf(...validCalls, get(8, 3, 'nobody')))).toContain('readsAreCurrent');
 });
 
-it('lets a started router take what was replaced just before, and after a while whatever it can get', () => {
-  const h = historyOf(...sound);
-  h.appliedConfigurations.push({ router: 'r', startedAt: 5.5 * second, at: 5.6 * second, revision: 1 });
-  h.appliedConfigurations.push({ router: 's', startedAt: 9 * second, at: 12.1 * second, revision: 1 });
-  expect(checkControlInvariants(h)).toEqual([]);
+it('allows a started router to apply a just replaced revision, and any revision after the contact timeout', () => {
+  const history = historyOf(...validCalls);
+  history.appliedConfigurations.push({ router: 'r', startedAt: 5.5 * secondUs, at: 5.6 * secondUs, revision: 1 });
+  history.appliedConfigurations.push({ router: 's', startedAt: 9 * secondUs, at: 12.1 * secondUs, revision: 1 });
+  expect(checkControlInvariants(history)).toEqual([]);
 });
 
-it('finds a journal in which a change costs more the more came before', () => {
+it('finds a journal whose bytes per update grow with the number of updates', () => {
   function size(changes: number, bytesPerChange: number): JournalSize {
     return { changes, bytes: changes * bytesPerChange, bytesPerChange, readMs: 1 };
   }
--- a/packages/simulator/src/control-runs/control-report.ts
+++ b/packages/simulator/src/control-runs/control-report.ts
@@ -1,6 +1,6 @@
 /**
- * The runs of the control side put together by point: what is played, and what is printed of it. The command plays them
- * at length, the tests in short form with fixed seeds.
+ * Sets of control runs, grouped by the property that they test, and the summary printed for each set. The `control`
+ * command plays the full-length sets, the tests short ones with fixed seeds.
  */
 import { playEmptyDiskRun } from './empty-disk-run.js';
 import { playCatchUpRun, type CatchUpRunOptions } from './catch-up-run.js';
@@ -20,233 +20,242 @@
 import { playGracefulLeaveRun } from './graceful-leave-run.js';
 import { playRaceRun } from './race-run.js';
 
-/** What a set of runs showed. */
+/** The result of a set of runs. */
 export interface ControlReport {
   readonly runs: number;
   readonly breaches: readonly ControlBreach[];
-  /** Lines for the reader. */
+  /** Human-readable summary lines. */
   readonly summaryLines: readonly string[];
 }
 
-/** Which seeds a set of runs takes. */
+/** The seeds of a set of runs: `count` consecutive ones starting at `from`. */
 export interface SeedRange {
   readonly from: number;
   readonly count: number;
 }
 
-/** What the runs of every set share. */
+/** Options common to all sets of runs. */
 export interface ReportOptions {
   readonly members: number;
   readonly seeds: SeedRange;
   readonly service?: ConfigService;
 }
 
-/** The bounds on catching up that repairs are printed against, in milliseconds. */
+/** The catch-up time limits that measured repair times are compared with in the summary. */
 export const catchUpBoundsMs: readonly number[] = [catchUpTimeMs, 6000];
 
-function* seedsOf(r: SeedRange): Generator<number> {
-  for (let i = 0; i < r.count; i += 1) yield r.from + i;
+function* seedsOf(range: SeedRange): Generator<number> {
+  for (let i = 0; i < range.count; i += 1) yield range.from + i;
 }
 
-function percentile(xs: readonly number[], share: number): number | undefined {
-  const sorted = [...xs].sort((a, b) => a - b);
-  return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
+function percentile(values: readonly number[], fraction: number): number | undefined {
+  const sorted = [...values].sort((a, b) => a - b);
+  return sorted[Math.min(sorted.length - 1, Math.floor(fraction * sorted.length))];
 }
 
-/** Point 1: every kind of cut of every target. */
-export async function reportPartitions(o: ReportOptions): Promise<ControlReport> {
+/** Point 1: every kind of partition, or freeze, of every target. */
+export async function reportPartitions(options: ReportOptions): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
-  const figures: string[] = [];
+  const summaryLines: string[] = [];
   let runs = 0;
   for (const kind of partitionKinds)
     for (const target of partitionTargets) {
-      const taken: number[] = [];
-      const beside: number[] = [];
-      let broken = 0;
-      for (const seed of seedsOf(o.seeds)) {
-        const r = await playPartitionRun({ ...o, seed, kind, target });
+      const byMajority: number[] = [];
+      const byTarget: number[] = [];
+      let runsWithBreach = 0;
+      for (const seed of seedsOf(options.seeds)) {
+        const result = await playPartitionRun({ ...options, seed, kind, target });
         runs += 1;
-        taken.push(r.acknowledgedByMajority);
-        beside.push(r.acknowledgedByTarget);
-        if (r.breaches.length > 0) broken += 1;
-        breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}, ${kind}, ${target}: ${b.what}` })));
+        byMajority.push(result.acknowledgedByMajority);
+        byTarget.push(result.acknowledgedByTarget);
+        if (result.breaches.length > 0) runsWithBreach += 1;
+        breaches.push(
+          ...result.breaches.map((breach) => ({ ...breach, what: `seed ${seed}, ${kind}, ${target}: ${breach.what}` })),
+        );
       }
-      figures.push(
-        `${o.members} members, ${kind} of the ${target}: ${taken.length} runs, ${broken} with a breach; ` +
-          `orders taken by the others ${Math.min(...taken)} to ${Math.max(...taken)}, ` +
-          `by the one ${Math.min(...beside)} to ${Math.max(...beside)}`,
+      summaryLines.push(
+        `${options.members} members, ${kind} of the ${target}: ${byMajority.length} runs, ${runsWithBreach} with a breach; ` +
+          `updates acknowledged by the majority ${Math.min(...byMajority)} to ${Math.max(...byMajority)}, ` +
+          `by the target ${Math.min(...byTarget)} to ${Math.max(...byTarget)}`,
       );
     }
-  return { runs, breaches, summaryLines: figures };
+  return { runs, breaches, summaryLines };
 }
 
-/** Point 2: races and repeated orders. */
-export async function reportRaces(o: ReportOptions & { readonly interveningUpdates: number }): Promise<ControlReport> {
+/** Point 2: concurrent and repeated updates. */
+export async function reportRaces(
+  options: ReportOptions & { readonly interveningUpdates: number },
+): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   const answers: Record<string, number> = {};
   let runs = 0;
   let calls = 0;
-  for (const seed of seedsOf(o.seeds)) {
-    const r = await playRaceRun({ ...o, seed });
+  for (const seed of seedsOf(options.seeds)) {
+    const result = await playRaceRun({ ...options, seed });
     runs += 1;
-    calls += r.history.calls.length;
-    for (const [code, n] of Object.entries(r.repeatedAnswers)) answers[code] = (answers[code] ?? 0) + n;
-    breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}: ${b.what}` })));
+    calls += result.history.calls.length;
+    for (const [code, count] of Object.entries(result.repeatedAnswers)) answers[code] = (answers[code] ?? 0) + count;
+    breaches.push(...result.breaches.map((breach) => ({ ...breach, what: `seed ${seed}: ${breach.what}` })));
   }
-  const late = Object.entries(answers).map(([code, n]) => `${n} times ${code}`);
+  const repeated = Object.entries(answers).map(([code, count]) => `${count} times ${code}`);
   return {
     runs,
     breaches,
     summaryLines: [
-      `${o.members} members: ${runs} runs, ${calls} calls; after ${o.interveningUpdates} other orders: ${late.join(', ')}`,
+      `${options.members} members: ${runs} runs, ${calls} calls; answers to repeats after ${options.interveningUpdates} other updates: ${repeated.join(', ')}`,
     ],
   };
 }
 
-/** Every pair of losses at offsets of equal steps. */
+/** Every pair of losses, with the second loss at equally spaced offsets from the first. */
 export function* lossJobs(
-  o: ReportOptions & { readonly step: number; readonly to: number },
+  options: ReportOptions & { readonly step: number; readonly to: number },
 ): Generator<LossRunOptions> {
   for (const first of firstLosses)
     for (const second of secondLosses)
-      for (const seed of seedsOf(o.seeds))
-        for (let offset = 0, i = 0; offset <= o.to; offset += o.step, i += 1)
-          yield { members: o.members, first, second, offsetMs: offset, seed: seed * 1000 + i };
+      for (const seed of seedsOf(options.seeds))
+        for (let offsetMs = 0, i = 0; offsetMs <= options.to; offsetMs += options.step, i += 1)
+          yield { members: options.members, first, second, offsetMs, seed: seed * 1000 + i };
 }
 
-/** Pairs of losses drawn by seed. */
-export function* drawnLossJobs(o: ReportOptions, random: () => number): Generator<LossRunOptions> {
-  for (const seed of seedsOf(o.seeds)) {
+/** Random pairs of losses, one for each seed. */
+export function* drawnLossJobs(options: ReportOptions, random: () => number): Generator<LossRunOptions> {
+  for (const seed of seedsOf(options.seeds)) {
     const first: FirstLoss = firstLosses[Math.floor(random() * firstLosses.length)]!;
     const second: SecondLoss = secondLosses[Math.floor(random() * secondLosses.length)]!;
-    yield { members: o.members, first, second, offsetMs: Math.floor(random() * 6000), seed };
+    yield { members: options.members, first, second, offsetMs: Math.floor(random() * 6000), seed };
   }
 }
 
-/** What one pair of losses gave, as far as the report needs it. */
+/** The result of one pair of losses, reduced to what the report needs. */
 export interface LossOutcome {
   readonly job: LossRunOptions;
   readonly withinFaultBudget: boolean;
   readonly breaches: readonly ControlBreach[];
 }
 
-/** Plays one pair. */
+/** Plays one pair of losses. */
 export async function playLossJob(job: LossRunOptions): Promise<LossOutcome> {
-  const { withinFaultBudget: withinBudget, breaches } = await playLossRun(job);
-  const { members, first, second, offsetMs: offset, seed, extraSyncMs: slowDisks } = job;
+  const { withinFaultBudget, breaches } = await playLossRun(job);
+  const { members, first, second, offsetMs, seed, extraSyncMs } = job;
   return {
-    job: { members, first, second, offsetMs: offset, seed, extraSyncMs: slowDisks } as LossRunOptions,
-    withinFaultBudget: withinBudget,
+    job: { members, first, second, offsetMs, seed, extraSyncMs } as LossRunOptions,
+    withinFaultBudget,
     breaches,
   };
 }
 
-/** Point 3: the pairs of losses, counted by their kinds. */
+/** Point 3: the pairs of losses, counted by the kinds of both losses. */
 export function reportLosses(outcomes: readonly LossOutcome[]): ControlReport {
   const groups = new Map<string, LossOutcome[]>();
-  for (const x of outcomes) {
-    const key = `${x.job.members} members, first ${x.job.first}, second ${x.job.second}`;
-    groups.set(key, [...(groups.get(key) ?? []), x]);
+  for (const outcome of outcomes) {
+    const key = `${outcome.job.members} members, first ${outcome.job.first}, second ${outcome.job.second}`;
+    groups.set(key, [...(groups.get(key) ?? []), outcome]);
   }
-  const figures = [...groups].map(([key, xs]) => {
-    const broken = xs.filter((x) => x.breaches.length > 0).map((x) => x.job.offsetMs);
-    const where = broken.length === 0 ? '' : ` at ${Math.min(...broken)} to ${Math.max(...broken)} ms`;
-    return `${key}: ${xs.length} runs, ${xs.filter((x) => x.withinFaultBudget).length} within the budget, ${broken.length} with a breach${where}`;
+  const summaryLines = [...groups].map(([key, group]) => {
+    const breachOffsets = group.filter((outcome) => outcome.breaches.length > 0).map((outcome) => outcome.job.offsetMs);
+    const where =
+      breachOffsets.length === 0 ? '' : ` at offsets ${Math.min(...breachOffsets)} to ${Math.max(...breachOffsets)} ms`;
+    return `${key}: ${group.length} runs, ${group.filter((outcome) => outcome.withinFaultBudget).length} within the fault budget, ${breachOffsets.length} with a breach${where}`;
   });
-  return { runs: outcomes.length, breaches: outcomes.flatMap((x) => x.breaches), summaryLines: figures };
+  return { runs: outcomes.length, breaches: outcomes.flatMap((outcome) => outcome.breaches), summaryLines };
 }
 
-/** Point 3: how long each first loss leaves less redundancy than before. */
-export async function reportRepairs(o: ReportOptions & { readonly extraSyncMs: number }): Promise<ControlReport> {
+/** Point 3: how long the redundancy is reduced after each kind of first loss. */
+export async function reportRepairs(options: ReportOptions & { readonly extraSyncMs: number }): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
-  const figures: string[] = [];
+  const summaryLines: string[] = [];
   let runs = 0;
   for (const first of firstLosses) {
-    const whole: number[] = [];
-    const ahead: number[] = [];
-    let never = 0;
-    for (const seed of seedsOf(o.seeds)) {
-      const r = await playLossRun({ ...o, seed, first, offsetMs: 0 });
+    const restoredAfter: number[] = [];
+    const aheadFor: number[] = [];
+    let neverRestored = 0;
+    for (const seed of seedsOf(options.seeds)) {
+      const result = await playLossRun({ ...options, seed, first, offsetMs: 0 });
       runs += 1;
-      breaches.push(...r.breaches);
-      if (r.repair.redundancyRestoredAfterMs === undefined) never += 1;
-      else whole.push(r.repair.redundancyRestoredAfterMs);
-      ahead.push(r.repair.membershipAheadMs);
+      breaches.push(...result.breaches);
+      if (result.repair.redundancyRestoredAfterMs === undefined) neverRestored += 1;
+      else restoredAfter.push(result.repair.redundancyRestoredAfterMs);
+      aheadFor.push(result.repair.membershipAheadMs);
     }
-    const worst = Math.max(...whole);
-    const bounds = catchUpBoundsMs.map((b) => `${worst <= b && never === 0 ? 'within' : 'NOT within'} ${b / 1000} s`);
-    figures.push(
-      `${o.members} members, syncs ${o.extraSyncMs} ms longer, ${first}: whole again after ${percentile(whole, 0.5)} ms in the middle, ` +
-        `${worst} at most (${bounds.join(', ')}; ${never} of ${o.seeds.count} never); ` +
-        `record ahead of the votes ${percentile(ahead, 0.5)} ms in the middle, ${Math.max(...ahead)} at most`,
+    const worst = Math.max(...restoredAfter);
+    const bounds = catchUpBoundsMs.map(
+      (bound) => `${worst <= bound && neverRestored === 0 ? 'within' : 'NOT within'} ${bound / 1000} s`,
+    );
+    summaryLines.push(
+      `${options.members} members, disk syncs ${options.extraSyncMs} ms slower, ${first}: full redundancy after ${percentile(restoredAfter, 0.5)} ms in the median, ` +
+        `${worst} ms at most (${bounds.join(', ')}; ${neverRestored} of ${options.seeds.count} never); ` +
+        `membership record names a non-voting member for ${percentile(aheadFor, 0.5)} ms in the median, ${Math.max(...aheadFor)} ms at most`,
     );
   }
-  return { runs, breaches, summaryLines: figures };
+  return { runs, breaches, summaryLines };
 }
 
-/** Point 3: leavers that hold one of two fresh copies, at several times after the third member's return. */
+/** Point 3: graceful leaves of a member that holds one of two current copies, at several times after the third returned. */
 export async function reportGracefulLeaves(seeds: SeedRange, step: number): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   let runs = 0;
   for (const successor of ['ready', 'after'] as const)
     for (const seed of seedsOf(seeds))
-      for (let leaveAfter = 0; leaveAfter <= catchUpTimeMs; leaveAfter += step) {
-        breaches.push(...(await playGracefulLeaveRun({ seed, leaveDelayMs: leaveAfter, successor })));
+      for (let leaveDelayMs = 0; leaveDelayMs <= catchUpTimeMs; leaveDelayMs += step) {
+        breaches.push(...(await playGracefulLeaveRun({ seed, leaveDelayMs, successor })));
         runs += 1;
       }
   return { runs, breaches, summaryLines: [] };
 }
 
-/** Point 3: an empty disk beside a member that is behind, while the only complete copy is frozen. */
+/** Point 3: an empty disk next to an outdated member, while the only complete copy is frozen. */
 export async function reportEmptyDisks(seeds: SeedRange): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
   let runs = 0;
-  for (const returned of ['same address', 'successor'] as const)
+  for (const replacement of ['same address', 'successor'] as const)
     for (const seed of seedsOf(seeds)) {
-      breaches.push(...(await playEmptyDiskRun({ seed, replacement: returned })));
+      breaches.push(...(await playEmptyDiskRun({ seed, replacement })));
       runs += 1;
     }
   return { runs, breaches, summaryLines: [] };
 }
 
-/** Point 4: many changes with members away. */
-export async function reportChanges(o: ReportOptions & Pick<CatchUpRunOptions, 'changes'>): Promise<ControlReport> {
+/** Point 4: many updates while members are absent. */
+export async function reportChanges(
+  options: ReportOptions & Pick<CatchUpRunOptions, 'changes'>,
+): Promise<ControlReport> {
   const breaches: ControlBreach[] = [];
-  const byAbsence = new Map<string, number[]>();
-  const journals: number[] = [];
-  for (const seed of seedsOf(o.seeds)) {
-    const r = await playCatchUpRun({ ...o, seed });
-    breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}: ${b.what}` })));
-    journals.push(r.journalBytes);
-    for (const c of r.catchUps) {
-      const times = byAbsence.get(c.absence) ?? [];
-      byAbsence.set(c.absence, [...times, c.durationMs ?? Infinity]);
+  const timesByAbsence = new Map<string, number[]>();
+  const journalSizes: number[] = [];
+  for (const seed of seedsOf(options.seeds)) {
+    const result = await playCatchUpRun({ ...options, seed });
+    breaches.push(...result.breaches.map((breach) => ({ ...breach, what: `seed ${seed}: ${breach.what}` })));
+    journalSizes.push(result.journalBytes);
+    for (const catchUp of result.catchUps) {
+      const times = timesByAbsence.get(catchUp.absence) ?? [];
+      timesByAbsence.set(catchUp.absence, [...times, catchUp.durationMs ?? Infinity]);
     }
   }
-  const figures = [...byAbsence].map(
+  const summaryLines = [...timesByAbsence].map(
     ([absence, times]) =>
-      `${o.members} members, ${absence}: caught up after ${Math.max(...times)} ms at most in ${times.length} returns`,
+      `${options.members} members, ${absence}: caught up after ${Math.max(...times)} ms at most in ${times.length} returns`,
   );
-  figures.push(
-    `${o.members} members, ${o.changes} changes with members away: the journal of one that stayed takes ${Math.max(...journals)} B at most`,
+  summaryLines.push(
+    `${options.members} members, ${options.changes} updates while members were absent: journal of a member that was always present ${Math.max(...journalSizes)} B at most`,
   );
-  return { runs: o.seeds.count, breaches, summaryLines: figures };
+  return { runs: options.seeds.count, breaches, summaryLines };
 }
 
-/** Point 4: the journal with every member there; the sizes are of the first seed. */
+/** Point 4: the journal while every member is present; the sizes are those of the first seed. */
 export async function reportJournals(
-  o: ReportOptions & Pick<JournalRunOptions, 'changes' | 'compactAboveBytes'>,
+  options: ReportOptions & Pick<JournalRunOptions, 'changes' | 'compactAboveBytes'>,
 ): Promise<ControlReport & { readonly sizes: readonly JournalSize[] }> {
   const breaches: ControlBreach[] = [];
   let sizes: readonly JournalSize[] = [];
-  for (const seed of seedsOf(o.seeds)) {
-    const r = await playJournalRun({ ...o, seed });
-    breaches.push(...r.breaches.map((b) => ({ ...b, what: `seed ${seed}: ${b.what}` })));
-    if (seed === o.seeds.from) sizes = r.sizes;
+  for (const seed of seedsOf(options.seeds)) {
+    const result = await playJournalRun({ ...options, seed });
+    breaches.push(...result.breaches.map((breach) => ({ ...breach, what: `seed ${seed}: ${breach.what}` })));
+    if (seed === options.seeds.from) sizes = result.sizes;
   }
-  const figures = sizes.map(
-    (j) =>
-      `${o.members} members, ${j.changes} changes: journal ${j.bytes} B, ${j.bytesPerChange} B a change, read in ${j.readMs} ms`,
+  const summaryLines = sizes.map(
+    (size) =>
+      `${options.members} members, ${size.changes} updates: journal ${size.bytes} B, ${size.bytesPerChange} B per update, read in ${size.readMs} ms`,
   );
-  return { runs: o.seeds.count, breaches, summaryLines: figures, sizes };
+  return { runs: options.seeds.count, breaches, summaryLines, sizes };
 }
--- a/packages/simulator/src/control-runs/control-run.ts
+++ b/packages/simulator/src/control-runs/control-run.ts
@@ -1,6 +1,7 @@
 /**
- * A cluster under test together with its operators and routers: every call and every configuration taken goes into the
- * history. Runs bring the losses about through it, so that it knows which machines could answer.
+ * A control cluster under test with its operators and routers. Every API call and every configuration that a router
+ * applies is recorded in the history. Faults are injected through this interface, so that it knows which machines were
+ * able to answer.
  */
 import type { ControlFeed } from '@tansypost/control-feed';
 import { deliver, killProcess } from '../process.js';
@@ -16,7 +17,7 @@
 } from './control-history.js';
 import { answerTimeoutUs } from './control-invariants.js';
 
-/** An order as an operator sends it, any number of times. */
+/** A configuration update of an operator, which may be submitted any number of times. */
 export interface ConfigUpdate {
   readonly text: string;
   readonly revision: number;
@@ -26,36 +27,35 @@
 export interface ControlRun {
   readonly cluster: ControlCluster;
   readonly history: ControlHistory;
-  /** What a run itself finds broken, beside what the judges read from the history. */
+  /** Breaches that the run itself finds, in addition to those that the invariant checks find in the history. */
   readonly breaches: ControlBreach[];
-  readonly createUpdate: (base: number, revision?: number) => ConfigUpdate;
-  /** Sends an order once; undefined when no answer came within the second. */
-  readonly put: (node: string, order: ConfigUpdate) => Promise<number | undefined>;
-  /** Reads once; undefined unless it was answered 200. */
+  readonly createUpdate: (expectedRevision: number, revision?: number) => ConfigUpdate;
+  /** Submits an update once; returns its status, undefined without an answer within `answerTimeoutUs`. */
+  readonly put: (node: string, update: ConfigUpdate) => Promise<number | undefined>;
+  /** Reads the configuration once; returns its revision, undefined unless the status is 200. */
   readonly get: (node: string) => Promise<number | undefined>;
-  /** Reads a base and sends an order on it until its answer is clear; gives whether it was taken. */
-  readonly submitChange: (nodes: () => readonly string[], patience: number) => Promise<boolean>;
-  /** Passes virtual time until some work is done; undefined when it is not within the limit. */
-  readonly waitFor: <T>(work: Promise<T>, limit: number) => Promise<T | undefined>;
+  /** Reads the current revision and submits an update of it until the outcome is definite; returns whether it is 200. */
+  readonly submitChange: (nodes: () => readonly string[], timeoutMs: number) => Promise<boolean>;
+  /** Advances virtual time until a promise resolves; returns undefined if it does not within the timeout. */
+  readonly waitFor: <T>(work: Promise<T>, timeoutMs: number) => Promise<T | undefined>;
   readonly sleep: (ms: number) => Promise<void>;
   readonly startRouter: (name: string) => ControlFeed;
   readonly freeze: (name: string) => void;
   readonly resume: (name: string) => void;
   readonly kill: (name: string) => void;
   readonly wipe: (name: string) => void;
-  /** SIGTERM: the control node hands over, then ends. */
+  /** Simulates SIGTERM: the control node leaves gracefully and then exits. */
   readonly leave: (name: string) => void;
-  /** The machines on which a control node runs and is not frozen. */
+  /** The machines whose control node runs and is not frozen. */
   readonly runningNodes: () => string[];
-  /** The newest revision that was acknowledged. */
   readonly newestAcknowledgedRevision: () => number;
   readonly now: () => number;
 }
 
-/** How long a control node may take to hand over after SIGTERM. */
+/** How long a control node may take to leave gracefully after SIGTERM. */
 export const gracefulLeaveTimeoutMs = 6500;
-const pauseBetweenTries = 100;
-const finishStep = 10;
+const retryDelayMs = 100;
+const waitStepMs = 10;
 
 export async function createControlRun(
   seed: number,
@@ -67,41 +67,41 @@
   const observer = createRoundObserver(
     history,
     () => later.cluster?.engine.now() ?? 0,
-    (m) => later.cluster?.replicas(m).length ?? names.length,
+    (machine) => later.cluster?.replicas(machine).length ?? names.length,
   );
   const cluster = await bootstrapControlCluster(seed, names, { observer });
   later.cluster = cluster;
-  const { engine: e, random } = cluster;
-  const open = new Set<ConfigCall>();
-  let orders = 0;
-  let newest = noRevision;
-
-  /** Calls under way to a machine that stops running may stay without an answer. */
-  function excuse(node: string): void {
-    for (const c of open) if (c.node === node) c.nodeWasAvailable = false;
+  const { engine, random } = cluster;
+  const openCalls = new Set<ConfigCall>();
+  let updates = 0;
+  let newestAcknowledged = noRevision;
+
+  /** Calls in progress at a machine that stops running may remain unanswered. */
+  function markUnavailable(node: string): void {
+    for (const call of openCalls) if (call.node === node) call.nodeWasAvailable = false;
   }
 
   function sleep(ms: number): Promise<void> {
-    return new Promise((ok) => e.at(e.now() + ms * 1000, ok));
+    return new Promise((ok) => engine.at(engine.now() + ms * 1000, ok));
   }
 
-  /** Sends one call and waits for its answer or for the second to pass. */
-  function call<T>(c: ConfigCall, f: () => Promise<T>, answered: (x: T) => void): Promise<void> {
-    const { proc } = cluster.machine(c.node);
-    history.calls.push(c);
-    c.nodeWasAvailable = proc.alive && !proc.frozen;
+  /** Sends one call and waits until it is answered or times out. */
+  function send<T>(call: ConfigCall, execute: () => Promise<T>, onAnswer: (result: T) => void): Promise<void> {
+    const { proc } = cluster.machine(call.node);
+    history.calls.push(call);
+    call.nodeWasAvailable = proc.alive && !proc.frozen;
     return new Promise((done) => {
-      open.add(c);
+      openCalls.add(call);
       function end(): void {
-        if (open.delete(c)) done();
+        if (openCalls.delete(call)) done();
       }
-      e.at(e.now() + answerTimeoutUs + 1, end);
+      engine.at(engine.now() + answerTimeoutUs + 1, end);
       const { incarnation } = proc;
       deliver(proc, incarnation, () => {
-        void f().then((x) => {
-          if (!open.has(c) || proc.incarnation !== incarnation) return;
-          c.answeredAt = e.now();
-          answered(x);
+        void execute().then((result) => {
+          if (!openCalls.has(call) || proc.incarnation !== incarnation) return;
+          call.answeredAt = engine.now();
+          onAnswer(result);
           end();
         });
       });
@@ -109,81 +109,81 @@
   }
 
   function serviceWorld(node: string): Parameters<ConfigService['get']>[0] {
-    const { client: asker, world } = cluster.machine(node).node!;
-    return { ask: (q) => new Promise((done) => asker.request(q, done)), now: world.now };
+    const { client, world } = cluster.machine(node).node!;
+    return { ask: (request) => new Promise((done) => client.request(request, done)), now: world.now };
   }
 
-  async function put(node: string, order: ConfigUpdate): Promise<number | undefined> {
-    const c: ConfigCall = { kind: 'put', node, sentAt: e.now(), ...order, nodeWasAvailable: true };
-    await call(
-      c,
-      () => service.put(serviceWorld(node), order.text, order.expectedRevision),
+  async function put(node: string, update: ConfigUpdate): Promise<number | undefined> {
+    const call: ConfigCall = { kind: 'put', node, sentAt: engine.now(), ...update, nodeWasAvailable: true };
+    await send(
+      call,
+      () => service.put(serviceWorld(node), update.text, update.expectedRevision),
       (code) => {
-        c.code = code;
-        if (code === 200) newest = Math.max(newest, order.revision);
+        call.code = code;
+        if (code === 200) newestAcknowledged = Math.max(newestAcknowledged, update.revision);
       },
     );
-    return c.code;
+    return call.code;
   }
 
   async function get(node: string): Promise<number | undefined> {
-    const c: ConfigCall = { kind: 'get', node, sentAt: e.now(), nodeWasAvailable: true };
-    await call(
-      c,
+    const call: ConfigCall = { kind: 'get', node, sentAt: engine.now(), nodeWasAvailable: true };
+    await send(
+      call,
       () => service.get(serviceWorld(node)),
-      (a) => {
-        c.code = a.code;
-        if (a.code === 200) c.readResult = { revision: parseRevision(a.text), text: a.text };
+      (result) => {
+        call.code = result.code;
+        if (result.code === 200) call.readResult = { revision: parseRevision(result.text), text: result.text };
       },
     );
-    return c.readResult?.revision;
+    return call.readResult?.revision;
   }
 
-  function order(base: number, revision = base + 1): ConfigUpdate {
-    orders += 1;
-    return { expectedRevision: base, revision, text: service.renderConfiguration(revision, `o${orders}`) };
+  function createUpdate(expectedRevision: number, revision = expectedRevision + 1): ConfigUpdate {
+    updates += 1;
+    return { expectedRevision, revision, text: service.renderConfiguration(revision, `o${updates}`) };
   }
 
-  function anyOf(nodes: readonly string[]): string | undefined {
+  function randomNode(nodes: readonly string[]): string | undefined {
     return nodes[Math.floor(random() * nodes.length)];
   }
 
-  async function change(nodes: () => readonly string[], patience: number): Promise<boolean> {
-    const until = e.now() + patience * 1000;
-    let wanted: ConfigUpdate | undefined;
-    while (e.now() < until) {
-      const node = anyOf(nodes());
-      if (wanted === undefined) {
-        const base = node === undefined ? undefined : history.calls.length === 0 ? noRevision : await get(node);
-        if (base !== undefined) wanted = order(base);
+  async function submitChange(nodes: () => readonly string[], timeoutMs: number): Promise<boolean> {
+    const until = engine.now() + timeoutMs * 1000;
+    let update: ConfigUpdate | undefined;
+    while (engine.now() < until) {
+      const node = randomNode(nodes());
+      if (update === undefined) {
+        const current = node === undefined ? undefined : history.calls.length === 0 ? noRevision : await get(node);
+        if (current !== undefined) update = createUpdate(current);
       } else if (node !== undefined) {
-        const code = await put(node, wanted);
+        const code = await put(node, update);
         if (code === 200) return true;
-        if (code !== undefined && code < 500) wanted = undefined;
+        if (code !== undefined && code < 500) update = undefined;
       }
-      await sleep(pauseBetweenTries);
+      await sleep(retryDelayMs);
     }
     return false;
   }
 
-  async function finish<T>(work: Promise<T>, limit: number): Promise<T | undefined> {
+  async function waitFor<T>(work: Promise<T>, timeoutMs: number): Promise<T | undefined> {
     const state = { over: false, result: undefined as T | undefined };
     void work.then((result) => Object.assign(state, { over: true, result }));
-    const until = e.now() + limit * 1000;
-    while (!state.over && e.now() < until) await cluster.run(finishStep);
+    const until = engine.now() + timeoutMs * 1000;
+    while (!state.over && engine.now() < until) await cluster.run(waitStepMs);
     return state.result;
   }
 
   function startRouter(router: string): ControlFeed {
-    const startedAt = e.now();
+    const startedAt = engine.now();
     return cluster.startRouter(router, (feed) => {
       const revision = parseRevision(feed.configuration()!.value.toString());
-      history.appliedConfigurations.push({ router, startedAt, at: e.now(), revision });
+      history.appliedConfigurations.push({ router, startedAt, at: engine.now(), revision });
     }).feed;
   }
 
   function kill(node: string): void {
-    excuse(node);
+    markUnavailable(node);
     cluster.kill(node);
   }
 
@@ -191,21 +191,21 @@
     cluster,
     history,
     breaches: [],
-    createUpdate: order,
+    createUpdate,
     put,
     get,
-    submitChange: change,
-    waitFor: finish,
+    submitChange,
+    waitFor,
     sleep,
     startRouter,
     kill,
     freeze: (node) => {
-      excuse(node);
+      markUnavailable(node);
       cluster.machine(node).proc.frozen = true;
     },
     resume: cluster.resume,
     wipe: (node) => {
-      excuse(node);
+      markUnavailable(node);
       cluster.wipe(node);
     },
     leave: (node) => {
@@ -213,12 +213,15 @@
       const { incarnation } = proc;
       host?.leave(gracefulLeaveTimeoutMs * 1000, () => {
         if (proc.incarnation !== incarnation) return;
-        excuse(node);
+        markUnavailable(node);
         killProcess(proc);
       });
     },
-    runningNodes: () => [...cluster.machines.values()].filter((m) => m.proc.alive && !m.proc.frozen).map((m) => m.name),
-    newestAcknowledgedRevision: () => newest,
-    now: e.now,
+    runningNodes: () =>
+      [...cluster.machines.values()]
+        .filter((machine) => machine.proc.alive && !machine.proc.frozen)
+        .map((machine) => machine.name),
+    newestAcknowledgedRevision: () => newestAcknowledged,
+    now: engine.now,
   };
 }
