--- a/packages/simulator/src/control-runs/catch-up-run.ts
+++ b/packages/simulator/src/control-runs/catch-up-run.ts
@@ -1,6 +1,6 @@
 /**
- * Point 4: many changes while members go away and come back and their disks are slow, full and emptied: how long each
- * takes to catch up, and that nobody serves old state.
+ * Point 4: many updates while members are absent and return, and their disks are slow, full or emptied. Measures how
+ * long each member takes to catch up, and checks that none serves outdated state.
  */
 import { configurationKey } from '@tansypost/control-feed';
 import type { ConfigService } from './config-service.js';
@@ -16,9 +16,9 @@
 export interface CatchUpRunOptions {
   readonly seed: number;
   readonly members: number;
-  /** How many changes are made in all. */
+  /** The total number of updates. */
   readonly changes: number;
-  /** How many changes are made while each member is away. */
+  /** The number of updates during each absence. */
   readonly changesPerAbsence?: number;
   readonly service?: ConfigService;
 }
@@ -27,7 +27,7 @@
   readonly absence: Absence;
   readonly node: string;
   readonly changesBefore: number;
-  /** Milliseconds from the return until the member votes and holds what was acknowledged; undefined if it did not. */
+  /** From the return until the member votes and holds everything acknowledged; undefined if that did not happen. */
   readonly durationMs: number | undefined;
 }
 
@@ -35,82 +35,84 @@
   readonly breaches: readonly ControlBreach[];
   readonly history: ControlHistory;
   readonly catchUps: readonly CatchUpTime[];
-  /** Bytes of the journal of a member that was never away, at the end. */
+  /** Final journal size of a member that was never absent. */
   readonly journalBytes: number;
 }
 
-const longestCatchUp = 20_000;
-const orderWithin = 4000;
-const slowSync = 40_000;
-const step = 10;
+const maxCatchUpMs = 20_000;
+const updateTimeoutMs = 4000;
+const slowSyncUs = 40_000;
+const stepMs = 10;
 
-/** Plays the changes with every kind of absence in turn, a member at a time. */
-export async function playCatchUpRun(o: CatchUpRunOptions): Promise<CatchUpRunResult> {
-  const names = memberNames(o.members);
-  const run = await createControlRun(o.seed, names, o.service);
+/** Plays the updates while one member at a time is absent, with every kind of absence in turn. */
+export async function playCatchUpRun(options: CatchUpRunOptions): Promise<CatchUpRunResult> {
+  const names = memberNames(options.members);
+  const run = await createControlRun(options.seed, names, options.service);
   const { cluster, history } = run;
-  await cluster.run(o.members > 3 ? 4000 : 1000);
+  await cluster.run(options.members > 3 ? 4000 : 1000);
   const router = run.startRouter('r');
   const catchUps: CatchUpTime[] = [];
-  const away = o.changesPerAbsence ?? Math.max(20, Math.round(o.changes / (2 * absences.length * 2)));
+  const updatesPerAbsence =
+    options.changesPerAbsence ?? Math.max(20, Math.round(options.changes / (2 * absences.length * 2)));
   let made = 0;
   let unreachable: string | undefined;
 
   function reachable(): string[] {
-    return run.runningNodes().filter((n) => n !== unreachable);
+    return run.runningNodes().filter((node) => node !== unreachable);
   }
-  async function change(): Promise<void> {
+  async function update(): Promise<void> {
     const state = { over: false };
-    void run.submitChange(reachable, orderWithin).then((taken) => {
+    void run.submitChange(reachable, updateTimeoutMs).then((acknowledged) => {
       state.over = true;
-      if (!taken) run.breaches.push({ check: 'majorityTakesOrders', what: `change ${made + 1} is not taken` });
+      if (!acknowledged)
+        run.breaches.push({ check: 'majorityTakesOrders', what: `update ${made + 1} was not acknowledged` });
     });
-    while (!state.over) await cluster.run(step);
+    while (!state.over) await cluster.run(stepMs);
     made += 1;
   }
 
   let turn = 0;
-  const rest = Math.max(1, Math.floor(o.changes / (2 * absences.length)) - away);
-  while (made < o.changes) {
-    for (let i = 0; i < rest && made < o.changes; i += 1) await change();
+  const updatesBetween = Math.max(1, Math.floor(options.changes / (2 * absences.length)) - updatesPerAbsence);
+  while (made < options.changes) {
+    for (let i = 0; i < updatesBetween && made < options.changes; i += 1) await update();
     const absence = absences[turn % absences.length]!;
-    // The journal that is measured stays in place; any other member goes away.
+    // The first member stays present, as its journal is measured.
     const node = names[1 + (turn % (names.length - 1))]!;
-    // Reads repair old copies on their way, so half of the returns are measured without any.
+    // Reads repair outdated copies, so half of the returns are measured without reads.
     const withReads = Math.floor(turn / absences.length) % 2 === 0;
     turn += 1;
-    if (made + away > o.changes) continue;
-    goAway(run, node, absence);
+    if (made + updatesPerAbsence > options.changes) continue;
+    startAbsence(run, node, absence);
     unreachable = absence === 'cut off' ? node : undefined;
-    for (let i = 0; i < away; i += 1) await change();
-    comeBack(run, node, absence);
+    for (let i = 0; i < updatesPerAbsence; i += 1) await update();
+    endAbsence(run, node, absence);
     unreachable = undefined;
-    catchUps.push({ absence, node, changesBefore: made, durationMs: await timeToCatchUp(run, node, withReads) });
+    catchUps.push({ absence, node, changesBefore: made, durationMs: await measureCatchUp(run, node, withReads) });
   }
   await cluster.run(2500);
-  judgeCatchUps(run, catchUps);
-  const document = router.configuration();
-  const routerHas = document === undefined ? 0 : history.appliedConfigurations.at(-1)!.revision;
-  if (routerHas < run.newestAcknowledgedRevision())
+  checkCatchUps(run, catchUps);
+  const configuration = router.configuration();
+  const routerRevision = configuration === undefined ? 0 : history.appliedConfigurations.at(-1)!.revision;
+  if (routerRevision < run.newestAcknowledgedRevision())
     run.breaches.push({
       check: 'routersCurrent',
-      what: `the router has ${routerHas}, not ${run.newestAcknowledgedRevision()}`,
+      what: `the router has revision ${routerRevision} instead of ${run.newestAcknowledgedRevision()}`,
     });
   const journalBytes = cluster.machine(names[0]!).disk.bytes().length;
   return { breaches: [...run.breaches, ...checkControlInvariants(history)], history, catchUps, journalBytes };
 }
 
-function goAway(run: ControlRun, node: string, absence: Absence): void {
+function startAbsence(run: ControlRun, node: string, absence: Absence): void {
   const { disk } = run.cluster.machine(node);
   if (absence === 'killed') run.kill(node);
   if (absence === 'emptied') run.wipe(node);
   if (absence === 'frozen') run.freeze(node);
   if (absence === 'cut off') run.cluster.network.partition('away', (from, to) => (from === node) !== (to === node));
   if (absence === 'full disk') disk.full = true;
-  if (absence === 'slow disk') disk.extraLatencyUs = slowSync;
+  if (absence === 'slow disk') disk.extraLatencyUs = slowSyncUs;
 }
 
-function comeBack(run: ControlRun, node: string, absence: Absence): void {
+function endAbsence(run: ControlRun, node: string, absence: Absence): void {
   const { disk } = run.cluster.machine(node);
   if (absence === 'killed' || absence === 'emptied') run.cluster.start(node);
   if (absence === 'frozen') run.resume(node);
@@ -119,8 +121,11 @@
   disk.extraLatencyUs = 0;
 }
 
-/** No change is made meanwhile. With reads, they go through the member that is back, so that old state would be seen. */
-async function timeToCatchUp(run: ControlRun, node: string, withReads: boolean): Promise<number | undefined> {
+/**
+ * Measures the catch-up time of a returned member while no updates are made. Reads, if any, go through that member, so
+ * that outdated state would be noticed.
+ */
+async function measureCatchUp(run: ControlRun, node: string, withReads: boolean): Promise<number | undefined> {
   const from = run.now();
   const wanted = run.newestAcknowledgedRevision();
   const state = { reading: withReads };
@@ -131,17 +136,17 @@
     }
   }
   void read();
-  let took: number | undefined;
-  while (took === undefined && run.now() - from < longestCatchUp * 1000) {
-    await run.cluster.run(step);
-    if (heldRevision(run, node) >= wanted) took = Math.round((run.now() - from) / 1000);
+  let durationMs: number | undefined;
+  while (durationMs === undefined && run.now() - from < maxCatchUpMs * 1000) {
+    await run.cluster.run(stepMs);
+    if (heldRevision(run, node) >= wanted) durationMs = Math.round((run.now() - from) / 1000);
   }
   state.reading = false;
   await run.cluster.run(1200);
-  return took;
+  return durationMs;
 }
 
-/** The revision that a member which votes has on its own disk. */
+/** The revision on the own disk of a member, -1 unless it votes. */
 function heldRevision(run: ControlRun, node: string): number {
   const { host, proc } = run.cluster.machine(node);
   const replica = host?.core()?.replica;
@@ -150,11 +155,11 @@
   return value.length === 0 ? 0 : (JSON.parse(value.toString()) as { revision: number }).revision;
 }
 
-function judgeCatchUps(run: ControlRun, catchUps: readonly CatchUpTime[]): void {
-  for (const c of catchUps)
-    if (c.durationMs === undefined || c.durationMs > catchUpTimeMs)
+function checkCatchUps(run: ControlRun, catchUps: readonly CatchUpTime[]): void {
+  for (const catchUp of catchUps)
+    if (catchUp.durationMs === undefined || catchUp.durationMs > catchUpTimeMs)
       run.breaches.push({
         check: 'caughtUpInTime',
-        what: `${c.node}, ${c.absence}, after ${c.changesBefore} changes: ${c.durationMs ?? `more than ${longestCatchUp}`} ms`,
+        what: `${catchUp.node}, ${catchUp.absence}, after ${catchUp.changesBefore} updates: caught up in ${catchUp.durationMs ?? `more than ${maxCatchUpMs}`} ms`,
       });
 }
--- a/packages/simulator/src/control-runs/empty-disk-run.ts
+++ b/packages/simulator/src/control-runs/empty-disk-run.ts
@@ -1,7 +1,7 @@
 /**
- * Point 3, beyond the fault budget: messages to one member get lost, so that it is behind, another one loses its disk, and
- * at some moment of its repair, or just as it votes, the only complete copy freezes. Whatever is served then must not be old, and once the
- * complete copy is back nothing is lost.
+ * Point 3, beyond the fault budget: one member is outdated because messages to it are lost, another loses its disk, and
+ * the only complete copy freezes at some moment of the repair or exactly when the repaired member votes for the first
+ * time. Nothing served in that state may be outdated, and nothing may be lost once the complete copy is back.
  */
 import { configurationKey } from '@tansypost/control-feed';
 import type { ControlBreach } from './control-history.js';
@@ -11,68 +11,70 @@
 
 export interface EmptyDiskRunOptions {
   readonly seed: number;
-  /** Whether the empty disk is back at the address of the lost one, or on a new machine. */
+  /** Whether the empty disk returns at the address of the lost one or on a new machine. */
   readonly replacement: 'same address' | 'successor';
 }
 
-const changesBehind = 3;
-const orderWithin = 4000;
-const frozenFor = 5000;
-const longestRepair = 2500;
-const copyTime = 400_000;
-const recoverWithin = 8000;
-const pauseBetweenReads = 40;
+const missedUpdates = 3;
+const updateTimeoutMs = 4000;
+const freezeDurationMs = 5000;
+const maxRepairMs = 2500;
+const copyDelayUs = 400_000;
+const recoveryTimeoutMs = 8000;
+const readIntervalMs = 40;
 
-/** Plays one such loss, with reads through every machine all the time. */
-export async function playEmptyDiskRun(o: EmptyDiskRunOptions): Promise<readonly ControlBreach[]> {
+/** Plays one such loss with constant reads through the outdated and the returned machine. */
+export async function playEmptyDiskRun(options: EmptyDiskRunOptions): Promise<readonly ControlBreach[]> {
   const names = memberNames(3);
-  const run = await createControlRun(o.seed, names);
+  const run = await createControlRun(options.seed, names);
   const { cluster } = run;
   await cluster.run(1000);
-  async function mustChange(nodes: readonly string[], within: number, when: string): Promise<void> {
+  async function requireUpdate(nodes: readonly string[], timeoutMs: number, when: string): Promise<void> {
     if (
       (await run.waitFor(
-        run.submitChange(() => nodes, within),
-        within + orderWithin,
+        run.submitChange(() => nodes, timeoutMs),
+        timeoutMs + updateTimeoutMs,
       )) !== true
     )
-      run.breaches.push({ check: 'majorityVotes', what: `seed ${o.seed}: no order taken ${when}` });
+      run.breaches.push({ check: 'majorityVotes', what: `seed ${options.seed}: no update acknowledged ${when}` });
   }
-  await mustChange(names, orderWithin, 'at first');
-  // The leader has what it writes, so the one that is behind is another.
+  await requireUpdate(names, updateTimeoutMs, 'at the start');
+  // The leader holds what it writes, so the outdated member is a different one.
   const leader = cluster.leaders()[0] ?? names[0]!;
-  const [behind, third] = names.filter((n) => n !== leader) as [string, string];
+  const [outdated, third] = names.filter((name) => name !== leader) as [string, string];
   const [lost, complete] = cluster.random() < 0.5 ? [leader, third] : [third, leader];
-  const back = o.replacement === 'successor' ? 'n0' : lost;
-  cluster.network.intercept((m, from, to) => {
-    const tellsValue = (m.kind === 'Accept' && m.key === configurationKey) || m.kind === 'CopyPage';
-    if (tellsValue && to === behind) return [];
-    // What the complete copy tells comes late, so there is a moment in which the empty disk has at most an old copy.
-    return tellsValue && to === back && from === complete ? [{ message: m, delayUs: copyTime }] : undefined;
+  const returned = options.replacement === 'successor' ? 'n0' : lost;
+  cluster.network.intercept((message, from, to) => {
+    const carriesValue = (message.kind === 'Accept' && message.key === configurationKey) || message.kind === 'CopyPage';
+    if (carriesValue && to === outdated) return [];
+    // Values from the complete copy are delayed, so for a while the empty disk has at most an outdated copy.
+    return carriesValue && to === returned && from === complete ? [{ message, delayUs: copyDelayUs }] : undefined;
   });
-  for (let i = 0; i < changesBehind; i += 1) await mustChange([lost, complete], orderWithin, 'by two of three');
+  for (let i = 0; i < missedUpdates; i += 1)
+    await requireUpdate([lost, complete], updateTimeoutMs, 'by two of three members');
 
   run.wipe(lost);
-  if (o.replacement === 'successor') cluster.add(back);
-  cluster.start(back, false, [...new Set([back, ...names])]);
+  if (options.replacement === 'successor') cluster.add(returned);
+  cluster.start(returned, false, [...new Set([returned, ...names])]);
   const state = { reading: true };
   async function read(node: string): Promise<void> {
     while (state.reading) {
       await run.get(node);
-      await run.sleep(pauseBetweenReads);
+      await run.sleep(readIntervalMs);
     }
   }
-  const readers = [read(back), read(behind)];
-  // At its first vote the empty disk must hold a copy; any other moment is drawn.
-  if (o.seed % 2 === 0) await cluster.run(longestRepair * cluster.random());
+  const readers = [read(returned), read(outdated)];
+  // Odd seeds freeze at the first vote, when the empty disk must hold a copy; even seeds at a random moment.
+  if (options.seed % 2 === 0) await cluster.run(maxRepairMs * cluster.random());
   else
-    for (let waited = 0; waited < longestRepair && !cluster.voting().includes(back); waited += 1) await cluster.run(1);
+    for (let waited = 0; waited < maxRepairMs && !cluster.voting().includes(returned); waited += 1)
+      await cluster.run(1);
   run.freeze(complete);
-  await cluster.run(frozenFor);
+  await cluster.run(freezeDurationMs);
   run.resume(complete);
   cluster.network.intercept(undefined);
-  await mustChange([complete, behind], recoverWithin, 'after the complete copy came back');
+  await requireUpdate([complete, outdated], recoveryTimeoutMs, 'after the complete copy returned');
   state.reading = false;
-  await run.waitFor(Promise.all(readers), orderWithin);
+  await run.waitFor(Promise.all(readers), updateTimeoutMs);
   return [...run.breaches, ...checkControlInvariants(run.history)];
 }
--- a/packages/simulator/src/control-runs/journal-run.ts
+++ b/packages/simulator/src/control-runs/journal-run.ts
@@ -1,6 +1,6 @@
 /**
- * Point 4: the journal of a control node against the number of changes: what a change adds to it, how large it is, and
- * how long it takes to read.
+ * Point 4: how the journal of a control node depends on the number of updates: bytes per update, total size, and the
+ * time to read it.
  */
 import { performance } from 'node:perf_hooks';
 import { configurationKey, type ControlResponse } from '@tansypost/control-feed';
@@ -13,74 +13,74 @@
   readonly seed: number;
   readonly members: number;
   readonly changes: number;
-  /** The size in bytes above which the journal is rewritten, where it isn't the usual one. */
+  /** The journal size in bytes above which the journal is compacted, where it differs from the default. */
   readonly compactAboveBytes?: number;
 }
 
-/** The journal of one member after a number of changes. */
+/** The journal of one member after a number of updates. */
 export interface JournalSize {
   readonly changes: number;
   readonly bytes: number;
-  /** Bytes that each of the last changes added to the journal. */
+  /** The mean bytes that each update since the previous measurement added to the journal. */
   readonly bytesPerChange: number;
-  /** Milliseconds of real time to read the journal; a figure of the machine, judged by nobody. */
+  /** Real time to read the journal; depends on the machine and is not checked. */
   readonly readMs: number;
 }
 
-/** By what factor the bytes of a change may grow from the early changes to any later ones. */
-const growthAllowed = 1.5;
-const marksOfADecade = [1, 2, 5];
+/** The largest allowed ratio of the bytes per update at any measurement to those at the first one. */
+const maxGrowthFactor = 1.5;
+const measurementsPerDecade = [1, 2, 5];
 const valueBytes = 64;
-const answerWithin = 2000;
+const responseTimeoutMs = 2000;
 
-function marksUpTo(changes: number): Set<number> {
-  const marks = new Set<number>([changes]);
+function measurementPoints(changes: number): Set<number> {
+  const points = new Set<number>([changes]);
   for (let decade = 10; decade <= changes; decade *= 10)
-    for (const m of marksOfADecade) if (m * decade <= changes) marks.add(m * decade);
-  return marks;
+    for (const multiple of measurementsPerDecade) if (multiple * decade <= changes) points.add(multiple * decade);
+  return points;
 }
 
-async function write(c: ControlCluster, via: string, version: number): Promise<boolean> {
-  const state: { answer?: ControlResponse } = {};
+async function write(cluster: ControlCluster, via: string, version: number): Promise<boolean> {
+  const state: { response?: ControlResponse } = {};
   const value = Buffer.alloc(valueBytes, version % 251);
-  void c
+  void cluster
     .request(via, { op: 'write', key: configurationKey, change: `change-${version}`, base: version, value })
-    .then((answer) => (state.answer = answer));
-  for (let waited = 0; waited < answerWithin && state.answer === undefined; waited += 1) await c.run(1);
-  return state.answer?.status === 'done';
+    .then((response) => (state.response = response));
+  for (let waited = 0; waited < responseTimeoutMs && state.response === undefined; waited += 1) await cluster.run(1);
+  return state.response?.status === 'done';
 }
 
-/** Makes the changes with every member there, and measures the journal of one of them at growing numbers. */
+/** Makes the updates with every member present and measures the journal of one member at increasing counts. */
 export async function playJournalRun(
-  o: JournalRunOptions,
+  options: JournalRunOptions,
 ): Promise<{ readonly breaches: readonly ControlBreach[]; readonly sizes: readonly JournalSize[] }> {
-  const names = memberNames(o.members);
+  const names = memberNames(options.members);
   const cluster = await bootstrapControlCluster(
-    o.seed,
+    options.seed,
     names,
-    o.compactAboveBytes === undefined ? {} : { compactAboveBytes: o.compactAboveBytes },
+    options.compactAboveBytes === undefined ? {} : { compactAboveBytes: options.compactAboveBytes },
   );
-  await cluster.run(o.members > 3 ? 4000 : 1000);
+  await cluster.run(options.members > 3 ? 4000 : 1000);
   const measured = names[0]!;
-  const marks = marksUpTo(o.changes);
+  const points = measurementPoints(options.changes);
   const sizes: JournalSize[] = [];
   const breaches: ControlBreach[] = [];
   const since = { changes: 0, written: 0 };
   let size = cluster.machine(measured).disk.bytes().length;
-  for (let made = 0; made < o.changes;) {
+  for (let made = 0; made < options.changes;) {
     if (!(await write(cluster, names[made % names.length]!, made))) {
-      breaches.push({ check: 'majorityTakesOrders', what: `change ${made + 1} is not taken` });
+      breaches.push({ check: 'majorityTakesOrders', what: `update ${made + 1} was not acknowledged` });
       break;
     }
     made += 1;
     const bytes = cluster.machine(measured).disk.bytes();
-    // A journal that has shrunk was rewritten; what the change added is then not known.
+    // A smaller journal has been compacted; how much the update added is then unknown.
     if (bytes.length >= size) {
       since.changes += 1;
       since.written += bytes.length - size;
     }
     size = bytes.length;
-    if (!marks.has(made)) continue;
+    if (!points.has(made)) continue;
     const from = performance.now();
     readJournal(bytes);
     const openMs = Math.round((performance.now() - from) * 100) / 100;
@@ -95,13 +95,13 @@
   return { breaches: [...breaches, ...checkGrowth(sizes)], sizes };
 }
 
-/** A change costs the journal about the same however many came before. */
+/** Checks that the bytes per update do not grow with the number of updates. */
 export function checkGrowth(sizes: readonly JournalSize[]): ControlBreach[] {
   const first = sizes[0];
   return sizes
-    .filter((s) => first !== undefined && s.bytesPerChange > growthAllowed * first.bytesPerChange)
-    .map((s) => ({
+    .filter((size) => first !== undefined && size.bytesPerChange > maxGrowthFactor * first.bytesPerChange)
+    .map((size) => ({
       check: 'journalGrowsEvenly',
-      what: `a change takes ${first!.bytesPerChange} B of the journal at first, ${s.bytesPerChange} B before change ${s.changes}`,
+      what: `an update adds ${first!.bytesPerChange} B to the journal at first, ${size.bytesPerChange} B before update ${size.changes}`,
     }));
 }
