--- a/packages/simulator/src/control-runs/loss-run.ts
+++ b/packages/simulator/src/control-runs/loss-run.ts
@@ -1,6 +1,6 @@
 /**
  * Point 3: a first loss with its repair or replacement, and a second loss at any moment of it. Whenever the fault budget
- * says that the two do not overlap, a majority must vote and hold what was acknowledged.
+ * counts the two as not overlapping, a majority must vote and hold everything acknowledged.
  */
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach, ControlHistory } from './control-history.js';
@@ -10,129 +10,129 @@
 
 export const firstLosses = ['planned', 'planned at once', 'replaced', 'disk lost', 'restarted'] as const;
 /**
- * `planned`: a successor starts, and once it has had its time the member is told to leave; or `at once`, together with
- * the successor's start. `replaced`: the member is gone for good, and a successor starts after it. `disk lost`: it starts
- * again at its address with an empty disk. `restarted`: with the disk it had.
+ * `planned`: a successor starts, and after the catch-up time the member leaves gracefully; `planned at once`: it leaves
+ * as soon as the successor starts. `replaced`: the member is lost permanently, and a successor starts afterwards.
+ * `disk lost`: it restarts at its address with an empty disk. `restarted`: it restarts with its disk intact.
  */
 export type FirstLoss = (typeof firstLosses)[number];
 export const secondLosses = ['killed', 'frozen', 'disk lost', 'replaced'] as const;
-/** What happens to another member: it stays down or still, is back at once with an empty disk, or has a successor. */
+/** What happens to another member: it stays down or frozen, restarts at once with an empty disk, or gets a successor. */
 export type SecondLoss = (typeof secondLosses)[number];
 
 export interface LossRunOptions {
   readonly seed: number;
   readonly members: number;
   readonly first: FirstLoss;
-  /** None where only the repair of the first loss is measured. */
+  /** Undefined where only the repair of the first loss is measured. */
   readonly second?: SecondLoss;
-  /** How long after the first loss the second one comes, in milliseconds. */
+  /** Time from the first loss to the second. */
   readonly offsetMs: number;
-  /** How much longer than usual each sync of a disk takes, in milliseconds. */
+  /** Additional time of each disk sync. */
   readonly extraSyncMs?: number;
   readonly service?: ConfigService;
 }
 
-/** Times in milliseconds; undefined where what is waited for did not come. */
+/** Repair times after the first loss. */
 export interface RepairTimes {
-  /** From the first loss until as many machines as before vote under one record. */
+  /** Until as many machines as before vote under one membership record; undefined if that did not happen. */
   readonly redundancyRestoredAfterMs: number | undefined;
-  /** For how long the record named a member that did not vote, after the first loss. */
+  /** How long the membership record named a member that did not vote. */
   readonly membershipAheadMs: number;
 }
 
 export interface LossRunResult {
   readonly breaches: readonly ControlBreach[];
   readonly history: ControlHistory;
-  /** Whether the fault budget allows the second loss at that time. */
+  /** Whether the fault budget allows the second loss at its time. */
   readonly withinFaultBudget: boolean;
   readonly repair: RepairTimes;
 }
 
-/** A machine counts as lost until this long after its return or start, in milliseconds. */
+/** A machine counts as lost until this long after its return or start. */
 export const catchUpTimeMs = 4000;
-/** How many members may be lost at once. */
-function lossesAllowed(members: number): number {
+/** How many members may be lost at the same time. */
+function maxConcurrentLosses(members: number): number {
   return members >= 5 ? 2 : 1;
 }
-/** After a second loss that the budget allows, orders are taken again within this time. */
-const serveAgainWithin = 4000;
-const startAgainAfter = 300;
-const plannedAhead = 4000;
-const pauseBetweenOrders = 120;
-const longestRepair = 10_000;
-
-interface Redundancy {
+/** After a second loss within the fault budget, updates are acknowledged again within this time. */
+const recoveryTimeMs = 4000;
+const restartDelayMs = 300;
+const plannedLeaveDelayMs = 4000;
+const updateIntervalMs = 120;
+const maxRepairMs = 10_000;
+
+interface RedundancyMonitor {
   readonly times: () => RepairTimes;
   readonly stop: () => void;
 }
 
-/** Watches from now on when all members that the newest record names vote, and as many as before. */
-function watchRedundancy(run: ControlRun, members: number): Redundancy {
+/** Starts to monitor when all members of the newest membership record vote, and are as many as before. */
+function monitorRedundancy(run: ControlRun, members: number): RedundancyMonitor {
   const from = run.now();
-  const seen = { redundantAt: undefined as number | undefined, ahead: 0, over: false };
-  const step = 5;
-  const before = newestRecord(run)?.epoch ?? 0;
-  function look(): void {
-    if (seen.over) return;
+  const state = { restoredAt: undefined as number | undefined, aheadMs: 0, stopped: false };
+  const stepMs = 5;
+  const initialEpoch = newestRecord(run)?.epoch ?? 0;
+  function check(): void {
+    if (state.stopped) return;
     const record = newestRecord(run);
     const voting = new Set(run.cluster.voting());
     const named = record?.members ?? [];
-    const whole = named.length === members && named.every((n) => voting.has(n));
-    if (!whole) seen.redundantAt = undefined;
-    else seen.redundantAt ??= run.now();
-    if ((record?.epoch ?? 0) > before && !named.every((n) => voting.has(n))) seen.ahead += step;
-    run.cluster.engine.at(run.now() + step * 1000, look);
+    const isRedundant = named.length === members && named.every((node) => voting.has(node));
+    if (!isRedundant) state.restoredAt = undefined;
+    else state.restoredAt ??= run.now();
+    if ((record?.epoch ?? 0) > initialEpoch && !named.every((node) => voting.has(node))) state.aheadMs += stepMs;
+    run.cluster.engine.at(run.now() + stepMs * 1000, check);
   }
-  look();
+  check();
   return {
     times: () => ({
       redundancyRestoredAfterMs:
-        seen.redundantAt === undefined ? undefined : Math.round((seen.redundantAt - from) / 1000),
-      membershipAheadMs: seen.ahead,
+        state.restoredAt === undefined ? undefined : Math.round((state.restoredAt - from) / 1000),
+      membershipAheadMs: state.aheadMs,
     }),
     stop: () => {
-      seen.over = true;
+      state.stopped = true;
     },
   };
 }
 
 function newestRecord(run: ControlRun): { epoch: number; members: string[] } | undefined {
-  const records = run.runningNodes().flatMap((n) => {
-    const record = run.cluster.machine(n).host?.core()?.replica.membership();
-    return record === undefined ? [] : [{ epoch: record.membershipEpoch, members: run.cluster.replicas(n) }];
+  const records = run.runningNodes().flatMap((node) => {
+    const record = run.cluster.machine(node).host?.core()?.replica.membership();
+    return record === undefined ? [] : [{ epoch: record.membershipEpoch, members: run.cluster.replicas(node) }];
   });
   return records.sort((a, b) => b.epoch - a.epoch)[0];
 }
 
-/** Starts a machine that asks the others for a slot. */
+/** Starts a new machine that requests a replica slot from the others. */
 export function startSuccessor(run: ControlRun, name: string): void {
   run.cluster.add(name);
-  run.cluster.start(name, false, [name, ...run.runningNodes().filter((n) => n !== name)]);
+  run.cluster.start(name, false, [name, ...run.runningNodes().filter((node) => node !== name)]);
 }
 
-/** Brings the first loss about; gives when the machine stops counting as lost, in microseconds. */
-async function loseFirst(run: ControlRun, first: FirstLoss, name: string, ended: () => void): Promise<number> {
+/** Injects the first loss; returns the time in microseconds from which the machine no longer counts as lost. */
+async function injectFirstLoss(run: ControlRun, first: FirstLoss, name: string, onLoss: () => void): Promise<number> {
   const { cluster } = run;
   if (first === 'planned' || first === 'planned at once') {
     startSuccessor(run, 'n0');
-    const counted = run.now() + catchUpTimeMs * 1000;
-    if (first === 'planned') await cluster.run(plannedAhead);
-    ended();
+    const countedUntil = run.now() + catchUpTimeMs * 1000;
+    if (first === 'planned') await cluster.run(plannedLeaveDelayMs);
+    onLoss();
     run.leave(name);
-    return counted;
+    return countedUntil;
   }
-  ended();
+  onLoss();
   if (first === 'disk lost') run.wipe(name);
   else run.kill(name);
-  const back = run.now() + startAgainAfter * 1000;
-  cluster.engine.at(back, () => {
+  const returnsAt = run.now() + restartDelayMs * 1000;
+  cluster.engine.at(returnsAt, () => {
     if (first === 'replaced') startSuccessor(run, 'n0');
     else cluster.start(name);
   });
-  return back + catchUpTimeMs * 1000;
+  return returnsAt + catchUpTimeMs * 1000;
 }
 
-function loseSecond(run: ControlRun, second: SecondLoss, name: string): void {
+function injectSecondLoss(run: ControlRun, second: SecondLoss, name: string): void {
   if (second === 'disk lost') {
     run.wipe(name);
     run.cluster.start(name);
@@ -143,59 +143,59 @@
   if (second === 'replaced') startSuccessor(run, 'n1');
 }
 
-/** Plays one pair of losses while an operator goes on. */
-export async function playLossRun(o: LossRunOptions): Promise<LossRunResult> {
-  const names = memberNames(o.members);
-  const run = await createControlRun(o.seed, names, o.service);
+/** Plays one pair of losses while an operator continues to submit updates. */
+export async function playLossRun(options: LossRunOptions): Promise<LossRunResult> {
+  const names = memberNames(options.members);
+  const run = await createControlRun(options.seed, names, options.service);
   const { cluster, history } = run;
-  await cluster.run(o.members > 3 ? 4000 : 1000);
-  for (const m of cluster.machines.values()) m.disk.extraLatencyUs = (o.extraSyncMs ?? 0) * 1000;
+  await cluster.run(options.members > 3 ? 4000 : 1000);
+  for (const machine of cluster.machines.values()) machine.disk.extraLatencyUs = (options.extraSyncMs ?? 0) * 1000;
   const state = { operating: true };
-  // While a majority may be missing an order that is not taken breaks nothing.
+  // A majority may be missing at times, so an update without acknowledgement is no breach here.
   async function operate(): Promise<void> {
     while (state.operating) {
-      await run.submitChange(run.runningNodes, serveAgainWithin);
-      await run.sleep(pauseBetweenOrders);
+      await run.submitChange(run.runningNodes, recoveryTimeMs);
+      await run.sleep(updateIntervalMs);
     }
   }
   const operator = operate();
   await cluster.run(1500);
 
   const [firstName, secondName] = pickDistinctPair(names, cluster.random());
-  const watched: { redundancy?: Redundancy } = {};
-  const countedUntil = await loseFirst(run, o.first, firstName, () => {
-    watched.redundancy = watchRedundancy(run, o.members);
+  const monitor: { redundancy?: RedundancyMonitor } = {};
+  const countedUntil = await injectFirstLoss(run, options.first, firstName, () => {
+    monitor.redundancy = monitorRedundancy(run, options.members);
   });
-  await cluster.run(o.offsetMs);
-  const withinBudget = lossesAllowed(o.members) > 1 || run.now() >= countedUntil;
+  await cluster.run(options.offsetMs);
+  const withinFaultBudget = maxConcurrentLosses(options.members) > 1 || run.now() >= countedUntil;
   const acknowledged = run.newestAcknowledgedRevision();
-  if (o.second === undefined) await cluster.run(longestRepair);
-  else loseSecond(run, o.second, secondName);
-  if (withinBudget) await judgeServed(run, acknowledged, o);
-  const repair = watched.redundancy!.times();
-  watched.redundancy!.stop();
+  if (options.second === undefined) await cluster.run(maxRepairMs);
+  else injectSecondLoss(run, options.second, secondName);
+  if (withinFaultBudget) await checkServed(run, acknowledged, options);
+  const repair = monitor.redundancy!.times();
+  monitor.redundancy!.stop();
   state.operating = false;
-  await cluster.run(serveAgainWithin + 1500);
+  await cluster.run(recoveryTimeMs + 1500);
   await operator;
-  // Two lost disks at once may take acknowledged changes with them; that is outside of what the budget allows.
-  const judged = withinBudget || !losesTwoDisks(o) ? checkControlInvariants(history) : [];
-  return { breaches: [...run.breaches, ...judged], history, withinFaultBudget: withinBudget, repair };
+  // Losing two disks at once, beyond the fault budget, may lose acknowledged updates.
+  const invariantBreaches = withinFaultBudget || !losesTwoDisks(options) ? checkControlInvariants(history) : [];
+  return { breaches: [...run.breaches, ...invariantBreaches], history, withinFaultBudget, repair };
 }
 
-function losesTwoDisks(o: LossRunOptions): boolean {
-  return o.first !== 'restarted' && (o.second === 'disk lost' || o.second === 'replaced');
+function losesTwoDisks(options: LossRunOptions): boolean {
+  return options.first !== 'restarted' && (options.second === 'disk lost' || options.second === 'replaced');
 }
 
-/** Draws two different ones. */
-export function pickDistinctPair(names: readonly string[], share: number): [string, string] {
+/** Picks an ordered pair of different names; `fraction`, from 0 to below 1, selects the pair. */
+export function pickDistinctPair(names: readonly string[], fraction: number): [string, string] {
   const pairs = names.flatMap((a) => names.filter((b) => b !== a).map((b): [string, string] => [a, b]));
-  return pairs[Math.floor(share * pairs.length)]!;
+  return pairs[Math.floor(fraction * pairs.length)]!;
 }
 
-/** What was acknowledged is read again, and an order is taken, within the time; a majority of the record votes. */
-async function judgeServed(run: ControlRun, acknowledged: number, o: LossRunOptions): Promise<void> {
+/** Checks that everything acknowledged can be read and that an update is acknowledged within `recoveryTimeMs`. */
+async function checkServed(run: ControlRun, acknowledged: number, options: LossRunOptions): Promise<void> {
   const from = run.now();
-  const until = from + serveAgainWithin * 1000;
+  const until = from + recoveryTimeMs * 1000;
   let newestRead = 0;
   async function read(): Promise<void> {
     while (run.now() < until && newestRead < acknowledged) {
@@ -205,16 +205,22 @@
     }
   }
   void read();
-  await run.cluster.run(serveAgainWithin);
-  // The operator goes on all the time; a second one would only race with it.
-  const taken = run.history.calls.some((c) => c.kind === 'put' && c.code === 200 && c.sentAt >= from);
-  const second = o.second === undefined ? 'no second' : `second ${o.second} after ${o.offsetMs} ms`;
-  const where = `${o.members} members, first ${o.first}, ${second}, seed ${o.seed}`;
+  await run.cluster.run(recoveryTimeMs);
+  // The update is that of the running operator, as a second operator would only compete with it.
+  const acknowledgesUpdates = run.history.calls.some(
+    (call) => call.kind === 'put' && call.code === 200 && call.sentAt >= from,
+  );
+  const second =
+    options.second === undefined ? 'no second loss' : `second ${options.second} after ${options.offsetMs} ms`;
+  const where = `${options.members} members, first ${options.first}, ${second}, seed ${options.seed}`;
   if (newestRead < acknowledged)
     run.breaches.push({
       check: 'acknowledgedKept',
-      what: `${where}: ${acknowledged} cannot be read, ${newestRead} can`,
+      what: `${where}: revision ${acknowledged} was acknowledged, but reads return ${newestRead}`,
+    });
+  if (!acknowledgesUpdates)
+    run.breaches.push({
+      check: 'majorityVotes',
+      what: `${where}: no update was acknowledged within ${recoveryTimeMs} ms`,
     });
-  if (!taken)
-    run.breaches.push({ check: 'majorityVotes', what: `${where}: no order is taken within ${serveAgainWithin} ms` });
 }
--- a/packages/simulator/src/control-runs/loss-worker.ts
+++ b/packages/simulator/src/control-runs/loss-worker.ts
@@ -1,4 +1,4 @@
-/** A thread of the control command: plays the pairs of losses that it is sent, one after the other. */
+/** Worker thread of the `control` command that plays the pairs of losses it receives, one after the other. */
 import { parentPort } from 'node:worker_threads';
 import { playLossJob } from './control-report.js';
 import type { LossRunOptions } from './loss-run.js';
--- a/packages/simulator/src/control-runs/race-run.ts
+++ b/packages/simulator/src/control-runs/race-run.ts
@@ -1,6 +1,6 @@
 /**
- * Point 2: orders that race under one number, and orders sent again after lost answers: at once by the hundred, to any
- * machine, and after many others.
+ * Point 2: concurrent updates of one revision, and updates that are sent again after lost answers: a hundred copies at
+ * once, to any machine, and after many other updates.
  */
 import type { ConfigService } from './config-service.js';
 import type { ControlBreach, ControlHistory } from './control-history.js';
@@ -13,9 +13,9 @@
   readonly members: number;
   /** How many races are run. */
   readonly races?: number;
-  /** How many times one order is sent at once. */
+  /** How many copies of one update are sent at once. */
   readonly concurrentCopies?: number;
-  /** After how many other orders the first ones are sent again. */
+  /** The number of other updates before the first ones are sent again. */
   readonly interveningUpdates?: number;
   readonly service?: ConfigService;
 }
@@ -23,82 +23,85 @@
 export interface RaceRunResult {
   readonly breaches: readonly ControlBreach[];
   readonly history: ControlHistory;
-  /** The answers to the early orders when they are sent again at the end: how many of which status. */
+  /** The number of answers by status when the first updates are sent again at the end. */
   readonly repeatedAnswers: Readonly<Record<string, number>>;
 }
 
-const lostShare = 0.15;
-const early = 5;
-const clearWithin = 6000;
+const answerLossRate = 0.15;
+const firstUpdateCount = 5;
+const definiteOutcomeTimeoutMs = 6000;
 
-/** Plays races, then many orders, then the early ones once more. */
-export async function playRaceRun(o: RaceRunOptions): Promise<RaceRunResult> {
-  const names = memberNames(o.members);
-  const run = await createControlRun(o.seed, names, o.service);
+/** Plays races, then many updates, then sends the first updates again. */
+export async function playRaceRun(options: RaceRunOptions): Promise<RaceRunResult> {
+  const names = memberNames(options.members);
+  const run = await createControlRun(options.seed, names, options.service);
   const { cluster, history } = run;
   const { random } = cluster;
-  await cluster.run(o.members > 3 ? 4000 : 1000);
+  await cluster.run(options.members > 3 ? 4000 : 1000);
 
-  function anyNode(): string {
+  function randomNode(): string {
     const nodes = run.runningNodes();
     return nodes[Math.floor(random() * nodes.length)]!;
   }
-  /** Loses a part of the answers that one machine gives another, as on a line that breaks. */
+  /** Drops a fraction of the answers between machines, as when connections break. */
   function loseAnswers(): void {
-    cluster.network.intercept((m) => (m.kind === 'Answer' && random() < lostShare ? [] : undefined));
+    cluster.network.intercept((message) => (message.kind === 'Answer' && random() < answerLossRate ? [] : undefined));
   }
-  async function sendUntilClear(order: ConfigUpdate): Promise<number | undefined> {
-    const until = run.now() + clearWithin * 1000;
+  async function sendUntilDefinite(update: ConfigUpdate): Promise<number | undefined> {
+    const until = run.now() + definiteOutcomeTimeoutMs * 1000;
     while (run.now() < until) {
-      const code = await run.put(anyNode(), order);
+      const code = await run.put(randomNode(), update);
       if (code !== undefined && code < 500) return code;
       await run.sleep(100 * random());
     }
     return undefined;
   }
-  async function race(orders: readonly ConfigUpdate[]): Promise<void> {
-    const sent = orders.map(async (order) => {
+  async function race(updates: readonly ConfigUpdate[]): Promise<void> {
+    const sent = updates.map(async (update) => {
       await run.sleep(random() * 5);
-      return sendUntilClear(order);
+      return sendUntilDefinite(update);
     });
-    const codes = await run.waitFor(Promise.all(sent), clearWithin + 2000);
-    if (codes?.filter((c) => c === 200).length !== 1)
+    const codes = await run.waitFor(Promise.all(sent), definiteOutcomeTimeoutMs + 2000);
+    if (codes?.filter((code) => code === 200).length !== 1)
       run.breaches.push({
         check: 'oneOfARaceIsTaken',
-        what: `${orders.length} orders on ${orders[0]!.expectedRevision} were answered ${codes?.join() ?? 'late'}`,
+        what: `${updates.length} updates of revision ${updates[0]!.expectedRevision} were answered ${codes?.join() ?? 'late'}`,
       });
   }
 
-  const firstOrders: ConfigUpdate[] = [];
-  for (let i = 0; i < early; i += 1) {
-    const order = run.createUpdate(run.newestAcknowledgedRevision());
-    firstOrders.push(order);
-    await run.waitFor(sendUntilClear(order), clearWithin + 2000);
+  const firstUpdates: ConfigUpdate[] = [];
+  for (let i = 0; i < firstUpdateCount; i += 1) {
+    const update = run.createUpdate(run.newestAcknowledgedRevision());
+    firstUpdates.push(update);
+    await run.waitFor(sendUntilDefinite(update), definiteOutcomeTimeoutMs + 2000);
   }
   loseAnswers();
-  for (let i = 0; i < (o.races ?? 6); i += 1) {
-    const base = run.newestAcknowledgedRevision();
-    const rivals = i % 2 === 0 ? 2 : 8;
+  for (let i = 0; i < (options.races ?? 6); i += 1) {
+    const expectedRevision = run.newestAcknowledgedRevision();
+    const competitors = i % 2 === 0 ? 2 : 8;
     const killed = i % 3 === 2 ? cluster.leaders()[0] : undefined;
     if (killed !== undefined) cluster.engine.at(run.now() + 3000 * random(), () => run.kill(killed));
-    await race(Array.from({ length: rivals }, () => run.createUpdate(base)));
+    await race(Array.from({ length: competitors }, () => run.createUpdate(expectedRevision)));
     if (killed !== undefined) cluster.start(killed);
     await cluster.run(2500);
   }
   const repeated = run.createUpdate(run.newestAcknowledgedRevision());
   await run.waitFor(
-    Promise.all(Array.from({ length: o.concurrentCopies ?? 100 }, () => sendUntilClear(repeated))),
+    Promise.all(Array.from({ length: options.concurrentCopies ?? 100 }, () => sendUntilDefinite(repeated))),
     15_000,
   );
   cluster.network.intercept(undefined);
 
-  for (let i = 0; i < (o.interveningUpdates ?? 300); i += 1)
-    await run.waitFor(sendUntilClear(run.createUpdate(run.newestAcknowledgedRevision())), clearWithin + 2000);
-  const lateAnswers: Record<string, number> = {};
-  for (const order of [...firstOrders, repeated])
+  for (let i = 0; i < (options.interveningUpdates ?? 300); i += 1)
+    await run.waitFor(
+      sendUntilDefinite(run.createUpdate(run.newestAcknowledgedRevision())),
+      definiteOutcomeTimeoutMs + 2000,
+    );
+  const repeatedAnswers: Record<string, number> = {};
+  for (const update of [...firstUpdates, repeated])
     for (const node of names) {
-      const code = await run.waitFor(run.put(node, order), 1500);
-      lateAnswers[`${code}`] = (lateAnswers[`${code}`] ?? 0) + 1;
+      const code = await run.waitFor(run.put(node, update), 1500);
+      repeatedAnswers[`${code}`] = (repeatedAnswers[`${code}`] ?? 0) + 1;
     }
-  return { breaches: [...run.breaches, ...checkControlInvariants(history)], history, repeatedAnswers: lateAnswers };
+  return { breaches: [...run.breaches, ...checkControlInvariants(history)], history, repeatedAnswers };
 }
