--- a/packages/simulator/src/decisions/decision-score.ts
+++ b/packages/simulator/src/decisions/decision-score.ts
@@ -1,13 +1,13 @@
 /**
- * What a virtual day earned, by the measures of the users' pages: the share of worth over the whole day, in the worst
- * windows, of the worst-served kind and zone, the share served counted in nines, less what was charged.
+ * Scores a virtual day: the earned share of the requests' value over the whole day, in the worst windows, and of the
+ * worst-served kind and zone, plus the served share counted in nines, minus the cost of recomputed and moved tokens.
  */
 import type { PassedHistory, TrySeen } from '../pass-through/passed-history.js';
 import type { DecisionSite } from './decision-sites.js';
 
-/** What a day earned; shares are from 0 to 1. */
+/** The score of a day with its parts; shares are from 0 to 1. */
 export interface DecisionScore {
-  /** The weighed parts less the prices. */
+  /** The weighted sum of the parts, minus the costs. */
   readonly score: number;
   readonly mean: number;
   readonly windows: number;
@@ -20,138 +20,150 @@
   readonly transferCost: number;
 }
 
-/** One request of a client with all its tries. */
-interface Task {
+/** One request of a client, including all its attempts. */
+interface ScoredRequest {
   readonly kind: string;
   readonly at: number;
-  readonly owed: number;
-  readonly earned: number;
+  readonly maxValue: number;
+  readonly earnedValue: number;
   readonly served: boolean;
   readonly late: boolean;
   readonly size: number;
 }
 
-const windowLength = 2_000_000;
-const worstWindows = 2;
-/** The share unserved at which all nines are had. */
+const windowLengthUs = 2_000_000;
+const worstWindowCount = 2;
+/** The unserved share at which the nines part reaches its maximum of 1. */
 const bestUnserved = 0.001;
-const leastSizeWorth = 0.3;
-const mostSizeWorth = 4;
-/** The largest tenth of a kind, and the fifth beneath it, count as kinds of their own. */
+const minSizeWeight = 0.3;
+const maxSizeWeight = 4;
+/** The largest tenth of the requests of a kind, and the fifth below it, also count as kinds of their own. */
 const largest = { from: 0.9, to: 1 };
 const large = { from: 0.7, to: 0.9 };
-const refusedWithin = 0.25;
+const earlyRejectionFraction = 0.25;
 
-function groupBy<T, K>(all: Iterable<T>, keyOf: (each: T) => K): Map<K, T[]> {
+function groupBy<T, K>(items: Iterable<T>, keyOf: (item: T) => K): Map<K, T[]> {
   const groups = new Map<K, T[]>();
-  for (const each of all) {
-    const key = keyOf(each);
+  for (const item of items) {
+    const key = keyOf(item);
     const group = groups.get(key);
-    if (group === undefined) groups.set(key, [each]);
-    else group.push(each);
+    if (group === undefined) groups.set(key, [item]);
+    else group.push(item);
   }
   return groups;
 }
 
-function share(tasks: readonly Task[]): number {
-  const owed = tasks.reduce((sum, task) => sum + task.owed, 0);
-  return owed === 0 ? 1 : tasks.reduce((sum, task) => sum + task.earned, 0) / owed;
+function earnedShare(requests: readonly ScoredRequest[]): number {
+  const maxValue = requests.reduce((sum, request) => sum + request.maxValue, 0);
+  return maxValue === 0 ? 1 : requests.reduce((sum, request) => sum + request.earnedValue, 0) / maxValue;
 }
 
-/** The part of the worth that the tries of one task earned: 1 in time, less when late, 0 when not served. */
-function earnedBy(tries: readonly TrySeen[], aim: number, pause: number, lateShare: number): number {
-  const first = tries[0]!;
-  const served = tries.find((each) => each.ended === 'whole');
+/** The fraction of its value that a request earned: 1 in time, less when late, 0 when not served. */
+function earnedFraction(
+  attempts: readonly TrySeen[],
+  targetLatency: number,
+  maxEventGap: number,
+  lateFraction: number,
+): number {
+  const first = attempts[0]!;
+  const served = attempts.find((attempt) => attempt.ended === 'whole');
   if (served === undefined) return 0;
   const answeredAt = served.streaming ? (served.firstAt ?? served.end!) : served.end!;
-  const paused = pause > 0 && served.longestPause > pause;
-  if (!paused && answeredAt - first.at <= aim) return 1;
-  const refusedSoon = served !== first && first.ended === 'refused' && first.end! - first.at <= refusedWithin * aim;
-  if (refusedSoon && !paused && answeredAt - served.at <= aim) return (1 + lateShare) / 2;
-  return lateShare;
+  const exceededGap = maxEventGap > 0 && served.longestPause > maxEventGap;
+  if (!exceededGap && answeredAt - first.at <= targetLatency) return 1;
+  const rejectedEarly =
+    served !== first && first.ended === 'refused' && first.end! - first.at <= earlyRejectionFraction * targetLatency;
+  if (rejectedEarly && !exceededGap && answeredAt - served.at <= targetLatency) return (1 + lateFraction) / 2;
+  return lateFraction;
 }
 
-function tasksOf(history: PassedHistory, site: DecisionSite): Task[] {
+function scoredRequests(history: PassedHistory, site: DecisionSite): ScoredRequest[] {
   const kinds = new Map(site.deployment.kinds.map((kind) => [kind.name, kind]));
-  const byTask = groupBy(
-    history.tries.filter((each) => each.at >= history.from),
-    (each) => each.task,
+  const attemptsByTask = groupBy(
+    history.tries.filter((attempt) => attempt.at >= history.from),
+    (attempt) => attempt.task,
   );
-  const firsts = [...byTask.values()].map((tries) => tries[0]!);
+  const firstAttempts = [...attemptsByTask.values()].map((attempts) => attempts[0]!);
   const meanSizes = new Map(
-    [...groupBy(firsts, (each) => each.kind)].map(([kind, all]) => [
+    [...groupBy(firstAttempts, (attempt) => attempt.kind)].map(([kind, all]) => [
       kind,
-      all.reduce((sum, each) => sum + each.size, 0) / all.length,
+      all.reduce((sum, attempt) => sum + attempt.size, 0) / all.length,
     ]),
   );
-  return [...byTask.values()].map((tries) => {
-    const first = tries[0]!;
+  return [...attemptsByTask.values()].map((attempts) => {
+    const first = attempts[0]!;
     const kind = kinds.get(first.kind)!;
-    const worth = kind.worth ?? 1;
+    const value = kind.worth ?? 1;
     const relative = first.size / Math.max(1, meanSizes.get(first.kind)!);
-    const weight = first.size <= 10 ? 1 : Math.min(mostSizeWorth, leastSizeWorth + (1 - leastSizeWorth) * relative);
-    const part = earnedBy(tries, kind.aim, kind.pause, (kind.lateWorth ?? 0) / worth);
-    const owed = worth * weight;
+    const weight = first.size <= 10 ? 1 : Math.min(maxSizeWeight, minSizeWeight + (1 - minSizeWeight) * relative);
+    const fraction = earnedFraction(attempts, kind.aim, kind.pause, (kind.lateWorth ?? 0) / value);
+    const maxValue = value * weight;
     return {
       kind: first.kind,
       at: first.at,
-      owed,
-      earned: owed * part,
-      served: part > 0,
-      late: part > 0 && part < 1,
+      maxValue,
+      earnedValue: maxValue * fraction,
+      served: fraction > 0,
+      late: fraction > 0 && fraction < 1,
       size: first.size,
     };
   });
 }
 
-function worstKindOf(tasks: readonly Task[]): number {
+function worstKindShare(requests: readonly ScoredRequest[]): number {
   const shares: number[] = [];
-  for (const all of groupBy(tasks, (task) => task.kind).values()) {
+  for (const all of groupBy(requests, (request) => request.kind).values()) {
     const bySize = [...all].sort((a, b) => a.size - b.size);
-    shares.push(share(all));
+    shares.push(earnedShare(all));
     for (const { from, to } of [largest, large])
-      shares.push(share(bySize.slice(Math.floor(from * all.length), Math.floor(to * all.length))));
+      shares.push(earnedShare(bySize.slice(Math.floor(from * all.length), Math.floor(to * all.length))));
   }
   return Math.min(...shares);
 }
 
-function worstWindowsOf(tasks: readonly Task[]): number {
-  const windows = [...groupBy(tasks, (task) => Math.floor(task.at / windowLength)).values()].map(share);
-  const worst = windows.sort((a, b) => a - b).slice(0, worstWindows);
-  return worst.reduce((sum, each) => sum + each, 0) / worst.length;
+function worstWindowShare(requests: readonly ScoredRequest[]): number {
+  const windows = [...groupBy(requests, (request) => Math.floor(request.at / windowLengthUs)).values()].map(
+    earnedShare,
+  );
+  const worst = windows.sort((a, b) => a - b).slice(0, worstWindowCount);
+  return worst.reduce((sum, windowShare) => sum + windowShare, 0) / worst.length;
 }
 
-function ninesOf(unserved: number): number {
-  const least = Math.max(unserved, bestUnserved);
-  return Math.max(0, Math.min(1, Math.log(least) / Math.log(bestUnserved)));
+function ninesFraction(unservedShare: number): number {
+  const bounded = Math.max(unservedShare, bestUnserved);
+  return Math.max(0, Math.min(1, Math.log(bounded) / Math.log(bestUnserved)));
 }
 
-/** Scores what the day showed. */
+/** Scores the recorded history of a day. */
 export function scoreDay(history: PassedHistory, site: DecisionSite): DecisionScore {
-  const tasks = tasksOf(history, site);
-  const owed = tasks.reduce((sum, task) => sum + task.owed, 0);
-  const unserved = tasks.filter((task) => !task.served).length / Math.max(1, tasks.length);
-  const mean = share(tasks);
-  const windows = worstWindowsOf(tasks);
-  const worstKind = worstKindOf(tasks);
-  const nines = ninesOf(unserved);
-  const reread = ((history.costs.reread / 1000) * site.rates.recompute) / owed;
-  const moved = ((history.costs.moved / 1000) * site.rates.transfer) / owed;
-  const { weights: goal } = site;
-  // Zones are served alike but for chance here, so the whole day stands for the worst of them.
+  const requests = scoredRequests(history, site);
+  const maxValue = requests.reduce((sum, request) => sum + request.maxValue, 0);
+  const unservedShare = requests.filter((request) => !request.served).length / Math.max(1, requests.length);
+  const mean = earnedShare(requests);
+  const windows = worstWindowShare(requests);
+  const worstKind = worstKindShare(requests);
+  const nines = ninesFraction(unservedShare);
+  const recomputeCost = ((history.costs.reread / 1000) * site.rates.recompute) / maxValue;
+  const transferCost = ((history.costs.moved / 1000) * site.rates.transfer) / maxValue;
+  const { weights } = site;
+  // The zones here differ only by chance, so the mean of the whole day stands in for the worst zone.
   const parts =
-    goal.mean * mean + goal.windows * windows + goal.kinds * worstKind + goal.zones * mean + goal.nines * nines;
-  const late = tasks.filter((task) => task.late).length;
+    weights.mean * mean +
+    weights.windows * windows +
+    weights.kinds * worstKind +
+    weights.zones * mean +
+    weights.nines * nines;
+  const late = requests.filter((request) => request.late).length;
   return {
-    score: parts - reread - moved,
+    score: parts - recomputeCost - transferCost,
     mean,
     windows,
     worstKind,
     nines,
-    unservedShare: unserved,
-    requests: tasks.length,
+    unservedShare,
+    requests: requests.length,
     late,
-    recomputeCost: reread,
-    transferCost: moved,
+    recomputeCost,
+    transferCost,
   };
 }
--- a/packages/simulator/src/decisions/decision-sites.ts
+++ b/packages/simulator/src/decisions/decision-sites.ts
@@ -1,12 +1,12 @@
 /**
- * Deployments on which decisions are compared: three shapes like those that are known, and drawn ones. A site says what
- * is asked for, which workers there are, and how worth is weighed; days bring its load and its troubles.
+ * Deployments on which routing decisions are compared: three shapes modelled on known deployments, and random ones. A
+ * site defines the requests, the workers and the score weights; the simulated day adds load and faults.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { EngineShape, LogNormal } from '../pass-through/engine-shape.js';
 import { mainService, type PassedDeployment, type PassedKind } from '../pass-through/passed-deployment.js';
 
-/** How the parts of a day's worth are weighed; they add up to 1. */
+/** The weights of the parts of a day's score; they add up to 1. */
 export interface ScoreWeights {
   readonly mean: number;
   readonly windows: number;
@@ -15,38 +15,39 @@
   readonly nines: number;
 }
 
-/** What is charged, in worth. */
+/** Costs in units of request value. */
 export interface CostRates {
-  /** For each thousand tokens of shared parts that are read again. */
+  /** Per thousand tokens of shared prefixes that are prefilled again. */
   readonly recompute: number;
-  /** For each thousand tokens of memory moved. */
+  /** Per thousand tokens of KV cache transferred. */
   readonly transfer: number;
 }
 
-/** A deployment with its goal. */
+/** A deployment with its score weights and costs. */
 export interface DecisionSite {
   readonly name: string;
   readonly deployment: PassedDeployment;
-  /** Machines that hold control state, and whether they run routers as well. */
+  /** The number of machines that hold control state. */
   readonly replicas: number;
+  /** Whether these machines also run routers. */
   readonly colocatedRouters: boolean;
   readonly weights: ScoreWeights;
   readonly rates: CostRates;
 }
 
-const millisecond = 1000;
-const usualRates: CostRates = { recompute: 0.2, transfer: 0.0074 };
+const microsPerMs = 1000;
+const defaultRates: CostRates = { recompute: 0.2, transfer: 0.0074 };
 
-/** Engines of two sizes: a mixture of experts with small memory for each token, and a dense model with large. */
+/** Two engines: a mixture-of-experts model with little KV cache per token, and a dense model with much. */
 const sparseEngine: EngineShape = {
   slots: 64,
   queued: 192,
-  step: 2.6 * millisecond,
-  stepPerRun: 0.12 * millisecond,
+  step: 2.6 * microsPerMs,
+  stepPerRun: 0.12 * microsPerMs,
   stepPerContextToken: 0.00384,
-  perToken: millisecond / 48.2,
+  perToken: microsPerMs / 48.2,
   perPair: 0.000248,
-  firstTime: 14 * millisecond,
+  firstTime: 14 * microsPerMs,
   firstStride: 1,
   stride: 12,
   prefillPiece: 1024,
@@ -55,85 +56,85 @@
   kvTokens: 410_894,
   tokenBytes: 18_432,
   linkMbps: 740_000,
-  moveSetup: 2.5 * millisecond,
+  moveSetup: 2.5 * microsPerMs,
 };
 const denseEngine: EngineShape = {
   ...sparseEngine,
   slots: 16,
   queued: 48,
-  step: 2.2 * millisecond,
+  step: 2.2 * microsPerMs,
   stepPerRun: 0,
   stepPerContextToken: 0.0175,
-  perToken: millisecond / 140,
+  perToken: microsPerMs / 140,
   perPair: 0.000295,
-  firstTime: 53 * millisecond,
+  firstTime: 53 * microsPerMs,
   stride: 19,
   kvTokens: 444_000,
   tokenBytes: 131_072,
   linkMbps: 1_100_000,
-  moveSetup: 1.7 * millisecond,
+  moveSetup: 1.7 * microsPerMs,
 };
 const plainEngine: EngineShape = { ...denseEngine, slots: 6, kvTokens: 0, tokenBytes: 0, firstStride: 1, stride: 1 };
 
-function logNormal(mean: number, spread: number, most: number): LogNormal {
-  return { mean, spread, most };
+function logNormal(mean: number, spread: number, max: number): LogNormal {
+  return { mean, spread, most: max };
 }
 
-interface KindTerms {
+interface KindOptions {
   readonly rate: number;
-  readonly aimMs: number;
+  readonly targetLatencyMs: number;
   readonly deadlineMs: number;
-  readonly pauseMs: number;
+  readonly maxEventGapMs: number;
   readonly worth: number;
   readonly rank: number;
-  readonly sends: number;
+  readonly maxAttempts: number;
   readonly resumable: boolean;
 }
 
-function modelKind(name: string, terms: KindTerms): Omit<PassedKind, 'draw' | 'shared' | 'own' | 'answer'> {
+function modelKind(name: string, options: KindOptions): Omit<PassedKind, 'draw' | 'shared' | 'own' | 'answer'> {
   return {
     name,
-    rate: terms.rate,
-    aim: terms.aimMs * millisecond,
-    budget: terms.deadlineMs * millisecond,
-    pause: terms.pauseMs * millisecond,
-    rank: terms.rank,
+    rate: options.rate,
+    aim: options.targetLatencyMs * microsPerMs,
+    budget: options.deadlineMs * microsPerMs,
+    pause: options.maxEventGapMs * microsPerMs,
+    rank: options.rank,
     streaming: true,
-    resumable: terms.resumable,
+    resumable: options.resumable,
     repeatable: false,
-    sends: terms.sends,
+    sends: options.maxAttempts,
     furtherTries: 1,
-    worth: terms.worth,
-    lateWorth: 0.3 * terms.worth,
+    worth: options.worth,
+    lateWorth: 0.3 * options.worth,
   };
 }
 
-/** Long, middle and small prompts, each opening with parts that others share. */
-function longKind(name: string, terms: KindTerms, things: number, pieces: LogNormal): PassedKind {
+/** Kinds with long, medium and small prompts, each of which starts with prefixes that other prompts share. */
+function longKind(name: string, options: KindOptions, prefixCount: number, outputChunks: LogNormal): PassedKind {
   const shared = [
     { tokens: logNormal(512, 0.4, 1280), things: 3 },
-    { tokens: logNormal(4870, 0.7, 14_600), things },
+    { tokens: logNormal(4870, 0.7, 14_600), things: prefixCount },
   ];
-  const draw = { shared, own: logNormal(6610, 1.4, 54_600), pieces };
-  return { ...modelKind(name, terms), shared: 5382, own: 6610, answer: 32, draw, bodyBytes: 12_000 };
+  const draw = { shared, own: logNormal(6610, 1.4, 54_600), pieces: outputChunks };
+  return { ...modelKind(name, options), shared: 5382, own: 6610, answer: 32, draw, bodyBytes: 12_000 };
 }
 
-function middleKind(name: string, terms: KindTerms, things: number, pieces: LogNormal): PassedKind {
+function middleKind(name: string, options: KindOptions, prefixCount: number, outputChunks: LogNormal): PassedKind {
   const shared = [
-    { tokens: logNormal(119, 0.4, 298), things: Math.ceil(things / 29) },
-    { tokens: logNormal(79, 0.7, 238), things },
+    { tokens: logNormal(119, 0.4, 298), things: Math.ceil(prefixCount / 29) },
+    { tokens: logNormal(79, 0.7, 238), things: prefixCount },
   ];
-  const draw = { shared, own: logNormal(628, 1, 3310), pieces };
-  return { ...modelKind(name, terms), shared: 198, own: 628, answer: 24, draw, bodyBytes: 830 };
+  const draw = { shared, own: logNormal(628, 1, 3310), pieces: outputChunks };
+  return { ...modelKind(name, options), shared: 198, own: 628, answer: 24, draw, bodyBytes: 830 };
 }
 
-function smallKind(name: string, terms: KindTerms, things: number, pieces: LogNormal): PassedKind {
+function smallKind(name: string, options: KindOptions, prefixCount: number, outputChunks: LogNormal): PassedKind {
   const shared = [
-    { tokens: logNormal(341, 0.4, 851), things: Math.ceil(things / 24) },
-    { tokens: logNormal(227, 0.7, 681), things },
+    { tokens: logNormal(341, 0.4, 851), things: Math.ceil(prefixCount / 24) },
+    { tokens: logNormal(227, 0.7, 681), things: prefixCount },
   ];
-  const draw = { shared, own: logNormal(1800, 1.3, 6870), pieces };
-  return { ...modelKind(name, terms), shared: 568, own: 1800, answer: 2, draw, bodyBytes: 2400 };
+  const draw = { shared, own: logNormal(1800, 1.3, 6870), pieces: outputChunks };
+  return { ...modelKind(name, options), shared: 568, own: 1800, answer: 2, draw, bodyBytes: 2400 };
 }
 
 function plainKind(name: string, service: string, rate: number): PassedKind {
@@ -145,9 +146,9 @@
     shared: 0,
     own: 0,
     answer: 1,
-    aim: 120 * millisecond,
+    aim: 120 * microsPerMs,
     pause: 0,
-    budget: 1000 * millisecond,
+    budget: 1000 * microsPerMs,
     rank: 2,
     streaming: false,
     resumable: false,
@@ -165,17 +166,19 @@
 const kindsGoal: ScoreWeights = { mean: 0.4, windows: 0.1, kinds: 0.3, zones: 0.2, nines: 0 };
 const windowsGoal: ScoreWeights = { mean: 0.6, windows: 0.25, kinds: 0.15, zones: 0, nines: 0 };
 
-function terms(over: Partial<KindTerms> & Pick<KindTerms, 'rate' | 'aimMs' | 'worth' | 'rank'>): KindTerms {
-  return { deadlineMs: 8000, pauseMs: 300, sends: 2, resumable: false, ...over };
+function kindOptions(
+  overrides: Partial<KindOptions> & Pick<KindOptions, 'rate' | 'targetLatencyMs' | 'worth' | 'rank'>,
+): KindOptions {
+  return { deadlineMs: 8000, maxEventGapMs: 300, maxAttempts: 2, resumable: false, ...overrides };
 }
 
-/** Many routers and workers of a dense model, beside a small service that is none. */
+/** Many routers and workers of a dense model, plus a small service without a model. */
 const dense: DecisionSite = {
   name: 'dense',
   replicas: 6,
   colocatedRouters: true,
   weights: ninesGoal,
-  rates: usualRates,
+  rates: defaultRates,
   deployment: {
     name: 'dense',
     zones: ['a', 'b', 'c'],
@@ -190,19 +193,44 @@
     kinds: [
       longKind(
         'long',
-        terms({ rate: 65, aimMs: 500, deadlineMs: 6000, pauseMs: 200, worth: 2, rank: 1, sends: 1 }),
+        kindOptions({
+          rate: 65,
+          targetLatencyMs: 500,
+          deadlineMs: 6000,
+          maxEventGapMs: 200,
+          worth: 2,
+          rank: 1,
+          maxAttempts: 1,
+        }),
         1118,
         logNormal(20.1, 0.44, 59),
       ),
       middleKind(
         'middle',
-        terms({ rate: 67, aimMs: 250, deadlineMs: 6000, pauseMs: 200, worth: 3, rank: 0, sends: 2, resumable: true }),
+        kindOptions({
+          rate: 67,
+          targetLatencyMs: 250,
+          deadlineMs: 6000,
+          maxEventGapMs: 200,
+          worth: 3,
+          rank: 0,
+          maxAttempts: 2,
+          resumable: true,
+        }),
         1163,
         logNormal(15.3, 0.69, 50),
       ),
       smallKind(
         'small',
-        terms({ rate: 164, aimMs: 300, deadlineMs: 2000, pauseMs: 200, worth: 1, rank: 2, sends: 1 }),
+        kindOptions({
+          rate: 164,
+          targetLatencyMs: 300,
+          deadlineMs: 2000,
+          maxEventGapMs: 200,
+          worth: 1,
+          rank: 2,
+          maxAttempts: 1,
+        }),
         1889,
         logNormal(1.5, 1.4, 6),
       ),
@@ -216,7 +244,7 @@
         prefillShare: 0,
         slow: [1, 1, 1.3],
         engine: plainEngine,
-        plain: { slots: 6, queued: 24, work: logNormal(15 * millisecond, 0.5, 110 * millisecond), failures: 0.004 },
+        plain: { slots: 6, queued: 24, work: logNormal(15 * microsPerMs, 0.5, 110 * microsPerMs), failures: 0.004 },
       },
     ],
   },
@@ -228,7 +256,7 @@
   shape: { zones: number; routers: number; workers: number; rate: number; replicas: number },
 ): DecisionSite {
   const { rate } = shape;
-  const stream = { pauseMs: 300, sends: 2 };
+  const stream = { maxEventGapMs: 300, maxAttempts: 2 };
   return {
     name,
     replicas: shape.replicas,
@@ -248,19 +276,35 @@
       kinds: [
         longKind(
           'long',
-          terms({ ...stream, rate: 0.232 * rate, aimMs: 800, worth: 3, rank: 0, sends: 3, resumable: true }),
+          kindOptions({
+            ...stream,
+            rate: 0.232 * rate,
+            targetLatencyMs: 800,
+            worth: 3,
+            rank: 0,
+            maxAttempts: 3,
+            resumable: true,
+          }),
           Math.ceil(3.4 * rate),
           logNormal(8, 0.5, 30),
         ),
         middleKind(
           'middle',
-          terms({ ...stream, rate: 0.413 * rate, aimMs: 800, worth: 2, rank: 1 }),
+          kindOptions({ ...stream, rate: 0.413 * rate, targetLatencyMs: 800, worth: 2, rank: 1 }),
           Math.ceil(3.5 * rate),
           logNormal(6, 0.7, 25),
         ),
         smallKind(
           'small',
-          terms({ ...stream, rate: 0.355 * rate, aimMs: 1500, deadlineMs: 2500, worth: 1, rank: 2, sends: 1 }),
+          kindOptions({
+            ...stream,
+            rate: 0.355 * rate,
+            targetLatencyMs: 1500,
+            deadlineMs: 2500,
+            worth: 1,
+            rank: 2,
+            maxAttempts: 1,
+          }),
           Math.ceil(5.7 * rate),
           logNormal(1.2, 1, 5),
         ),
@@ -272,7 +316,7 @@
   };
 }
 
-/** The known shapes by name. */
+/** The known deployment shapes by name. */
 export const decisionSites: { readonly [name: string]: DecisionSite } = {
   dense,
   'small-a': sparse('small-a', kindsGoal, { zones: 4, routers: 9, workers: 13, rate: 61, replicas: 3 }),
@@ -282,44 +326,44 @@
 };
 
 /**
- * A site that nobody has seen: other sizes, speeds, shares, mixes and aims, with machines for control alone or without.
- * The same seed gives the same site.
+ * Generates a random site: sizes, speeds, shares, request mix and target latencies vary, as does whether control machines
+ * also run routers. The same seed gives the same site.
  */
 export function generateSite(seed: number): DecisionSite {
   const random = createSeededRandom(seed * 2671 + 5);
   function between(low: number, high: number): number {
     return low + (high - low) * random();
   }
-  function whole(low: number, high: number): number {
+  function integerBetween(low: number, high: number): number {
     return Math.round(between(low, high));
   }
-  const base = random() < 0.5 ? denseEngine : sparseEngine;
+  const baseEngine = random() < 0.5 ? denseEngine : sparseEngine;
   const speed = between(0.6, 1.6);
   const engine: EngineShape = {
-    ...base,
-    slots: whole(8, 64),
-    queued: whole(24, 120),
-    step: base.step * between(0.7, 1.4),
-    perToken: base.perToken / speed,
-    perPair: base.perPair / speed,
-    firstTime: base.firstTime * between(0.3, 1.2),
-    stride: whole(4, 20),
-    kvTokens: whole(200_000, 600_000),
-    linkMbps: base.linkMbps * between(0.3, 1.5),
+    ...baseEngine,
+    slots: integerBetween(8, 64),
+    queued: integerBetween(24, 120),
+    step: baseEngine.step * between(0.7, 1.4),
+    perToken: baseEngine.perToken / speed,
+    perPair: baseEngine.perPair / speed,
+    firstTime: baseEngine.firstTime * between(0.3, 1.2),
+    stride: integerBetween(4, 20),
+    kvTokens: integerBetween(200_000, 600_000),
+    linkMbps: baseEngine.linkMbps * between(0.3, 1.5),
   };
-  const workers = whole(8, 40);
+  const workers = integerBetween(8, 40);
   const prefillShare = between(0.2, 0.5);
   const load = between(0.25, 0.6);
-  // What one prompt of the mix takes to read, from which the rate follows that loads the readers so much.
+  // The mean tokens of a prompt in the mix; the request rate follows from the load that the prefill workers should have.
   const [long, middle, small] = [between(0.05, 0.35), between(0.2, 0.5), between(0.2, 0.5)];
   const sum = long + middle + small;
-  const tokens = (long * 12_000 + middle * 826 + small * 2368) / sum;
-  const readers = workers * (prefillShare + 0.3 * (1 - prefillShare));
-  const rate = Math.min(400, (load * readers * 1_000_000) / (tokens * engine.perToken * 1.3));
-  const zones = ['a', 'b', 'c', 'd', 'e'].slice(0, whole(2, 5));
-  const aims = between(0.8, 2);
-  const base12 = denseEngine === base ? 1 : 1.8;
-  const slow = Array.from({ length: whole(1, 4) }, () => between(1, 1.5));
+  const meanTokens = (long * 12_000 + middle * 826 + small * 2368) / sum;
+  const prefillWorkers = workers * (prefillShare + 0.3 * (1 - prefillShare));
+  const rate = Math.min(400, (load * prefillWorkers * 1_000_000) / (meanTokens * engine.perToken * 1.3));
+  const zones = ['a', 'b', 'c', 'd', 'e'].slice(0, integerBetween(2, 5));
+  const latencyFactor = between(0.8, 2);
+  const engineLatencyFactor = denseEngine === baseEngine ? 1 : 1.8;
+  const slow = Array.from({ length: integerBetween(1, 4) }, () => between(1, 1.5));
   return {
     name: `drawn-${seed}`,
     replicas: random() < 0.5 ? 3 : 5,
@@ -329,51 +373,51 @@
     deployment: {
       name: `drawn-${seed}`,
       zones,
-      routers: whole(6, 30),
+      routers: integerBetween(6, 30),
       workers,
       asideWorkers: 0,
       kvTokens: engine.kvTokens,
-      sendSlack: whole(50, 200),
-      clientsPerZone: whole(10, 60),
+      sendSlack: integerBetween(50, 200),
+      clientsPerZone: integerBetween(10, 60),
       clump: between(1, 4),
       kinds: [
         longKind(
           'long',
-          terms({
+          kindOptions({
             rate: (rate * long) / sum,
-            aimMs: 500 * aims * base12,
-            worth: whole(1, 3),
+            targetLatencyMs: 500 * latencyFactor * engineLatencyFactor,
+            worth: integerBetween(1, 3),
             rank: 1,
-            sends: whole(1, 3),
+            maxAttempts: integerBetween(1, 3),
             resumable: random() < 0.3,
           }),
-          whole(20, 1200),
+          integerBetween(20, 1200),
           logNormal(between(6, 20), 0.5, 60),
         ),
         middleKind(
           'middle',
-          terms({
+          kindOptions({
             rate: (rate * middle) / sum,
-            aimMs: 250 * aims * base12,
-            worth: whole(1, 3),
+            targetLatencyMs: 250 * latencyFactor * engineLatencyFactor,
+            worth: integerBetween(1, 3),
             rank: 0,
-            sends: whole(1, 3),
+            maxAttempts: integerBetween(1, 3),
             resumable: random() < 0.5,
           }),
-          whole(20, 1200),
+          integerBetween(20, 1200),
           logNormal(between(4, 16), 0.7, 50),
         ),
         smallKind(
           'small',
-          terms({
+          kindOptions({
             rate: (rate * small) / sum,
-            aimMs: 300 * aims * base12,
-            deadlineMs: whole(2000, 5000),
+            targetLatencyMs: 300 * latencyFactor * engineLatencyFactor,
+            deadlineMs: integerBetween(2000, 5000),
             worth: 1,
             rank: 2,
-            sends: whole(1, 2),
+            maxAttempts: integerBetween(1, 2),
           }),
-          whole(20, 1900),
+          integerBetween(20, 1900),
           logNormal(1.5, 1, 6),
         ),
       ],
--- a/packages/simulator/src/scaling/fleet-model.ts
+++ b/packages/simulator/src/scaling/fleet-model.ts
@@ -1,59 +1,59 @@
 /**
- * A closed model of workers that are ordered by the zone: requests come at random, have their prompts read one after the
- * other at a prefill worker (queueing by pace), then hold a place at a decode worker; an ordered worker serves after the
- * boot time and is paid for by the second from the order on. Times are seconds.
+ * A closed model of a fleet whose workers are ordered per zone. Requests arrive at random, are prefilled one after the
+ * other at a prefill worker (queueing by service time), then occupy a slot of a decode worker. A worker that was ordered
+ * serves after the boot time and is paid for by the second from the order on. All times are in seconds.
  */
 import type { ListedWorker, WorkerLoad } from '@tansypost/control-feed';
 import { micros, createSeededRandom } from '@tansypost/inner-protocol';
 
-/** What the model is built from. */
+/** The size and service times of the modelled fleet. */
 export interface FleetModelOptions {
   readonly zones: number;
-  /** Workers of each zone at the start, and the bounds of orders. */
+  /** Workers of each zone at the start, and the bounds of scale orders. */
   readonly initialWorkers: number;
   readonly minWorkers: number;
   readonly maxWorkers: number;
   readonly bootTime: number;
-  /** One worker in so many reads prompts. */
+  /** The fraction of workers that are prefill workers. */
   readonly prefillShare: number;
-  /** The mean time to read a prompt, and the shape of its log-normal spread. */
+  /** The mean time to prefill a prompt, and the sigma of its log-normal distribution. */
   readonly prefillTime: number;
   readonly prefillSpread: number;
   readonly decodeTime: number;
   readonly slots: number;
-  /** The time to the first token within which a request is in time, and that after which it is given up. */
+  /** The time to first token above which a request is late, and that above which it is rejected. */
   readonly targetLatency: number;
   readonly deadline: number;
 }
 
-/** A day: requests a second of each zone, as a part of what keeps half of the first prefill workers busy, and lost zones. */
+/** The demand of one simulated period: the load of each zone over time, and the zones that are lost. */
 export interface DemandDay {
   readonly name: string;
   readonly length: number;
-  /** The load that the prefill workers of the start would have in that zone. */
+  /** The utilization that the requests of the zone would cause at its initial prefill workers. */
   readonly load: (at: number, zone: number) => number;
-  /** Whether the workers of the zone are gone; its requests go to the others. */
+  /** Whether the workers of the zone are lost; its requests then go to the other zones. */
   readonly isLost: (at: number, zone: number) => boolean;
 }
 
-/** Decides the number of workers of each zone; called twice a second with what a control node sees. */
+/** Decides the worker count of each zone; called every `decisionInterval` with the state that a control node observes. */
 export interface ScalePolicy {
   readonly name: string;
   readonly decide: (at: number, view: ObservedFleet) => readonly number[];
 }
 
-/** What a control node sees of the model. */
+/** The state of the model as a control node observes it. */
 export interface ObservedFleet {
   readonly workers: readonly ListedWorker[];
   readonly loads: ReadonlyMap<string, WorkerLoad>;
 }
 
-/** How a day ended. */
+/** The totals of one simulated day. */
 export interface DayStatistics {
   readonly requests: number;
   readonly late: number;
   readonly failed: number;
-  /** Paid for, with the time to boot. */
+  /** Paid worker time, including boot time. */
   readonly workerSeconds: number;
   readonly orders: number;
 }
@@ -62,82 +62,83 @@
   readonly id: string;
   readonly zone: number;
   readonly part: ListedWorker['part'];
-  readonly bornAt: number;
+  readonly orderedAt: number;
   readonly servesFrom: number;
-  /** Prefill: when each prompt under way or waiting is read, in order. Decode: when each place is free again. */
+  /** Prefill: the end times of the running and queued prefills, in order. Decode: when each occupied slot becomes free. */
   ends: number[];
   leaving: boolean;
 }
 
 interface Run {
-  readonly shape: FleetModelOptions;
+  readonly options: FleetModelOptions;
   readonly day: DemandDay;
   readonly random: () => number;
   workers: ModelWorker[];
-  names: number;
-  figures: { requests: number; late: number; failed: number; workerSeconds: number; orders: number };
+  idCount: number;
+  statistics: { requests: number; late: number; failed: number; workerSeconds: number; orders: number };
 }
 
-const tick = 0.01;
-const lookEvery = 0.5;
-const reportEvery = 1;
-/** Reports are so old when they come. */
+const tickLength = 0.01;
+const decisionInterval = 0.5;
+const reportInterval = 1;
+/** The age of a load report on arrival. */
 const reportLag = 0.2;
-/** Another zone's worker is taken where its wait is shorter by this. */
-const otherZoneCost = 0.1;
+/** A worker of another zone is chosen only if its wait is shorter by this much. */
+const crossZonePenalty = 0.1;
 
-/** Plays a day under a policy. */
-export function playDay(shape: FleetModelOptions, day: DemandDay, policy: ScalePolicy, seed: number): DayStatistics {
+/** Simulates a day under a policy. */
+export function playDay(options: FleetModelOptions, day: DemandDay, policy: ScalePolicy, seed: number): DayStatistics {
   const random = createSeededRandom(seed);
-  const figures = { requests: 0, late: 0, failed: 0, workerSeconds: 0, orders: 0 };
-  const run: Run = { shape, day, random, workers: [], names: 0, figures };
-  for (let zone = 0; zone < shape.zones; zone += 1) start(run, zone, shape.initialWorkers, -shape.bootTime);
+  const statistics = { requests: 0, late: 0, failed: 0, workerSeconds: 0, orders: 0 };
+  const run: Run = { options, day, random, workers: [], idCount: 0, statistics };
+  for (let zone = 0; zone < options.zones; zone += 1)
+    startWorkers(run, zone, options.initialWorkers, -options.bootTime);
   let reports: ReadonlyMap<string, WorkerLoad> = new Map();
-  let numbers: readonly number[] = new Array<number>(shape.zones).fill(shape.initialWorkers);
-  for (let step = 0; step * tick < day.length; step += 1) {
-    const at = step * tick;
-    arrivals(run, at);
-    if (step % Math.round(reportEvery / tick) === 0) reports = reportsOf(run, at);
-    if (step % Math.round(lookEvery / tick) === 0) {
-      const wanted = policy.decide(at, { workers: listed(run, at), loads: reports });
-      figures.orders += wanted.filter((number, zone) => number !== numbers[zone]).length;
-      numbers = wanted;
-      wanted.forEach((number, zone) => order(run, zone, number, at));
-      settle(run, at);
+  let targets: readonly number[] = new Array<number>(options.zones).fill(options.initialWorkers);
+  for (let step = 0; step * tickLength < day.length; step += 1) {
+    const at = step * tickLength;
+    handleArrivals(run, at);
+    if (step % Math.round(reportInterval / tickLength) === 0) reports = loadReports(run, at);
+    if (step % Math.round(decisionInterval / tickLength) === 0) {
+      const wanted = policy.decide(at, { workers: workerList(run, at), loads: reports });
+      statistics.orders += wanted.filter((count, zone) => count !== targets[zone]).length;
+      targets = wanted;
+      wanted.forEach((count, zone) => applyOrder(run, zone, count, at));
+      removeIdleLeaving(run, at);
     }
-    figures.workerSeconds += run.workers.length * tick;
+    statistics.workerSeconds += run.workers.length * tickLength;
   }
-  return figures;
+  return statistics;
 }
 
-function start(run: Run, zone: number, count: number, at: number): void {
+function startWorkers(run: Run, zone: number, count: number, at: number): void {
   for (let n = 0; n < count; n += 1) {
     const ofZone = run.workers.filter((worker) => worker.zone === zone);
-    const readers = ofZone.filter((worker) => worker.part === 'prefill').length;
-    const part = readers < run.shape.prefillShare * (ofZone.length + 1) ? 'prefill' : 'decode';
-    run.names += 1;
-    const servesFrom = at + run.shape.bootTime;
-    run.workers.push({ id: `w${run.names}`, zone, part, bornAt: at, servesFrom, ends: [], leaving: false });
+    const prefillWorkers = ofZone.filter((worker) => worker.part === 'prefill').length;
+    const part = prefillWorkers < run.options.prefillShare * (ofZone.length + 1) ? 'prefill' : 'decode';
+    run.idCount += 1;
+    const servesFrom = at + run.options.bootTime;
+    run.workers.push({ id: `w${run.idCount}`, zone, part, orderedAt: at, servesFrom, ends: [], leaving: false });
   }
 }
 
-function order(run: Run, zone: number, number: number, at: number): void {
+function applyOrder(run: Run, zone: number, count: number, at: number): void {
   const present = run.workers.filter((worker) => worker.zone === zone && !worker.leaving);
-  if (number > present.length) return start(run, zone, number - present.length, at);
-  // Those that boot go first, then those of the stage that is over its share.
-  for (let extra = present.length - number; extra > 0; extra -= 1) leaveOne(run, zone);
+  if (count > present.length) return startWorkers(run, zone, count - present.length, at);
+  // The newest worker of the stage that exceeds its share leaves first, so booting workers leave before serving ones.
+  for (let extra = present.length - count; extra > 0; extra -= 1) drainOne(run, zone);
 }
 
-function leaveOne(run: Run, zone: number): void {
+function drainOne(run: Run, zone: number): void {
   const present = run.workers.filter((worker) => worker.zone === zone && !worker.leaving);
-  const readers = present.filter((worker) => worker.part === 'prefill').length;
-  const part = readers > run.shape.prefillShare * present.length ? 'prefill' : 'decode';
+  const prefillWorkers = present.filter((worker) => worker.part === 'prefill').length;
+  const part = prefillWorkers > run.options.prefillShare * present.length ? 'prefill' : 'decode';
   const last = present.filter((worker) => worker.part === part).at(-1) ?? present.at(-1)!;
   last.leaving = true;
 }
 
-/** Ends the workers that leave and have nothing under way. */
-function settle(run: Run, at: number): void {
+/** Removes the leaving workers without requests in progress. */
+function removeIdleLeaving(run: Run, at: number): void {
   run.workers = run.workers.filter((worker) => !worker.leaving || worker.ends.some((end) => end > at));
 }
 
@@ -147,79 +148,79 @@
   );
 }
 
-function arrivals(run: Run, at: number): void {
-  const { shape, day } = run;
-  const readers = shape.initialWorkers * shape.prefillShare;
-  const byPart = { prefill: serving(run, at, 'prefill'), decode: serving(run, at, 'decode') };
+function handleArrivals(run: Run, at: number): void {
+  const { options, day } = run;
+  const prefillWorkers = options.initialWorkers * options.prefillShare;
+  const byStage = { prefill: serving(run, at, 'prefill'), decode: serving(run, at, 'decode') };
   for (const worker of run.workers)
     if (worker.ends.length > 0 && worker.ends[0]! <= at) worker.ends = worker.ends.filter((end) => end > at);
-  for (let zone = 0; zone < shape.zones; zone += 1) {
-    const mean = ((day.load(at, zone) * readers) / shape.prefillTime) * tick;
-    for (let left = poisson(run, mean); left > 0; left -= 1) serve(run, zone, at, byPart);
+  for (let zone = 0; zone < options.zones; zone += 1) {
+    const mean = ((day.load(at, zone) * prefillWorkers) / options.prefillTime) * tickLength;
+    for (let remaining = poisson(run, mean); remaining > 0; remaining -= 1) handleRequest(run, zone, at, byStage);
   }
 }
 
 function poisson(run: Run, mean: number): number {
   let product = run.random();
   let count = 0;
-  for (const least = Math.exp(-mean); product > least; count += 1) product *= run.random();
+  for (const threshold = Math.exp(-mean); product > threshold; count += 1) product *= run.random();
   return count;
 }
 
-function readTimeOf({ shape, random }: Run): number {
+function drawPrefillTime({ options, random }: Run): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
-  return shape.prefillTime * Math.exp(shape.prefillSpread * normal - shape.prefillSpread ** 2 / 2);
+  return options.prefillTime * Math.exp(options.prefillSpread * normal - options.prefillSpread ** 2 / 2);
 }
 
-/** Two workers drawn at random in its zone and one of all, of which that with the shortest queue as seen is taken. */
-function pick(run: Run, zone: number, from: readonly ModelWorker[], wait: (worker: ModelWorker) => number) {
-  const own = from.filter((worker) => worker.zone === zone);
-  const drawn = [own, own, from].flatMap((group) => group[Math.floor(run.random() * group.length)] ?? []);
-  const costs = drawn.map((worker) => wait(worker) + (worker.zone === zone ? 0 : otherZoneCost));
+/** Draws two workers of the own zone and one of all zones, and picks the one with the shortest wait. */
+function pickWorker(run: Run, zone: number, from: readonly ModelWorker[], wait: (worker: ModelWorker) => number) {
+  const sameZone = from.filter((worker) => worker.zone === zone);
+  const drawn = [sameZone, sameZone, from].flatMap((group) => group[Math.floor(run.random() * group.length)] ?? []);
+  const costs = drawn.map((worker) => wait(worker) + (worker.zone === zone ? 0 : crossZonePenalty));
   return drawn[costs.indexOf(Math.min(...costs))];
 }
 
-function serve(
+function handleRequest(
   run: Run,
   zone: number,
   at: number,
-  byPart: { readonly prefill: readonly ModelWorker[]; readonly decode: readonly ModelWorker[] },
+  byStage: { readonly prefill: readonly ModelWorker[]; readonly decode: readonly ModelWorker[] },
 ): void {
-  const { shape, figures } = run;
-  figures.requests += 1;
-  function readQueue(worker: ModelWorker): number {
+  const { options, statistics } = run;
+  statistics.requests += 1;
+  function prefillWait(worker: ModelWorker): number {
     return Math.max(0, (worker.ends.at(-1) ?? at) - at);
   }
-  function placeWait(worker: ModelWorker): number {
-    if (worker.ends.length < shape.slots) return 0;
-    return [...worker.ends].sort((a, b) => a - b)[worker.ends.length - shape.slots]! - at;
+  function slotWait(worker: ModelWorker): number {
+    if (worker.ends.length < options.slots) return 0;
+    return [...worker.ends].sort((a, b) => a - b)[worker.ends.length - options.slots]! - at;
   }
-  const reader = pick(run, zone, byPart.prefill, readQueue);
-  const maker = pick(run, zone, byPart.decode, placeWait);
-  if (reader === undefined || maker === undefined) return void (figures.failed += 1);
-  const read = readQueue(reader) + readTimeOf(run);
-  const first = read + placeWait(maker);
-  if (first > shape.deadline) return void (figures.failed += 1);
-  reader.ends.push(at + read);
-  maker.ends.push(at + first + shape.decodeTime);
-  if (first > shape.targetLatency) figures.late += 1;
-}
-
-function listed(run: Run, at: number): ListedWorker[] {
+  const prefillWorker = pickWorker(run, zone, byStage.prefill, prefillWait);
+  const decodeWorker = pickWorker(run, zone, byStage.decode, slotWait);
+  if (prefillWorker === undefined || decodeWorker === undefined) return void (statistics.failed += 1);
+  const prefilledAfter = prefillWait(prefillWorker) + drawPrefillTime(run);
+  const timeToFirstToken = prefilledAfter + slotWait(decodeWorker);
+  if (timeToFirstToken > options.deadline) return void (statistics.failed += 1);
+  prefillWorker.ends.push(at + prefilledAfter);
+  decodeWorker.ends.push(at + timeToFirstToken + options.decodeTime);
+  if (timeToFirstToken > options.targetLatency) statistics.late += 1;
+}
+
+function workerList(run: Run, at: number): ListedWorker[] {
   return run.workers
     .filter((worker) => worker.servesFrom <= at && !run.day.isLost(at, worker.zone))
     .map(({ id, zone, part, leaving }) => {
-      const place = { address: `${id}:1`, zone: `z${zone}`, slots: run.shape.slots };
-      return { id, service: 's', ...place, leaving, coldMs: 0, part };
+      const location = { address: `${id}:1`, zone: `z${zone}`, slots: run.options.slots };
+      return { id, service: 's', ...location, leaving, coldMs: 0, part };
     });
 }
 
-function reportsOf(run: Run, at: number): ReadonlyMap<string, WorkerLoad> {
+function loadReports(run: Run, at: number): ReadonlyMap<string, WorkerLoad> {
   const loads = run.workers.map(({ id, part, ends }): [string, WorkerLoad] => {
-    const underWay = ends.filter((end) => end > at).length;
-    const active = Math.min(underWay, part === 'prefill' ? 1 : run.shape.slots);
-    const figures = { queued: underWay - active, active, kvUsed: 0, kvTotal: 0 };
-    return [id, { id, ...figures, part, silent: false, at: micros(Math.max(0, at - reportLag) * 1_000_000) }];
+    const inProgress = ends.filter((end) => end > at).length;
+    const active = Math.min(inProgress, part === 'prefill' ? 1 : run.options.slots);
+    const counts = { queued: inProgress - active, active, kvUsed: 0, kvTotal: 0 };
+    return [id, { id, ...counts, part, silent: false, at: micros(Math.max(0, at - reportLag) * 1_000_000) }];
   });
   return new Map(loads);
 }
--- a/packages/simulator/src/scaling/scaling-comparison.test.ts
+++ b/packages/simulator/src/scaling/scaling-comparison.test.ts
@@ -1,4 +1,4 @@
-/** The planner on the closed model, one seed a day: what it may cost in late requests and in seconds of workers. */
+/** The scale planner on the closed fleet model, one seed per day: bounds on late requests and on worker seconds. */
 import { expect, it } from 'vitest';
 import {
   defaultFleet,
@@ -8,34 +8,36 @@
   type PolicyStatistics,
 } from './scaling-comparison.js';
 
-function played(name: string): (policy: string) => PolicyStatistics {
-  const figures = compareScalingPolicies(
+function resultsOf(dayName: string): (policy: string) => PolicyStatistics {
+  const results = compareScalingPolicies(
     1,
     defaultFleet,
     defaultPricing,
-    comparisonDays.filter((day) => day.name === name),
+    comparisonDays.filter((day) => day.name === dayName),
   );
-  return (policy) => figures.find((each) => each.policy === policy)!;
+  return (policy) => results.find((result) => result.policy === policy)!;
 }
 function lateShare({ late, failed, requests }: PolicyStatistics): number {
   return (late + failed) / requests;
 }
 
-it('pays for no more than was there on a calm day, and serves as well', () => {
-  const of = played('calm wave');
-  expect(of('planner').workerSeconds).toBeLessThanOrEqual(of('as at the start').workerSeconds * 1.02);
-  expect(lateShare(of('planner'))).toBeLessThanOrEqual(lateShare(of('all always')) + 0.002);
+it('pays for no more worker time than the initial fleet on a calm day, and serves as well as the maximum', () => {
+  const resultFor = resultsOf('calm wave');
+  expect(resultFor('planner').workerSeconds).toBeLessThanOrEqual(
+    resultFor('constant initial count').workerSeconds * 1.02,
+  );
+  expect(lateShare(resultFor('planner'))).toBeLessThanOrEqual(lateShare(resultFor('constant maximum')) + 0.002);
 });
 
-it('is nearly as late as an oracle on a day that grows beyond what was there, and far from doing nothing', () => {
-  const of = played('slow rise to 2.2 times');
-  expect(lateShare(of('planner'))).toBeLessThan(lateShare(of('oracle')) + 0.005);
-  expect(lateShare(of('as at the start'))).toBeGreaterThan(0.2);
+it('is nearly as good as the oracle when load outgrows the initial fleet, unlike a constant initial count', () => {
+  const resultFor = resultsOf('slow rise to 2.2 times');
+  expect(lateShare(resultFor('planner'))).toBeLessThan(lateShare(resultFor('oracle')) + 0.005);
+  expect(lateShare(resultFor('constant initial count'))).toBeGreaterThan(0.2);
 });
 
-it('earns more than all workers always on each day', () => {
+it('achieves a higher value than the maximum worker count on every day', () => {
   for (const name of ['lull of 90 s', 'step to 1.8 times for 60 s', 'busiest zone lost for 30 s']) {
-    const of = played(name);
-    expect([name, of('planner').value > of('all always').value]).toEqual([name, true]);
+    const resultFor = resultsOf(name);
+    expect([name, resultFor('planner').value > resultFor('constant maximum').value]).toEqual([name, true]);
   }
 });
--- a/packages/simulator/src/scaling/scaling-comparison.ts
+++ b/packages/simulator/src/scaling/scaling-comparison.ts
@@ -1,4 +1,4 @@
-/** Weighs the planner's orders on the closed model against all workers always, no orders at all, and an oracle. */
+/** Compares the scale planner on the closed fleet model with constant worker counts and with an oracle. */
 import {
   createScalePlanner,
   decodeScaleOrder,
@@ -14,21 +14,21 @@
   type ScalePolicy,
 } from './fleet-model.js';
 
-/** One policy on one day, over all seeds. */
+/** The result of one policy on one day, summed over all seeds. */
 export interface PolicyStatistics extends DayStatistics {
   readonly day: string;
   readonly policy: string;
-  /** Worth earned of worth owed, less the price of the workers. */
+  /** The value earned per request, minus the cost of the workers per request. */
   readonly value: number;
 }
 
-/** What is earned, in the worth of a request that is in time, and what a second of a worker costs in it. */
+/** Values and costs, in units of the value of a request served in time. */
 export interface Pricing {
   readonly lateRequestValue: number;
   readonly workerSecondCost: number;
 }
 
-/** The model's fleet: prompts keep half of its prefill workers busy on a usual day. */
+/** The default fleet, whose prefill workers are about half busy on a normal day. */
 export const defaultFleet: FleetModelOptions = {
   zones: 4,
   initialWorkers: 24,
@@ -44,21 +44,21 @@
   deadline: 8,
 };
 
-/** A late request earns a third; a worker's second costs as much as a fifth of a request in time earns. */
+/** A late request is worth 0.3 and a worker second costs 0.2 of a request served in time. */
 export const defaultPricing: Pricing = { lateRequestValue: 0.3, workerSecondCost: 0.2 };
 
-const length = 180;
+const dayLength = 180;
 function never(): boolean {
   return false;
 }
 function day(name: string, load: DemandDay['load'], isLost: DemandDay['isLost'] = never): DemandDay {
-  return { name, length, load, isLost };
+  return { name, length: dayLength, load, isLost };
 }
 function wave(at: number, zone: number): number {
   return 1 + 0.15 * Math.sin((2 * Math.PI * at) / 11 + zone);
 }
 
-/** The days that are weighed; loads are those of the prefill workers of the start. */
+/** The days of the comparison; loads are utilizations of the initial prefill workers. */
 export const comparisonDays: readonly DemandDay[] = [
   day('calm wave', (at, zone) => 0.55 * wave(at, zone)),
   day('busy wave', (at, zone) => 0.75 * wave(at, zone)),
@@ -74,89 +74,106 @@
   ),
 ];
 
-function always(name: string, number: number, shape: FleetModelOptions): ScalePolicy {
-  return { name, decide: () => new Array<number>(shape.zones).fill(number) };
+function constantPolicy(name: string, count: number, fleet: FleetModelOptions): ScalePolicy {
+  return { name, decide: () => new Array<number>(fleet.zones).fill(count) };
 }
 
-/** The planner, with the role held by one node all day and orders accepted at once. */
+/** The planner as run by a single leader all day, with orders that are accepted immediately. */
 export function plannerPolicy(
-  shape: FleetModelOptions,
+  fleet: FleetModelOptions,
   thresholds: ScalingThresholds = defaultThresholds,
 ): ScalePolicy {
-  const record = new Map<string, number>();
-  const { minWorkers: least, maxWorkers: most, bootTime } = shape;
+  const orderedCounts = new Map<string, number>();
+  const { minWorkers, maxWorkers, bootTime } = fleet;
   const planner = createScalePlanner({
-    services: () => [{ name: 's', scaling: { minWorkers: least, maxWorkers: most, bootTime: bootTime * 1_000_000 } }],
-    lastOrdered: (subject) => record.get(subject),
+    services: () => [{ name: 's', scaling: { minWorkers, maxWorkers, bootTime: bootTime * 1_000_000 } }],
+    lastOrdered: (subject) => orderedCounts.get(subject),
     thresholds: thresholds,
   });
-  function look(at: number, { workers, loads }: Parameters<ScalePolicy['decide']>[1]): readonly number[] {
+  function decide(at: number, { workers, loads }: Parameters<ScalePolicy['decide']>[1]): readonly number[] {
     const now = at * 1_000_000;
     planner.observe(now, { workers, loads, listAge: 0 });
-    for (const { subject, content } of planner.plan(now)) record.set(subject, decodeScaleOrder(content)!.workers);
+    for (const { subject, content } of planner.plan(now))
+      orderedCounts.set(subject, decodeScaleOrder(content)!.workers);
     return Array.from(
-      { length: shape.zones },
-      (_, zone) => record.get(scaleSubject('s', `z${zone}`)) ?? shape.initialWorkers,
+      { length: fleet.zones },
+      (_, zone) => orderedCounts.get(scaleSubject('s', `z${zone}`)) ?? fleet.initialWorkers,
     );
   }
-  return { name: 'planner', decide: look };
+  return { name: 'planner', decide };
 }
 
-/** Knows the load of the day, a boot time ahead and for as long behind, and orders what keeps it at 0.7. */
-function oracle(shape: FleetModelOptions, { load, isLost }: DemandDay): ScalePolicy {
-  const aimed = 0.7;
-  function highest(at: number, zone: number): number {
-    const moments = Array.from({ length: 2 * shape.bootTime }, (_, n) => at - shape.bootTime / 2 + n);
-    return Math.max(...moments.map((moment) => loadWithLost(Math.max(0, moment), zone)));
+/**
+ * Knows the true load of the day. Orders enough workers to keep the utilization at 0.7 at the peakLoad load from half a
+ * boot time before to one and a half boot times after the current time.
+ */
+function oracle(fleet: FleetModelOptions, { load, isLost }: DemandDay): ScalePolicy {
+  const targetUtilization = 0.7;
+  function peakLoad(at: number, zone: number): number {
+    const moments = Array.from({ length: 2 * fleet.bootTime }, (_, offset) => at - fleet.bootTime / 2 + offset);
+    return Math.max(...moments.map((moment) => loadIncludingLost(Math.max(0, moment), zone)));
   }
-  function loadWithLost(at: number, zone: number): number {
-    const zones = Array.from({ length: shape.zones }, (_, index) => index);
+  function loadIncludingLost(at: number, zone: number): number {
+    const zones = Array.from({ length: fleet.zones }, (_, index) => index);
     const lost = zones.filter((other) => isLost(at, other));
     if (lost.includes(zone)) return load(at, zone);
-    return load(at, zone) + lost.reduce((sum, other) => sum + load(at, other), 0) / (shape.zones - lost.length);
+    return load(at, zone) + lost.reduce((sum, other) => sum + load(at, other), 0) / (fleet.zones - lost.length);
   }
-  function number(at: number, zone: number): number {
-    const wanted = Math.ceil((highest(at, zone) * shape.initialWorkers) / aimed);
-    return Math.min(shape.maxWorkers, Math.max(shape.minWorkers, wanted));
+  function workerCount(at: number, zone: number): number {
+    const wanted = Math.ceil((peakLoad(at, zone) * fleet.initialWorkers) / targetUtilization);
+    return Math.min(fleet.maxWorkers, Math.max(fleet.minWorkers, wanted));
   }
-  return { name: 'oracle', decide: (at) => Array.from({ length: shape.zones }, (_, zone) => number(at, zone)) };
+  return { name: 'oracle', decide: (at) => Array.from({ length: fleet.zones }, (_, zone) => workerCount(at, zone)) };
 }
 
-function policiesFor(shape: FleetModelOptions, demand: DemandDay): readonly ScalePolicy[] {
+function policiesFor(fleet: FleetModelOptions, demand: DemandDay): readonly ScalePolicy[] {
   return [
-    always('all always', shape.maxWorkers, shape),
-    always('as at the start', shape.initialWorkers, shape),
-    always('least always', shape.minWorkers, shape),
-    plannerPolicy(shape),
-    oracle(shape, demand),
+    constantPolicy('constant maximum', fleet.maxWorkers, fleet),
+    constantPolicy('constant initial count', fleet.initialWorkers, fleet),
+    constantPolicy('constant minimum', fleet.minWorkers, fleet),
+    plannerPolicy(fleet),
+    oracle(fleet, demand),
   ];
 }
 
-/** Plays each day under each policy with the seeds from 1 on. */
+/** Simulates each day under each policy with the seeds 1 to `seeds`. */
 export function compareScalingPolicies(
   seeds: number,
-  shape: FleetModelOptions = defaultFleet,
-  worths: Pricing = defaultPricing,
+  fleet: FleetModelOptions = defaultFleet,
+  pricing: Pricing = defaultPricing,
   days: readonly DemandDay[] = comparisonDays,
 ): readonly PolicyStatistics[] {
   return days.flatMap((demand) => {
-    const names = policiesFor(shape, demand).map(({ name }) => name);
+    const names = policiesFor(fleet, demand).map(({ name }) => name);
     return names.map((policy, index) => {
-      const plays = Array.from({ length: seeds }, (_, seed) =>
-        playDay(shape, demand, policiesFor(shape, demand)[index]!, seed + 1),
+      const results = Array.from({ length: seeds }, (_, seed) =>
+        playDay(fleet, demand, policiesFor(fleet, demand)[index]!, seed + 1),
       );
-      return weighed(demand.name, policy, plays, worths);
+      return summarize(demand.name, policy, results, pricing);
     });
   });
 }
 
-function weighed(demand: string, policy: string, plays: readonly DayStatistics[], worths: Pricing): PolicyStatistics {
-  function sum(of: (figures: DayStatistics) => number): number {
-    return plays.reduce((all, figures) => all + of(figures), 0);
+function summarize(demand: string, policy: string, days: readonly DayStatistics[], pricing: Pricing): PolicyStatistics {
+  function sum(valueOf: (statistics: DayStatistics) => number): number {
+    return days.reduce((total, statistics) => total + valueOf(statistics), 0);
   }
-  const [requests, late, failed] = [sum((f) => f.requests), sum((f) => f.late), sum((f) => f.failed)];
-  const workerSeconds = sum((f) => f.workerSeconds);
-  const earned = requests - failed - late * (1 - worths.lateRequestValue);
-  const value = (earned - workerSeconds * worths.workerSecondCost) / requests;
-  return { day: demand, policy, requests, late, failed, workerSeconds, orders: sum((f) => f.orders), value };
+  const [requests, late, failed] = [
+    sum((statistics) => statistics.requests),
+    sum((statistics) => statistics.late),
+    sum((statistics) => statistics.failed),
+  ];
+  const workerSeconds = sum((statistics) => statistics.workerSeconds);
+  const valueEarned = requests - failed - late * (1 - pricing.lateRequestValue);
+  const value = (valueEarned - workerSeconds * pricing.workerSecondCost) / requests;
+  return {
+    day: demand,
+    policy,
+    requests,
+    late,
+    failed,
+    workerSeconds,
+    orders: sum((statistics) => statistics.orders),
+    value,
+  };
 }
