--- a/packages/simulator/src/engine.ts
+++ b/packages/simulator/src/engine.ts
@@ -1,90 +1,97 @@
 /**
- * Virtual time. Events run in the order of their time, then of their making; after each, every promise that it
- * woke runs to its end before the next. Nothing here depends on the machine, so a seed gives the same run.
+ * Discrete-event engine with virtual time. Events run in order of their time, then of their creation; after each event,
+ * all promises that it resolved are processed before the next event. Nothing depends on the host machine, so the same
+ * seed gives the same run.
  */
 import { micros, type Micros } from '@tansypost/inner-protocol';
 
+/** Times are in microseconds. */
 export interface Engine {
   readonly now: () => Micros;
-  readonly at: (t: number, f: () => void) => void;
+  /** Schedules a callback; a time in the past counts as now. */
+  readonly at: (time: number, callback: () => void) => void;
+  /** Runs all events up to a time, which is the current time afterwards. */
   readonly run: (until: number) => Promise<void>;
+  /** The number of events scheduled so far. */
   readonly scheduledCount: () => number;
 }
-interface Event {
-  readonly t: number;
-  readonly n: number;
-  readonly f: () => void;
+interface ScheduledEvent {
+  readonly time: number;
+  readonly sequence: number;
+  readonly callback: () => void;
 }
 
-function before(a: Event, b: Event): boolean {
-  return a.t < b.t || (a.t === b.t && a.n < b.n);
+function isBefore(a: ScheduledEvent, b: ScheduledEvent): boolean {
+  return a.time < b.time || (a.time === b.time && a.sequence < b.sequence);
 }
 
 export function createEngine(): Engine {
-  const heap: Event[] = [];
-  let t = 0;
-  let n = 0;
+  // A binary min-heap.
+  const heap: ScheduledEvent[] = [];
+  let currentTime = 0;
+  let scheduled = 0;
 
-  function at(when: number, f: () => void): void {
-    n += 1;
-    const e = { t: Math.max(t, Math.round(when)), n, f };
+  function at(time: number, callback: () => void): void {
+    scheduled += 1;
+    const event = { time: Math.max(currentTime, Math.round(time)), sequence: scheduled, callback };
     let i = heap.length;
-    heap.push(e);
+    heap.push(event);
     while (i > 0) {
-      const up = (i - 1) >> 1;
-      if (!before(e, heap[up]!)) break;
-      heap[i] = heap[up]!;
-      i = up;
+      const parent = (i - 1) >> 1;
+      if (!isBefore(event, heap[parent]!)) break;
+      heap[i] = heap[parent]!;
+      i = parent;
     }
-    heap[i] = e;
+    heap[i] = event;
   }
 
-  function pop(): Event {
+  function pop(): ScheduledEvent {
     const top = heap[0]!;
     const last = heap.pop()!;
     if (heap.length === 0) return top;
     let i = 0;
     for (;;) {
-      let c = 2 * i + 1;
-      if (c >= heap.length) break;
-      if (c + 1 < heap.length && before(heap[c + 1]!, heap[c]!)) c += 1;
-      if (!before(heap[c]!, last)) break;
-      heap[i] = heap[c]!;
-      i = c;
+      let child = 2 * i + 1;
+      if (child >= heap.length) break;
+      if (child + 1 < heap.length && isBefore(heap[child + 1]!, heap[child]!)) child += 1;
+      if (!isBefore(heap[child]!, last)) break;
+      heap[i] = heap[child]!;
+      i = child;
     }
     heap[i] = last;
     return top;
   }
 
   async function run(until: number): Promise<void> {
-    while (heap.length > 0 && heap[0]!.t <= until) {
-      const e = pop();
-      t = e.t;
-      e.f();
+    while (heap.length > 0 && heap[0]!.time <= until) {
+      const event = pop();
+      currentTime = event.time;
+      event.callback();
+      // Lets all resolved promises run.
       await new Promise<void>((ok) => {
         setImmediate(ok);
       });
     }
-    t = Math.max(t, until);
+    currentTime = Math.max(currentTime, until);
   }
-  return { now: () => micros(t), at, run, scheduledCount: () => n };
+  return { now: () => micros(currentTime), at, run, scheduledCount: () => scheduled };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('runs events in order of time, then of making, and promises between them', async () => {
-    const e = createEngine();
+  it('runs events in order of time, then of creation, with promises resolved in between', async () => {
+    const engine = createEngine();
     const seen: string[] = [];
-    e.at(20, () => seen.push('c'));
-    e.at(10, () => {
+    engine.at(20, () => seen.push('c'));
+    engine.at(10, () => {
       seen.push('a');
       void Promise.resolve()
         .then(() => Promise.resolve())
         .then(() => seen.push('a2'));
     });
-    e.at(10, () => seen.push('b'));
-    for (let i = 0; i < 50; i += 1) e.at(100 + ((i * 37) % 50), () => seen.push(`${(i * 37) % 50}`));
-    await e.run(1000);
+    engine.at(10, () => seen.push('b'));
+    for (let i = 0; i < 50; i += 1) engine.at(100 + ((i * 37) % 50), () => seen.push(`${(i * 37) % 50}`));
+    await engine.run(1000);
     expect(seen.slice(0, 4)).toEqual(['a', 'a2', 'b', 'c']);
     expect(seen.slice(4)).toEqual([...Array(50).keys()].map(String));
   });
--- a/packages/simulator/src/process.ts
+++ b/packages/simulator/src/process.ts
@@ -1,6 +1,6 @@
 /**
- * A simulated process: it can be killed, frozen and woken. What reaches it while frozen waits and is handled
- * when it wakes, timers included, as on a real machine; what reaches it when dead is lost.
+ * A simulated process that can be killed, frozen and resumed. Timers and messages that reach a frozen process are queued
+ * and handled when it resumes, as on a real machine; those that reach a dead process are lost.
  */
 import { micros, type Address, type Cancel, type Message, type World } from '@tansypost/inner-protocol';
 import type { Engine } from './engine.js';
@@ -10,9 +10,11 @@
   readonly machine: string;
   alive: boolean;
   frozen: boolean;
+  /** Increases on each kill, so that callbacks of an earlier incarnation are dropped. */
   incarnation: number;
   backlog: (() => void)[];
-  receive: (m: Message, from: Address) => void;
+  receive: (message: Message, from: Address) => void;
+  /** Called once, when the process is killed. */
   exitHandlers: Set<() => void>;
 }
 
@@ -29,57 +31,60 @@
   };
 }
 
-export function deliver(p: SimProcess, incarnation: number, f: () => void): void {
-  if (!p.alive || p.incarnation !== incarnation) return;
-  if (p.frozen) p.backlog.push(f);
-  else f();
+/** Runs a callback in an incarnation of a process: at once, on resume if it is frozen, or never if it is dead. */
+export function deliver(target: SimProcess, incarnation: number, callback: () => void): void {
+  if (!target.alive || target.incarnation !== incarnation) return;
+  if (target.frozen) target.backlog.push(callback);
+  else callback();
 }
 
-export function killProcess(p: SimProcess): void {
-  if (!p.alive) return;
-  p.alive = false;
-  p.frozen = false;
-  p.incarnation += 1;
-  p.backlog = [];
-  const ds = [...p.exitHandlers];
-  p.exitHandlers.clear();
-  for (const d of ds) d();
+export function killProcess(target: SimProcess): void {
+  if (!target.alive) return;
+  target.alive = false;
+  target.frozen = false;
+  target.incarnation += 1;
+  target.backlog = [];
+  const handlers = [...target.exitHandlers];
+  target.exitHandlers.clear();
+  for (const handler of handlers) handler();
 }
 
-export function resumeProcess(e: Engine, p: SimProcess): void {
-  if (!p.frozen) return;
-  p.frozen = false;
-  const incarnation = p.incarnation;
-  const b = p.backlog;
-  p.backlog = [];
-  for (const f of b) e.at(e.now(), () => deliver(p, incarnation, f));
+/** Resumes a frozen process and schedules its queued callbacks in order. */
+export function resumeProcess(engine: Engine, target: SimProcess): void {
+  if (!target.frozen) return;
+  target.frozen = false;
+  const incarnation = target.incarnation;
+  const queued = target.backlog;
+  target.backlog = [];
+  for (const callback of queued) engine.at(engine.now(), () => deliver(target, incarnation, callback));
 }
 
+/** Creates the clock, timers, links and log of the current incarnation of a process. */
 export function createProcessWorld(
-  e: Engine,
-  p: SimProcess,
+  engine: Engine,
+  owner: SimProcess,
   random: () => number,
   send: World['send'],
   log: World['log'],
 ): World {
-  const incarnation = p.incarnation;
-  function after(d: number, f: () => void): Cancel {
-    let off = false;
-    e.at(e.now() + Math.max(0, d), () =>
-      deliver(p, incarnation, () => {
-        if (!off) f();
+  const incarnation = owner.incarnation;
+  function after(delay: number, callback: () => void): Cancel {
+    let isCancelled = false;
+    engine.at(engine.now() + Math.max(0, delay), () =>
+      deliver(owner, incarnation, () => {
+        if (!isCancelled) callback();
       }),
     );
     return () => {
-      off = true;
+      isCancelled = true;
     };
   }
   return {
-    now: () => micros(e.now()),
+    now: () => micros(engine.now()),
     random,
     after,
-    send: (to, m) => {
-      if (p.alive && p.incarnation === incarnation) send(to, m);
+    send: (to, message) => {
+      if (owner.alive && owner.incarnation === incarnation) send(to, message);
     },
     log,
   };
--- a/packages/simulator/src/simulated-control-node.ts
+++ b/packages/simulator/src/simulated-control-node.ts
@@ -1,6 +1,6 @@
 /**
- * One machine of the core in virtual time: the real control node on a simulated disk, the way for operators' questions
- * and the feed to routers, wired as the programs wire them.
+ * One machine of the control cluster in virtual time: the real control node on a simulated disk, the client for operator
+ * requests and the configuration feed for routers, wired as in the programs.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import {
@@ -19,14 +19,14 @@
 import { createSimProcess, createProcessWorld, type SimProcess } from './process.js';
 import { createSimDisk, type SimDisk } from './sim-disk.js';
 
-/** The virtual time, network and randomness that all machines of a run share. */
+/** The virtual time, network and random numbers that all machines of a run share. */
 export interface SimulationEnvironment {
   readonly engine: Engine;
   readonly network: Network;
   readonly random: () => number;
 }
 
-/** A machine that outlives the control nodes started on it one after the other. */
+/** A machine, which persists across restarts of its control node. */
 export interface SimulatedMachine {
   readonly name: string;
   readonly address: Address;
@@ -35,132 +35,135 @@
   host: ControlNodeHost | undefined;
 }
 
-/** Sees each message that a control node sends to another machine or receives. */
+/** Observes each message that a control node sends to another machine or receives. */
 export interface MessageObserver {
-  readonly sent: (m: Message, from: Address, to: Address) => void;
-  readonly received: (m: Message, at: Address, from: Address) => void;
+  readonly sent: (message: Message, from: Address, to: Address) => void;
+  readonly received: (message: Message, at: Address, from: Address) => void;
 }
 
-/** What one start of a control node is given. */
+/** Options for one start of a control node. */
 export interface ControlNodeOptions {
-  /** Who founds the core together, in the order of their slots. */
+  /** The members that bootstrap the cluster together, in the order of their slots. */
   readonly bootstrapMembers: readonly Address[];
-  /** Whom to ask where no replica is known, as the settings say it now. */
+  /** The addresses to contact while no replica is known, from the current settings. */
   readonly seeds: () => readonly Address[];
   readonly mayBootstrap: boolean;
   readonly roleLeaseUs: number;
   readonly antiEntropyIntervalUs?: number;
   readonly targetReplicas?: number;
-  /** With how many machines a cluster is founded where no seed holds state. */
+  /** How many machines bootstrap a cluster if no seed holds state. */
   readonly bootstrapSize?: BootstrapSize;
-  /** The size of the journal in bytes above which it is rewritten, where it isn't the usual one. */
+  /** The journal size in bytes above which the journal is compacted, where it differs from the default. */
   readonly compactAboveBytes?: number;
   readonly feed: (proc: SimProcess) => Omit<FeedServerOptions, 'controlNode' | 'self'>;
-  /** Builds what else runs on the machine; it gets the messages before the control node and says which it took. */
+  /**
+   * Creates the other components on the machine. Returns a message handler that is called before the control node and
+   * returns whether it handled the message.
+   */
   readonly attachComponents?: (
-    w: World,
+    world: World,
     host: ControlNodeHost,
-    asker: ControlClient,
+    client: ControlClient,
     workers: FeedServer['workers'],
-  ) => (m: Message, from: Address) => boolean;
+  ) => (message: Message, from: Address) => boolean;
   readonly observer?: MessageObserver;
 }
 
-/** The parts of a started control node that its operators use. */
+/** A started control node with the interfaces that operators use. */
 export interface StartedControlNode {
   readonly world: World;
   readonly host: ControlNodeHost;
   readonly client: ControlClient;
 }
 
-const beginAgainAfter = micros(300_000);
+const startRetryDelay = micros(300_000);
 
 /** Adds a machine with an empty disk to the network; nothing runs on it yet. */
-export function addMachine(site: SimulationEnvironment, name: string): SimulatedMachine {
+export function addMachine(environment: SimulationEnvironment, name: string): SimulatedMachine {
   const proc = createSimProcess(name, name);
   const machine: SimulatedMachine = {
     name,
     address: `${name}:1` as Address,
     proc,
-    disk: createSimDisk(site.engine, site.random),
+    disk: createSimDisk(environment.engine, environment.random),
     host: undefined,
   };
-  site.network.add(machine.address, proc);
+  environment.network.add(machine.address, proc);
   return machine;
 }
 
-/** Opens the machine's disk as the programs open their file: a torn tail is cut, a damaged journal counts as empty. */
+/** Opens the disk as the programs open their file: truncates a torn tail and treats a corrupt journal as empty. */
 async function openDisk(
   machine: SimulatedMachine,
-  afresh: boolean,
-  blank: boolean,
+  rewrite: boolean,
+  wipe: boolean,
 ): Promise<E.Either<Error, OpenDisk>> {
-  if (blank) machine.disk.wipe();
+  if (wipe) machine.disk.wipe();
   const journal = readJournal(machine.disk.bytes());
   if (E.isRight(journal)) machine.disk.truncate(journal.right.validBytes);
-  const found = E.isLeft(journal) ? [] : journal.right.records;
+  const storedRecords = E.isLeft(journal) ? [] : journal.right.records;
   const disk = machine.disk.open(machine.proc);
-  const error = afresh ? await new Promise<Error | undefined>((ok) => disk.rewrite(found, ok)) : undefined;
-  return error === undefined ? E.right({ disk, found, cut: 0 }) : E.left(error);
+  const error = rewrite ? await new Promise<Error | undefined>((ok) => disk.rewrite(storedRecords, ok)) : undefined;
+  return error === undefined ? E.right({ disk, found: storedRecords, cut: 0 }) : E.left(error);
 }
 
-/** Starts a control node on a machine on which none runs. */
+/** Starts a control node on a machine that runs none. */
 export function startControlNode(
-  site: SimulationEnvironment,
+  environment: SimulationEnvironment,
   machine: SimulatedMachine,
-  o: ControlNodeOptions,
+  options: ControlNodeOptions,
 ): StartedControlNode {
   const { proc, address: self } = machine;
   proc.alive = true;
-  const outer = createProcessWorld(
-    site.engine,
+  const processWorld = createProcessWorld(
+    environment.engine,
     proc,
-    site.random,
-    (to, m) => {
-      o.observer?.sent(m, self, to);
-      site.network.send(proc, self, to, m);
+    environment.random,
+    (to, message) => {
+      options.observer?.sent(message, self, to);
+      environment.network.send(proc, self, to, message);
     },
     () => undefined,
   );
-  const world = { ...outer, send };
-  function send(to: Address, m: Message): void {
-    if (to === self) outer.after(micros(0), () => proc.receive(m, self));
-    else outer.send(to, m);
+  const world = { ...processWorld, send };
+  function send(to: Address, message: Message): void {
+    if (to === self) processWorld.after(micros(0), () => proc.receive(message, self));
+    else processWorld.send(to, message);
   }
-  const { bootstrapMembers: founders } = o;
+  const { bootstrapMembers } = options;
   const host = createControlNodeHost(world, {
     slot: undefined,
-    bootstrapSlot: founders.includes(self) ? founders.indexOf(self) : undefined,
-    mayBootstrap: o.mayBootstrap,
+    bootstrapSlot: bootstrapMembers.includes(self) ? bootstrapMembers.indexOf(self) : undefined,
+    mayBootstrap: options.mayBootstrap,
     rejoins: true,
     firstPause: 300_000,
     longestPause: 1_000_000,
     self,
-    bootstrapMembers: founders,
-    initialSeeds: [...founders],
+    bootstrapMembers,
+    initialSeeds: [...bootstrapMembers],
     seeds: [],
     routerLeaseUs: 10_000_000,
-    dutyTenure: o.roleLeaseUs,
-    ...(o.antiEntropyIntervalUs === undefined ? {} : { antiEntropyIntervalUs: o.antiEntropyIntervalUs }),
-    ...(o.targetReplicas === undefined ? {} : { targetReplicas: o.targetReplicas }),
-    ...(o.bootstrapSize === undefined ? {} : { bootstrapSize: o.bootstrapSize }),
-    ...(o.compactAboveBytes === undefined ? {} : { compactAboveBytes: o.compactAboveBytes }),
-    newDiskId: () => Math.floor(site.random() * 2 ** 48).toString(36),
-    open: (afresh, blank) => openDisk(machine, afresh, blank),
+    dutyTenure: options.roleLeaseUs,
+    ...(options.antiEntropyIntervalUs === undefined ? {} : { antiEntropyIntervalUs: options.antiEntropyIntervalUs }),
+    ...(options.targetReplicas === undefined ? {} : { targetReplicas: options.targetReplicas }),
+    ...(options.bootstrapSize === undefined ? {} : { bootstrapSize: options.bootstrapSize }),
+    ...(options.compactAboveBytes === undefined ? {} : { compactAboveBytes: options.compactAboveBytes }),
+    newDiskId: () => Math.floor(environment.random() * 2 ** 48).toString(36),
+    open: (rewrite, wipe) => openDisk(machine, rewrite, wipe),
   });
-  const asker = createControlClient(world, self, createReplicaAddressList(host.core, self, o.seeds));
-  const feed = createFeedServer(world, { self, controlNode: host.core, seeds: o.seeds, ...o.feed(proc) });
-  const beside = o.attachComponents?.(world, host, asker, feed.workers);
-  proc.receive = (m, from) => {
-    o.observer?.received(m, self, from);
-    if (m.kind === 'Answer') asker.handleAnswer(m);
-    else if (!feed.receive(m, from) && beside?.(m, from) !== true) host.receive(m, from);
+  const client = createControlClient(world, self, createReplicaAddressList(host.core, self, options.seeds));
+  const feed = createFeedServer(world, { self, controlNode: host.core, seeds: options.seeds, ...options.feed(proc) });
+  const handleByComponents = options.attachComponents?.(world, host, client, feed.workers);
+  proc.receive = (message, from) => {
+    options.observer?.received(message, self, from);
+    if (message.kind === 'Answer') client.handleAnswer(message);
+    else if (!feed.receive(message, from) && handleByComponents?.(message, from) !== true) host.receive(message, from);
   };
   machine.host = host;
-  // A disk in trouble at the start is tried again.
-  async function begin(): Promise<void> {
-    if (E.isLeft(await host.begin())) outer.after(beginAgainAfter, () => void begin());
+  // Retries while the disk fails at the start.
+  async function start(): Promise<void> {
+    if (E.isLeft(await host.begin())) processWorld.after(startRetryDelay, () => void start());
   }
-  void begin();
-  return { world, host, client: asker };
+  void start();
+  return { world, host, client };
 }
