--- a/packages/simulator/src/decisions/decision-sites.ts
+++ b/packages/simulator/src/decisions/decision-sites.ts
@@ -85,8 +85,8 @@
   readonly targetLatencyMs: number;
   readonly deadlineMs: number;
   readonly maxEventGapMs: number;
-  readonly worth: number;
-  readonly rank: number;
+  readonly value: number;
+  readonly priority: number;
   readonly maxAttempts: number;
   readonly resumable: boolean;
 }
@@ -98,14 +98,14 @@
     aim: options.targetLatencyMs * microsPerMs,
     budget: options.deadlineMs * microsPerMs,
     pause: options.maxEventGapMs * microsPerMs,
-    rank: options.rank,
+    rank: options.priority,
     streaming: true,
     resumable: options.resumable,
     repeatable: false,
     sends: options.maxAttempts,
     furtherTries: 1,
-    worth: options.worth,
-    lateWorth: 0.3 * options.worth,
+    worth: options.value,
+    lateWorth: 0.3 * options.value,
   };
 }
 
@@ -162,12 +162,12 @@
   };
 }
 
-const ninesGoal: ScoreWeights = { mean: 0.4, windows: 0.15, kinds: 0.1, zones: 0, nines: 0.35 };
-const kindsGoal: ScoreWeights = { mean: 0.4, windows: 0.1, kinds: 0.3, zones: 0.2, nines: 0 };
-const windowsGoal: ScoreWeights = { mean: 0.6, windows: 0.25, kinds: 0.15, zones: 0, nines: 0 };
+const ninesWeights: ScoreWeights = { mean: 0.4, windows: 0.15, kinds: 0.1, zones: 0, nines: 0.35 };
+const kindsWeights: ScoreWeights = { mean: 0.4, windows: 0.1, kinds: 0.3, zones: 0.2, nines: 0 };
+const windowsWeights: ScoreWeights = { mean: 0.6, windows: 0.25, kinds: 0.15, zones: 0, nines: 0 };
 
 function kindOptions(
-  overrides: Partial<KindOptions> & Pick<KindOptions, 'rate' | 'targetLatencyMs' | 'worth' | 'rank'>,
+  overrides: Partial<KindOptions> & Pick<KindOptions, 'rate' | 'targetLatencyMs' | 'value' | 'priority'>,
 ): KindOptions {
   return { deadlineMs: 8000, maxEventGapMs: 300, maxAttempts: 2, resumable: false, ...overrides };
 }
@@ -177,7 +177,7 @@
   name: 'dense',
   replicas: 6,
   colocatedRouters: true,
-  weights: ninesGoal,
+  weights: ninesWeights,
   rates: defaultRates,
   deployment: {
     name: 'dense',
@@ -198,8 +198,8 @@
           targetLatencyMs: 500,
           deadlineMs: 6000,
           maxEventGapMs: 200,
-          worth: 2,
-          rank: 1,
+          value: 2,
+          priority: 1,
           maxAttempts: 1,
         }),
         1118,
@@ -212,8 +212,8 @@
           targetLatencyMs: 250,
           deadlineMs: 6000,
           maxEventGapMs: 200,
-          worth: 3,
-          rank: 0,
+          value: 3,
+          priority: 0,
           maxAttempts: 2,
           resumable: true,
         }),
@@ -227,8 +227,8 @@
           targetLatencyMs: 300,
           deadlineMs: 2000,
           maxEventGapMs: 200,
-          worth: 1,
-          rank: 2,
+          value: 1,
+          priority: 2,
           maxAttempts: 1,
         }),
         1889,
@@ -252,7 +252,7 @@
 
 function sparse(
   name: string,
-  goal: ScoreWeights,
+  weights: ScoreWeights,
   shape: { zones: number; routers: number; workers: number; rate: number; replicas: number },
 ): DecisionSite {
   const { rate } = shape;
@@ -261,7 +261,7 @@
     name,
     replicas: shape.replicas,
     colocatedRouters: false,
-    weights: goal,
+    weights,
     rates: { recompute: 0.22, transfer: 0.00756 },
     deployment: {
       name,
@@ -280,8 +280,8 @@
             ...stream,
             rate: 0.232 * rate,
             targetLatencyMs: 800,
-            worth: 3,
-            rank: 0,
+            value: 3,
+            priority: 0,
             maxAttempts: 3,
             resumable: true,
           }),
@@ -290,7 +290,7 @@
         ),
         middleKind(
           'middle',
-          kindOptions({ ...stream, rate: 0.413 * rate, targetLatencyMs: 800, worth: 2, rank: 1 }),
+          kindOptions({ ...stream, rate: 0.413 * rate, targetLatencyMs: 800, value: 2, priority: 1 }),
           Math.ceil(3.5 * rate),
           logNormal(6, 0.7, 25),
         ),
@@ -301,8 +301,8 @@
             rate: 0.355 * rate,
             targetLatencyMs: 1500,
             deadlineMs: 2500,
-            worth: 1,
-            rank: 2,
+            value: 1,
+            priority: 2,
             maxAttempts: 1,
           }),
           Math.ceil(5.7 * rate),
@@ -319,10 +319,10 @@
 /** The known deployment shapes by name. */
 export const decisionSites: { readonly [name: string]: DecisionSite } = {
   dense,
-  'small-a': sparse('small-a', kindsGoal, { zones: 4, routers: 9, workers: 13, rate: 61, replicas: 3 }),
-  'small-b': sparse('small-b', windowsGoal, { zones: 3, routers: 7, workers: 6, rate: 31, replicas: 3 }),
-  'grown-a': sparse('grown-a', kindsGoal, { zones: 4, routers: 67, workers: 60, rate: 330, replicas: 5 }),
-  'grown-b': sparse('grown-b', windowsGoal, { zones: 4, routers: 80, workers: 40, rate: 240, replicas: 5 }),
+  'small-a': sparse('small-a', kindsWeights, { zones: 4, routers: 9, workers: 13, rate: 61, replicas: 3 }),
+  'small-b': sparse('small-b', windowsWeights, { zones: 3, routers: 7, workers: 6, rate: 31, replicas: 3 }),
+  'grown-a': sparse('grown-a', kindsWeights, { zones: 4, routers: 67, workers: 60, rate: 330, replicas: 5 }),
+  'grown-b': sparse('grown-b', windowsWeights, { zones: 4, routers: 80, workers: 40, rate: 240, replicas: 5 }),
 };
 
 /**
@@ -368,7 +368,7 @@
     name: `drawn-${seed}`,
     replicas: random() < 0.5 ? 3 : 5,
     colocatedRouters: random() < 0.5,
-    weights: [ninesGoal, kindsGoal, windowsGoal][Math.floor(random() * 3)]!,
+    weights: [ninesWeights, kindsWeights, windowsWeights][Math.floor(random() * 3)]!,
     rates: { recompute: between(0.1, 0.3), transfer: between(0.003, 0.015) },
     deployment: {
       name: `drawn-${seed}`,
@@ -386,8 +386,8 @@
           kindOptions({
             rate: (rate * long) / sum,
             targetLatencyMs: 500 * latencyFactor * engineLatencyFactor,
-            worth: integerBetween(1, 3),
-            rank: 1,
+            value: integerBetween(1, 3),
+            priority: 1,
             maxAttempts: integerBetween(1, 3),
             resumable: random() < 0.3,
           }),
@@ -399,8 +399,8 @@
           kindOptions({
             rate: (rate * middle) / sum,
             targetLatencyMs: 250 * latencyFactor * engineLatencyFactor,
-            worth: integerBetween(1, 3),
-            rank: 0,
+            value: integerBetween(1, 3),
+            priority: 0,
             maxAttempts: integerBetween(1, 3),
             resumable: random() < 0.5,
           }),
@@ -413,8 +413,8 @@
             rate: (rate * small) / sum,
             targetLatencyMs: 300 * latencyFactor * engineLatencyFactor,
             deadlineMs: integerBetween(2000, 5000),
-            worth: 1,
-            rank: 2,
+            value: 1,
+            priority: 2,
             maxAttempts: integerBetween(1, 2),
           }),
           integerBetween(20, 1900),
--- a/packages/simulator/src/scaling/scaling-comparison.ts
+++ b/packages/simulator/src/scaling/scaling-comparison.ts
@@ -104,7 +104,7 @@
 }
 
 /**
- * Knows the true load of the day. Orders enough workers to keep the utilization at 0.7 at the peakLoad load from half a
+ * Knows the true load of the day. Orders enough workers to keep the utilization at 0.7 at the highest load from half a
  * boot time before to one and a half boot times after the current time.
  */
 function oracle(fleet: FleetModelOptions, { load, isLost }: DemandDay): ScalePolicy {
