--- a/packages/event-log/src/log.ts
+++ b/packages/event-log/src/log.ts
@@ -20,7 +20,7 @@
   const output = createConsola({ level, fancy: false, formatOptions: { date: true, colors: false } });
   return function log(event, fields) {
     const entry = catalogue[event];
-    const meaning = entry?.means ?? 'not in the catalogue';
+    const meaning = entry?.meaning ?? 'not in the catalogue';
     write(output, entry?.level ?? 'info', `E${event} ${program} ${member} ${meaning} ${JSON.stringify(fields)}`);
   };
 }
--- a/packages/event-log/src/page.ts
+++ b/packages/event-log/src/page.ts
@@ -4,7 +4,7 @@
 /** The whole of docs/events.md. */
 export function eventPage(): string {
   const rows = Object.entries(catalogue).map(
-    ([event, entry]) => `| ${event} | ${entry.level} | ${entry.means} | ${entry.remedy} |`,
+    ([event, entry]) => `| ${event} | ${entry.level} | ${entry.meaning} | ${entry.remedy} |`,
   );
   return [
     '# Event numbers',
