--- a/packages/decision-report/src/decision-report.test.ts
+++ b/packages/decision-report/src/decision-report.test.ts
@@ -1,11 +1,11 @@
 /** Logs and reports as they are read, counted and drawn. */
 import { expect, it } from 'vitest';
 import * as E from 'fp-ts/lib/Either.js';
-import { plotLosses } from './loss-plot.js';
-import { groupLosses, lossesBySecond, sizeRange } from './loss-table.js';
-import { readLosses } from './read-losses.js';
-import { readRun } from './read-run.js';
-import { renderLosses, renderRun } from './render.js';
+import { plotMissedRequests } from './missed-requests-plot.js';
+import { groupMissedRequests, countCausesBySecond, sizeRange } from './missed-requests-table.js';
+import { parseMissedRequests } from './parse-missed-requests.js';
+import { parseRunReport } from './parse-run-report.js';
+import { renderMissedRequests, renderRunReport } from './render.js';
 
 function fields(over: Record<string, unknown> = {}): string {
   const event = {
@@ -32,10 +32,10 @@
 const started = '100 E1001 info router edge-1 program started {"front":"10.0.0.1:80"}';
 
 it('reads lost requests with the clock of the router, or of who collected the log', () => {
-  const log = readLosses([started, 'some other line', line(), `  7.25 edge-1 ${line()}`].join('\n'), 'a.log');
-  expect(log).toMatchObject({ right: { damaged: 0 } });
+  const log = parseMissedRequests([started, 'some other line', line(), `  7.25 edge-1 ${line()}`].join('\n'), 'a.log');
+  expect(log).toMatchObject({ right: { damagedLines: 0 } });
   if (E.isLeft(log)) throw log.left;
-  expect(log.right.losses.map((loss) => [loss.second, loss.router, loss.cause])).toEqual([
+  expect(log.right.missed.map((loss) => [loss.second, loss.router, loss.cause])).toEqual([
     [2.5, 'edge-1', 'prefillQueue'],
     [7.25, 'edge-1', 'prefillQueue'],
   ]);
@@ -43,31 +43,31 @@
 
 it('leaves out a line that is cut short, and refuses a log that holds no events or is damaged throughout', () => {
   const cut = line().slice(0, -20);
-  expect(readLosses([started, line(), cut].join('\n'), 'a.log')).toMatchObject({ right: { damaged: 1 } });
-  expect(readLosses('nothing here', 'a.log')).toMatchObject({
+  expect(parseMissedRequests([started, line(), cut].join('\n'), 'a.log')).toMatchObject({ right: { damagedLines: 1 } });
+  expect(parseMissedRequests('nothing here', 'a.log')).toMatchObject({
     left: { message: 'a.log holds no events. Give the output of routers.' },
   });
-  expect(readLosses([started, cut, cut, cut, cut].join('\n'), 'a.log')).toMatchObject({
+  expect(parseMissedRequests([started, cut, cut, cut, cut].join('\n'), 'a.log')).toMatchObject({
     left: { message: 'a.log has 4 damaged lines of lost requests. Give the whole log.' },
   });
 });
 
 it('counts by cause, by size and by second', () => {
   const text = [started, line(), line({ prompt: 40_000, cause: 'size' }, 3_100_000), line({}, 2_900_000)].join('\n');
-  const log = readLosses(text, 'a.log');
+  const log = parseMissedRequests(text, 'a.log');
   if (E.isLeft(log)) throw log.left;
-  const { losses } = log.right;
-  expect(groupLosses(losses, (loss) => [loss.cause])).toEqual([
-    { key: ['prefillQueue'], count: 2, meanExcessMs: 200, meanPrompt: 900 },
-    { key: ['size'], count: 1, meanExcessMs: 200, meanPrompt: 40_000 },
+  const { missed: losses } = log.right;
+  expect(groupMissedRequests(losses, (loss) => [loss.cause])).toEqual([
+    { key: ['prefillQueue'], count: 2, meanExcessMs: 200, meanPromptTokens: 900 },
+    { key: ['size'], count: 1, meanExcessMs: 200, meanPromptTokens: 40_000 },
   ]);
-  expect([...lossesBySecond(losses)].map(([second, causes]) => [second, [...causes]])).toEqual([
+  expect([...countCausesBySecond(losses)].map(([second, causes]) => [second, [...causes]])).toEqual([
     [2, [['prefillQueue', 2]]],
     [3, [['size', 1]]],
   ]);
   expect([0, 511, 512, 9000, 99_999].map(sizeRange)).toEqual(['0-511', '0-511', '512-2047', '8192-16383', '32768+']);
-  expect(renderLosses(log.right)).toContain('| chat | prefillQueue | apart | 2 | 200 | 900 |');
-  const svg = plotLosses(losses, 'A day');
+  expect(renderMissedRequests(log.right)).toContain('| chat | prefillQueue | apart | 2 | 200 | 900 |');
+  const svg = plotMissedRequests(losses, 'A day');
   expect(svg).toMatch(/^<svg[\s\S]*<\/svg>$/);
   for (const text of ['A day', 'prefillQueue', 'size', 'second']) expect(svg).toContain(text);
 });
@@ -82,16 +82,16 @@
 };
 
 it('reads the report of a run, and says what is wrong with one that it cannot use', () => {
-  const run = readRun(JSON.stringify(report), 'r.json');
+  const run = parseRunReport(JSON.stringify(report), 'r.json');
   if (E.isLeft(run)) throw run.left;
-  const text = renderRun(run.right);
+  const text = renderRunReport(run.right);
   expect(text).toContain('| chat | 10 | 8 | 1 | 0 | 1 | 0.850 |');
   expect(text).toContain('| memory | 12.0 | 0.0300 |');
   expect(text).not.toContain('orders');
-  expect(readRun(JSON.stringify(report).slice(0, -9), 'r.json')).toMatchObject({
+  expect(parseRunReport(JSON.stringify(report).slice(0, -9), 'r.json')).toMatchObject({
     left: { message: 'r.json cannot be read as a report: it is no JSON or cut short. Give the whole file.' },
   });
-  expect(readRun('{"classes": []}', 'r.json')).toMatchObject({
+  expect(parseRunReport('{"classes": []}', 'r.json')).toMatchObject({
     left: { message: 'The report has no list "prices". Give the report of a run.' },
   });
 });
--- a/packages/decision-report/src/missed-requests-plot.ts
+++ b/packages/decision-report/src/missed-requests-plot.ts
@@ -3,8 +3,8 @@
 import { BarChart } from 'echarts/charts';
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components';
 import { SVGRenderer } from 'echarts/renderers';
-import { lossesBySecond } from './loss-table.js';
-import type { Loss } from './read-losses.js';
+import { countCausesBySecond } from './missed-requests-table.js';
+import type { MissedRequest } from './parse-missed-requests.js';
 
 const size = { width: 900, height: 420 };
 /** Causes beyond these are drawn as one. */
@@ -18,9 +18,9 @@
 }
 
 /** A stacked bar a second, one colour a cause; the causes of most losses have names. */
-export function plotLosses(losses: readonly Loss[], title: string): string {
+export function plotMissedRequests(losses: readonly MissedRequest[], title: string): string {
   use([BarChart, GridComponent, LegendComponent, TitleComponent, SVGRenderer]);
-  const seconds = lossesBySecond(losses);
+  const seconds = countCausesBySecond(losses);
   const times = [...seconds.keys()].sort((a, b) => a - b);
   const names = namesByCount(seconds);
   const shown = names.slice(0, mostCauses);
--- a/packages/decision-report/src/missed-requests-table.ts
+++ b/packages/decision-report/src/missed-requests-table.ts
@@ -1,13 +1,13 @@
 /** Counts lost requests by what they were lost to. */
-import type { Loss } from './read-losses.js';
+import type { MissedRequest } from './parse-missed-requests.js';
 
 /** A row of a table of losses. */
-export interface LossRow {
+export interface CauseRow {
   readonly key: readonly string[];
   readonly count: number;
   /** The mean excess over the aim until the first piece, in milliseconds; undefined where none had one. */
   readonly meanExcessMs: number | undefined;
-  readonly meanPrompt: number;
+  readonly meanPromptTokens: number;
 }
 
 /** Bounds of the sizes of prompts that are counted apart, in tokens. */
@@ -22,7 +22,7 @@
 }
 
 /** Whether the prompt was read apart from its run, at the runner, or not at all. */
-export function placementOf(loss: Loss): 'apart' | 'alone' | 'no prompt' {
+export function placementOf(loss: MissedRequest): 'apart' | 'alone' | 'no prompt' {
   if (loss.prompt === 0) return 'no prompt';
   return loss.reads > 0 ? 'apart' : 'alone';
 }
@@ -31,19 +31,22 @@
   return values.length === 0 ? undefined : values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function rowOf(key: readonly string[], losses: readonly Loss[]): LossRow {
+function rowOf(key: readonly string[], losses: readonly MissedRequest[]): CauseRow {
   const excess = losses.filter((loss) => loss.firstMs >= 0).map((loss) => loss.firstMs - loss.aimMs);
   return {
     key,
     count: losses.length,
     meanExcessMs: mean(excess),
-    meanPrompt: mean(losses.map((loss) => loss.prompt)) ?? 0,
+    meanPromptTokens: mean(losses.map((loss) => loss.prompt)) ?? 0,
   };
 }
 
 /** Groups losses by the texts that `keyOf` gives, the largest group first. */
-export function groupLosses(losses: readonly Loss[], keyOf: (loss: Loss) => readonly string[]): LossRow[] {
-  const groups = new Map<string, { key: readonly string[]; of: Loss[] }>();
+export function groupMissedRequests(
+  losses: readonly MissedRequest[],
+  keyOf: (loss: MissedRequest) => readonly string[],
+): CauseRow[] {
+  const groups = new Map<string, { key: readonly string[]; of: MissedRequest[] }>();
   for (const loss of losses) {
     const key = keyOf(loss);
     const name = key.join('\n');
@@ -55,7 +58,7 @@
 }
 
 /** How many requests were lost to each cause in each second. */
-export function lossesBySecond(losses: readonly Loss[]): Map<number, Map<string, number>> {
+export function countCausesBySecond(losses: readonly MissedRequest[]): Map<number, Map<string, number>> {
   const seconds = new Map<number, Map<string, number>>();
   for (const loss of losses) {
     const second = Math.floor(loss.second);
@@ -68,6 +71,6 @@
 }
 
 /** The cause of a late request, or how it ended where it had no whole answer. */
-export function causeName(loss: Loss): string {
+export function causeName(loss: MissedRequest): string {
   return loss.outcome.startsWith('late') ? loss.cause : `${loss.outcome}: ${loss.cause}`;
 }
--- a/packages/decision-report/src/parse-missed-requests.ts
+++ b/packages/decision-report/src/parse-missed-requests.ts
@@ -7,17 +7,17 @@
 import type { RequestLogFields } from '@tansypost/pass-through';
 
 /** One request that did not end in time. */
-export interface Loss extends RequestLogFields {
+export interface MissedRequest extends RequestLogFields {
   /** Seconds from the start of traffic, or by the router's clock where the log has no other. */
   readonly second: number;
   readonly router: string;
 }
 
 /** What a log holds. */
-export interface LossLog {
-  readonly losses: readonly Loss[];
+export interface MissedRequestLog {
+  readonly missed: readonly MissedRequest[];
   /** Lines of lost requests that could not be read: at most the last one of each log. */
-  readonly damaged: number;
+  readonly damagedLines: number;
 }
 
 /** An event as routers write it: their clock, the number, the level, the program and the member. */
@@ -48,8 +48,8 @@
 }
 
 /** Reads a log's text; `name` is for the error, which says what to do about a log that cannot be used. */
-export function readLosses(text: string, name: string): E.Either<Error, LossLog> {
-  const losses: Loss[] = [];
+export function parseMissedRequests(text: string, name: string): E.Either<Error, MissedRequestLog> {
+  const losses: MissedRequest[] = [];
   let events = 0;
   let damaged = 0;
   for (const line of text.split('\n')) {
@@ -69,5 +69,5 @@
     return E.left(
       new UnusableReportError(`${name} has ${damaged} damaged lines of lost requests. Give the whole log.`),
     );
-  return E.right({ losses, damaged });
+  return E.right({ missed: losses, damagedLines: damaged });
 }
--- a/packages/decision-report/src/parse-run-report.ts
+++ b/packages/decision-report/src/parse-run-report.ts
@@ -5,13 +5,13 @@
 /** The requests of one kind, as their clients saw them. */
 export interface KindResult {
   readonly name: string;
-  readonly asked: number;
-  readonly inAim: number;
+  readonly requests: number;
+  readonly onTime: number;
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
   /** The share of the worth owed that was earned, from 0 to 1. */
-  readonly worth: number;
+  readonly valueShare: number;
 }
 
 /** A price as a share of the worth owed. */
@@ -22,7 +22,7 @@
 }
 
 /** A part of what a run is measured by. */
-export interface GoalPart {
+export interface ScoreComponent {
   readonly name: string;
   readonly weight: number;
   readonly value: number;
@@ -32,7 +32,7 @@
 export interface RunReport {
   readonly kinds: readonly KindResult[];
   readonly prices: readonly Price[];
-  readonly parts: readonly GoalPart[];
+  readonly parts: readonly ScoreComponent[];
 }
 
 type Json = Readonly<Record<string, unknown>>;
@@ -61,12 +61,12 @@
   }
   return {
     name: String(value['name']),
-    asked: field('n'),
-    inAim: field('in_aim'),
+    requests: field('n'),
+    onTime: field('in_aim'),
     late: field('late'),
     refused: field('refused'),
     failed: field('failed'),
-    worth: field('worth'),
+    valueShare: field('worth'),
   };
 }
 
@@ -75,7 +75,7 @@
   return { name: String(name), amount: numberOf(amount, 'price'), share: numberOf(share, 'price') };
 }
 
-function partOf(value: unknown): GoalPart {
+function partOf(value: unknown): ScoreComponent {
   const [name, weight, result] = Array.isArray(value) ? (value as unknown[]) : [];
   return { name: String(name), weight: numberOf(weight, 'part'), value: numberOf(result, 'part') };
 }
@@ -91,7 +91,7 @@
 }
 
 /** Reads the text of a report; the error names what is wrong with it. */
-export function readRun(text: string, name: string): E.Either<Error, RunReport> {
+export function parseRunReport(text: string, name: string): E.Either<Error, RunReport> {
   return E.tryCatch(
     () => toReport(text),
     (error) =>
--- a/packages/decision-report/src/render.ts
+++ b/packages/decision-report/src/render.ts
@@ -1,7 +1,7 @@
 /** Tables of what a run's worth was lost to, as Markdown. */
-import { causeName, groupLosses, placementOf, sizeRange, type LossRow } from './loss-table.js';
-import type { LossLog } from './read-losses.js';
-import type { RunReport } from './read-run.js';
+import { causeName, groupMissedRequests, placementOf, sizeRange, type CauseRow } from './missed-requests-table.js';
+import type { MissedRequestLog } from './parse-missed-requests.js';
+import type { RunReport } from './parse-run-report.js';
 
 const mostRows = 20;
 const leastPrice = 0.0005;
@@ -11,30 +11,30 @@
   return `${lines.join('\n')}\n`;
 }
 
-function lossRows(rows: readonly LossRow[]): string[][] {
+function lossRows(rows: readonly CauseRow[]): string[][] {
   return rows
     .slice(0, mostRows)
     .map((row) => [
       ...row.key,
       `${row.count}`,
       row.meanExcessMs === undefined ? '' : row.meanExcessMs.toFixed(0),
-      row.meanPrompt.toFixed(0),
+      row.meanPromptTokens.toFixed(0),
     ]);
 }
 
 const lossHead = ['requests', 'mean over the aim, ms', 'mean prompt, tokens'];
 
 /** What the report says: the parts of the goal, the kinds of requests, and the prices that matter. */
-export function renderRun(run: RunReport): string {
+export function renderRunReport(run: RunReport): string {
   const parts = run.parts.map((part) => [part.name, `${part.weight}`, part.value.toFixed(3)]);
   const kinds = run.kinds.map((kind) => [
     kind.name,
-    `${kind.asked}`,
-    `${kind.inAim}`,
+    `${kind.requests}`,
+    `${kind.onTime}`,
     `${kind.late}`,
     `${kind.refused}`,
     `${kind.failed}`,
-    kind.worth.toFixed(3),
+    kind.valueShare.toFixed(3),
   ]);
   const prices = [...run.prices]
     .filter((price) => price.share >= leastPrice)
@@ -48,10 +48,10 @@
 }
 
 /** What the routers say of the requests that did not end in time. */
-export function renderLosses({ losses, damaged }: LossLog): string {
-  const byCause = groupLosses(losses, (loss) => [loss.path, causeName(loss), placementOf(loss)]);
-  const bySize = groupLosses(losses, (loss) => [sizeRange(loss.prompt), causeName(loss), placementOf(loss)]);
-  const byWorker = groupLosses(losses, (loss) => [loss.workers.at(-1) ?? 'none', loss.cause]);
+export function renderMissedRequests({ missed: losses, damagedLines: damaged }: MissedRequestLog): string {
+  const byCause = groupMissedRequests(losses, (loss) => [loss.path, causeName(loss), placementOf(loss)]);
+  const bySize = groupMissedRequests(losses, (loss) => [sizeRange(loss.prompt), causeName(loss), placementOf(loss)]);
+  const byWorker = groupMissedRequests(losses, (loss) => [loss.workers.at(-1) ?? 'none', loss.cause]);
   const note = damaged === 0 ? '' : `\n${damaged} damaged lines were left out.\n`;
   return [
     `${losses.length} requests did not end in time.\n${note}`,
--- a/programs/tansypost/src/decisions.ts
+++ b/programs/tansypost/src/decisions.ts
@@ -2,7 +2,14 @@
 import { readFileSync, writeFileSync } from 'node:fs';
 import { Command, Option, type BaseContext } from 'clipanion';
 import * as E from 'fp-ts/lib/Either.js';
-import { plotLosses, readLosses, readRun, renderLosses, renderRun, type LossLog } from '@tansypost/decision-report';
+import {
+  plotMissedRequests,
+  parseMissedRequests,
+  parseRunReport,
+  renderMissedRequests,
+  renderRunReport,
+  type MissedRequestLog,
+} from '@tansypost/decision-report';
 import { UnusableReportError } from '@tansypost/inner-protocol';
 
 /** Reads a file whole; an error names the file and the remedy. */
@@ -13,14 +20,14 @@
   );
 }
 
-function readAllLosses(files: readonly string[]): E.Either<Error, LossLog> {
-  let all: LossLog = { losses: [], damaged: 0 };
+function readAllLosses(files: readonly string[]): E.Either<Error, MissedRequestLog> {
+  let all: MissedRequestLog = { missed: [], damagedLines: 0 };
   for (const file of files) {
     const text = readText(file);
     if (E.isLeft(text)) return text;
-    const log = readLosses(text.right, file);
+    const log = parseMissedRequests(text.right, file);
     if (E.isLeft(log)) return log;
-    all = { losses: [...all.losses, ...log.right.losses], damaged: all.damaged + log.right.damaged };
+    all = { missed: [...all.missed, ...log.right.missed], damagedLines: all.damagedLines + log.right.damagedLines };
   }
   return E.right(all);
 }
@@ -46,12 +53,12 @@
     if (E.isLeft(log)) return this.refuse(log.left);
     if (this.report !== undefined) {
       const text = readText(this.report);
-      const run = E.isLeft(text) ? text : readRun(text.right, this.report);
+      const run = E.isLeft(text) ? text : parseRunReport(text.right, this.report);
       if (E.isLeft(run)) return this.refuse(run.left);
-      this.context.stdout.write(`${renderRun(run.right)}\n`);
+      this.context.stdout.write(`${renderRunReport(run.right)}\n`);
     }
-    this.context.stdout.write(renderLosses(log.right));
-    if (this.plot !== undefined) writeFileSync(this.plot, plotLosses(log.right.losses, this.title));
+    this.context.stdout.write(renderMissedRequests(log.right));
+    if (this.plot !== undefined) writeFileSync(this.plot, plotMissedRequests(log.right.missed, this.title));
     return 0;
   }
 
