--- a/packages/boot/src/program.ts
+++ b/packages/boot/src/program.ts
@@ -10,7 +10,7 @@
 import { readSettings } from './settings.js';
 
 /** A program that has started. */
-export interface Running {
+export interface RunningProgram {
   /** Lets the work under way finish, then frees everything. */
   readonly stop: () => Promise<void>;
 }
@@ -19,12 +19,12 @@
 export interface ProgramOptions<S extends TSchema> {
   readonly name: string;
   /** One line for `--help`. */
-  readonly about: string;
+  readonly description: string;
   /** Schema of the settings. */
   readonly schema: S;
   /** Names of the fields that `--set` takes. */
   readonly flags: readonly string[];
-  readonly start: (settings: Static<S>, log: Log) => Promise<Running>;
+  readonly start: (settings: Static<S>, log: Log) => Promise<RunningProgram>;
 }
 
 /** Exit codes of all programs. */
@@ -46,7 +46,7 @@
   return class Start extends Command {
     static override paths = [Command.Default];
     static override usage = Command.Usage({
-      description: options.about,
+      description: options.description,
       examples: [
         ['Start from a file', `${options.name} --boot boot.json`],
         ['Only check the file', `${options.name} --boot boot.json --check`],
--- a/packages/desired-state/src/desired-state.ts
+++ b/packages/desired-state/src/desired-state.ts
@@ -21,15 +21,15 @@
 export type DesiredState = Static<typeof DesiredState>;
 
 /** One thing that is wrong with a configuration. */
-export interface Fault {
+export interface ConfigurationFault {
   /** JSON pointer to its place; `/` for the whole. */
   readonly at: string;
   readonly why: string;
 }
 
 /** Checks shape and rules; on the left are all faults of the shape, or else all of the rules. */
-export function checkDesiredState(document: unknown): E.Either<readonly Fault[], DesiredState> {
-  const shapeFaults = [...Value.Errors(DesiredState, document)].map((error): Fault => ({
+export function checkDesiredState(document: unknown): E.Either<readonly ConfigurationFault[], DesiredState> {
+  const shapeFaults = [...Value.Errors(DesiredState, document)].map((error): ConfigurationFault => ({
     at: error.path === '' ? '/' : error.path,
     why: error.message,
   }));
@@ -39,8 +39,8 @@
   return faults.length > 0 ? E.left(faults) : E.right(state);
 }
 
-function ruleFaults(state: DesiredState): Fault[] {
-  const faults: Fault[] = [];
+function ruleFaults(state: DesiredState): ConfigurationFault[] {
+  const faults: ConfigurationFault[] = [];
   const seen = new Set<string>();
   state.templates.forEach(({ tenant, kinds }, index) => {
     if (seen.has(tenant)) {
@@ -61,7 +61,7 @@
 }
 
 /** The template of a tenant's kind, or which of the two is not stated. */
-export function kindOf(
+export function findKind(
   state: DesiredState,
   tenant: string,
   kind: string,
--- a/programs/worker-stand-in/src/main.ts
+++ b/programs/worker-stand-in/src/main.ts
@@ -45,7 +45,7 @@
 
 await runProgram({
   name: 'worker-stand-in',
-  about: 'A stand-in for a model worker with split prefill and decode.',
+  description: 'A stand-in for a model worker with split prefill and decode.',
   schema: Boot,
   flags: Object.keys(Boot.properties),
   start: async (b, log) => {
