--- a/packages/learning/src/control-node-learning.ts
+++ b/packages/learning/src/control-node-learning.ts
@@ -7,37 +7,37 @@
 import { every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { ControlNode } from '@tansypost/control-state';
 import { createCandidate } from '@tansypost/duty';
-import { encodeSamples, width } from '@tansypost/placement';
-import { readRecord, type VerdictOptions } from '@tansypost/rehearsal';
-import type { Asker } from './asking.js';
+import { encodeSamples, featureCount } from '@tansypost/placement';
+import { decodeRehearsalRecord, type VerdictOptions } from '@tansypost/rehearsal';
+import type { ControlStateClient } from './control-state-client.js';
 import { createRecordWriter } from './record-writer.js';
-import { createRehearsalDuty } from './rehearsal-duty.js';
-import { learnedService, recordKey } from './router-learning.js';
+import { createRehearsalController } from './rehearsal-controller.js';
+import { learnedService, rehearsalRecordKey } from './router-learning.js';
 import { unpackSamples } from './sample-batch.js';
-import { createTrainingDuty, type TrainerPort } from './training-duty.js';
+import { createTrainingController, type ModelTrainer } from './training-controller.js';
 
 export interface ControlNodeLearningOptions {
   readonly self: Address;
   readonly member: string;
-  readonly keeper: () => ControlNode | undefined;
-  readonly asker: Pick<Asker, 'ask'>;
-  readonly trainer: TrainerPort;
+  readonly controlNode: () => ControlNode | undefined;
+  readonly controlClient: Pick<ControlStateClient, 'request'>;
+  readonly trainer: ModelTrainer;
   // No longer than voters lend their votes.
-  readonly tenure: number;
-  readonly trainEvery?: number;
-  readonly slice?: number;
-  readonly rehearsalLimit?: number;
+  readonly roleLeaseUs: number;
+  readonly samplesPerTraining?: number;
+  readonly treatmentShare?: number;
+  readonly rehearsalTimeLimitUs?: number;
   readonly verdict?: VerdictOptions;
 }
 export interface ControlNodeLearning {
   // True when it was for learning.
   readonly receive: (m: Message, from: Address) => boolean;
-  readonly figures: () => Record<string, unknown>;
+  readonly metrics: () => Record<string, unknown>;
   readonly stop: () => void;
 }
 // Ours: a round needs 2000 new samples, so that a model isn't made of one burst, and twice as many after each model in turn
 // that did not go live, up to eight times.
-export const learningDefaults = { trainEvery: 2000, slice: 0.2, rehearsalLimit: 600_000_000 };
+export const learningDefaults = { samplesPerTraining: 2000, treatmentShare: 0.2, rehearsalTimeLimitUs: 600_000_000 };
 const mostDoublings = 3;
 const tickEvery = 250_000;
 const armsFresh = 6_000_000;
@@ -47,24 +47,24 @@
     training: candidate('training', wantsTraining),
     rehearsals: candidate('rehearsals', wantsRehearsal),
   };
-  const trainEvery = o.trainEvery ?? learningDefaults.trainEvery;
-  const writer = createRecordWriter(w, learnedService, o.asker, () => undefined);
-  const training = createTrainingDuty(w, {
+  const samplesPerTraining = o.samplesPerTraining ?? learningDefaults.samplesPerTraining;
+  const writer = createRecordWriter(w, learnedService, o.controlClient, () => undefined);
+  const training = createTrainingController(w, {
     service: learnedService,
-    holds: duties.training.heldEpoch,
+    heldEpoch: duties.training.heldEpoch,
     record,
-    asker: o.asker,
+    controlClient: o.controlClient,
     writer,
     trainer: o.trainer,
-    every: trainEvery,
-    slice: o.slice ?? learningDefaults.slice,
+    samplesPerTraining: samplesPerTraining,
+    treatmentShare: o.treatmentShare ?? learningDefaults.treatmentShare,
     approval: () => 'automatic',
   });
-  const keeping = createRehearsalDuty(w, {
-    holds: duties.rehearsals.heldEpoch,
+  const keeping = createRehearsalController(w, {
+    heldEpoch: duties.rehearsals.heldEpoch,
     record,
     writer,
-    timeLimit: o.rehearsalLimit ?? learningDefaults.rehearsalLimit,
+    timeLimitUs: o.rehearsalTimeLimitUs ?? learningDefaults.rehearsalTimeLimitUs,
     ...(o.verdict === undefined ? {} : { verdict: o.verdict }),
   });
   let armsAt = -Infinity;
@@ -75,56 +75,58 @@
       member: o.member,
       self: o.self,
       get slot() {
-        return o.keeper()?.replica.slot ?? 0;
+        return o.controlNode()?.replica.slot ?? 0;
       },
-      leaseDuration: o.tenure,
-      replicas: () => o.keeper()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
-      isWilling: () => o.keeper()?.replica.state() === 'voting' && willing(),
+      leaseDuration: o.roleLeaseUs,
+      replicas: () => o.controlNode()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
+      isWilling: () => o.controlNode()?.replica.state() === 'voting' && willing(),
       onElected: () => undefined,
       onLeaseLost: () => undefined,
     });
   }
   // As this place holds it: good enough to begin with, as each write is on the version read.
   function record(): Buffer | undefined {
-    const r = o.keeper()?.replica.row(recordKey);
+    const r = o.controlNode()?.replica.row(rehearsalRecordKey);
     return r === undefined || r.version === 0 ? undefined : r.value;
   }
   function running(): boolean {
     const b = record();
-    return b !== undefined && readRecord(b).running !== undefined;
+    return b !== undefined && decodeRehearsalRecord(b).running !== undefined;
   }
   // Enough new samples after what became of the models before.
   function enough(): boolean {
-    const ended = readRecord(record() ?? Buffer.alloc(0)).ended;
+    const ended = decodeRehearsalRecord(record() ?? Buffer.alloc(0)).ended;
     const live = ended.findIndex((x) => x.outcome === 'live');
-    return training.figures().fresh >= trainEvery * 2 ** Math.min(mostDoublings, live < 0 ? ended.length : live);
+    return (
+      training.metrics().fresh >= samplesPerTraining * 2 ** Math.min(mostDoublings, live < 0 ? ended.length : live)
+    );
   }
   // Nothing is trained while something is rehearsed: only one at a time can be. What has been begun is ended.
   function wantsTraining(): boolean {
-    return training.due() && !running() && (training.figures().fresh < trainEvery || enough());
+    return training.isDue() && !running() && (training.metrics().fresh < samplesPerTraining || enough());
   }
   function wantsRehearsal(): boolean {
     return w.now() - armsAt < armsFresh && running();
   }
 
   function onSamples(m: Extract<Message, { kind: 'Samples' }>, from: Address): void {
-    if (m.width !== width) return;
+    if (m.width !== featureCount) return;
     const holder = duties.training.leader();
     const routed =
       o
-        .keeper()
+        .controlNode()
         ?.replica.membership()
         .replicas.every((p) => p.address !== from) === true;
     if (routed && holder !== undefined && holder.address !== o.self) return w.send(holder.address as Address, m);
     const ss = unpackSamples(m.rows, m.count);
-    if (ss.length > 0) training.samples({ ...m, rows: encodeSamples(ss, width) });
+    if (ss.length > 0) training.addSamples({ ...m, rows: encodeSamples(ss, featureCount) });
   }
 
   function receive(m: Message, from: Address): boolean {
     if (m.kind === 'Samples') onSamples(m, from);
     else if (m.kind === 'Arms') {
       armsAt = w.now();
-      keeping.arms(m);
+      keeping.recordCohorts(m);
     } else if (m.kind === 'BallotVote') {
       duties.training.receiveVote(m);
       duties.rehearsals.receiveVote(m);
@@ -139,8 +141,8 @@
   const stop = every(w, () => micros(tickEvery), tick);
   return {
     receive,
-    figures: () => ({
-      ...training.figures(),
+    metrics: () => ({
+      ...training.metrics(),
       holds: Object.entries(duties).flatMap(([k, d]) => (d.heldEpoch() === undefined ? [] : [k])),
     }),
     stop: () => {
--- a/packages/learning/src/incremental-trainer.ts
+++ b/packages/learning/src/incremental-trainer.ts
@@ -4,19 +4,19 @@
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 import { createTrainer, encodeModel, trainingDefaults, type Model } from '@tansypost/placement';
-import type { TrainerPort } from './training-duty.js';
+import type { ModelTrainer } from './training-controller.js';
 
 const slice = 2_500;
 const pause = 12_000;
 const rows = 8;
 
-export function createSlicedTrainer(w: Pick<World, 'now' | 'after'>, spoil?: (m: Model) => Model): TrainerPort {
+export function createIncrementalTrainer(w: Pick<World, 'now' | 'after'>, spoil?: (m: Model) => Model): ModelTrainer {
   const t = createTrainer(trainingDefaults);
   return {
     add: t.add,
     train: (v) =>
       new Promise((done, failed) => {
-        const g = t.steps(v, (v.epoch * 1000 + v.n) >>> 0, rows);
+        const g = t.trainInSteps(v, (v.epoch * 1000 + v.n) >>> 0, rows);
         function go(): void {
           const until = w.now() + slice;
           try {
--- a/packages/learning/src/record-writer.ts
+++ b/packages/learning/src/record-writer.ts
@@ -4,35 +4,35 @@
  * it is dropped. One write at a time.
  */
 import type { World } from '@tansypost/inner-protocol';
-import { readRecord, writeRecord, type RehearsalRecord } from '@tansypost/rehearsal';
-import type { Asker } from './asking.js';
+import { decodeRehearsalRecord, encodeRehearsalRecord, type RehearsalRecord } from '@tansypost/rehearsal';
+import type { ControlStateClient } from './control-state-client.js';
 
 export type RecordChange = (r: RehearsalRecord) => RehearsalRecord | undefined;
 export interface RecordWriter {
-  readonly change: (f: RecordChange, still: () => boolean) => Promise<RehearsalRecord | undefined>;
+  readonly update: (f: RecordChange, still: () => boolean) => Promise<RehearsalRecord | undefined>;
 }
 
 export function createRecordWriter(
   w: World,
   service: string,
-  a: Pick<Asker, 'ask'>,
+  a: Pick<ControlStateClient, 'request'>,
   wrote: (version: number, epoch: number, value: Buffer) => void,
 ): RecordWriter {
   const key = `rehearsal/${service}`;
   async function change(f: RecordChange, still: () => boolean): Promise<RehearsalRecord | undefined> {
     for (let n = 0; n < 4; n += 1) {
-      const r = await a.ask({ op: 'read', key, patience: 5_000_000 });
+      const r = await a.request({ op: 'read', key, timeoutUs: 5_000_000 });
       if (r.status !== 'value' || !still()) return undefined;
-      const next = f(readRecord(r.value));
+      const next = f(decodeRehearsalRecord(r.value));
       if (next === undefined) return undefined;
-      const value = writeRecord(next);
-      const x = await a.ask({
+      const value = encodeRehearsalRecord(next);
+      const x = await a.request({
         op: 'write',
         key,
         change: `${key}/${Math.floor(w.random() * 2 ** 48).toString(36)}`,
         base: r.version,
         value,
-        patience: 5_000_000,
+        timeoutUs: 5_000_000,
       });
       if (x.status === 'done') {
         wrote(x.version, x.epoch, value);
@@ -42,5 +42,5 @@
     }
     return undefined;
   }
-  return { change };
+  return { update: change };
 }
--- a/packages/learning/src/rehearsal-controller.test.ts
+++ b/packages/learning/src/rehearsal-controller.test.ts
@@ -1,7 +1,7 @@
 import { expect, it } from 'vitest';
 import { micros, type CohortStatistics } from '@tansypost/inner-protocol';
-import { begin, emptyRecord, writeRecord, type RehearsalRecord } from '@tansypost/rehearsal';
-import { createRehearsalDuty } from './rehearsal-duty.js';
+import { beginRehearsal, emptyRecord, encodeRehearsalRecord, type RehearsalRecord } from '@tansypost/rehearsal';
+import { createRehearsalController } from './rehearsal-controller.js';
 
 function arm(rehearsal: string, which: string, count: number, slower: number): CohortStatistics {
   const l = Math.log(100_000 * slower);
@@ -23,7 +23,7 @@
   now: () => RehearsalRecord;
   writes: () => number;
 } {
-  let rec = begin(
+  let rec = beginRehearsal(
     emptyRecord,
     'm',
     { type: 'model', model: { version: { epoch: 64, n: 1 }, hash: 'h', blob: 'b' } },
@@ -31,7 +31,7 @@
     'automatic',
   );
   let writes = 0;
-  const d = createRehearsalDuty(
+  const d = createRehearsalController(
     {
       now: () => micros(0),
       random: () => 0,
@@ -43,11 +43,11 @@
       log: () => undefined,
     },
     {
-      holds: () => 64,
-      record: () => writeRecord(rec),
-      timeLimit: 300_000_000,
+      heldEpoch: () => 64,
+      record: () => encodeRehearsalRecord(rec),
+      timeLimitUs: 300_000_000,
       writer: {
-        change: async (f) => {
+        update: async (f) => {
           const next = f(rec);
           if (next === undefined) return undefined;
           writes += 1;
@@ -58,7 +58,7 @@
     },
   );
   async function tell(id: string, n: number, slower: number): Promise<void> {
-    d.arms({ kind: 'Arms', from: 'r', arms: [arm(id, 'slice', n, slower), arm(id, 'control', n, 1)] });
+    d.recordCohorts({ kind: 'Arms', from: 'r', arms: [arm(id, 'slice', n, slower), arm(id, 'control', n, 1)] });
     for (let i = 0; i < 3; i += 1) {
       d.tick();
       for (let k = 0; k < 10; k += 1) await Promise.resolve();
--- a/packages/learning/src/rehearsal-controller.ts
+++ b/packages/learning/src/rehearsal-controller.ts
@@ -6,16 +6,16 @@
  */
 import { micros, type CohortStatistics, type MessageOf, type World } from '@tansypost/inner-protocol';
 import {
-  armsOf,
-  end,
+  cohortNameOf,
+  endRehearsal,
   goLive,
-  lookAt,
-  looked,
-  passed,
-  readRecord,
-  spendOf,
-  timed,
-  verdict,
+  requestsAtAnalysis,
+  countAnalysis,
+  passStage,
+  decodeRehearsalRecord,
+  errorBudgetOf,
+  addElapsedTime,
+  judgeRehearsal,
   verdictDefaults,
   type Rehearsal,
   type RehearsalRecord,
@@ -23,19 +23,19 @@
 } from '@tansypost/rehearsal';
 import type { RecordWriter } from './record-writer.js';
 
-export interface RehearsalDutyOptions {
-  readonly holds: () => number | undefined;
+export interface RehearsalControllerOptions {
+  readonly heldEpoch: () => number | undefined;
   readonly record: () => Buffer | undefined;
   readonly writer: RecordWriter;
-  readonly timeLimit: number;
+  readonly timeLimitUs: number;
   readonly verdict?: VerdictOptions;
 }
-export interface RehearsalDuty {
-  readonly arms: (m: MessageOf<'Arms'>) => void;
+export interface RehearsalController {
+  readonly recordCohorts: (m: MessageOf<'Arms'>) => void;
   readonly tick: () => void;
 }
 
-export function createRehearsalDuty(w: World, o: RehearsalDutyOptions): RehearsalDuty {
+export function createRehearsalController(w: World, o: RehearsalControllerOptions): RehearsalController {
   const byRouter = new Map<string, { at: number; arms: CohortStatistics[] }>();
   let busy = false;
   let watched: { id: string; stage: number; since: number } | undefined;
@@ -50,9 +50,9 @@
     const { id } = x;
     busy = true;
     void o.writer
-      .change(
+      .update(
         (r) => (r.running?.id === id && r.running.stage === x.stage && r.running.looks === x.looks ? f(r) : undefined),
-        () => o.holds() !== undefined,
+        () => o.heldEpoch() !== undefined,
       )
       .then((r) => {
         const done = r?.ended.find((e) => e.id === id);
@@ -66,9 +66,9 @@
   }
 
   function tick(): void {
-    if (busy || o.holds() === undefined) return;
+    if (busy || o.heldEpoch() === undefined) return;
     const b = o.record();
-    const run = b === undefined ? undefined : readRecord(b).running;
+    const run = b === undefined ? undefined : decodeRehearsalRecord(b).running;
     if (run === undefined) return;
     if (watched?.id !== run.id || watched.stage !== run.stage) {
       w.log(watched?.id === run.id ? 4104 : 4101, {
@@ -79,18 +79,18 @@
       });
       watched = { id: run.id, stage: run.stage, since: w.now() };
     }
-    if (run.asked === 'reject') return act(run, (r) => end(r, 'rejected'));
+    if (run.asked === 'reject') return act(run, (r) => endRehearsal(r, 'rejected'));
     if (run.state === 'passed') {
       if (run.approval === 'automatic' || run.asked === 'approve')
-        act(run, (r) => (r.running!.asked === 'reject' ? end(r, 'rejected') : goLive(r)));
+        act(run, (r) => (r.running!.asked === 'reject' ? endRehearsal(r, 'rejected') : goLive(r)));
       return;
     }
-    const all = [...byRouter.values()].flatMap((x) => x.arms.filter((a) => a.rehearsal === armsOf(run)));
-    const late = run.spent + w.now() - watched.since > o.timeLimit;
-    const step = o.timeLimit / 5;
+    const all = [...byRouter.values()].flatMap((x) => x.arms.filter((a) => a.rehearsal === cohortNameOf(run)));
+    const late = run.spent + w.now() - watched.since > o.timeLimitUs;
+    const step = o.timeLimitUs / 5;
     if (!late && w.now() - watched.since > step) {
       watched.since += step;
-      return act(run, (r) => timed(r, step));
+      return act(run, (r) => addElapsedTime(r, step));
     }
     const v0 = o.verdict ?? verdictDefaults;
     // In the watch the control is the smaller arm; a look is due by the smaller one.
@@ -99,17 +99,20 @@
         all.filter((a) => a.arm === arm).reduce((n, a) => n + a.count, 0),
       ),
     );
-    if (!late && least < lookAt(run.looks, v0)) return;
-    const v = verdict(all, v0, spendOf(run.looks, late));
-    if (v.verdict === 'harmful') act(run, (r) => end(r, 'harmful', v.measured));
+    if (!late && least < requestsAtAnalysis(run.looks, v0)) return;
+    const v = judgeRehearsal(all, v0, errorBudgetOf(run.looks, late));
+    if (v.verdict === 'harmful') act(run, (r) => endRehearsal(r, 'harmful', v.measured));
     else if (run.state === 'watched') {
       if (v.verdict === 'pass' || late)
-        act(run, (r) => end(r, r.running!.asked === 'reject' ? 'rejected' : 'live', run.measured));
-      else act(run, looked);
+        act(run, (r) => endRehearsal(r, r.running!.asked === 'reject' ? 'rejected' : 'live', run.measured));
+      else act(run, countAnalysis);
     } else if (v.verdict === 'pass')
-      act(run, (r) => (r.running!.asked === 'reject' ? end(r, 'rejected', v.measured) : passed(r, v.measured)));
-    else if (late) act(run, (r) => end(r, 'inconclusive', { ...v.measured, why: `time is up: ${v.measured.why}` }));
-    else act(run, looked);
+      act(run, (r) =>
+        r.running!.asked === 'reject' ? endRehearsal(r, 'rejected', v.measured) : passStage(r, v.measured),
+      );
+    else if (late)
+      act(run, (r) => endRehearsal(r, 'inconclusive', { ...v.measured, why: `time is up: ${v.measured.why}` }));
+    else act(run, countAnalysis);
   }
-  return { arms, tick };
+  return { recordCohorts: arms, tick };
 }
--- a/packages/learning/src/router-learning.ts
+++ b/packages/learning/src/router-learning.ts
@@ -6,35 +6,35 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { micros, type Address, type CohortStatistics, type KeyUpdate, type World } from '@tansypost/inner-protocol';
 import type { CompletedRequest, CohortAssignment } from '@tansypost/pass-through';
-import { batchSize, decodeModel, scoreAll, width, type Model, type Sample } from '@tansypost/placement';
+import { sampleBatchSize, decodeModel, predictTtft, featureCount, type Model, type Sample } from '@tansypost/placement';
 import {
-  armOf,
-  armsOf,
+  cohortOf,
+  cohortNameOf,
   countAnswer,
-  emptyCounts,
+  createCohortCounts,
   emptyRecord,
-  readRecord,
+  decodeRehearsalRecord,
   type ModelRef,
   type RehearsalRecord,
 } from '@tansypost/rehearsal';
-import type { Asker } from './asking.js';
+import type { ControlStateClient } from './control-state-client.js';
 import { packSamples } from './sample-batch.js';
 
 export const learnedService = 'main';
-export const recordKey = `rehearsal/${learnedService}`;
+export const rehearsalRecordKey = `rehearsal/${learnedService}`;
 
 export interface RouterLearningOptions {
   readonly member: string;
   // The first is the one that learns.
-  readonly keepers: () => readonly Address[];
-  readonly asker: Pick<Asker, 'ask'>;
+  readonly controlNodes: () => readonly Address[];
+  readonly controlClient: Pick<ControlStateClient, 'request'>;
 }
 export interface RouterLearning {
-  readonly take: (n: KeyUpdate) => void;
-  readonly version: () => number;
-  readonly sample: (row: Float32Array, firstTime: number) => void;
-  readonly lot: (request: string) => CohortAssignment;
-  readonly figures: () => Record<string, unknown>;
+  readonly applyUpdate: (n: KeyUpdate) => void;
+  readonly recordVersion: () => number;
+  readonly recordSample: (row: Float32Array, firstTime: number) => void;
+  readonly assignCohort: (request: string) => CohortAssignment;
+  readonly metrics: () => Record<string, unknown>;
 }
 const flushAfter = 5_000_000;
 const armsEvery = 2_000_000;
@@ -65,15 +65,15 @@
       bytes.delete(n.key);
       bytes.set(n.key, n);
       for (const k of bytes.keys()) if (bytes.size > bytesKept) bytes.delete(k);
-    } else if (n.key === recordKey) {
+    } else if (n.key === rehearsalRecordKey) {
       if (n.version < at.version || (n.version === at.version && n.epoch <= at.epoch)) return;
       at = { version: n.version, epoch: n.epoch };
-      record = readRecord(n.value);
+      record = decodeRehearsalRecord(n.value);
       const hashes = new Set(named().map((r) => r.hash));
       for (const h of models.keys()) if (!hashes.has(h)) models.delete(h);
     } else return;
     prepare();
-    if (n.key === recordKey && !asking) bytes.clear();
+    if (n.key === rehearsalRecordKey && !asking) bytes.clear();
     if (record.running !== undefined) tell();
   }
 
@@ -95,7 +95,7 @@
     }
     models.set(r.hash, d.right);
     const rows = Array.from({ length: 12 }, () => new Float32Array(d.right.predictor.sizes[0]!));
-    for (let n = 0; n < 3; n += 1) scoreAll(d.right, rows);
+    for (let n = 0; n < 3; n += 1) predictTtft(d.right, rows);
     w.log(4002, { version: r.version, hash: r.hash });
     return true;
   }
@@ -106,7 +106,7 @@
     // What was written just now is being told to all.
     w.after(micros(askAgain * (0.25 + 0.5 * w.random())), () => {
       if (models.has(r.hash) || !named().some((x) => x.hash === r.hash)) return over();
-      void o.asker.ask({ op: 'read', key: r.blob, patience: 4_000_000 }).then((a) => {
+      void o.controlClient.request({ op: 'read', key: r.blob, timeoutUs: 4_000_000 }).then((a) => {
         if (a.status === 'value' && named().some((x) => x.hash === r.hash)) learned(r, a.value);
         w.after(micros(askAgain), over);
       });
@@ -118,17 +118,17 @@
   }
 
   function sample(row: Float32Array, firstTime: number): void {
-    samples.push({ x: row, y: -firstTime / 1e6 });
-    if (samples.length >= batchSize) flush();
+    samples.push({ features: row, reward: -firstTime / 1e6 });
+    if (samples.length >= sampleBatchSize) flush();
     else if (samples.length === 1) w.after(micros(flushAfter), flush);
   }
   function flush(): void {
-    const to = o.keepers()[0];
+    const to = o.controlNodes()[0];
     const ss = samples;
     if (ss.length === 0) return;
     samples = [];
     if (to !== undefined)
-      w.send(to, { kind: 'Samples', from: o.member, count: ss.length, width, rows: packSamples(ss) });
+      w.send(to, { kind: 'Samples', from: o.member, count: ss.length, width: featureCount, rows: packSamples(ss) });
   }
 
   function tell(): void {
@@ -136,9 +136,9 @@
     telling = true;
     w.after(micros(armsEvery), () => {
       telling = false;
-      const to = o.keepers()[0];
+      const to = o.controlNodes()[0];
       if (record.running === undefined) return arms.clear();
-      const now = armsOf(record.running);
+      const now = cohortNameOf(record.running);
       if (to !== undefined)
         w.send(to, { kind: 'Arms', from: o.member, arms: [...arms.values()].filter((a) => a.rehearsal === now) });
       tell();
@@ -155,8 +155,8 @@
     const ready =
       rehearsed !== undefined && (run!.state !== 'watched' || record.before === undefined || before !== undefined);
     if (run === undefined || !ready) return { model: live, completed: () => undefined };
-    const rehearsal = armsOf(run);
-    const arm = armOf(rehearsal, request, run.slice);
+    const rehearsal = cohortNameOf(run);
+    const arm = cohortOf(rehearsal, request, run.slice);
     // While a model that went live is watched, the control stays with the one before.
     const control = run.state === 'watched' ? before : live;
     return {
@@ -173,21 +173,21 @@
     // From arrival, with the waiting here; whoever failed has waited its whole patience.
     const l = Math.log(Math.max(1, whole ? x.timeToFirstChunk : x.timeout));
     const t = whole && x.timePerChunk !== undefined ? Math.log(Math.max(1, x.timePerChunk)) : undefined;
-    const counts = { ...(arms.get(k) ?? { rehearsal, ...emptyCounts(arm, x.route) }) };
+    const counts = { ...(arms.get(k) ?? { rehearsal, ...createCohortCounts(arm, x.route) }) };
     countAnswer(counts, { failed: !whole, logTtft: l, logTokenTime: t });
     arms.set(k, counts);
     for (const old of arms.keys()) if (arms.size > armsKept && !old.startsWith(rehearsal)) arms.delete(old);
   }
 
   return {
-    take,
-    version: () => at.version,
-    sample,
-    lot,
-    figures: () => ({
+    applyUpdate: take,
+    recordVersion: () => at.version,
+    recordSample: sample,
+    assignCohort: lot,
+    metrics: () => ({
       record: at.version,
       live: record.live !== undefined && models.has(record.live.hash) ? record.live.hash.slice(0, 8) : '',
-      rehearsal: record.running === undefined ? '' : `${armsOf(record.running)} ${record.running.state}`,
+      rehearsal: record.running === undefined ? '' : `${cohortNameOf(record.running)} ${record.running.state}`,
     }),
   };
 }
--- a/packages/learning/src/sample-batch.ts
+++ b/packages/learning/src/sample-batch.ts
@@ -3,9 +3,9 @@
  * (to within 0.4 %, as much as a net can learn from), column by column and the upper bytes first, deflated.
  */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
-import { width, type Sample } from '@tansypost/placement';
+import { featureCount, type Sample } from '@tansypost/placement';
 
-const columns = width + 1;
+const columns = featureCount + 1;
 const bytesAtMost = 1_000_000;
 
 export function packSamples(ss: readonly Sample[]): Buffer {
@@ -15,7 +15,7 @@
   const seen = new Uint32Array(number.buffer);
   ss.forEach((s, i) => {
     for (let j = 0; j < columns; j += 1) {
-      number[0] = j < width ? s.x[j]! : s.y;
+      number[0] = j < featureCount ? s.features[j]! : s.reward;
       bits[0] = seen[0]! + 0x8000;
       const at = j * ss.length + i;
       out[at] = bits[0] >>> 24;
@@ -38,9 +38,9 @@
     return number[0]!;
   }
   return Array.from({ length: count }, (_, i) => ({
-    x: Float32Array.from({ length: width }, (__, j) => value(i, j)),
-    y: value(i, width),
-  })).filter((s) => s.x.every(Number.isFinite) && Number.isFinite(s.y) && s.y <= 0);
+    features: Float32Array.from({ length: featureCount }, (__, j) => value(i, j)),
+    reward: value(i, featureCount),
+  })).filter((s) => s.features.every(Number.isFinite) && Number.isFinite(s.reward) && s.reward <= 0);
 }
 
 function inflated(b: Buffer): Buffer | undefined {
--- a/packages/learning/src/training-controller.ts
+++ b/packages/learning/src/training-controller.ts
@@ -4,32 +4,32 @@
  * running rehearsal uses. Only a rehearsal can make it live.
  */
 import { micros, type MessageOf, type World } from '@tansypost/inner-protocol';
-import { decodeSamples, modelHash, width, type ModelVersion, type Sample } from '@tansypost/placement';
-import { begin, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
-import type { Asker } from './asking.js';
+import { decodeSamples, modelHash, featureCount, type ModelVersion, type Sample } from '@tansypost/placement';
+import { beginRehearsal, decodeRehearsalRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
+import type { ControlStateClient } from './control-state-client.js';
 import type { RecordWriter } from './record-writer.js';
 
-export interface TrainerPort {
+export interface ModelTrainer {
   readonly add: (ss: readonly Sample[]) => void;
   readonly train: (v: ModelVersion) => Promise<Buffer>;
 }
-export interface TrainingDutyOptions {
+export interface TrainingControllerOptions {
   readonly service: string;
-  readonly holds: () => number | undefined;
+  readonly heldEpoch: () => number | undefined;
   readonly record: () => Buffer | undefined;
-  readonly asker: Pick<Asker, 'ask'>;
+  readonly controlClient: Pick<ControlStateClient, 'request'>;
   readonly writer: RecordWriter;
-  readonly trainer: TrainerPort;
-  readonly every: number;
-  readonly slice: number;
+  readonly trainer: ModelTrainer;
+  readonly samplesPerTraining: number;
+  readonly treatmentShare: number;
   readonly approval: () => 'automatic' | 'operator';
 }
-export interface TrainingDuty {
-  readonly samples: (m: MessageOf<'Samples'>) => void;
+export interface TrainingController {
+  readonly addSamples: (m: MessageOf<'Samples'>) => void;
   readonly tick: () => void;
   // There is something to train, or a model to offer.
-  readonly due: () => boolean;
-  readonly figures: () => { fresh: number; trained: number };
+  readonly isDue: () => boolean;
+  readonly metrics: () => { fresh: number; trained: number };
 }
 
 function freeSlot(r: RehearsalRecord, service: string): string | undefined {
@@ -38,25 +38,25 @@
   return [0, 1, 2, 3].map((n) => `blob/${service}/${n}`).find((k) => !used.has(k));
 }
 
-export function createTrainingDuty(w: World, o: TrainingDutyOptions): TrainingDuty {
+export function createTrainingController(w: World, o: TrainingControllerOptions): TrainingController {
   let fresh = 0;
   let trained = 0;
   let busy = false;
   let waiting: { v: ModelVersion; bytes: Buffer } | undefined;
 
   function samples(m: MessageOf<'Samples'>): void {
-    if (m.width !== width) return;
+    if (m.width !== featureCount) return;
     const ss = decodeSamples(m.rows, m.count, m.width);
     o.trainer.add(ss);
     fresh += ss.length;
   }
 
   function tick(): void {
-    const epoch = o.holds();
+    const epoch = o.heldEpoch();
     if (busy || epoch === undefined) return;
     const b = o.record();
-    const running = b !== undefined && readRecord(b).running !== undefined;
-    if (fresh >= o.every) {
+    const running = b !== undefined && decodeRehearsalRecord(b).running !== undefined;
+    if (fresh >= o.samplesPerTraining) {
       busy = true;
       fresh = 0;
       trained += 1;
@@ -82,37 +82,37 @@
   }
 
   async function offer(x: { v: ModelVersion; bytes: Buffer }): Promise<void> {
-    const r = await o.asker.ask({ op: 'read', key: `rehearsal/${o.service}`, patience: 5_000_000 });
-    if (r.status !== 'value' || o.holds() === undefined) return;
-    const blob = freeSlot(readRecord(r.value), o.service);
-    if (blob === undefined || readRecord(r.value).running !== undefined) return;
-    const old = await o.asker.ask({ op: 'read', key: blob, patience: 5_000_000 });
+    const r = await o.controlClient.request({ op: 'read', key: `rehearsal/${o.service}`, timeoutUs: 5_000_000 });
+    if (r.status !== 'value' || o.heldEpoch() === undefined) return;
+    const blob = freeSlot(decodeRehearsalRecord(r.value), o.service);
+    if (blob === undefined || decodeRehearsalRecord(r.value).running !== undefined) return;
+    const old = await o.controlClient.request({ op: 'read', key: blob, timeoutUs: 5_000_000 });
     if (old.status !== 'value') return;
     const hash = modelHash(x.bytes);
-    const put = await o.asker.ask({
+    const put = await o.controlClient.request({
       op: 'write',
       key: blob,
       change: hash,
       base: old.version,
       value: x.bytes,
-      patience: 5_000_000,
+      timeoutUs: 5_000_000,
     });
-    if (put.status !== 'done' || o.holds() === undefined) return;
+    if (put.status !== 'done' || o.heldEpoch() === undefined) return;
     const model: ModelRef = { version: x.v, hash, blob };
-    const done = await o.writer.change(
+    const done = await o.writer.update(
       (rec) =>
         rec.running === undefined && freeSlotFits(rec, blob, o.service)
-          ? begin(rec, `model-${x.v.epoch}-${x.v.n}`, { type: 'model', model }, o.slice, o.approval())
+          ? beginRehearsal(rec, `model-${x.v.epoch}-${x.v.n}`, { type: 'model', model }, o.treatmentShare, o.approval())
           : undefined,
-      () => o.holds() !== undefined,
+      () => o.heldEpoch() !== undefined,
     );
     if (done !== undefined && waiting === x) waiting = undefined;
   }
   return {
-    samples,
+    addSamples: samples,
     tick,
-    due: () => busy || waiting !== undefined || fresh >= o.every,
-    figures: () => ({ fresh, trained }),
+    isDue: () => busy || waiting !== undefined || fresh >= o.samplesPerTraining,
+    metrics: () => ({ fresh, trained }),
   };
 }
 
--- a/packages/pass-through/src/assign-worker-pair.test.ts
+++ b/packages/pass-through/src/assign-worker-pair.test.ts
@@ -14,7 +14,7 @@
   targetLatency: 800_000,
   kvBytesPerToken: 18_432,
   linkMbps: 740_000,
-  placement: { ...placementDefaults, explore: 0 },
+  placement: { ...placementDefaults, explorationRate: 0 },
 };
 function requestWithPrompt(group: string, shared: number, own: number): IncomingRequest {
   return {
--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -10,7 +10,7 @@
   type Assignment,
   type Model,
   type PlacementOptions,
-  type PromptFacts,
+  type PromptSummary,
 } from '@tansypost/placement';
 import { hash32, rendezvous } from '@tansypost/inner-protocol';
 import type { IncomingRequest } from './incoming-request.js';
@@ -135,7 +135,7 @@
   const group = promptGroup(request);
   const tokens = cumulativeTokens(request);
   const shared = tokens[Math.max(0, request.promptSegments.length - 1)]!;
-  const promptFacts: PromptFacts = { tokens: request.promptTokens, blocks, group };
+  const promptFacts: PromptSummary = { tokens: request.promptTokens, blocks, prefixGroup: group };
 
   // Routers do not share which prefixes they sent where, but all rank the workers of a group alike by rendezvous
   // hashing: the first is assumed to have most of the shared prefix cached, the second, which receives the overflow,
@@ -261,14 +261,14 @@
     {
       prompt: promptFacts,
       candidates: scored.map((view) => view.candidate),
-      expected: (candidate) => prefillTime(viewOf(candidate)),
-      expectedHit: (candidate) => prefillCached(viewOf(candidate)) / Math.max(1, request.promptTokens),
-      priced: (candidate, time) => prefillCost(viewOf(candidate), time),
+      expectedTtft: (candidate) => prefillTime(viewOf(candidate)),
+      expectedHitShare: (candidate) => prefillCached(viewOf(candidate)) / Math.max(1, request.promptTokens),
+      costOf: (candidate, time) => prefillCost(viewOf(candidate), time),
       hits,
       model,
       now,
       random,
-      first: (candidates) => {
+      selectBaseline: (candidates) => {
         const best = cheapest(scored, (view) => prefillCost(view, prefillTime(view)))!;
         return candidates.find((candidate) => candidate.worker === best.worker.id)!;
       },
--- a/packages/pass-through/src/handler-context.ts
+++ b/packages/pass-through/src/handler-context.ts
@@ -1,6 +1,11 @@
 /** State shared by the attempts of all requests: worker table, prefix tree, retry budget, estimates and counters. */
 import type { World } from '@tansypost/inner-protocol';
-import { createPaces, createRadixTree, placementDefaults, type PlacementOptions } from '@tansypost/placement';
+import {
+  createThroughputTracker,
+  createRadixTree,
+  placementDefaults,
+  type PlacementOptions,
+} from '@tansypost/placement';
 import { createAdmission, type Admission } from './admission.js';
 import { createResponseTimeouts, type ResponseTimeouts } from './response-timeouts.js';
 import { defaultPairCosts } from './assign-worker-pair.js';
@@ -40,7 +45,7 @@
   readonly placement: PlacementOptions;
   readonly pairCosts: typeof defaultPairCosts;
   readonly fleet: WorkerFleet;
-  readonly paces: ReturnType<typeof createPaces>;
+  readonly paces: ReturnType<typeof createThroughputTracker>;
   readonly prefixTree: ReturnType<typeof createRadixTree>;
   readonly retryBudget: RetryBudget;
   readonly admission: Admission;
@@ -56,7 +61,7 @@
   options: RequestHandlerOptions,
   ports: RequestHandlerPorts,
 ): HandlerContext {
-  const paces = createPaces();
+  const paces = createThroughputTracker();
   const counts = new Map<string, number>();
 
   function count(event: string): number {
--- a/packages/pass-through/src/prefill-attempt.ts
+++ b/packages/pass-through/src/prefill-attempt.ts
@@ -1,6 +1,6 @@
 /** One attempt to prefill a prompt at a prefill worker. */
 import { micros } from '@tansypost/inner-protocol';
-import type { Reason } from '@tansypost/placement';
+import type { PlacementReason } from '@tansypost/placement';
 import { promptBlocks, type WorkerPair } from './assign-worker-pair.js';
 import { createAttemptAbort, type AttemptAbort } from './attempt-abort.js';
 import { nextCheckIn, prefillTiming, type AttemptTiming } from './attempt-timing.js';
@@ -12,7 +12,7 @@
 import type { FleetWorker, AttemptTracker } from './worker-fleet.js';
 
 /** Reasons for a choice that are not logged. */
-const unloggedReasons: readonly Reason[] = ['scored', 'explored', 'only'];
+const unloggedReasons: readonly PlacementReason[] = ['scored', 'explored', 'only'];
 
 interface PrefillAttempt {
   readonly inFlight: InFlightRequest;
@@ -27,7 +27,7 @@
 }
 
 /** Counts every choice by its reason; reasons other than the model's are logged at each power of ten. */
-function countReason(context: HandlerContext, reason: Reason): void {
+function countReason(context: HandlerContext, reason: PlacementReason): void {
   const times = context.count(`reader ${reason}`);
   if (!unloggedReasons.includes(reason) && Number.isInteger(Math.log10(times)))
     context.world.log(4001, { reason, n: times });
@@ -87,8 +87,8 @@
   attempt.tracker.finish('done');
   context.prefixTree.insert(promptBlocks(inFlight.request), prefillWorker.id, now);
   if (pair.assignment === undefined) return;
-  context.paces.saw(prefillWorker.id, pair.prefillWorkerTokens, now - startedAt, pair.assignment.worker.running);
-  inFlight.placementSample = { features: pair.assignment.row, chosenAt: startedAt };
+  context.paces.record(prefillWorker.id, pair.prefillWorkerTokens, now - startedAt, pair.assignment.worker.running);
+  inFlight.placementSample = { features: pair.assignment.featureRow, chosenAt: startedAt };
   countReason(context, pair.assignment.reason);
 }
 
--- a/packages/pass-through/src/request-handler.ts
+++ b/packages/pass-through/src/request-handler.ts
@@ -154,7 +154,7 @@
 
   function updateWorkers(workerList: readonly FleetWorker[]): void {
     workers = workerList;
-    for (const id of fleet.updateWorkers(workerList)) tree.forget(id);
+    for (const id of fleet.updateWorkers(workerList)) tree.removeWorker(id);
     onStateChanged();
   }
 
--- a/packages/placement/src/assignment.ts
+++ b/packages/placement/src/assignment.ts
@@ -6,60 +6,60 @@
  * and it is looked for inside the narrowed set.
  */
 import { rendezvous } from '@tansypost/inner-protocol';
-import type { Candidate, PromptFacts } from './capture.js';
-import { features } from './features.js';
-import { heuristic, type HeuristicOptions } from './heuristic.js';
-import { inRange, scoreAll, type Model } from './model.js';
+import type { Candidate, PromptSummary } from './worker-snapshot.js';
+import { computeFeatures } from './features.js';
+import { selectByHeuristic, type HeuristicOptions } from './heuristic.js';
+import { isInTrainingRange, predictTtft, type Model } from './model.js';
 
 export interface PlacementOptions extends HeuristicOptions {
-  readonly explore: number;
+  readonly explorationRate: number;
   readonly minSamples: number;
-  readonly delta: number;
-  readonly saturation: number;
-  readonly benefit: number;
-  readonly k: number;
-  readonly timeout: number;
-  readonly trust: number;
+  readonly nearBestTolerance: number;
+  readonly kvSaturation: number;
+  readonly minReusedTokens: number;
+  readonly narrowedWorkers: number;
+  readonly scoringTimeoutUs: number;
+  readonly maxExpectedSlowdown: number;
 }
 
 export const placementDefaults: PlacementOptions = {
-  imbalance: 8,
-  overload: 1,
-  explore: 0.02,
+  maxLoadImbalance: 8,
+  maxLoadDeviations: 1,
+  explorationRate: 0.02,
   minSamples: 1000,
-  delta: 0.1,
-  saturation: 0.8,
-  benefit: 512,
-  k: 2,
-  timeout: 5000,
-  trust: 3,
+  nearBestTolerance: 0.1,
+  kvSaturation: 0.8,
+  minReusedTokens: 512,
+  narrowedWorkers: 2,
+  scoringTimeoutUs: 5000,
+  maxExpectedSlowdown: 3,
 };
 
-export type Reason = 'scored' | 'explored' | 'cold' | 'range' | 'timeout' | 'error' | 'only';
+export type PlacementReason = 'scored' | 'explored' | 'cold' | 'range' | 'timeout' | 'error' | 'only';
 export interface Assignment {
   readonly worker: Candidate;
-  readonly reason: Reason;
+  readonly reason: PlacementReason;
   readonly narrowed: boolean;
-  readonly row: Float32Array;
-  readonly predicted: number | undefined;
+  readonly featureRow: Float32Array;
+  readonly predictedTtft: number | undefined;
 }
 
 export interface AssignInput {
-  readonly prompt: PromptFacts;
+  readonly prompt: PromptSummary;
   readonly candidates: readonly Candidate[];
   readonly hits: ReadonlyMap<string, number>;
   readonly model: Model | undefined;
   readonly now: () => number;
   readonly random: () => number;
   // The heuristic's choice where the caller knows more than loads and hits; else Algorithm 1 of the paper.
-  readonly first?: (cs: readonly Candidate[]) => Candidate;
+  readonly selectBaseline?: (cs: readonly Candidate[]) => Candidate;
   // What a choice costs with the time that the model predicts for it, in microseconds, where more than time counts.
-  readonly priced?: (c: Candidate, predicted: number) => number;
+  readonly costOf?: (c: Candidate, predicted: number) => number;
   // The share of the prompt expected to be held there, where the caller knows more than its blocks.
-  readonly expectedHit?: (c: Candidate) => number;
+  readonly expectedHitShare?: (c: Candidate) => number;
   // The time until the first token as the caller expects it: a choice for which it is `trust` times that of the
   // heuristic's, or more, is out of range.
-  readonly expected?: (c: Candidate) => number;
+  readonly expectedTtft?: (c: Candidate) => number;
 }
 
 export function assignPrefill(i: AssignInput, o: PlacementOptions): Assignment | undefined {
@@ -67,37 +67,38 @@
   if (cs.length === 0) return undefined;
   const whole = Math.max(1, i.prompt.blocks.length);
   function hit(c: Candidate): number {
-    return Math.min(1, i.expectedHit?.(c) ?? (i.hits.get(c.worker) ?? 0) / whole);
+    return Math.min(1, i.expectedHitShare?.(c) ?? (i.hits.get(c.worker) ?? 0) / whole);
   }
   function rowOf(c: Candidate): Float32Array {
-    return features(i.prompt, hit(c), c);
+    return computeFeatures(i.prompt, hit(c), c);
   }
-  const h = i.first?.(cs) ?? heuristic(cs, hit, o, i.random);
-  function take(c: Candidate, reason: Reason, narrowed = false, predicted?: number): Assignment {
-    return { worker: c, reason, narrowed, row: rowOf(c), predicted };
+  const h = i.selectBaseline?.(cs) ?? selectByHeuristic(cs, hit, o, i.random);
+  function take(c: Candidate, reason: PlacementReason, narrowed = false, predicted?: number): Assignment {
+    return { worker: c, reason, narrowed, featureRow: rowOf(c), predictedTtft: predicted };
   }
-  if (i.random() < o.explore) return take(cs[Math.floor(i.random() * cs.length)]!, 'explored');
+  if (i.random() < o.explorationRate) return take(cs[Math.floor(i.random() * cs.length)]!, 'explored');
   if (cs.length === 1) return take(h, 'only');
-  if (i.model === undefined || i.model.samples < o.minSamples) return take(h, 'cold');
+  if (i.model === undefined || i.model.sampleCount < o.minSamples) return take(h, 'cold');
   const rows = cs.map(rowOf);
   if (i.model.predictor.sizes[0] !== rows[0]!.length) return take(h, 'error');
   const s = i.model.scaling;
-  if (!rows.every((r) => inRange(s, r))) return take(h, 'range');
-  const limit = i.now() + o.timeout;
-  const ys = scoreAll(i.model, rows, () => i.now() > limit);
+  if (!rows.every((r) => isInTrainingRange(s, r))) return take(h, 'range');
+  const limit = i.now() + o.scoringTimeoutUs;
+  const ys = predictTtft(i.model, rows, () => i.now() > limit);
   if (ys === undefined) return take(h, 'timeout');
   if (!ys.every(Number.isFinite)) return take(h, 'error');
   const kv = cs.reduce((a, c) => a + c.kvUsed, 0) / cs.length;
-  const narrowed = kv > o.saturation && Math.max(...cs.map(hit)) * i.prompt.tokens > o.benefit;
-  const set = narrowed ? rendezvous(i.prompt.group, cs, (c) => c.worker).slice(0, o.k) : cs;
+  const narrowed = kv > o.kvSaturation && Math.max(...cs.map(hit)) * i.prompt.tokens > o.minReusedTokens;
+  const set = narrowed ? rendezvous(i.prompt.prefixGroup, cs, (c) => c.worker).slice(0, o.narrowedWorkers) : cs;
   const scored = set.map((c) => {
     const y = Math.max(1e-4, ys[cs.indexOf(c)]!);
-    return { c, y, cost: i.priced?.(c, Math.round(y * 1e6)) ?? y };
+    return { c, y, cost: i.costOf?.(c, Math.round(y * 1e6)) ?? y };
   });
   const best = Math.min(...scored.map((x) => x.cost));
-  const near = scored.filter((x) => x.cost <= (1 + o.delta) * best);
+  const near = scored.filter((x) => x.cost <= (1 + o.nearBestTolerance) * best);
   const one = near[Math.floor(i.random() * near.length)]!;
-  if (i.expected !== undefined && i.expected(one.c) > o.trust * i.expected(h)) return take(h, 'range', narrowed);
+  if (i.expectedTtft !== undefined && i.expectedTtft(one.c) > o.maxExpectedSlowdown * i.expectedTtft(h))
+    return take(h, 'range', narrowed);
   return take(one.c, 'scored', narrowed, one.y);
 }
 
@@ -118,7 +119,7 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { createPredictor } = await import('./predictor.js');
-  const { width } = await import('./features.js');
+  const { featureCount } = await import('./features.js');
   const { createSeededRandom } = await import('@tansypost/inner-protocol');
   function cand(worker: string, x: Partial<Candidate> = {}): Candidate {
     return {
@@ -135,25 +136,25 @@
   }
   // A model of known behaviour: TTFT falls with the hit and rises with the running requests.
   function linear(samples = 5000): Model {
-    const p = createPredictor(width, 1, [2]);
+    const p = createPredictor(featureCount, 1, [2]);
     p.weights[0]!.fill(0);
     p.weights[1]!.fill(-1);
     p.weights[0]![3 * 2] = 1;
     p.weights[0]![1 * 2] = -0.5;
     p.biases[0]!.fill(1);
     const s = {
-      mean: new Float32Array(width),
-      sd: new Float32Array(width).fill(1),
-      low: new Float32Array(width),
-      high: new Float32Array(width).fill(1e6),
+      mean: new Float32Array(featureCount),
+      deviation: new Float32Array(featureCount).fill(1),
+      low: new Float32Array(featureCount),
+      high: new Float32Array(featureCount).fill(1e6),
       yMean: 0,
       ySd: 1,
     };
-    return { version: { epoch: 1, n: 1 }, samples, predictor: p, scaling: s };
+    return { version: { epoch: 1, n: 1 }, sampleCount: samples, predictor: p, scaling: s };
   }
-  const prompt = { tokens: 1600, blocks: [...Array(100).keys()], group: 'g' };
+  const prompt = { tokens: 1600, blocks: [...Array(100).keys()], prefixGroup: 'g' };
   const base = { prompt, hits: new Map([['a', 80]]), now: () => 0, random: createSeededRandom(1) };
-  const o = { ...placementDefaults, explore: 0 };
+  const o = { ...placementDefaults, explorationRate: 0 };
   it('says why it fell back, for each reason', () => {
     const cs = [cand('a'), cand('b', { running: 3 })];
     expect(assignPrefill({ ...base, candidates: cs, model: undefined }, o)).toMatchObject({
@@ -171,7 +172,9 @@
     const nan = linear();
     nan.predictor.weights[1]!.fill(NaN);
     expect(assignPrefill({ ...base, candidates: cs, model: nan }, o)?.reason).toBe('error');
-    expect(assignPrefill({ ...base, candidates: cs, model: linear() }, { ...o, explore: 1 })?.reason).toBe('explored');
+    expect(assignPrefill({ ...base, candidates: cs, model: linear() }, { ...o, explorationRate: 1 })?.reason).toBe(
+      'explored',
+    );
     expect(assignPrefill({ ...base, candidates: [], model: linear() }, o)).toBeUndefined();
   });
   it('takes the best predicted, and draws evenly among the near best', () => {
--- a/packages/placement/src/blocks.ts
+++ b/packages/placement/src/blocks.ts
@@ -4,14 +4,14 @@
  * its number depends on nothing but its own text, since the tree keeps the order.
  */
 import { hash32 } from '@tansypost/inner-protocol';
-import type { PromptFacts } from './capture.js';
+import type { PromptSummary } from './worker-snapshot.js';
 
-export const blockTokens = 16;
+export const tokensPerBlock = 16;
 
-export function promptFacts(p: string, groupBlocks = 4): PromptFacts {
+export function summarizePrompt(p: string, groupBlocks = 4): PromptSummary {
   const ts = p.match(/\S+\s*/g) ?? [];
   const blocks: number[] = [];
-  for (let i = 0; i + blockTokens <= ts.length; i += blockTokens)
-    blocks.push(hash32(ts.slice(i, i + blockTokens).join('')));
-  return { tokens: ts.length, blocks, group: blocks.slice(0, groupBlocks).join('.') };
+  for (let i = 0; i + tokensPerBlock <= ts.length; i += tokensPerBlock)
+    blocks.push(hash32(ts.slice(i, i + tokensPerBlock).join('')));
+  return { tokens: ts.length, blocks, prefixGroup: blocks.slice(0, groupBlocks).join('.') };
 }
--- a/packages/placement/src/features.ts
+++ b/packages/placement/src/features.ts
@@ -3,9 +3,9 @@
  * hit, and the worker's state. No feature names a worker. The paper's GPU model is replaced by a
  * speed class read from observed pace, one column a class.
  */
-import type { Candidate, PromptFacts } from './capture.js';
+import type { Candidate, PromptSummary } from './worker-snapshot.js';
 
-export const speedClasses = 4;
+export const speedClassCount = 4;
 export const featureNames = [
   'tokens',
   'hit',
@@ -20,10 +20,10 @@
   'classMiddle',
   'classFast',
 ] as const;
-export const width = featureNames.length;
+export const featureCount = featureNames.length;
 
-export function features(p: PromptFacts, hit: number, c: Candidate): Float32Array {
-  const x = new Float32Array(width);
+export function computeFeatures(p: PromptSummary, hit: number, c: Candidate): Float32Array {
+  const x = new Float32Array(featureCount);
   x[0] = p.tokens;
   x[1] = hit;
   x[2] = p.tokens * (1 - hit);
@@ -32,6 +32,6 @@
   x[5] = c.prefillTokens;
   x[6] = c.decodeTokens;
   x[7] = c.kvUsed;
-  x[8 + Math.min(speedClasses - 1, Math.max(0, c.speedClass))] = 1;
+  x[8 + Math.min(speedClassCount - 1, Math.max(0, c.speedClass))] = 1;
   return x;
 }
--- a/packages/placement/src/model.ts
+++ b/packages/placement/src/model.ts
@@ -14,7 +14,7 @@
 }
 export interface Scaling {
   readonly mean: Float32Array;
-  readonly sd: Float32Array;
+  readonly deviation: Float32Array;
   readonly low: Float32Array;
   readonly high: Float32Array;
   readonly yMean: number;
@@ -22,7 +22,7 @@
 }
 export interface Model {
   readonly version: ModelVersion;
-  readonly samples: number;
+  readonly sampleCount: number;
   readonly predictor: Predictor;
   readonly scaling: Scaling;
 }
@@ -30,7 +30,7 @@
 export function encodeModel(m: Model): Buffer {
   const head = {
     version: m.version,
-    samples: m.samples,
+    samples: m.sampleCount,
     sizes: m.predictor.sizes,
     yMean: m.scaling.yMean,
     ySd: m.scaling.ySd,
@@ -40,7 +40,7 @@
   n.writeUInt32BE(h.length, 0);
   const arrays = [
     m.scaling.mean,
-    m.scaling.sd,
+    m.scaling.deviation,
     m.scaling.low,
     m.scaling.high,
     ...m.predictor.weights,
@@ -74,21 +74,21 @@
         return a;
       }
       const w = head.sizes[0]!;
-      const [mean, sd, low, high] = [take(w), take(w), take(w), take(w)];
+      const [mean, deviation, low, high] = [take(w), take(w), take(w), take(w)];
       const weights = head.sizes.slice(1).map((m, i) => take(m * head.sizes[i]!));
       const biases = head.sizes.slice(1).map((m) => take(m));
       return {
         version: head.version,
-        samples: head.samples,
+        sampleCount: head.samples,
         predictor: { sizes: head.sizes, weights, biases },
-        scaling: { mean, sd, low, high, yMean: head.yMean, ySd: head.ySd },
+        scaling: { mean, deviation, low, high, yMean: head.yMean, ySd: head.ySd },
       };
     },
     (e) => (e instanceof Error ? e : new TansypostError(String(e))),
   );
 }
 
-export function inRange(s: Scaling, x: Float32Array): boolean {
+export function isInTrainingRange(s: Scaling, x: Float32Array): boolean {
   for (let i = 0; i < x.length; i += 1) {
     const room = 0.05 * (s.high[i]! - s.low[i]!);
     if (x[i]! < s.low[i]! - room || x[i]! > s.high[i]! + room) return false;
@@ -97,13 +97,13 @@
 }
 
 // The predicted TTFT in seconds of each row, all in one batch; undefined when time ran out.
-export function scoreAll(m: Model, rows: readonly Float32Array[], expired?: () => boolean): number[] | undefined {
+export function predictTtft(m: Model, rows: readonly Float32Array[], expired?: () => boolean): number[] | undefined {
   const w = m.predictor.sizes[0]!;
   const x = new Float32Array(rows.length * w);
   rows.forEach((r, i) => {
-    for (let j = 0; j < w; j += 1) x[i * w + j] = (r[j]! - m.scaling.mean[j]!) / m.scaling.sd[j]!;
+    for (let j = 0; j < w; j += 1) x[i * w + j] = (r[j]! - m.scaling.mean[j]!) / m.scaling.deviation[j]!;
   });
   const p = forward(m.predictor, x, rows.length, undefined, expired);
   if (p === undefined) return undefined;
-  return Array.from(p.outs.at(-1)!, (v) => -(v * m.scaling.ySd + m.scaling.yMean));
+  return Array.from(p.activations.at(-1)!, (v) => -(v * m.scaling.ySd + m.scaling.yMean));
 }
--- a/packages/placement/src/predictor.ts
+++ b/packages/placement/src/predictor.ts
@@ -31,9 +31,9 @@
   return { sizes, weights, biases };
 }
 
-export interface Pass {
-  readonly outs: Float32Array[];
-  readonly masks: (Float32Array | undefined)[];
+export interface ForwardPass {
+  readonly activations: Float32Array[];
+  readonly dropoutMasks: (Float32Array | undefined)[];
 }
 
 export function forward(
@@ -42,7 +42,7 @@
   n: number,
   drop?: { rate: number; random: () => number },
   expired?: () => boolean,
-): Pass | undefined {
+): ForwardPass | undefined {
   const outs: Float32Array[] = [x];
   const masks: (Float32Array | undefined)[] = [];
   for (let l = 0; l < p.weights.length; l += 1) {
@@ -76,7 +76,7 @@
     masks.push(mask);
     outs.push(out);
   }
-  return { outs, masks };
+  return { activations: outs, dropoutMasks: masks };
 }
 
 export interface Gradients {
@@ -84,7 +84,7 @@
   readonly biases: Float32Array[];
 }
 
-export function noGradients(p: Predictor): Gradients {
+export function createZeroGradients(p: Predictor): Gradients {
   return {
     weights: p.weights.map((w) => new Float32Array(w.length)),
     biases: p.biases.map((b) => new Float32Array(b.length)),
@@ -92,16 +92,22 @@
 }
 
 // `up` is the derivative of the loss by each output of the batch. What it finds is added to `into`.
-export function backward(p: Predictor, pass: Pass, n: number, up: Float32Array, into = noGradients(p)): Gradients {
+export function backward(
+  p: Predictor,
+  pass: ForwardPass,
+  n: number,
+  up: Float32Array,
+  into = createZeroGradients(p),
+): Gradients {
   const { weights: gw, biases: gb } = into;
   let d = up;
   for (let l = p.weights.length - 1; l >= 0; l -= 1) {
     const a = p.sizes[l]!;
     const b = p.sizes[l + 1]!;
-    const inp = pass.outs[l]!;
+    const inp = pass.activations[l]!;
     const w = p.weights[l]!;
     const below = new Float32Array(n * a);
-    const mask = l > 0 ? pass.masks[l - 1] : undefined;
+    const mask = l > 0 ? pass.dropoutMasks[l - 1] : undefined;
     for (let i = 0; i < n; i += 1) {
       for (let m = 0; m < b; m += 1) gb[l]![m]! += d[i * b + m]!;
       for (let j = 0; j < a; j += 1) {
@@ -132,7 +138,7 @@
     for (const rate of [0, 0.3]) {
       const p = createPredictor(4, 9, [8, 8, 8]);
       function loss(): number {
-        const o = forward(p, x, n, { rate, random: createSeededRandom(5) })!.outs.at(-1)!;
+        const o = forward(p, x, n, { rate, random: createSeededRandom(5) })!.activations.at(-1)!;
         return o.reduce((s, v, i) => s + 0.5 * (v - y[i]!) ** 2, 0);
       }
       const pass = forward(p, x, n, { rate, random: createSeededRandom(5) })!;
@@ -140,7 +146,7 @@
         p,
         pass,
         n,
-        pass.outs.at(-1)!.map((v, i) => v - y[i]!),
+        pass.activations.at(-1)!.map((v, i) => v - y[i]!),
       );
       let checked = 0;
       for (let l = 0; l < 4; l += 1) {
--- a/packages/placement/src/radix-tree.ts
+++ b/packages/placement/src/radix-tree.ts
@@ -17,8 +17,8 @@
   // Only sends after `since` count, where it is given: what was read long ago has given way.
   readonly hits: (blocks: readonly number[], since?: number) => Map<string, number>;
   readonly insert: (blocks: readonly number[], worker: string, now: number) => void;
-  readonly forget: (worker: string) => void;
-  readonly size: () => number;
+  readonly removeWorker: (worker: string) => void;
+  readonly blockCount: () => number;
 }
 
 export function createRadixTree(limitBlocks = 200_000): RadixTree {
@@ -102,7 +102,7 @@
     }
   }
 
-  return { hits, insert, forget: (worker) => forgetIn(root, worker), size: () => size };
+  return { hits, insert, removeWorker: (worker) => forgetIn(root, worker), blockCount: () => size };
 }
 
 if (import.meta.vitest) {
@@ -121,7 +121,7 @@
           if (n > 0) want.set(w, Math.max(n, want.get(w) ?? 0));
         }
         expect(t.hits(p)).toEqual(want);
-        t.forget('a');
+        t.removeWorker('a');
         want.delete('a');
         expect(t.hits(p)).toEqual(want);
       }),
@@ -131,7 +131,7 @@
   it('stays within its bound', () => {
     const t = createRadixTree(100);
     for (let i = 0; i < 200; i += 1) t.insert([i, i + 1, i + 2, i + 3, i + 4], 'w', i);
-    expect(t.size()).toBeLessThanOrEqual(100);
+    expect(t.blockCount()).toBeLessThanOrEqual(100);
     expect(t.hits([199, 200]).get('w')).toBe(2);
   });
 }
--- a/packages/placement/src/throughput.ts
+++ b/packages/placement/src/throughput.ts
@@ -4,13 +4,13 @@
  * hardware type. Class 0 is unknown; 1 to 3 are slow, middle and fast against the fleet's median.
  */
 
-export interface Paces {
-  readonly saw: (worker: string, missTokens: number, us: number, load: number) => void;
+export interface ThroughputTracker {
+  readonly record: (worker: string, missTokens: number, us: number, load: number) => void;
   readonly speedClass: (worker: string) => number;
-  readonly forget: (worker: string) => void;
+  readonly removeWorker: (worker: string) => void;
 }
 
-export function createPaces(): Paces {
+export function createThroughputTracker(): ThroughputTracker {
   const table = new Map<string, { pace: number; n: number }>();
   function saw(worker: string, miss: number, us: number, load: number): void {
     if (miss < 32 || us <= 0 || load > 2) return;
@@ -29,5 +29,5 @@
     if (t.pace < 0.75 * mid) return 1;
     return t.pace > 1.33 * mid ? 3 : 2;
   }
-  return { saw, speedClass, forget: (w) => table.delete(w) };
+  return { record: saw, speedClass, removeWorker: (w) => table.delete(w) };
 }
--- a/packages/placement/src/training.ts
+++ b/packages/placement/src/training.ts
@@ -5,37 +5,37 @@
  * the last model. It runs away from every request: in a worker thread, or in steps of a few milliseconds each.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
-import { width } from './features.js';
+import { featureCount } from './features.js';
 import type { Model, ModelVersion, Scaling } from './model.js';
-import { backward, createPredictor, forward, noGradients, type Predictor } from './predictor.js';
+import { backward, createPredictor, forward, createZeroGradients, type Predictor } from './predictor.js';
 import type { Sample } from './samples.js';
 
 export interface TrainingOptions {
-  readonly fifo: number;
-  readonly replay: number;
-  readonly every: number;
+  readonly fifoCapacity: number;
+  readonly replayCapacity: number;
+  readonly samplesPerTraining: number;
   readonly passes: number;
-  readonly batch: number;
-  readonly rate: number;
-  readonly dropout: number;
+  readonly batchSize: number;
+  readonly learningRate: number;
+  readonly dropoutRate: number;
 }
 export const trainingDefaults: TrainingOptions = {
-  fifo: 5000,
-  replay: 5000,
-  every: 1000,
+  fifoCapacity: 5000,
+  replayCapacity: 5000,
+  samplesPerTraining: 1000,
   passes: 4,
-  batch: 64,
-  rate: 1e-3,
-  dropout: 0.1,
+  batchSize: 64,
+  learningRate: 1e-3,
+  dropoutRate: 0.1,
 };
 
 export interface Trainer {
   readonly add: (ss: readonly Sample[]) => void;
-  readonly due: () => boolean;
+  readonly isDue: () => boolean;
   readonly train: (v: ModelVersion, seed: number) => Model;
   // The same in steps, each of which takes no more than so many rows through the net.
-  readonly steps: (v: ModelVersion, seed: number, rows: number) => Generator<undefined, Model>;
-  readonly sizes: () => { fifo: number; replay: number };
+  readonly trainInSteps: (v: ModelVersion, seed: number, rows: number) => Generator<undefined, Model>;
+  readonly poolSizes: () => { fifo: number; replay: number };
 }
 
 interface Kept {
@@ -57,12 +57,12 @@
   function gradientOf(s: Sample): Float32Array {
     const g = new Float32Array(sketch);
     if (last === undefined) {
-      for (let j = 0; j < sketch; j += 1) g[j] = s.x[j % width]!;
+      for (let j = 0; j < sketch; j += 1) g[j] = s.features[j % featureCount]!;
       return g;
     }
-    const p = forward(last.predictor, scale(last.scaling, s.x), 1)!;
-    const h = p.outs.at(-2)!;
-    const res = p.outs.at(-1)![0]! - (s.y - last.scaling.yMean) / last.scaling.ySd;
+    const p = forward(last.predictor, scale(last.scaling, s.features), 1)!;
+    const h = p.activations.at(-2)!;
+    const res = p.activations.at(-1)![0]! - (s.reward - last.scaling.yMean) / last.scaling.ySd;
     for (let i = 0; i < h.length; i += 1) {
       const v = h[i]! * res;
       if (v !== 0) for (let j = 0; j < sketch; j += 1) g[j]! += v * project[i * sketch + j]!;
@@ -80,7 +80,7 @@
     const g = gradientOf(s);
     let near = Infinity;
     for (const k of replay) near = Math.min(near, apart(g, k.g));
-    if (replay.length < o.replay) {
+    if (replay.length < o.replayCapacity) {
       replay.push({ s, g, near });
       return;
     }
@@ -93,7 +93,7 @@
     fifo.push(...ss);
     fresh += ss.length;
     total += ss.length;
-    const out = fifo.length - o.fifo;
+    const out = fifo.length - o.fifoCapacity;
     if (out > 0) {
       for (const s of fifo.slice(0, out)) admit(s);
       fifo = fifo.slice(out);
@@ -101,7 +101,7 @@
   }
 
   function train(v: ModelVersion, seed: number): Model {
-    const g = steps(v, seed, o.batch);
+    const g = steps(v, seed, o.batchSize);
     for (;;) {
       const x = g.next();
       if (x.done === true) return x.value;
@@ -111,48 +111,48 @@
   function* steps(v: ModelVersion, seed: number, rows: number): Generator<undefined, Model> {
     fresh = 0;
     const all = [...fifo, ...replay.map((k) => k.s)];
-    const scaling = measure(all);
-    const p = last === undefined ? createPredictor(width, seed) : rescale(last, scaling);
+    const scaling = computeScaling(all);
+    const p = last === undefined ? createPredictor(featureCount, seed) : rescale(last, scaling);
     yield* fit(p, scaling, all, o, createSeededRandom(seed), rows);
-    const m = { version: v, samples: total, predictor: p, scaling };
+    const m = { version: v, sampleCount: total, predictor: p, scaling };
     last = m;
     return m;
   }
 
   return {
     add,
-    due: () => fresh >= o.every,
+    isDue: () => fresh >= o.samplesPerTraining,
     train,
-    steps,
-    sizes: () => ({ fifo: fifo.length, replay: replay.length }),
+    trainInSteps: steps,
+    poolSizes: () => ({ fifo: fifo.length, replay: replay.length }),
   };
 }
 
 function scale(s: Scaling, x: Float32Array): Float32Array {
-  return x.map((v, j) => (v - s.mean[j]!) / s.sd[j]!);
+  return x.map((v, j) => (v - s.mean[j]!) / s.deviation[j]!);
 }
 
-export function measure(ss: readonly Sample[]): Scaling {
-  const mean = new Float32Array(width);
-  const sd = new Float32Array(width);
-  const low = new Float32Array(width).fill(Infinity);
-  const high = new Float32Array(width).fill(-Infinity);
-  for (let j = 0; j < width; j += 1) {
+export function computeScaling(ss: readonly Sample[]): Scaling {
+  const mean = new Float32Array(featureCount);
+  const sd = new Float32Array(featureCount);
+  const low = new Float32Array(featureCount).fill(Infinity);
+  const high = new Float32Array(featureCount).fill(-Infinity);
+  for (let j = 0; j < featureCount; j += 1) {
     let m = 0;
     for (const s of ss) {
-      m += s.x[j]!;
-      low[j] = Math.min(low[j]!, s.x[j]!);
-      high[j] = Math.max(high[j]!, s.x[j]!);
+      m += s.features[j]!;
+      low[j] = Math.min(low[j]!, s.features[j]!);
+      high[j] = Math.max(high[j]!, s.features[j]!);
     }
     m /= ss.length;
     let q = 0;
-    for (const s of ss) q += (s.x[j]! - m) ** 2;
+    for (const s of ss) q += (s.features[j]! - m) ** 2;
     mean[j] = m;
     sd[j] = Math.sqrt(q / ss.length) || 1;
   }
-  const yMean = ss.reduce((a, s) => a + s.y, 0) / ss.length;
-  const ySd = Math.sqrt(ss.reduce((a, s) => a + (s.y - yMean) ** 2, 0) / ss.length) || 1;
-  return { mean, sd, low, high, yMean, ySd };
+  const yMean = ss.reduce((a, s) => a + s.reward, 0) / ss.length;
+  const ySd = Math.sqrt(ss.reduce((a, s) => a + (s.reward - yMean) ** 2, 0) / ss.length) || 1;
+  return { mean, deviation: sd, low, high, yMean, ySd };
 }
 
 // Carries the last weights over to new statistics, so that the model says the same as before it trains on.
@@ -163,9 +163,9 @@
     biases: m.predictor.biases.map((b) => b.slice()),
   };
   const b = p.sizes[1]!;
-  for (let j = 0; j < width; j += 1) {
-    const f = s.sd[j]! / m.scaling.sd[j]!;
-    const shift = (s.mean[j]! - m.scaling.mean[j]!) / m.scaling.sd[j]!;
+  for (let j = 0; j < featureCount; j += 1) {
+    const f = s.deviation[j]! / m.scaling.deviation[j]!;
+    const shift = (s.mean[j]! - m.scaling.mean[j]!) / m.scaling.deviation[j]!;
     for (let k = 0; k < b; k += 1) {
       p.biases[0]![k]! += p.weights[0]![j * b + k]! * shift;
       p.weights[0]![j * b + k]! *= f;
@@ -187,12 +187,12 @@
   random: () => number,
   rows: number,
 ): Generator<undefined, void> {
-  const xs = all.map((a) => scale(s, a.x));
-  const ys = all.map((a) => (a.y - s.yMean) / s.ySd);
+  const xs = all.map((a) => scale(s, a.features));
+  const ys = all.map((a) => (a.reward - s.yMean) / s.ySd);
   const params = [...p.weights, ...p.biases];
   const m1 = params.map((a) => new Float32Array(a.length));
   const m2 = params.map((a) => new Float32Array(a.length));
-  const sum = noGradients(p);
+  const sum = createZeroGradients(p);
   const gs = [...sum.weights, ...sum.biases];
   const order = [...all.keys()];
   let t = 0;
@@ -201,17 +201,17 @@
       const j = Math.floor(random() * (i + 1));
       [order[i], order[j]] = [order[j]!, order[i]!];
     }
-    for (let at = 0; at < order.length; at += o.batch) {
-      const whole = order.slice(at, at + o.batch);
+    for (let at = 0; at < order.length; at += o.batchSize) {
+      const whole = order.slice(at, at + o.batchSize);
       for (const g of gs) g.fill(0);
       for (let from = 0; from < whole.length; from += rows) {
         const ids = whole.slice(from, from + rows);
         const n = ids.length;
-        const x = new Float32Array(n * width);
-        ids.forEach((id, i) => x.set(xs[id]!, i * width));
-        const pass = forward(p, x, n, { rate: o.dropout, random })!;
+        const x = new Float32Array(n * featureCount);
+        ids.forEach((id, i) => x.set(xs[id]!, i * featureCount));
+        const pass = forward(p, x, n, { rate: o.dropoutRate, random })!;
         const up = Float32Array.from(
-          pass.outs.at(-1)!,
+          pass.activations.at(-1)!,
           (v, i) => Math.max(-1, Math.min(1, v - ys[ids[i]!]!)) / whole.length,
         );
         backward(p, pass, n, up, sum);
@@ -225,7 +225,7 @@
         for (let i = 0; i < a.length; i += 1) {
           b1[i] = 0.9 * b1[i]! + 0.1 * d[i]!;
           b2[i] = 0.999 * b2[i]! + 0.001 * d[i]! * d[i]!;
-          a[i]! -= (o.rate * (b1[i]! / c1)) / (Math.sqrt(b2[i]! / c2) + 1e-8);
+          a[i]! -= (o.learningRate * (b1[i]! / c1)) / (Math.sqrt(b2[i]! / c2) + 1e-8);
         }
       });
     }
@@ -234,37 +234,37 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  const { decodeModel, encodeModel, modelHash, scoreAll } = await import('./model.js');
+  const { decodeModel, encodeModel, modelHash, predictTtft } = await import('./model.js');
   function sample(r: () => number): Sample {
-    const x = new Float32Array(width);
+    const x = new Float32Array(featureCount);
     x[0] = 100 + 3000 * r();
     x[1] = r();
     x[2] = x[0] * (1 - x[1]);
     x[4] = Math.floor(10 * r());
     const fast = r() < 0.5;
     x[fast ? 11 : 9] = 1;
-    return { x, y: -((x[2] / (fast ? 8000 : 3000)) * (1 + 0.3 * x[4])) };
+    return { features: x, reward: -((x[2] / (fast ? 8000 : 3000)) * (1 + 0.3 * x[4])) };
   }
   it('learns a TTFT that no straight line fits, and the model survives its encoding', () => {
     const r = createSeededRandom(21);
-    const t = createTrainer({ ...trainingDefaults, fifo: 1000, replay: 500, passes: 6 });
+    const t = createTrainer({ ...trainingDefaults, fifoCapacity: 1000, replayCapacity: 500, passes: 6 });
     t.add(Array.from({ length: 1500 }, () => sample(r)));
-    expect(t.due()).toBe(true);
+    expect(t.isDue()).toBe(true);
     t.train({ epoch: 64, n: 1 }, 5);
     t.add(Array.from({ length: 600 }, () => sample(r)));
     const m = t.train({ epoch: 64, n: 2 }, 6);
-    expect(t.sizes()).toEqual({ fifo: 1000, replay: 500 });
+    expect(t.poolSizes()).toEqual({ fifo: 1000, replay: 500 });
     const test = Array.from({ length: 300 }, () => sample(r));
     const b = encodeModel(m);
     const d = decodeModel(b, modelHash(b));
     if (d._tag === 'Left') throw d.left;
-    const ys = scoreAll(
+    const ys = predictTtft(
       d.right,
-      test.map((s) => s.x),
+      test.map((s) => s.features),
     )!;
-    const err = test.reduce((a, s, i) => a + Math.abs(-s.y - ys[i]!), 0) / test.length;
-    const mean = test.reduce((a, s) => a - s.y, 0) / test.length;
-    const flat = test.reduce((a, s) => a + Math.abs(-s.y - mean), 0) / test.length;
+    const err = test.reduce((a, s, i) => a + Math.abs(-s.reward - ys[i]!), 0) / test.length;
+    const mean = test.reduce((a, s) => a - s.reward, 0) / test.length;
+    const flat = test.reduce((a, s) => a + Math.abs(-s.reward - mean), 0) / test.length;
     expect(err).toBeLessThan(0.3 * flat);
     b[b.length - 1]! ^= 1;
     expect(decodeModel(b, modelHash(encodeModel(m)))._tag).toBe('Left');
--- a/packages/placement/src/worker-snapshot.ts
+++ b/packages/placement/src/worker-snapshot.ts
@@ -17,13 +17,13 @@
   readonly speedClass: number;
 }
 
-export interface Capture {
+export interface WorkerSnapshot {
   readonly prefill: readonly Candidate[];
   readonly decode: readonly Candidate[];
 }
 
-export interface PromptFacts {
+export interface PromptSummary {
   readonly tokens: number;
   readonly blocks: readonly number[];
-  readonly group: string;
+  readonly prefixGroup: string;
 }
--- a/packages/rehearsal/src/cohort-counts.test.ts
+++ b/packages/rehearsal/src/cohort-counts.test.ts
@@ -1,9 +1,9 @@
 /** Answers are counted into the sums that a verdict reads. */
 import { expect, it } from 'vitest';
-import { countAnswer, emptyCounts } from './arm-counts.js';
+import { countAnswer, createCohortCounts } from './cohort-counts.js';
 
 it('counts every answer with its TTFT, and a time per token only where there is one', () => {
-  const counts = emptyCounts('slice', 'tenant/kind');
+  const counts = createCohortCounts('slice', 'tenant/kind');
   countAnswer(counts, { failed: false, logTtft: 2, logTokenTime: 3 });
   countAnswer(counts, { failed: true, logTtft: 5, logTokenTime: undefined });
   expect(counts).toEqual({
--- a/packages/rehearsal/src/cohort-counts.ts
+++ b/packages/rehearsal/src/cohort-counts.ts
@@ -2,7 +2,7 @@
 import type { VerdictCounts } from './verdict.js';
 
 /** One answer as it is counted. */
-export interface CountedAnswer {
+export interface CohortAnswer {
   /** Not answered within its patience. */
   readonly failed: boolean;
   /** Natural logarithm of the TTFT from arrival; for one that failed, of its whole patience. */
@@ -12,7 +12,7 @@
 }
 
 /** Counts of nothing yet. */
-export function emptyCounts(arm: string, stratum: string): VerdictCounts {
+export function createCohortCounts(arm: string, stratum: string): VerdictCounts {
   return {
     arm,
     stratum,
@@ -27,7 +27,7 @@
 }
 
 /** Adds an answer to the counts, in place. */
-export function countAnswer(counts: VerdictCounts, answer: CountedAnswer): void {
+export function countAnswer(counts: VerdictCounts, answer: CohortAnswer): void {
   const { failed, logTtft, logTokenTime } = answer;
   counts.count += 1;
   if (failed) counts.failures += 1;
--- a/packages/rehearsal/src/error-spending.ts
+++ b/packages/rehearsal/src/error-spending.ts
@@ -12,12 +12,12 @@
 const spending = [0.15, 0.2, 0.25, 0.2, 0.2];
 
 /** The slice's count at which a look is due, from 0 on; each look has twice the requests of the one before. */
-export function lookAt(look: number, options: { readonly minCount: number }): number {
+export function requestsAtAnalysis(look: number, options: { readonly minCount: number }): number {
   return look < spending.length ? options.minCount * 2 ** look : Infinity;
 }
 
 /** What a look may spend; the last one, at whatever count, all that is left. */
-export function spendOf(look: number, last: boolean): number {
+export function errorBudgetOf(look: number, last: boolean): number {
   const left = level * spending.slice(look).reduce((sum, part) => sum + part, 0);
   return last ? left : level * (spending[look] ?? 0);
 }
--- a/packages/rehearsal/src/operator-decision.ts
+++ b/packages/rehearsal/src/operator-decision.ts
@@ -3,11 +3,11 @@
 import { rollBack } from './transitions.js';
 
 /** What became of the word. */
-export type AnswerKind = 'taken' | 'unknown_rehearsal' | 'ended_rehearsal' | 'superseded_rehearsal';
+export type OperatorDecisionKind = 'taken' | 'unknown_rehearsal' | 'ended_rehearsal' | 'superseded_rehearsal';
 
 /** The record after the word; unchanged unless it was taken. */
-export interface OperatorAnswer {
-  readonly kind: AnswerKind;
+export interface OperatorDecisionResult {
+  readonly kind: OperatorDecisionKind;
   readonly record: RehearsalRecord;
 }
 
@@ -15,7 +15,11 @@
  * Takes an operator's word. A reject of what went live last rolls it back; everything else that has ended is answered
  * with its kind and changes nothing.
  */
-export function answerOperator(record: RehearsalRecord, id: string, word: 'approve' | 'reject'): OperatorAnswer {
+export function applyOperatorDecision(
+  record: RehearsalRecord,
+  id: string,
+  word: 'approve' | 'reject',
+): OperatorDecisionResult {
   const { running } = record;
   if (running?.id === id) return { kind: 'taken', record: { ...record, running: { ...running, asked: word } } };
   const old = record.ended.find((rehearsal) => rehearsal.id === id);
--- a/packages/rehearsal/src/record.ts
+++ b/packages/rehearsal/src/record.ts
@@ -5,7 +5,7 @@
 import type { ModelVersion } from '@tansypost/placement';
 
 /** What a worker does: prefill, decode, or either. */
-export type Part = 'prefill' | 'decode' | 'both';
+export type WorkerStage = 'prefill' | 'decode' | 'both';
 
 /** A model and where its bytes are. */
 export interface ModelRef {
@@ -16,22 +16,22 @@
 }
 
 /** A worker's change from one part to another. */
-export interface PartShift {
+export interface StageChange {
   readonly worker: string;
   readonly incarnation: number;
-  readonly from: Part;
-  readonly to: Part;
+  readonly from: WorkerStage;
+  readonly to: WorkerStage;
 }
 
 /** What is rehearsed. */
 export type Subject =
-  { readonly type: 'model'; readonly model: ModelRef } | { readonly type: 'part'; readonly shift: PartShift };
+  { readonly type: 'model'; readonly model: ModelRef } | { readonly type: 'part'; readonly shift: StageChange };
 
 /** How a rehearsal ended. */
 export type Outcome = 'live' | 'harmful' | 'inconclusive' | 'rejected' | 'rolled back' | 'superseded';
 
 /** What was measured of one cohort; times as natural logarithms. */
-export interface ArmFigures {
+export interface CohortMeasurements {
   readonly count: number;
   readonly failures: number;
   readonly meanLog: number;
@@ -40,8 +40,8 @@
 
 /** What a verdict was based on. */
 export interface Measured {
-  readonly slice: ArmFigures;
-  readonly control: ArmFigures;
+  readonly slice: CohortMeasurements;
+  readonly control: CohortMeasurements;
   readonly why: string;
 }
 
@@ -68,8 +68,8 @@
 }
 
 /** The part that a worker plays. */
-export interface PartEntry {
-  readonly part: Part;
+export interface StageEntry {
+  readonly part: WorkerStage;
   readonly incarnation: number;
 }
 
@@ -78,7 +78,7 @@
   readonly live: ModelRef | undefined;
   /** What was live before, to roll back to. */
   readonly before: ModelRef | undefined;
-  readonly parts: { readonly [worker: string]: PartEntry };
+  readonly parts: { readonly [worker: string]: StageEntry };
   readonly running: Rehearsal | undefined;
   /** The newest first. */
   readonly ended: readonly Rehearsal[];
@@ -94,7 +94,7 @@
 };
 
 /** Reads the key's value; an empty one is the empty record. Throws when it is not JSON. */
-export function readRecord(value: Buffer): RehearsalRecord {
+export function decodeRehearsalRecord(value: Buffer): RehearsalRecord {
   if (value.length === 0) return emptyRecord;
   const record = { ...emptyRecord, ...(JSON.parse(value.toString()) as RehearsalRecord) };
   const { running } = record;
@@ -105,6 +105,6 @@
 }
 
 /** The key's value. */
-export function writeRecord(record: RehearsalRecord): Buffer {
+export function encodeRehearsalRecord(record: RehearsalRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
--- a/packages/rehearsal/src/statistics.ts
+++ b/packages/rehearsal/src/statistics.ts
@@ -1,7 +1,7 @@
 /** The statistics behind a verdict: quantiles, moments, intervals of shares, and pooled differences. */
 
 /** The upper quantile of the normal law (Abramowitz and Stegun 26.2.23, to within 0.0005). */
-export function quantile(alpha: number): number {
+export function upperNormalQuantile(alpha: number): number {
   if (alpha <= 0) return Infinity;
   const root = Math.sqrt(-2 * Math.log(alpha));
   const numerator = 2.515517 + 0.802853 * root + 0.010328 * root * root;
--- a/packages/rehearsal/src/transitions.ts
+++ b/packages/rehearsal/src/transitions.ts
@@ -12,7 +12,7 @@
 const endedKept = 30;
 
 /** Begins a rehearsal; nothing else may be running. */
-export function begin(
+export function beginRehearsal(
   record: RehearsalRecord,
   id: string,
   subject: Subject,
@@ -26,24 +26,24 @@
 }
 
 /** The name under which the cohorts of a stage are drawn and counted, so that those of two stages are never mixed. */
-export function armsOf(rehearsal: Pick<Rehearsal, 'id' | 'stage'>): string {
+export function cohortNameOf(rehearsal: Pick<Rehearsal, 'id' | 'stage'>): string {
   return rehearsal.stage === 0 ? rehearsal.id : `${rehearsal.id}#${rehearsal.stage}`;
 }
 
 /** Counts an interim analysis. */
-export function looked(record: RehearsalRecord): RehearsalRecord {
+export function countAnalysis(record: RehearsalRecord): RehearsalRecord {
   const running = record.running!;
   return { ...record, running: { ...running, looks: running.looks + 1 } };
 }
 
 /** Adds to the time of the stage, in microseconds. */
-export function timed(record: RehearsalRecord, elapsed: number): RehearsalRecord {
+export function addElapsedTime(record: RehearsalRecord, elapsed: number): RehearsalRecord {
   const running = record.running!;
   return { ...record, running: { ...running, spent: running.spent + elapsed } };
 }
 
 /** A stage that passed leads to the next; the one before going live leads to `passed`. */
-export function passed(record: RehearsalRecord, measured: Measured): RehearsalRecord {
+export function passStage(record: RehearsalRecord, measured: Measured): RehearsalRecord {
   const running = record.running!;
   const stage = running.stage + 1;
   if (stage >= watchStage) return { ...record, running: { ...running, state: 'passed', measured } };
@@ -78,7 +78,7 @@
  * Ends a rehearsal. Only what is watched is live, and only that can end as live; what was live already and does not
  * stay so is rolled back, whatever showed it.
  */
-export function end(record: RehearsalRecord, outcome: Outcome, measured?: Measured): RehearsalRecord {
+export function endRehearsal(record: RehearsalRecord, outcome: Outcome, measured?: Measured): RehearsalRecord {
   const running = record.running!;
   const undo = running.state === 'watched' && outcome !== 'live';
   const done: Rehearsal = {
--- a/packages/rehearsal/src/verdict.test.ts
+++ b/packages/rehearsal/src/verdict.test.ts
@@ -1,10 +1,10 @@
 /** The verdict holds its level over all looks, on drawn answers with heavy tails. */
 import { expect, it } from 'vitest';
 import { createSeededRandom } from '@tansypost/inner-protocol';
-import { countAnswer, emptyCounts } from './arm-counts.js';
-import { lookAt, spendOf } from './error-spending.js';
-import { quantile } from './statistics.js';
-import { verdict, verdictDefaults, type Verdict, type VerdictCounts } from './verdict.js';
+import { countAnswer, createCohortCounts } from './cohort-counts.js';
+import { requestsAtAnalysis, errorBudgetOf } from './error-spending.js';
+import { upperNormalQuantile } from './statistics.js';
+import { judgeRehearsal, verdictDefaults, type Verdict, type VerdictCounts } from './verdict.js';
 
 interface Truth {
   readonly slower?: number;
@@ -17,7 +17,7 @@
   slice: number,
   truth: Truth,
 ): { step: (n: number) => void; counts: () => VerdictCounts[] } {
-  const cs = ['slice', 'control'].flatMap((a) => ['long', 'short'].map((s) => emptyCounts(a, s)));
+  const cs = ['slice', 'control'].flatMap((a) => ['long', 'short'].map((s) => createCohortCounts(a, s)));
   let spell = 0;
   function normal(): number {
     return Math.sqrt(-2 * Math.log(r() + 1e-12)) * Math.cos(2 * Math.PI * r());
@@ -56,8 +56,8 @@
       .filter((c) => c.arm === 'slice')
       .reduce((a, c) => a + c.count, 0);
     const last = s === 300;
-    if (count < lookAt(n, verdictDefaults) && !last) continue;
-    const v = verdict(d.counts(), verdictDefaults, spendOf(n, last)).verdict;
+    if (count < requestsAtAnalysis(n, verdictDefaults) && !last) continue;
+    const v = judgeRehearsal(d.counts(), verdictDefaults, errorBudgetOf(n, last)).verdict;
     if (v !== 'open') return { verdict: v, seconds: s };
     n += 1;
   }
@@ -84,8 +84,8 @@
 });
 it('spends no more than its level over all looks, whenever the last one comes', () => {
   for (let last = 0; last <= 5; last += 1) {
-    let all = spendOf(last, true);
-    for (let n = 0; n < last; n += 1) all += spendOf(n, false);
+    let all = errorBudgetOf(last, true);
+    for (let n = 0; n < last; n += 1) all += errorBudgetOf(n, false);
     expect(all).toBeCloseTo(0.05, 9);
   }
   for (const [a, z] of [
@@ -93,13 +93,13 @@
     [0.01, 2.326],
     [0.0025, 2.807],
   ] as const)
-    expect(quantile(a)).toBeCloseTo(z, 2);
+    expect(upperNormalQuantile(a)).toBeCloseTo(z, 2);
 });
 it('counts a failure with its patience, so that failing fast does not look quick', () => {
   const r = createSeededRandom(5);
   const d = draw(r, 0.1, { fail: 0.3 });
   d.step(20_000);
-  const v = verdict(d.counts(), { ...verdictDefaults, failureMargin: 1 }, 0.05);
+  const v = judgeRehearsal(d.counts(), { ...verdictDefaults, failureMargin: 1 }, 0.05);
   expect(v.verdict).toBe('harmful');
   expect(v.measured.why).toMatch(/TTFT/);
 });
--- a/packages/rehearsal/src/verdict.ts
+++ b/packages/rehearsal/src/verdict.ts
@@ -6,11 +6,11 @@
  * within their margins; harm shown on any one of them ends it.
  */
 import type { CohortStatistics } from '@tansypost/inner-protocol';
-import type { ArmFigures, Measured } from './record.js';
+import type { CohortMeasurements, Measured } from './record.js';
 import {
   moments,
   pooledDifference,
-  quantile,
+  upperNormalQuantile,
   shareDifference,
   type MeanDifference,
   type Moments,
@@ -74,7 +74,11 @@
  * @param options margins
  * @param spend chance of a wrong verdict that this look may take, see `spendOf`
  */
-export function verdict(counts: readonly VerdictCounts[], options: VerdictOptions, spend: number): VerdictResult {
+export function judgeRehearsal(
+  counts: readonly VerdictCounts[],
+  options: VerdictOptions,
+  spend: number,
+): VerdictResult {
   const slice = figures(counts.filter((count) => count.arm === 'slice'));
   const control = figures(counts.filter((count) => count.arm === 'control'));
   function result(found: Verdict, why: string): VerdictResult {
@@ -91,8 +95,13 @@
     : result('open', `${found}: neither harm nor its absence is shown yet`);
 }
 
-function compare(counts: readonly VerdictCounts[], slice: ArmFigures, control: ArmFigures, spend: number): Comparison {
-  const [deviations, deviationsForHarm] = [quantile(spend), quantile(spend / measures)];
+function compare(
+  counts: readonly VerdictCounts[],
+  slice: CohortMeasurements,
+  control: CohortMeasurements,
+  spend: number,
+): Comparison {
+  const [deviations, deviationsForHarm] = [upperNormalQuantile(spend), upperNormalQuantile(spend / measures)];
   const [treated, untreated] = [slice, control].map(({ failures, count }) => ({ hits: failures, count }));
   return {
     ttft: pooledDifference(byStratum(counts, ttftMoments)),
@@ -170,7 +179,7 @@
   return counts.reduce((sum, count) => sum + count[field], 0);
 }
 
-function figures(counts: readonly VerdictCounts[]): ArmFigures {
+function figures(counts: readonly VerdictCounts[]): CohortMeasurements {
   const { count, mean, variance } = ttftMoments(counts);
   return { count, failures: total(counts, 'failures'), meanLog: mean, sdLog: Math.sqrt(variance) };
 }
--- a/packages/simulator/src/measure.ts
+++ b/packages/simulator/src/measure.ts
@@ -41,7 +41,7 @@
     policy,
     plain: true,
     trainEvery: policy === 'lodestar' ? 1000 : 1e9,
-    trainer: { fifo: 3000, replay: 2000, passes: 2 },
+    trainer: { fifoCapacity: 3000, replayCapacity: 2000, passes: 2 },
     verdict: verdictDefaults,
     rehearsalLimit: 120_000_000,
     slice: 0.1,
--- a/packages/simulator/src/pass-through/ground.ts
+++ b/packages/simulator/src/pass-through/ground.ts
@@ -10,8 +10,8 @@
 
 // How a day learns, where it isn't as the programs do; `spoil` does harm to each model that is trained.
 export interface LearningTerms {
-  readonly trainEvery: number;
-  readonly slice: number;
+  readonly samplesPerTraining: number;
+  readonly treatmentShare: number;
   readonly trust?: number;
   readonly verdict?: VerdictOptions;
   readonly spoil?: (m: Model) => Model;
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -4,9 +4,9 @@
  */
 import { expect, it } from 'vitest';
 import { encodeMessage, type Message } from '@tansypost/inner-protocol';
-import { recordKey } from '@tansypost/learning';
+import { rehearsalRecordKey } from '@tansypost/learning';
 import { modelHash, type Model } from '@tansypost/placement';
-import { readRecord, verdictDefaults, type RehearsalRecord } from '@tansypost/rehearsal';
+import { decodeRehearsalRecord, verdictDefaults, type RehearsalRecord } from '@tansypost/rehearsal';
 import type { LearningTerms } from './ground.js';
 import { passedDeployments } from './passed-deployment.js';
 import { playPassedOne, type PassedOne } from './passed-one.js';
@@ -41,14 +41,14 @@
     net: (n) =>
       n.tamper((m) => {
         sent?.(m);
-        if (m.kind === 'Accept' && m.key === recordKey) written.push(readRecord(m.value));
+        if (m.kind === 'Accept' && m.key === rehearsalRecordKey) written.push(decodeRehearsalRecord(m.value));
         return undefined;
       }),
     look: (at, core) => {
       for (const m of core.running()) {
-        const r = m.host?.core()?.replica.row(recordKey);
-        if (r !== undefined && r.version > 0) records.push({ at, record: readRecord(r.value) });
-        for (const duty of (m.learning?.figures()['holds'] ?? []) as string[]) holders.push({ at, who: m.name, duty });
+        const r = m.host?.core()?.replica.row(rehearsalRecordKey);
+        if (r !== undefined && r.version > 0) records.push({ at, record: decodeRehearsalRecord(r.value) });
+        for (const duty of (m.learning?.metrics()['holds'] ?? []) as string[]) holders.push({ at, who: m.name, duty });
       }
     },
   });
@@ -72,7 +72,7 @@
   // Wide margins, as it is the way that is tried here and not how good the model is.
   const verdict = { ...verdictDefaults, ttftMargin: 0.3, tokenMargin: 0.3 };
   const x = await play(
-    { trainEvery: 300, slice: 0.25, verdict },
+    { samplesPerTraining: 300, treatmentShare: 0.25, verdict },
     240,
     kills.map((at) => ({ at, do: 'keeper-kill', for: 14, who: 0 })),
   );
@@ -95,11 +95,17 @@
 it('ends the rehearsal of a model that prefers the worst, by what was measured, and never lets it go live', async () => {
   const sent = { models: 0, trained: new Set<string>() };
   // Enough samples that the model does know which worker is the worst, and a slice that shows its harm within the day.
-  const x = await play({ trainEvery: 900, slice: 0.5, trust: Infinity, spoil: turned }, 100, [], 3.5, (m) => {
-    if (m.kind !== 'Accept' || !m.key.startsWith('blob/')) return;
-    sent.models += 1;
-    sent.trained.add(modelHash(Buffer.from(m.value)));
-  });
+  const x = await play(
+    { samplesPerTraining: 900, treatmentShare: 0.5, trust: Infinity, spoil: turned },
+    100,
+    [],
+    3.5,
+    (m) => {
+      if (m.kind !== 'Accept' || !m.key.startsWith('blob/')) return;
+      sent.models += 1;
+      sent.trained.add(modelHash(Buffer.from(m.value)));
+    },
+  );
   expect(x.day.breaches).toEqual([]);
   const ended = x.records.at(-1)!.record.ended;
   expect(ended.map((e) => e.outcome)).toContain('harmful');
@@ -110,7 +116,7 @@
 
 it('sends nothing but samples on a short day, and no duty is stood for', async () => {
   const kinds = new Map<string, number>();
-  const x = await play({ trainEvery: 1000, slice: 0.2 }, 20, [], 1.4, (m) => {
+  const x = await play({ samplesPerTraining: 1000, treatmentShare: 0.2 }, 20, [], 1.4, (m) => {
     kinds.set(m.kind, (kinds.get(m.kind) ?? 0) + encodeMessage(m).length);
   });
   expect(x.day.breaches).toEqual([]);
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -11,9 +11,9 @@
   type FeedServerOptions,
 } from '@tansypost/control-feed';
 import {
-  askThrough,
+  createControlStateClient,
   createControlNodeLearning,
-  createSlicedTrainer,
+  createIncrementalTrainer,
   type ControlNodeLearning,
 } from '@tansypost/learning';
 import type { BootstrapSize } from '@tansypost/control-state';
@@ -150,10 +150,10 @@
         const learning = createControlNodeLearning(w, {
           self: m.address,
           member: name,
-          keeper: host.core,
-          asker: askThrough(w, coreAsker),
-          trainer: createSlicedTrainer(w, g.learning?.spoil),
-          tenure: dutyTenure,
+          controlNode: host.core,
+          controlClient: createControlStateClient(w, coreAsker),
+          trainer: createIncrementalTrainer(w, g.learning?.spoil),
+          roleLeaseUs: dutyTenure,
           ...g.learning,
         });
         m.learning = learning;
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -9,7 +9,12 @@
   startMembershipRelay,
   type ControlFeed,
 } from '@tansypost/control-feed';
-import { askThrough, createRouterLearning, recordKey, type RouterLearning } from '@tansypost/learning';
+import {
+  createControlStateClient,
+  createRouterLearning,
+  rehearsalRecordKey,
+  type RouterLearning,
+} from '@tansypost/learning';
 import { hash32, micros, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import {
   createRequestHandler,
@@ -174,7 +179,11 @@
       resets,
     });
     const asker = createControlClient(w, self, () => feed.votingNodes());
-    const l = createRouterLearning(w, { member: name, keepers: () => feed.votingNodes(), asker: askThrough(w, asker) });
+    const l = createRouterLearning(w, {
+      member: name,
+      controlNodes: () => feed.votingNodes(),
+      controlClient: createControlStateClient(w, asker),
+    });
     learning = l;
     const c = createRequestHandler(
       w,
@@ -186,8 +195,8 @@
           : {
               placement: {
                 ...placementDefaults,
-                minSamples: g.learning.trainEvery,
-                trust: g.learning.trust ?? placementDefaults.trust,
+                minSamples: g.learning.samplesPerTraining,
+                maxExpectedSlowdown: g.learning.trust ?? placementDefaults.maxExpectedSlowdown,
               },
             }),
         retryBudget:
@@ -204,8 +213,8 @@
       {
         workers: spoiledTellings(g.spoil, spoiled(g, port)),
         announceActivity: (id, us) => feed.announcePrefill(id, us),
-        recordSample: l.sample,
-        assignCohort: l.lot,
+        recordSample: l.recordSample,
+        assignCohort: l.assignCohort,
       },
     );
     course = c;
@@ -226,7 +235,7 @@
       seeds,
       fetchWorkerList: core.fetchList(name, proc),
       onPeerPrefill: c.recordPeerActivity,
-      additionalKey: { key: recordKey, version: l.version, onUpdate: l.take },
+      additionalKey: { key: rehearsalRecordKey, version: l.recordVersion, onUpdate: l.applyUpdate },
       onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
@@ -391,7 +400,7 @@
     wake: () => wake(e, proc),
     ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.isReady() === true,
     controlNode: () => (proc.alive ? controlFeed?.source() : undefined),
-    figures: () => ({ ...course?.metrics(), learning: learning?.figures() }),
+    figures: () => ({ ...course?.metrics(), learning: learning?.metrics() }),
     connect,
     take,
   };
--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -32,7 +32,7 @@
   type Ask,
   type Deployment,
 } from '@tansypost/requester-stand-in';
-import { readRecord, type VerdictOptions } from '@tansypost/rehearsal';
+import { decodeRehearsalRecord, type VerdictOptions } from '@tansypost/rehearsal';
 import { judge } from '@tansypost/worker-stand-in';
 import { createEngine, type Engine } from './engine.js';
 import { newHistory, type History, type RequestSeen } from './history.js';
@@ -289,7 +289,7 @@
     function start(): void {
       proc.alive = true;
       const incarnation = proc.incarnation;
-      const t = createTrainer({ ...trainingDefaults, fifo: 400, replay: 100, passes: 1, ...o.trainer });
+      const t = createTrainer({ ...trainingDefaults, fifoCapacity: 400, replayCapacity: 100, passes: 1, ...o.trainer });
       n.core = createAgentCore(
         world(proc, n.address),
         {
@@ -334,7 +334,7 @@
         core.receive(m, from);
         const x = core.news.get('rehearsal/main');
         if (x === undefined || h.records.some((k) => k.version === x.version)) return;
-        h.records.push({ at: e.now(), version: x.version, record: readRecord(x.value) });
+        h.records.push({ at: e.now(), version: x.version, record: decodeRehearsalRecord(x.value) });
         h.records.sort((p, q) => p.version - q.version);
       };
       n.running = true;
@@ -364,9 +364,9 @@
           placement: {
             ...placementDefaults,
             minSamples: 100,
-            timeout: 1e9,
-            ...(o.policy === 'heuristic' ? { minSamples: Infinity, explore: 0 } : {}),
-            ...(o.policy === 'least' ? { minSamples: Infinity, explore: 0, imbalance: 0 } : {}),
+            scoringTimeoutUs: 1e9,
+            ...(o.policy === 'heuristic' ? { minSamples: Infinity, explorationRate: 0 } : {}),
+            ...(o.policy === 'least' ? { minSamples: Infinity, explorationRate: 0, maxLoadImbalance: 0 } : {}),
           },
         },
         {
--- a/packages/simulator/src/verdicts.ts
+++ b/packages/simulator/src/verdicts.ts
@@ -6,10 +6,10 @@
 import type { Deployment } from '@tansypost/requester-stand-in';
 import {
   countAnswer,
-  emptyCounts,
-  lookAt,
-  spendOf,
-  verdict,
+  createCohortCounts,
+  requestsAtAnalysis,
+  errorBudgetOf,
+  judgeRehearsal,
   verdictDefaults,
   type VerdictCounts,
 } from '@tansypost/rehearsal';
@@ -79,7 +79,7 @@
 ): { verdict: string; seconds: number } {
   const strata = 1 + Math.max(...seen.map((x) => x.stratum));
   const cs: VerdictCounts[] = Array.from({ length: 2 * strata }, (_, i) =>
-    emptyCounts(i < strata ? 'slice' : 'control', `${i % strata}`),
+    createCohortCounts(i < strata ? 'slice' : 'control', `${i % strata}`),
   );
   const n = { slice: 0, control: 0 };
   const logs = [Math.log(harm.ttft), Math.log(harm.token)] as const;
@@ -99,8 +99,8 @@
       countAnswer(c, { failed, logTtft: l, logTokenTime: k });
     }
     const last = s === limitSeconds;
-    if (!last && Math.min(n.slice, n.control) < lookAt(looks, verdictDefaults)) continue;
-    const v = verdict(cs, verdictDefaults, spendOf(looks, last)).verdict;
+    if (!last && Math.min(n.slice, n.control) < requestsAtAnalysis(looks, verdictDefaults)) continue;
+    const v = judgeRehearsal(cs, verdictDefaults, errorBudgetOf(looks, last)).verdict;
     if (v !== 'open') return { verdict: v, seconds: s };
     looks += 1;
   }
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -13,7 +13,7 @@
 
 await runProgram({
   name: 'control-node',
-  about: 'Holds one of the three places of the control state.',
+  description: 'Holds one of the three places of the control state.',
   schema: ControlNodeSettings,
   flags: Object.keys(ControlNodeSettings.properties),
   start: async (b, log) => {
--- a/programs/request-router/src/feed.ts
+++ b/programs/request-router/src/feed.ts
@@ -6,8 +6,8 @@
 import * as E from 'fp-ts/lib/Either.js';
 import type { Micros, MessageOf, KeyUpdate } from '@tansypost/inner-protocol';
 import { checkDesiredState, type DesiredState } from '@tansypost/desired-state';
-import { decodeModel, scoreAll, type Model } from '@tansypost/placement';
-import { emptyRecord, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
+import { decodeModel, predictTtft, type Model } from '@tansypost/placement';
+import { emptyRecord, decodeRehearsalRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
 
 export interface FeedOptions {
   readonly service: string;
@@ -71,7 +71,7 @@
       const x = model(r);
       if (x === undefined) continue;
       const rows = Array.from({ length: 12 }, () => new Float32Array(x.predictor.sizes[0]!));
-      for (let n = 0; n < 3; n += 1) scoreAll(x, rows);
+      for (let n = 0; n < 3; n += 1) predictTtft(x, rows);
     }
   }
 
@@ -83,7 +83,7 @@
       version = n.version;
       o.log(5003, { version, epoch: n.epoch, change: 'desired' });
     } else if (n.key === `rehearsal/${o.service}`) {
-      record = readRecord(n.value);
+      record = decodeRehearsalRecord(n.value);
     }
     for (const h of models.keys()) {
       const s = record.running?.subject;
--- a/programs/request-router/src/main.ts
+++ b/programs/request-router/src/main.ts
@@ -11,7 +11,7 @@
 
 await runProgram({
   name: 'request-router',
-  about: 'Takes requests and streams their answers from a pair of workers.',
+  description: 'Takes requests and streams their answers from a pair of workers.',
   schema: RouterSettings,
   flags: Object.keys(RouterSettings.properties),
   start: async (b, log) => {
@@ -28,7 +28,7 @@
         service: b.service ?? 'main',
         ...(b.feedTenureMs === undefined ? {} : { tenure: b.feedTenureMs * 1000 }),
         ...(b.promptLimit === undefined ? {} : { promptLimit: b.promptLimit }),
-        placement: { ...routerDefaults.placement, ...(b.explore === undefined ? {} : { explore: b.explore }) },
+        placement: { ...routerDefaults.placement, ...(b.explore === undefined ? {} : { explorationRate: b.explore }) },
       },
       {
         workers,
--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -4,25 +4,32 @@
  * simulator passes virtual ones; the code is the same.
  */
 import { appliedAllVersions, every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
-import { kindOf, type KindTemplate } from '@tansypost/desired-state';
+import { findKind, type KindTemplate } from '@tansypost/desired-state';
 import {
   assignDecode,
   assignPrefill,
-  batchSize,
-  createPaces,
+  sampleBatchSize,
+  createThroughputTracker,
   createRadixTree,
   encodeSamples,
   placementDefaults,
-  promptFacts,
-  width,
+  summarizePrompt,
+  featureCount,
   type Assignment,
   type Candidate,
   type Model,
   type PlacementOptions,
-  type PromptFacts,
+  type PromptSummary,
   type Sample,
 } from '@tansypost/placement';
-import { armOf, armsOf, countAnswer, emptyCounts, type Arm, type Part } from '@tansypost/rehearsal';
+import {
+  cohortOf,
+  cohortNameOf,
+  countAnswer,
+  createCohortCounts,
+  type Cohort,
+  type WorkerStage,
+} from '@tansypost/rehearsal';
 import type { CohortStatistics, WorkerStateEntry, WorkerId } from '@tansypost/inner-protocol';
 import { createAdmission, type Claimant } from './admission.js';
 import { createClaims } from './claims.js';
@@ -96,12 +103,12 @@
   readonly reply: Reply;
   kind: KindTemplate;
   readonly ledger: SendLedger;
-  readonly facts: PromptFacts;
+  readonly facts: PromptSummary;
   readonly job: WorkerJob;
   readonly arrived: number;
   limit: number;
   unarm: () => void;
-  readonly arm: Arm;
+  readonly arm: Cohort;
   readonly tried: Set<string>;
   readonly abort: AbortController;
   // The version of the desired state that its template is of.
@@ -115,7 +122,7 @@
 
 export function createRouterCore(w: World, o: RouterOptions, p: RouterPorts): RouterCore {
   const feed = createFeed({ service: o.service, tenure: o.tenure, now: w.now, log: w.log });
-  const paces = createPaces();
+  const paces = createThroughputTracker();
   const table = createWorkerTable(w.now, paces);
   const tree = createRadixTree();
   const budget = createExtraBudget(w.now);
@@ -135,7 +142,7 @@
     m.set(k, (m.get(k) ?? 0) + 1);
   }
 
-  function partFor(arm: Arm): (m: WorkerStateEntry, reported: Part | undefined) => Part {
+  function partFor(arm: Cohort): (m: WorkerStateEntry, reported: WorkerStage | undefined) => WorkerStage {
     const rec = feed.record();
     const run = rec.running?.subject;
     return function part(m, reported) {
@@ -147,7 +154,7 @@
     };
   }
 
-  function candidates(phase: 'prefill' | 'decode', arm: Arm, without: ReadonlySet<string>): Candidate[] {
+  function candidates(phase: 'prefill' | 'decode', arm: Cohort, without: ReadonlySet<string>): Candidate[] {
     return table.candidates(phase, partFor(arm), without);
   }
 
@@ -165,7 +172,7 @@
     return cs.length === 0 || cs.some((c) => c.queued + Math.max(0, c.prefillTokens > 0 ? c.running : 0) < o.queueRoom);
   }
 
-  function modelFor(arm: Arm): Model | undefined {
+  function modelFor(arm: Cohort): Model | undefined {
     const rec = feed.record();
     const s = rec.running?.subject;
     if (arm === 'slice' && s?.type === 'model') return feed.model(s.model);
@@ -192,7 +199,7 @@
   }
 
   async function serveHere(r: Incoming, reply: Reply, gone: AbortSignal, arrived: number): Promise<void> {
-    const k = kindOf(feed.desired()!, r.tenant, r.kind);
+    const k = findKind(feed.desired()!, r.tenant, r.kind);
     const version = feed.applied();
     if (typeof k === 'string')
       return giveUp(
@@ -247,7 +254,7 @@
     gone: AbortSignal,
     arrived: number,
   ): Promise<Failure | 'sent on' | undefined> {
-    const t = promptFacts(r.prompt).tokens;
+    const t = summarizePrompt(r.prompt).tokens;
     if (t > o.promptLimit)
       return failure('prompt_too_long', `The prompt has ${t} tokens; the limit is ${o.promptLimit}.`);
     if (ready()) return undefined;
@@ -255,7 +262,7 @@
       const at = Math.floor(w.random() * 64);
       const all = feed.others();
       const until = w.now() + sendOnFor;
-      const known = feed.desired() === undefined ? 'unknown_kind' : kindOf(feed.desired()!, r.tenant, r.kind);
+      const known = feed.desired() === undefined ? 'unknown_kind' : findKind(feed.desired()!, r.tenant, r.kind);
       const limit = arrived + (typeof known === 'string' ? 30_000_000 : known.patienceMs * 1000);
       for (let i = 0; i < all.length && !gone.aborted && w.now() < Math.min(until, limit); i += 1) {
         if (await sendOn(all[(at + i) % all.length]!, r, reply, gone, arrived, limit)) return 'sent on';
@@ -334,13 +341,13 @@
     arrived: number,
     version: number,
   ): Promise<string> {
-    const facts = promptFacts(r.prompt);
+    const facts = summarizePrompt(r.prompt);
     // The terms are those in force, also for a request that waits through a change of the desired state.
     const cost = facts.tokens + 4 * r.maxTokens;
     const waited = w.now() - arrived;
     let terms = kind;
     function claimant(): Claimant {
-      const k = kindOf(feed.desired()!, r.tenant, r.kind);
+      const k = findKind(feed.desired()!, r.tenant, r.kind);
       if (typeof k !== 'string') terms = k;
       return {
         purse: `${r.tenant}/${r.kind}`,
@@ -382,7 +389,7 @@
         maxTokens: r.maxTokens,
         sampling: r.sampling ?? {},
       },
-      arm: run === undefined ? 'none' : armOf(armsOf(run), r.id, run.slice),
+      arm: run === undefined ? 'none' : cohortOf(cohortNameOf(run), r.id, run.slice),
       tried: new Set(),
       abort: new AbortController(),
       version,
@@ -392,7 +399,7 @@
       firstAt: 0,
       chunks: 0,
     };
-    const rehearsal = run === undefined ? undefined : armsOf(run);
+    const rehearsal = run === undefined ? undefined : cohortNameOf(run);
     armLimit(c);
     function left(): void {
       c.abort.abort();
@@ -464,7 +471,7 @@
   // Brings a request under the template in force; false when its kind is there no more, and then nothing begins anew.
   function renew(c: Course): boolean {
     if (c.version === feed.applied()) return true;
-    const k = kindOf(feed.desired()!, c.r.tenant, c.r.kind);
+    const k = findKind(feed.desired()!, c.r.tenant, c.r.kind);
     c.version = feed.applied();
     c.kind = typeof k === 'string' ? { ...c.kind, repeatable: false } : k;
     c.limit = c.arrived + c.kind.patienceMs * 1000;
@@ -505,7 +512,7 @@
     const end = table.began(a.worker.worker, 'prefill', c.facts.tokens);
     const read = window.began();
     const patience = new AbortController();
-    const dark = Math.max(2_000_000, 6_000_000 * (a.predicted ?? 0.5));
+    const dark = Math.max(2_000_000, 6_000_000 * (a.predictedTtft ?? 0.5));
     const cancel = c.kind.repeatable ? w.after(micros(dark), () => patience.abort()) : () => undefined;
     const x = await p.workers.prefill(m, c.job, AbortSignal.any([c.abort.signal, patience.signal]));
     cancel();
@@ -515,7 +522,7 @@
       s.outcome = 'done';
       c.handle = { h: x.handle, from: m };
       table.went(a.worker.worker);
-      paces.saw(
+      paces.record(
         a.worker.worker,
         c.facts.tokens - ((hits.get(a.worker.worker) ?? 0) * c.facts.tokens) / Math.max(1, c.facts.blocks.length),
         w.now() - c.sentAt,
@@ -577,8 +584,8 @@
 
   function learn(c: Course): void {
     if (c.assigned === undefined || c.ledger.sends.length !== 2) return;
-    samples.push({ x: c.assigned.row, y: -(c.firstAt - c.sentAt) / 1e6 });
-    if (samples.length >= batchSize) flush();
+    samples.push({ features: c.assigned.featureRow, reward: -(c.firstAt - c.sentAt) / 1e6 });
+    if (samples.length >= sampleBatchSize) flush();
   }
 
   function flush(): void {
@@ -588,8 +595,8 @@
       kind: 'Samples',
       from: o.router,
       count: samples.length,
-      width,
-      rows: encodeSamples(samples, width),
+      width: featureCount,
+      rows: encodeSamples(samples, featureCount),
     });
     samples = [];
   }
@@ -597,7 +604,7 @@
   function count(rehearsal: string, c: Course, end: FailureKind | 'whole'): void {
     const stratum = `${c.r.tenant}/${c.r.kind}`;
     const k = `${rehearsal}/${c.arm}/${stratum}`;
-    const a = arms.get(k) ?? { rehearsal, ...emptyCounts(c.arm, stratum) };
+    const a = arms.get(k) ?? { rehearsal, ...createCohortCounts(c.arm, stratum) };
     const failed = end !== 'whole';
     // From arrival, with the waiting here; whoever failed has waited its whole patience.
     const ttft = failed ? c.kind.patienceMs * 1000 : c.firstAt - c.arrived;
@@ -621,8 +628,8 @@
     if (m.kind === 'ClaimAnswer') return claims.answer(m);
     if (m.kind !== 'Feed') return;
     for (const x of table.marks(m.workers)) {
-      tree.forget(x);
-      paces.forget(x);
+      tree.removeWorker(x);
+      paces.removeWorker(x);
     }
     table.reports(m.reports);
     const before = feed.applied();
@@ -672,7 +679,7 @@
       placement: Object.fromEntries(reasons),
       ...budget.totals(),
       probes: budget.granted(),
-      treeBlocks: tree.size(),
+      treeBlocks: tree.blockCount(),
     }),
     stopTaking: () => {
       taking = false;
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -4,8 +4,8 @@
  * worker that is leaving, gone, or resting after failures.
  */
 import type { WorkerStateEntry, Micros, WorkerReport, WorkerId } from '@tansypost/inner-protocol';
-import type { Candidate, Paces } from '@tansypost/placement';
-import type { Part } from '@tansypost/rehearsal';
+import type { Candidate, ThroughputTracker } from '@tansypost/placement';
+import type { WorkerStage } from '@tansypost/rehearsal';
 
 interface Deed {
   readonly at: number;
@@ -31,10 +31,10 @@
   readonly failed: (w: WorkerId) => void;
   readonly went: (w: WorkerId) => void;
   readonly mark: (w: WorkerId) => WorkerStateEntry | undefined;
-  readonly reportedPart: (w: WorkerId) => Part | undefined;
+  readonly reportedPart: (w: WorkerId) => WorkerStage | undefined;
   readonly candidates: (
     phase: 'prefill' | 'decode',
-    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
+    part: (m: WorkerStateEntry, reported: WorkerStage | undefined) => WorkerStage,
     without: ReadonlySet<string>,
   ) => Candidate[];
   readonly view: () => object[];
@@ -44,7 +44,7 @@
   return r.queued >= 0 && r.active >= 0 && r.queued < 1e6 && r.active < 1e6 && r.kvUsed >= 0 && r.kvUsed <= 1;
 }
 
-export function createWorkerTable(now: () => Micros, paces: Paces): WorkerTable {
+export function createWorkerTable(now: () => Micros, paces: ThroughputTracker): WorkerTable {
   const rows = new Map<string, Row>();
 
   function marks(ms: readonly WorkerStateEntry[]): string[] {
@@ -146,12 +146,12 @@
 
   function candidates(
     phase: 'prefill' | 'decode',
-    part: (m: WorkerStateEntry, reported: Part | undefined) => Part,
+    part: (m: WorkerStateEntry, reported: WorkerStage | undefined) => WorkerStage,
     without: ReadonlySet<string>,
   ): Candidate[] {
     const not = phase === 'prefill' ? 'decode' : 'prefill';
     const fit = [...rows.values()].filter(
-      (x) => x.mark.state === 1 && part(x.mark, x.report?.r.part as Part | undefined) !== not,
+      (x) => x.mark.state === 1 && part(x.mark, x.report?.r.part as WorkerStage | undefined) !== not,
     );
     const t = now();
     const well = fit.filter((x) => !resting(x, t) && !without.has(x.mark.worker));
@@ -168,7 +168,7 @@
     went,
     candidates,
     mark: (w) => rows.get(w)?.mark,
-    reportedPart: (w) => rows.get(w)?.report?.r.part as Part | undefined,
+    reportedPart: (w) => rows.get(w)?.report?.r.part as WorkerStage | undefined,
     view: () =>
       [...rows.values()].map((x) => ({
         ...x.mark,
@@ -185,7 +185,7 @@
   const { micros } = await import('@tansypost/inner-protocol');
   it('tries a worker that failed sooner once a report of later shows that it answers', () => {
     let t = 0;
-    const table = createWorkerTable(() => micros(t), { speedClass: () => 0 } as unknown as Paces);
+    const table = createWorkerTable(() => micros(t), { speedClass: () => 0 } as unknown as ThroughputTracker);
     table.marks([1, 2].map((n) => ({ worker: `w${n}`, incarnation: 1, state: 1, address: 'x' })));
     function names(): string {
       return table
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -16,23 +16,23 @@
   type ReplicaEntry,
   type World,
 } from '@tansypost/inner-protocol';
-import { checkDesiredState, needsApproval, type DesiredState, type Fault } from '@tansypost/desired-state';
+import { checkDesiredState, needsApproval, type DesiredState, type ConfigurationFault } from '@tansypost/desired-state';
 import { claimBucketKey } from '@tansypost/control-state';
 import { createCandidate, type Candidate } from '@tansypost/duty';
 import {
   createRecordWriter,
-  createRehearsalDuty,
-  createTrainingDuty,
-  type AskResult,
-  type TrainerPort,
+  createRehearsalController,
+  createTrainingController,
+  type ControlStateResponse,
+  type ModelTrainer,
 } from '@tansypost/learning';
 import { createWorkerStateTable, createGossipMembership, workerStates } from '@tansypost/membership';
 import {
-  answerOperator,
-  readRecord,
+  applyOperatorDecision,
+  decodeRehearsalRecord,
   emptyRecord,
-  type AnswerKind,
-  type Part,
+  type OperatorDecisionKind,
+  type WorkerStage,
   type RehearsalRecord,
   type VerdictOptions,
 } from '@tansypost/rehearsal';
@@ -78,8 +78,8 @@
 };
 export interface AgentPorts {
   readonly fetchReport: (m: WorkerStateEntry) => Promise<FetchedReport | undefined>;
-  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
-  readonly trainer: TrainerPort;
+  readonly order: (m: WorkerStateEntry, epoch: number, part: WorkerStage | '') => Promise<boolean | undefined>;
+  readonly trainer: ModelTrainer;
   readonly save: (p: AgentOptions['persisted']) => void;
   readonly wall: () => number;
   // Told of each change that this agent sees.
@@ -93,7 +93,7 @@
 }
 export type Submitted =
   | { readonly answer: 'acknowledged'; readonly version: number; readonly change: string }
-  | { readonly answer: 'refused'; readonly faults: readonly Fault[]; readonly change: string }
+  | { readonly answer: 'refused'; readonly faults: readonly ConfigurationFault[]; readonly change: string }
   | { readonly answer: 'lost the race'; readonly version: number; readonly change: string }
   | { readonly answer: 'outcome unknown'; readonly change: string };
 
@@ -103,10 +103,10 @@
     ms: readonly WorkerStateEntry[],
   ) => Promise<{ readonly fresh: WorkerStateEntry[]; readonly confirmed: boolean }>;
   readonly submit: (base: number, change: string, state: unknown) => Promise<Submitted>;
-  readonly readDesired: () => Promise<AskResult>;
-  readonly lookup: (change: string) => Promise<AskResult>;
+  readonly readDesired: () => Promise<ControlStateResponse>;
+  readonly lookup: (change: string) => Promise<ControlStateResponse>;
   readonly rehearsals: () => RehearsalRecord;
-  readonly decide: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
+  readonly decide: (id: string, word: 'approve' | 'reject') => Promise<OperatorDecisionKind | 'outcome_unknown'>;
   readonly members: () => MemberEntry[];
   readonly marks: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
@@ -237,22 +237,22 @@
     hold: o.shiftHold,
     rest: o.shiftRest,
   });
-  const training = createTrainingDuty(w, {
+  const training = createTrainingController(w, {
     service: o.service,
-    holds: () => holds('training'),
+    heldEpoch: () => holds('training'),
     record,
-    asker,
+    controlClient: asker,
     writer,
     trainer: p.trainer,
-    every: o.trainEvery,
-    slice: o.slice,
+    samplesPerTraining: o.trainEvery,
+    treatmentShare: o.slice,
     approval,
   });
-  const keeping = createRehearsalDuty(w, {
-    holds: () => holds('rehearsals'),
+  const keeping = createRehearsalController(w, {
+    heldEpoch: () => holds('rehearsals'),
     record,
     writer,
-    timeLimit: o.rehearsalLimit,
+    timeLimitUs: o.rehearsalLimit,
     verdict: o.verdict,
   });
 
@@ -358,7 +358,7 @@
   function tellArms(): void {
     if (router === undefined || router.arms.length === 0) return;
     const m: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
-    toHolder('rehearsals', m, () => keeping.arms(m));
+    toHolder('rehearsals', m, () => keeping.recordCohorts(m));
   }
 
   function receive(m: Message, from: Address): void {
@@ -373,7 +373,7 @@
       case 'MarksDigest':
         return onDigest(m);
       case 'Answer':
-        return asker.answer(m);
+        return asker.handleAnswer(m);
       case 'News':
         return news.onNews(m);
       case 'Subscribe':
@@ -389,14 +389,14 @@
       case 'RouterState':
         return onRouterState(m);
       case 'Samples': {
-        if (from === o.router) return toHolder('training', m, () => training.samples(m));
-        if (holds('training') !== undefined) training.samples(m);
+        if (from === o.router) return toHolder('training', m, () => training.addSamples(m));
+        if (holds('training') !== undefined) training.addSamples(m);
         return undefined;
       }
       case 'Claim':
         return onClaim(m);
       case 'Arms':
-        return keeping.arms(m);
+        return keeping.recordCohorts(m);
       default:
         return undefined;
     }
@@ -418,7 +418,7 @@
     const value = Buffer.from(
       JSON.stringify({ op: m.op, key: m.key, holder: m.holder, request: m.request, ended: m.ended }),
     );
-    void asker.ask({ op: 'claim', key: claimBucketKey(m.key), value, patience: 2_500_000 }).then((r) => {
+    void asker.request({ op: 'claim', key: claimBucketKey(m.key), value, timeoutUs: 2_500_000 }).then((r) => {
       const known = r.value.toString();
       const status = r.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
       w.send(o.router, { kind: 'ClaimAnswer', id: m.id, status, known });
@@ -450,7 +450,7 @@
         look();
       }
       confirmations.add(holds);
-      void asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 550_000 }).then((r) => {
+      void asker.request({ op: 'read', key: `desired/${o.service}`, timeoutUs: 550_000 }).then((r) => {
         core = r.status === 'value';
         look();
       });
@@ -460,13 +460,13 @@
   async function submit(base: number, change: string, state: unknown): Promise<Submitted> {
     const d = checkDesiredState(state);
     if (E.isLeft(d)) return { answer: 'refused', faults: d.left, change };
-    const r = await asker.ask({
+    const r = await asker.request({
       op: 'write',
       key: `desired/${o.service}`,
       change,
       base,
       value: Buffer.from(JSON.stringify(d.right)),
-      patience: o.ackPatience ?? 25_000_000,
+      timeoutUs: o.ackPatience ?? 25_000_000,
     });
     if (r.status === 'done') return { answer: 'acknowledged', version: r.version, change };
     if (r.status === 'lost') return { answer: 'lost the race', version: r.version, change };
@@ -477,11 +477,11 @@
     return { answer: 'outcome unknown', change };
   }
 
-  async function decide(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
-    let kind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
-    const done = await writer.change(
+  async function decide(id: string, word: 'approve' | 'reject'): Promise<OperatorDecisionKind | 'outcome_unknown'> {
+    let kind = 'outcome_unknown' as OperatorDecisionKind | 'outcome_unknown';
+    const done = await writer.update(
       (r) => {
-        const a = answerOperator(r, id, word);
+        const a = applyOperatorDecision(r, id, word);
         kind = a.kind;
         return a.kind === 'taken' ? a.record : undefined;
       },
@@ -518,11 +518,11 @@
     decide,
     news,
     holds,
-    readDesired: () => asker.ask({ op: 'read', key: `desired/${o.service}`, patience: 8_000_000 }),
-    lookup: (change) => asker.ask({ op: 'lookup', key: `desired/${o.service}`, change, patience: 8_000_000 }),
+    readDesired: () => asker.request({ op: 'read', key: `desired/${o.service}`, timeoutUs: 8_000_000 }),
+    lookup: (change) => asker.request({ op: 'lookup', key: `desired/${o.service}`, change, timeoutUs: 8_000_000 }),
     rehearsals: () => {
       const b = record();
-      return b === undefined ? emptyRecord : readRecord(b);
+      return b === undefined ? emptyRecord : decodeRehearsalRecord(b);
     },
     members: () => [...views.liveMembers()],
     marks: () => marks.all(),
@@ -535,7 +535,7 @@
       core,
       members: views.liveMembers().length,
       duties: duties(),
-      training: training.figures(),
+      training: training.metrics(),
       orders: parts.orders(),
       probes: reports.probes(),
       routerHeard: w.now() - routerAt < 2_000_000,
--- a/programs/router-agent/src/ask.ts
+++ b/programs/router-agent/src/ask.ts
@@ -4,16 +4,21 @@
  * when patience ends is reported as unknown, with the id to ask after.
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
-import type { Asker, AskRequest, AskResult, AskStatus } from '@tansypost/learning';
+import type {
+  ControlStateClient,
+  ControlStateRequest,
+  ControlStateResponse,
+  ControlStateStatus,
+} from '@tansypost/learning';
 
 const none = Buffer.alloc(0);
 
-export function createAsker(w: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
+export function createAsker(w: World, self: Address, replicas: () => readonly ReplicaEntry[]): ControlStateClient {
   const open = new Map<string, (m: MessageOf<'Answer'>) => void>();
   let n = Math.floor(w.random() * 1e9);
 
-  function ask(r: AskRequest): Promise<AskResult> {
-    const limit = w.now() + r.patience;
+  function ask(r: ControlStateRequest): Promise<ControlStateResponse> {
+    const limit = w.now() + r.timeoutUs;
     let turn = Math.floor(w.random() * 3);
     // Only a change of the desired state may rightly be long in answering: it waits for the routers.
     const perTry = r.op === 'write' && r.key.startsWith('desired/') ? 2_500_000 : 600_000;
@@ -40,7 +45,7 @@
             return;
           }
           open.delete(id);
-          done({ status: m.status as AskStatus, epoch: m.epoch, version: m.version, value: m.value });
+          done({ status: m.status as ControlStateStatus, epoch: m.epoch, version: m.version, value: m.value });
         });
         w.send(ps[turn % ps.length]!.address as Address, {
           kind: 'Ask',
@@ -57,5 +62,5 @@
       once();
     });
   }
-  return { ask, answer: (m) => open.get(m.id)?.(m) };
+  return { request: ask, handleAnswer: (m) => open.get(m.id)?.(m) };
 }
--- a/programs/router-agent/src/index.ts
+++ b/programs/router-agent/src/index.ts
@@ -2,4 +2,4 @@
 export * from './ask.js';
 export * from './parts-duty.js';
 export * from './reports.js';
-export type { TrainerPort } from '@tansypost/learning';
+export type { ModelTrainer } from '@tansypost/learning';
--- a/programs/router-agent/src/main.ts
+++ b/programs/router-agent/src/main.ts
@@ -12,7 +12,7 @@
 
 await runProgram({
   name: 'router-agent',
-  about: 'Links the router on its machine to the control plane.',
+  description: 'Links the router on its machine to the control plane.',
   schema: AgentSettings,
   flags: Object.keys(AgentSettings.properties),
   start: async (b, log) => {
--- a/programs/router-agent/src/parts-duty.ts
+++ b/programs/router-agent/src/parts-duty.ts
@@ -5,7 +5,14 @@
  * every worker, so that whatever an earlier holder still has in hand is refused.
  */
 import { micros, type WorkerStateEntry, type WorkerReport, type World } from '@tansypost/inner-protocol';
-import { begin, end, readRecord, type Part, type PartEntry, type RehearsalRecord } from '@tansypost/rehearsal';
+import {
+  beginRehearsal,
+  endRehearsal,
+  decodeRehearsalRecord,
+  type WorkerStage,
+  type StageEntry,
+  type RehearsalRecord,
+} from '@tansypost/rehearsal';
 import type { RecordWriter } from '@tansypost/learning';
 
 export interface PartsDutyOptions {
@@ -14,7 +21,7 @@
   readonly workers: () => WorkerStateEntry[];
   readonly reports: () => WorkerReport[];
   readonly writer: RecordWriter;
-  readonly order: (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  readonly order: (m: WorkerStateEntry, epoch: number, part: WorkerStage | '') => Promise<boolean | undefined>;
   readonly shift: boolean;
   readonly slice: number;
   readonly approval: () => 'automatic' | 'operator';
@@ -27,7 +34,7 @@
   readonly orders: () => number;
 }
 
-export function partOf(r: RehearsalRecord, m: WorkerStateEntry): Part | undefined {
+export function partOf(r: RehearsalRecord, m: WorkerStateEntry): WorkerStage | undefined {
   const s = r.running?.subject;
   if (s?.type === 'part' && s.shift.worker === m.worker && s.shift.incarnation === m.incarnation) return 'both';
   const e = r.parts[m.worker];
@@ -36,9 +43,9 @@
 
 // Parts for workers that have none yet; a worker back under a new incarnation keeps the part it had.
 export function assignNew(r: RehearsalRecord, ms: readonly WorkerStateEntry[]): RehearsalRecord | undefined {
-  const parts: Record<string, PartEntry> = { ...r.parts };
+  const parts: Record<string, StageEntry> = { ...r.parts };
   let changed = false;
-  function n(p: Part): number {
+  function n(p: WorkerStage): number {
     return ms.filter((m) => parts[m.worker]?.part === p).length;
   }
   for (const m of [...ms].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
@@ -62,7 +69,7 @@
   const s = r.running?.subject;
   const left = s?.type === 'part' && parts[s.shift.worker]?.incarnation !== s.shift.incarnation;
   if (!left) return { ...r, parts };
-  const ended = end({ ...r, parts }, 'superseded');
+  const ended = endRehearsal({ ...r, parts }, 'superseded');
   return {
     ...ended,
     parts: { ...parts, [s.shift.worker]: { incarnation: parts[s.shift.worker]!.incarnation, part: s.shift.from } },
@@ -79,7 +86,7 @@
   rs: readonly WorkerReport[],
 ): Pressure | undefined {
   const at = new Map(rs.filter((x) => x.age < 5_000_000).map((x) => [`${x.worker}/${x.incarnation}`, x]));
-  function mean(p: Part, f: (x: WorkerReport) => number): number | undefined {
+  function mean(p: WorkerStage, f: (x: WorkerReport) => number): number | undefined {
     const xs = ms
       .filter((m) => partOf(r, m) === p)
       .map((m) => at.get(`${m.worker}/${m.incarnation}`))
@@ -92,14 +99,14 @@
 }
 
 export function createPartsDuty(w: World, o: PartsDutyOptions): PartsDuty {
-  const ordered = new Map<string, { epoch: number; part: Part | '' }>();
+  const ordered = new Map<string, { epoch: number; part: WorkerStage | '' }>();
   let busy = false;
   let fencing: number | undefined;
   let orders = 0;
-  let lean: { to: Part; since: number } | undefined;
+  let lean: { to: WorkerStage; since: number } | undefined;
   let restUntil = 0;
 
-  async function send(m: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
+  async function send(m: WorkerStateEntry, epoch: number, part: WorkerStage | ''): Promise<void> {
     if (o.holds() !== epoch) return;
     orders += 1;
     // A cut link may hold an order and deliver it long after this tenure, to a worker that no later holder could reach. So
@@ -128,7 +135,7 @@
     const epoch = o.holds();
     const b = o.record();
     if (epoch === undefined || b === undefined || busy || fencing === epoch) return;
-    const r = readRecord(b);
+    const r = decodeRehearsalRecord(b);
     const ms = o.workers();
     busy = true;
     void work(r, ms, epoch).finally(() => {
@@ -140,7 +147,7 @@
 
   async function work(r: RehearsalRecord, ms: WorkerStateEntry[], epoch: number): Promise<void> {
     if (ms.length > 0 && assignNew(r, ms) !== undefined) {
-      await o.writer.change(
+      await o.writer.update(
         (x) => assignNew(x, ms),
         () => o.holds() === epoch,
       );
@@ -162,7 +169,7 @@
       lean = undefined;
       return;
     }
-    const to: Part | undefined =
+    const to: WorkerStage | undefined =
       p.prefill > 2 && p.prefill > 2.5 * p.decode
         ? 'prefill'
         : p.decode > 1 && p.decode > 2.5 * p.prefill
@@ -174,16 +181,16 @@
     }
     if (lean?.to !== to) lean = { to, since: w.now() };
     if (w.now() - lean.since < (o.hold ?? 8_000_000)) return;
-    const from: Part = to === 'prefill' ? 'decode' : 'prefill';
+    const from: WorkerStage = to === 'prefill' ? 'decode' : 'prefill';
     const give = ms.filter((m) => partOf(r, m) === from);
     if (give.length < 2) return;
     const m = give[0]!;
     restUntil = w.now() + (o.rest ?? 60_000_000);
     const shift = { worker: m.worker, incarnation: m.incarnation, from, to };
-    await o.writer.change(
+    await o.writer.update(
       (x) =>
         x.running === undefined && partOf(x, m) === from
-          ? begin(
+          ? beginRehearsal(
               x,
               `part-${epoch}-${m.worker}-${Math.floor(w.random() * 1e6)}`,
               { type: 'part', shift },
@@ -236,7 +243,7 @@
         record: () => record,
         workers: () => [mark('a'), mark('b')],
         reports: () => [],
-        writer: { change: async () => undefined },
+        writer: { update: async () => undefined },
         order: async (m, _epoch, part) => {
           asked.push(`${m.worker} ${part === '' ? 'fence' : part}`);
           return m.worker === 'a' ? true : undefined;
--- a/programs/router-agent/src/trainer-port.ts
+++ b/programs/router-agent/src/trainer-port.ts
@@ -3,9 +3,9 @@
  * the training duty gets.
  */
 import { Worker } from 'node:worker_threads';
-import type { TrainerPort } from '@tansypost/learning';
+import type { ModelTrainer } from '@tansypost/learning';
 
-export function createThreadTrainer(): TrainerPort & { readonly close: () => Promise<void> } {
+export function createThreadTrainer(): ModelTrainer & { readonly close: () => Promise<void> } {
   let worker: Worker | undefined;
   let n = 0;
   const open = new Map<number, { ok: (b: Buffer) => void; no: (e: Error) => void }>();
--- a/programs/tansypost/src/commands.ts
+++ b/programs/tansypost/src/commands.ts
@@ -7,7 +7,7 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { checkDesiredState } from '@tansypost/desired-state';
 import { call, exitCode, type Called } from './call.js';
-import { readRecord } from '@tansypost/rehearsal';
+import { decodeRehearsalRecord } from '@tansypost/rehearsal';
 import { Decisions } from './decisions.js';
 import { Duties } from './duties.js';
 import { plainRehearsals } from './plain.js';
@@ -143,7 +143,7 @@
   async execute(): Promise<number> {
     const r = await call(this.agent, 'GET', '/rehearsals');
     if (this.json || r.status !== 200) return this.say(r);
-    this.context.stdout.write(plainRehearsals(readRecord(Buffer.from(JSON.stringify(r.body)))));
+    this.context.stdout.write(plainRehearsals(decodeRehearsalRecord(Buffer.from(JSON.stringify(r.body)))));
     return 0;
   }
 }
--- a/programs/tansypost/src/plain.ts
+++ b/programs/tansypost/src/plain.ts
@@ -64,14 +64,14 @@
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  const { begin, emptyRecord, end, goLive, passed } = await import('@tansypost/rehearsal');
+  const { beginRehearsal, emptyRecord, endRehearsal, goLive, passStage } = await import('@tansypost/rehearsal');
   it('says at each stage what is measured and what happens next', () => {
     const m: Measured = {
       slice: { count: 210, failures: 0, meanLog: 0, sdLog: 1 },
       control: { count: 640, failures: 0, meanLog: 0, sdLog: 1 },
       why: 'TTFT -3.0 %',
     };
-    const a = begin(
+    const a = beginRehearsal(
       emptyRecord,
       'model-64-1',
       { type: 'model', model: { version: { epoch: 64, n: 1 }, hash: 'h', blob: 'b' } },
@@ -80,12 +80,12 @@
     );
     expect(plainRehearsals(emptyRecord)).toMatch(/No model is live.*\n.*none assigned.*\nNothing is being rehearsed/);
     expect(plainRehearsals(a)).toMatch(/10 % of the requests[^]*nothing judged yet[^]*widens to half/);
-    const b = passed(a, m);
+    const b = passStage(a, m);
     expect(plainRehearsals(b)).toMatch(/50 %[^]*210 requests in the slice beside 640[^]*waits for your approval/);
-    const c = passed(b, m);
+    const c = passStage(b, m);
     expect(plainRehearsals(c)).toMatch(/It waits for you: tansypost rehearsal approve model-64-1/);
     const d = goLive(c);
     expect(plainRehearsals(d)).toMatch(/Live model: 64\/1[^]*watched[^]*rolled back/);
-    expect(plainRehearsals(end(d, 'live', m))).toMatch(/Ended, newest first:\n {2}model-64-1.*live; 210/);
+    expect(plainRehearsals(endRehearsal(d, 'live', m))).toMatch(/Ended, newest first:\n {2}model-64-1.*live; 210/);
   });
 }
