--- a/packages/placement/src/features.ts
+++ b/packages/placement/src/features.ts
@@ -1,11 +1,13 @@
 /**
- * The features of one candidate for one prompt, in the paper's three groups: the request, the expected
- * hit, and the worker's state. No feature names a worker. The paper's GPU model is replaced by a
- * speed class read from observed pace, one column a class.
+ * Features of one candidate for one prompt, in the three groups of the paper: the request, the expected cache hit, and the
+ * worker's state. No feature identifies a worker. In place of the paper's GPU model there is a speed class, taken from
+ * observed throughput and encoded with one column for each class.
  */
 import type { Candidate, PromptSummary } from './worker-snapshot.js';
 
+/** Number of speed classes, see `ThroughputTracker`. */
 export const speedClassCount = 4;
+/** Names of the features by their index. */
 export const featureNames = [
   'tokens',
   'hit',
@@ -20,18 +22,20 @@
   'classMiddle',
   'classFast',
 ] as const;
+/** Number of features. */
 export const featureCount = featureNames.length;
 
-export function computeFeatures(p: PromptSummary, hit: number, c: Candidate): Float32Array {
-  const x = new Float32Array(featureCount);
-  x[0] = p.tokens;
-  x[1] = hit;
-  x[2] = p.tokens * (1 - hit);
-  x[3] = c.running;
-  x[4] = c.queued;
-  x[5] = c.prefillTokens;
-  x[6] = c.decodeTokens;
-  x[7] = c.kvUsed;
-  x[8 + Math.min(speedClassCount - 1, Math.max(0, c.speedClass))] = 1;
-  return x;
+/** Computes the features; `hitShare` is the share of the prompt expected to be cached at the candidate. */
+export function computeFeatures(prompt: PromptSummary, hitShare: number, candidate: Candidate): Float32Array {
+  const row = new Float32Array(featureCount);
+  row[0] = prompt.tokens;
+  row[1] = hitShare;
+  row[2] = prompt.tokens * (1 - hitShare);
+  row[3] = candidate.running;
+  row[4] = candidate.queued;
+  row[5] = candidate.prefillTokens;
+  row[6] = candidate.decodeTokens;
+  row[7] = candidate.kvUsed;
+  row[8 + Math.min(speedClassCount - 1, Math.max(0, candidate.speedClass))] = 1;
+  return row;
 }
--- a/packages/placement/src/index.ts
+++ b/packages/placement/src/index.ts
@@ -1,4 +1,4 @@
-export * from './assignment.js';
+export * from './assign.js';
 export * from './blocks.js';
 export * from './worker-snapshot.js';
 export * from './features.js';
--- a/packages/placement/src/model.ts
+++ b/packages/placement/src/model.ts
@@ -1,17 +1,18 @@
 /**
- * A model as it travels and is scored with: the predictor, the statistics that its features are
- * z-scored by, the ranges it was trained on, and its version. The version is the training duty's
- * epoch and a count, so versions of different holders never meet; the hash of the content names the
- * bytes themselves, and a router refuses bytes that do not match.
+ * A model as it is distributed and used: the predictor, the statistics that normalize its features (z-scores), the ranges
+ * it was trained on, and its version. The version is the epoch of the training role and a counter, so models of different
+ * leaders never share a version. The hash of the content identifies the bytes; a router refuses bytes that do not match it.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { digest, TansypostError } from '@tansypost/inner-protocol';
 import { forward, type Predictor } from './predictor.js';
 
+/** Version of a model; it is stored and sent under these names. */
 export interface ModelVersion {
   readonly epoch: number;
   readonly n: number;
 }
+/** Statistics of the training samples: for each feature mean, standard deviation and range; `y` is the reward. */
 export interface Scaling {
   readonly mean: Float32Array;
   readonly deviation: Float32Array;
@@ -20,63 +21,72 @@
   readonly yMean: number;
   readonly ySd: number;
 }
+/** A trained model. */
 export interface Model {
   readonly version: ModelVersion;
+  /** Samples that training has received up to this model. */
   readonly sampleCount: number;
   readonly predictor: Predictor;
   readonly scaling: Scaling;
 }
 
-export function encodeModel(m: Model): Buffer {
+/** Encodes a model: length of the header, header as JSON, then all arrays as little-endian 32-bit floats. */
+export function encodeModel(model: Model): Buffer {
   const head = {
-    version: m.version,
-    samples: m.sampleCount,
-    sizes: m.predictor.sizes,
-    yMean: m.scaling.yMean,
-    ySd: m.scaling.ySd,
+    version: model.version,
+    samples: model.sampleCount,
+    sizes: model.predictor.sizes,
+    yMean: model.scaling.yMean,
+    ySd: model.scaling.ySd,
   };
-  const h = Buffer.from(JSON.stringify(head));
-  const n = Buffer.alloc(4);
-  n.writeUInt32BE(h.length, 0);
+  const header = Buffer.from(JSON.stringify(head));
+  const headerLength = Buffer.alloc(4);
+  headerLength.writeUInt32BE(header.length, 0);
   const arrays = [
-    m.scaling.mean,
-    m.scaling.deviation,
-    m.scaling.low,
-    m.scaling.high,
-    ...m.predictor.weights,
-    ...m.predictor.biases,
+    model.scaling.mean,
+    model.scaling.deviation,
+    model.scaling.low,
+    model.scaling.high,
+    ...model.predictor.weights,
+    ...model.predictor.biases,
   ];
-  return Buffer.concat([n, h, ...arrays.map((a) => Buffer.from(a.buffer, a.byteOffset, a.byteLength))]);
+  return Buffer.concat([
+    headerLength,
+    header,
+    ...arrays.map((array) => Buffer.from(array.buffer, array.byteOffset, array.byteLength)),
+  ]);
 }
 
-export function modelHash(b: Buffer): string {
-  return digest(b).slice(0, 32);
+/** The hash that identifies an encoded model. */
+export function modelHash(encoded: Buffer): string {
+  return digest(encoded).slice(0, 32);
 }
 
-export function decodeModel(b: Buffer, hash: string): E.Either<Error, Model> {
-  if (modelHash(b) !== hash)
-    return E.left(new TansypostError('The model does not match its hash; it is fetched again with the next news.'));
+/** Decodes a model; an error where its bytes do not match the hash or are malformed. */
+export function decodeModel(encoded: Buffer, hash: string): E.Either<Error, Model> {
+  if (modelHash(encoded) !== hash)
+    return E.left(new TansypostError('The model does not match its hash; it is fetched again with the next update.'));
   return E.tryCatch(
     () => {
-      const n = b.readUInt32BE(0);
-      const head = JSON.parse(b.subarray(4, 4 + n).toString()) as {
+      const headerLength = encoded.readUInt32BE(0);
+      const head = JSON.parse(encoded.subarray(4, 4 + headerLength).toString()) as {
         version: ModelVersion;
         samples: number;
         sizes: number[];
         yMean: number;
         ySd: number;
       };
-      let at = 4 + n;
-      function take(len: number): Float32Array {
-        const a = new Float32Array(len);
-        for (let i = 0; i < len; i += 1) a[i] = b.readFloatLE(at + 4 * i);
-        at += 4 * len;
-        return a;
+      let at = 4 + headerLength;
+      function readArray(length: number): Float32Array {
+        const array = new Float32Array(length);
+        for (let i = 0; i < length; i += 1) array[i] = encoded.readFloatLE(at + 4 * i);
+        at += 4 * length;
+        return array;
       }
-      const w = head.sizes[0]!;
-      const [mean, deviation, low, high] = [take(w), take(w), take(w), take(w)];
-      const weights = head.sizes.slice(1).map((m, i) => take(m * head.sizes[i]!));
-      const biases = head.sizes.slice(1).map((m) => take(m));
+      const inputs = head.sizes[0]!;
+      const [mean, deviation, low, high] = [readArray(inputs), readArray(inputs), readArray(inputs), readArray(inputs)];
+      const weights = head.sizes.slice(1).map((size, i) => readArray(size * head.sizes[i]!));
+      const biases = head.sizes.slice(1).map((size) => readArray(size));
       return {
         version: head.version,
         sampleCount: head.samples,
@@ -84,26 +94,32 @@
         scaling: { mean, deviation, low, high, yMean: head.yMean, ySd: head.ySd },
       };
     },
-    (e) => (e instanceof Error ? e : new TansypostError(String(e))),
+    (error) => (error instanceof Error ? error : new TansypostError(String(error))),
   );
 }
 
-export function isInTrainingRange(s: Scaling, x: Float32Array): boolean {
-  for (let i = 0; i < x.length; i += 1) {
-    const room = 0.05 * (s.high[i]! - s.low[i]!);
-    if (x[i]! < s.low[i]! - room || x[i]! > s.high[i]! + room) return false;
+/** Whether all features are in the range of the training samples, widened by 5 % to each side. */
+export function isInTrainingRange(scaling: Scaling, row: Float32Array): boolean {
+  for (let i = 0; i < row.length; i += 1) {
+    const margin = 0.05 * (scaling.high[i]! - scaling.low[i]!);
+    if (row[i]! < scaling.low[i]! - margin || row[i]! > scaling.high[i]! + margin) return false;
   }
   return true;
 }
 
-// The predicted TTFT in seconds of each row, all in one batch; undefined when time ran out.
-export function predictTtft(m: Model, rows: readonly Float32Array[], expired?: () => boolean): number[] | undefined {
-  const w = m.predictor.sizes[0]!;
-  const x = new Float32Array(rows.length * w);
-  rows.forEach((r, i) => {
-    for (let j = 0; j < w; j += 1) x[i * w + j] = (r[j]! - m.scaling.mean[j]!) / m.scaling.deviation[j]!;
+/** The predicted TTFT in seconds of each row, all in one batch; undefined when `expired` ended the call. */
+export function predictTtft(
+  model: Model,
+  rows: readonly Float32Array[],
+  expired?: () => boolean,
+): number[] | undefined {
+  const inputs = model.predictor.sizes[0]!;
+  const batch = new Float32Array(rows.length * inputs);
+  rows.forEach((row, i) => {
+    for (let j = 0; j < inputs; j += 1)
+      batch[i * inputs + j] = (row[j]! - model.scaling.mean[j]!) / model.scaling.deviation[j]!;
   });
-  const p = forward(m.predictor, x, rows.length, undefined, expired);
-  if (p === undefined) return undefined;
-  return Array.from(p.activations.at(-1)!, (v) => -(v * m.scaling.ySd + m.scaling.yMean));
+  const pass = forward(model.predictor, batch, rows.length, undefined, expired);
+  if (pass === undefined) return undefined;
+  return Array.from(pass.activations.at(-1)!, (output) => -(output * model.scaling.ySd + model.scaling.yMean));
 }
--- a/packages/placement/src/predictor.ts
+++ b/packages/placement/src/predictor.ts
@@ -1,168 +1,193 @@
 /**
- * The shared reward predictor: three inner layers of 128 units with ReLU and dropout 0.1 between them,
- * one scalar out. Plain typed arrays, one batch a call. The forward pass can be given a check that
- * it asks between layers, which bounds the scoring call; dropout is off when it scores.
+ * The reward predictor that all workers share: three hidden layers of 128 units with ReLU and, in training, dropout of 0.1
+ * after each; one scalar output. It uses plain typed arrays and takes one batch a call. The forward pass calls a check
+ * before each layer, so that scoring can be bounded in time; there is no dropout in scoring.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 
+/** A multilayer perceptron. */
 export interface Predictor {
+  /** Units of each layer, from the inputs to the output. */
   readonly sizes: readonly number[];
+  /** One matrix for each layer, row by row; a row holds the weights of one input. */
   readonly weights: Float32Array[];
   readonly biases: Float32Array[];
 }
 
-export function createPredictor(inputs: number, seed: number, inner: readonly number[] = [128, 128, 128]): Predictor {
-  const r = createSeededRandom(seed);
-  const sizes = [inputs, ...inner, 1];
+/** Creates a predictor with random weights (He initialization). */
+export function createPredictor(inputs: number, seed: number, hidden: readonly number[] = [128, 128, 128]): Predictor {
+  const random = createSeededRandom(seed);
+  const sizes = [inputs, ...hidden, 1];
   const weights: Float32Array[] = [];
   const biases: Float32Array[] = [];
-  for (let l = 0; l + 1 < sizes.length; l += 1) {
-    const n = sizes[l]!;
-    const m = sizes[l + 1]!;
-    const s = Math.sqrt(2 / n);
+  for (let layer = 0; layer + 1 < sizes.length; layer += 1) {
+    const inputSize = sizes[layer]!;
+    const outputSize = sizes[layer + 1]!;
+    const deviation = Math.sqrt(2 / inputSize);
     weights.push(
       Float32Array.from(
-        { length: n * m },
-        () => s * Math.sqrt(-2 * Math.log(r() + 1e-12)) * Math.cos(2 * Math.PI * r()),
+        { length: inputSize * outputSize },
+        () => deviation * Math.sqrt(-2 * Math.log(random() + 1e-12)) * Math.cos(2 * Math.PI * random()),
       ),
     );
-    biases.push(new Float32Array(m));
+    biases.push(new Float32Array(outputSize));
   }
   return { sizes, weights, biases };
 }
 
+/** What a forward pass computed, as the backward pass needs it. */
 export interface ForwardPass {
+  /** The inputs, then the outputs of each layer, for the whole batch. */
   readonly activations: Float32Array[];
+  /** Factors of dropout by layer; undefined where there was none. */
   readonly dropoutMasks: (Float32Array | undefined)[];
 }
 
+/**
+ * Runs a batch through the predictor.
+ * @param predictor the predictor
+ * @param batch inputs, row by row
+ * @param rowCount rows in the batch
+ * @param dropout rate of dropout, and the random numbers for it
+ * @param expired is called before each layer; the pass ends without a result when it returns true
+ */
 export function forward(
-  p: Predictor,
-  x: Float32Array,
-  n: number,
-  drop?: { rate: number; random: () => number },
+  predictor: Predictor,
+  batch: Float32Array,
+  rowCount: number,
+  dropout?: { rate: number; random: () => number },
   expired?: () => boolean,
 ): ForwardPass | undefined {
-  const outs: Float32Array[] = [x];
-  const masks: (Float32Array | undefined)[] = [];
-  for (let l = 0; l < p.weights.length; l += 1) {
+  const activations: Float32Array[] = [batch];
+  const dropoutMasks: (Float32Array | undefined)[] = [];
+  for (let layer = 0; layer < predictor.weights.length; layer += 1) {
     if (expired?.() === true) return undefined;
-    const a = p.sizes[l]!;
-    const b = p.sizes[l + 1]!;
-    const w = p.weights[l]!;
-    const bias = p.biases[l]!;
-    const inp = outs[l]!;
-    const out = new Float32Array(n * b);
-    const lastLayer = l === p.weights.length - 1;
-    for (let i = 0; i < n; i += 1) {
-      const o = i * b;
-      out.set(bias, o);
-      for (let j = 0; j < a; j += 1) {
-        const v = inp[i * a + j]!;
-        if (v === 0) continue;
-        const k = j * b;
-        for (let m = 0; m < b; m += 1) out[o + m]! += v * w[k + m]!;
+    const inputSize = predictor.sizes[layer]!;
+    const outputSize = predictor.sizes[layer + 1]!;
+    const weights = predictor.weights[layer]!;
+    const bias = predictor.biases[layer]!;
+    const inputs = activations[layer]!;
+    const outputs = new Float32Array(rowCount * outputSize);
+    const isLastLayer = layer === predictor.weights.length - 1;
+    for (let i = 0; i < rowCount; i += 1) {
+      const outputAt = i * outputSize;
+      outputs.set(bias, outputAt);
+      for (let j = 0; j < inputSize; j += 1) {
+        const input = inputs[i * inputSize + j]!;
+        if (input === 0) continue;
+        const weightAt = j * outputSize;
+        for (let unit = 0; unit < outputSize; unit += 1) outputs[outputAt + unit]! += input * weights[weightAt + unit]!;
       }
     }
     let mask: Float32Array | undefined;
-    if (!lastLayer) {
-      for (let i = 0; i < out.length; i += 1) if (out[i]! < 0) out[i] = 0;
-      if (drop !== undefined && drop.rate > 0) {
-        const keep = 1 / (1 - drop.rate);
-        mask = Float32Array.from({ length: out.length }, () => (drop.random() < drop.rate ? 0 : keep));
-        for (let i = 0; i < out.length; i += 1) out[i]! *= mask[i]!;
+    if (!isLastLayer) {
+      for (let i = 0; i < outputs.length; i += 1) if (outputs[i]! < 0) outputs[i] = 0;
+      if (dropout !== undefined && dropout.rate > 0) {
+        const keptFactor = 1 / (1 - dropout.rate);
+        mask = Float32Array.from({ length: outputs.length }, () => (dropout.random() < dropout.rate ? 0 : keptFactor));
+        for (let i = 0; i < outputs.length; i += 1) outputs[i]! *= mask[i]!;
       }
     }
-    masks.push(mask);
-    outs.push(out);
+    dropoutMasks.push(mask);
+    activations.push(outputs);
   }
-  return { activations: outs, dropoutMasks: masks };
+  return { activations, dropoutMasks };
 }
 
+/** Gradients of a loss by the parameters of a predictor. */
 export interface Gradients {
   readonly weights: Float32Array[];
   readonly biases: Float32Array[];
 }
 
-export function createZeroGradients(p: Predictor): Gradients {
+/** Gradients of 0, to add to. */
+export function createZeroGradients(predictor: Predictor): Gradients {
   return {
-    weights: p.weights.map((w) => new Float32Array(w.length)),
-    biases: p.biases.map((b) => new Float32Array(b.length)),
+    weights: predictor.weights.map((weights) => new Float32Array(weights.length)),
+    biases: predictor.biases.map((biases) => new Float32Array(biases.length)),
   };
 }
 
-// `up` is the derivative of the loss by each output of the batch. What it finds is added to `into`.
+/**
+ * Backpropagation. `outputGradient` is the derivative of the loss by each output of the batch; the gradients of the
+ * parameters are added to `gradients`.
+ */
 export function backward(
-  p: Predictor,
+  predictor: Predictor,
   pass: ForwardPass,
-  n: number,
-  up: Float32Array,
-  into = createZeroGradients(p),
+  rowCount: number,
+  outputGradient: Float32Array,
+  gradients = createZeroGradients(predictor),
 ): Gradients {
-  const { weights: gw, biases: gb } = into;
-  let d = up;
-  for (let l = p.weights.length - 1; l >= 0; l -= 1) {
-    const a = p.sizes[l]!;
-    const b = p.sizes[l + 1]!;
-    const inp = pass.activations[l]!;
-    const w = p.weights[l]!;
-    const below = new Float32Array(n * a);
-    const mask = l > 0 ? pass.dropoutMasks[l - 1] : undefined;
-    for (let i = 0; i < n; i += 1) {
-      for (let m = 0; m < b; m += 1) gb[l]![m]! += d[i * b + m]!;
-      for (let j = 0; j < a; j += 1) {
-        const v = inp[i * a + j]!;
-        if (v === 0) continue;
-        const k = j * b;
-        let s = 0;
-        for (let m = 0; m < b; m += 1) {
-          const g = d[i * b + m]!;
-          gw[l]![k + m]! += v * g;
-          s += w[k + m]! * g;
+  const { weights: weightGradients, biases: biasGradients } = gradients;
+  let upstream = outputGradient;
+  for (let layer = predictor.weights.length - 1; layer >= 0; layer -= 1) {
+    const inputSize = predictor.sizes[layer]!;
+    const outputSize = predictor.sizes[layer + 1]!;
+    const inputs = pass.activations[layer]!;
+    const weights = predictor.weights[layer]!;
+    const inputGradient = new Float32Array(rowCount * inputSize);
+    const mask = layer > 0 ? pass.dropoutMasks[layer - 1] : undefined;
+    for (let i = 0; i < rowCount; i += 1) {
+      for (let unit = 0; unit < outputSize; unit += 1) biasGradients[layer]![unit]! += upstream[i * outputSize + unit]!;
+      for (let j = 0; j < inputSize; j += 1) {
+        const input = inputs[i * inputSize + j]!;
+        if (input === 0) continue;
+        const weightAt = j * outputSize;
+        let sum = 0;
+        for (let unit = 0; unit < outputSize; unit += 1) {
+          const gradient = upstream[i * outputSize + unit]!;
+          weightGradients[layer]![weightAt + unit]! += input * gradient;
+          sum += weights[weightAt + unit]! * gradient;
         }
-        below[i * a + j] = mask === undefined ? s : s * mask[i * a + j]!;
+        inputGradient[i * inputSize + j] = mask === undefined ? sum : sum * mask[i * inputSize + j]!;
       }
     }
-    d = below;
+    upstream = inputGradient;
   }
-  return into;
+  return gradients;
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   it('has gradients that agree with numerical ones, with and without dropout', () => {
-    const n = 5;
-    const r = createSeededRandom(3);
-    const x = Float32Array.from({ length: n * 4 }, () => r() * 2 - 1);
-    const y = Float32Array.from({ length: n }, () => r());
+    const rowCount = 5;
+    const random = createSeededRandom(3);
+    const batch = Float32Array.from({ length: rowCount * 4 }, () => random() * 2 - 1);
+    const targets = Float32Array.from({ length: rowCount }, () => random());
     for (const rate of [0, 0.3]) {
-      const p = createPredictor(4, 9, [8, 8, 8]);
+      const predictor = createPredictor(4, 9, [8, 8, 8]);
       function loss(): number {
-        const o = forward(p, x, n, { rate, random: createSeededRandom(5) })!.activations.at(-1)!;
-        return o.reduce((s, v, i) => s + 0.5 * (v - y[i]!) ** 2, 0);
+        const outputs = forward(predictor, batch, rowCount, {
+          rate,
+          random: createSeededRandom(5),
+        })!.activations.at(-1)!;
+        return outputs.reduce((sum, output, i) => sum + 0.5 * (output - targets[i]!) ** 2, 0);
       }
-      const pass = forward(p, x, n, { rate, random: createSeededRandom(5) })!;
-      const g = backward(
-        p,
+      const pass = forward(predictor, batch, rowCount, { rate, random: createSeededRandom(5) })!;
+      const gradients = backward(
+        predictor,
         pass,
-        n,
-        pass.activations.at(-1)!.map((v, i) => v - y[i]!),
+        rowCount,
+        pass.activations.at(-1)!.map((output, i) => output - targets[i]!),
       );
       let checked = 0;
-      for (let l = 0; l < 4; l += 1) {
-        for (let k = 0; k < p.weights[l]!.length; k += 3) {
-          const w = p.weights[l]!;
-          const at = w[k]!;
-          const h = 1e-2;
-          w[k] = at + h;
-          const hi = loss();
-          w[k] = at - h;
-          const lo = loss();
-          w[k] = at;
-          const num = (hi - lo) / (2 * h);
-          if (Math.abs(num) < 1e-3) continue;
+      for (let layer = 0; layer < 4; layer += 1) {
+        for (let i = 0; i < predictor.weights[layer]!.length; i += 3) {
+          const weights = predictor.weights[layer]!;
+          const original = weights[i]!;
+          const step = 1e-2;
+          weights[i] = original + step;
+          const lossAbove = loss();
+          weights[i] = original - step;
+          const lossBelow = loss();
+          weights[i] = original;
+          const numerical = (lossAbove - lossBelow) / (2 * step);
+          if (Math.abs(numerical) < 1e-3) continue;
           checked += 1;
-          expect(Math.abs(g.weights[l]![k]! - num)).toBeLessThan(0.05 * Math.max(0.2, Math.abs(num)));
+          expect(Math.abs(gradients.weights[layer]![i]! - numerical)).toBeLessThan(
+            0.05 * Math.max(0.2, Math.abs(numerical)),
+          );
         }
       }
       expect(checked).toBeGreaterThan(20);
--- a/packages/placement/src/radix-tree.ts
+++ b/packages/placement/src/radix-tree.ts
@@ -1,137 +1,160 @@
 /**
- * The radix tree of the router's own path decisions. Each node holds a run of blocks and, for each worker
- * that was sent a prompt through it, when that was. The expected hit of a prompt on a worker is the
- * length of the longest run from the root that the worker has seen. The tree is bounded: the leaves
- * that were used longest ago go first, and a worker that came back anew is forgotten whole.
+ * A radix tree of the prefixes that this router has sent to workers. Each node holds a run of blocks and, for each worker
+ * that received a prompt through it, the time of the last one. The expected cache hit of a prompt on a worker is the
+ * longest run of blocks from the root that was sent to that worker. The tree is bounded: the leaves that were used least
+ * recently are evicted first, and a worker that has restarted is removed from all nodes.
  */
 
 interface Node {
-  run: number[];
-  next: Map<number, Node>;
-  used: Map<string, number>;
-  last: number;
-  up: Node | undefined;
+  blocks: number[];
+  children: Map<number, Node>;
+  lastUseByWorker: Map<string, number>;
+  lastUse: number;
+  parent: Node | undefined;
 }
 
+/** The prefixes sent to each worker. */
 export interface RadixTree {
-  // Only sends after `since` count, where it is given: what was read long ago has given way.
+  /**
+   * Number of the prompt's blocks expected to be cached, by worker. Where `since` is given, only prompts sent at that
+   * time or later count, as workers evict what was prefilled long ago.
+   */
   readonly hits: (blocks: readonly number[], since?: number) => Map<string, number>;
   readonly insert: (blocks: readonly number[], worker: string, now: number) => void;
   readonly removeWorker: (worker: string) => void;
   readonly blockCount: () => number;
 }
 
-export function createRadixTree(limitBlocks = 200_000): RadixTree {
-  const root: Node = { run: [], next: new Map(), used: new Map(), last: 0, up: undefined };
-  let size = 0;
+/** Creates an empty tree that holds up to `maxBlocks` blocks. */
+export function createRadixTree(maxBlocks = 200_000): RadixTree {
+  const root: Node = { blocks: [], children: new Map(), lastUseByWorker: new Map(), lastUse: 0, parent: undefined };
+  let blockCount = 0;
 
-  function shared(run: readonly number[], bs: readonly number[], at: number): number {
-    let n = 0;
-    while (n < run.length && at + n < bs.length && run[n] === bs[at + n]) n += 1;
-    return n;
+  function commonLength(run: readonly number[], blocks: readonly number[], at: number): number {
+    let length = 0;
+    while (length < run.length && at + length < blocks.length && run[length] === blocks[at + length]) length += 1;
+    return length;
   }
 
-  function hits(bs: readonly number[], since = -Infinity): Map<string, number> {
-    const out = new Map<string, number>();
+  function hits(blocks: readonly number[], since = -Infinity): Map<string, number> {
+    const found = new Map<string, number>();
     let node = root;
     let at = 0;
     for (;;) {
-      const c = at < bs.length ? node.next.get(bs[at]!) : undefined;
-      if (c === undefined) return out;
-      const n = shared(c.run, bs, at);
-      at += n;
-      for (const [w, t] of c.used) if (t >= since) out.set(w, at);
-      if (n < c.run.length) return out;
-      node = c;
+      const child = at < blocks.length ? node.children.get(blocks[at]!) : undefined;
+      if (child === undefined) return found;
+      const length = commonLength(child.blocks, blocks, at);
+      at += length;
+      for (const [worker, lastUse] of child.lastUseByWorker) if (lastUse >= since) found.set(worker, at);
+      if (length < child.blocks.length) return found;
+      node = child;
     }
   }
 
-  function split(c: Node, n: number): Node {
-    const top: Node = { run: c.run.slice(0, n), next: new Map(), used: new Map(c.used), last: c.last, up: c.up };
-    c.up!.next.set(top.run[0]!, top);
-    c.run = c.run.slice(n);
-    c.up = top;
-    top.next.set(c.run[0]!, c);
-    return top;
+  /** Splits a node after `length` blocks; returns the new node above it. */
+  function split(node: Node, length: number): Node {
+    const upper: Node = {
+      blocks: node.blocks.slice(0, length),
+      children: new Map(),
+      lastUseByWorker: new Map(node.lastUseByWorker),
+      lastUse: node.lastUse,
+      parent: node.parent,
+    };
+    node.parent!.children.set(upper.blocks[0]!, upper);
+    node.blocks = node.blocks.slice(length);
+    node.parent = upper;
+    upper.children.set(node.blocks[0]!, node);
+    return upper;
   }
 
-  function insert(bs: readonly number[], worker: string, now: number): void {
+  function insert(blocks: readonly number[], worker: string, now: number): void {
     let node = root;
     let at = 0;
-    while (at < bs.length) {
-      let c = node.next.get(bs[at]!);
-      if (c === undefined) {
-        c = { run: bs.slice(at), next: new Map(), used: new Map(), last: now, up: node };
-        node.next.set(bs[at]!, c);
-        size += c.run.length;
+    while (at < blocks.length) {
+      let child = node.children.get(blocks[at]!);
+      if (child === undefined) {
+        child = {
+          blocks: blocks.slice(at),
+          children: new Map(),
+          lastUseByWorker: new Map(),
+          lastUse: now,
+          parent: node,
+        };
+        node.children.set(blocks[at]!, child);
+        blockCount += child.blocks.length;
       }
-      const n = shared(c.run, bs, at);
-      if (n < c.run.length) c = split(c, n);
-      c.used.set(worker, now);
-      c.last = now;
-      at += n;
-      node = c;
+      const length = commonLength(child.blocks, blocks, at);
+      if (length < child.blocks.length) child = split(child, length);
+      child.lastUseByWorker.set(worker, now);
+      child.lastUse = now;
+      at += length;
+      node = child;
     }
-    if (size > limitBlocks) prune();
+    if (blockCount > maxBlocks) evict();
   }
 
-  function leaves(n: Node, out: Node[]): Node[] {
-    if (n.next.size === 0 && n.up !== undefined) out.push(n);
-    for (const c of n.next.values()) leaves(c, out);
-    return out;
+  function collectLeaves(node: Node, leaves: Node[]): Node[] {
+    if (node.children.size === 0 && node.parent !== undefined) leaves.push(node);
+    for (const child of node.children.values()) collectLeaves(child, leaves);
+    return leaves;
   }
 
-  function drop(n: Node): void {
-    n.up!.next.delete(n.run[0]!);
-    size -= n.run.length;
+  function remove(node: Node): void {
+    node.parent!.children.delete(node.blocks[0]!);
+    blockCount -= node.blocks.length;
   }
 
-  function prune(): void {
-    while (size > limitBlocks * 0.9) {
-      const ls = leaves(root, []).sort((a, b) => a.last - b.last);
-      if (ls.length === 0) return;
-      for (const l of ls.slice(0, Math.ceil(ls.length / 4))) drop(l);
+  /** Evicts the least recently used quarter of the leaves until the tree is a tenth below its bound. */
+  function evict(): void {
+    while (blockCount > maxBlocks * 0.9) {
+      const leaves = collectLeaves(root, []).sort((a, b) => a.lastUse - b.lastUse);
+      if (leaves.length === 0) return;
+      for (const leaf of leaves.slice(0, Math.ceil(leaves.length / 4))) remove(leaf);
     }
   }
 
-  function forgetIn(n: Node, worker: string): void {
-    n.used.delete(worker);
-    for (const c of [...n.next.values()]) {
-      forgetIn(c, worker);
-      if (c.used.size === 0 && c.next.size === 0) drop(c);
+  function removeWorkerBelow(node: Node, worker: string): void {
+    node.lastUseByWorker.delete(worker);
+    for (const child of [...node.children.values()]) {
+      removeWorkerBelow(child, worker);
+      if (child.lastUseByWorker.size === 0 && child.children.size === 0) remove(child);
     }
   }
 
-  return { hits, insert, removeWorker: (worker) => forgetIn(root, worker), blockCount: () => size };
+  return { hits, insert, removeWorker: (worker) => removeWorkerBelow(root, worker), blockCount: () => blockCount };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const fc = (await import('fast-check')).default;
-  it('finds the same hits as comparing with every prompt sent before', () => {
-    const prompt = fc.array(fc.integer({ min: 0, max: 2 }), { maxLength: 8 });
+  it('finds the same hits as a comparison with every prompt sent before', () => {
+    const anyPrompt = fc.array(fc.integer({ min: 0, max: 2 }), { maxLength: 8 });
     fc.assert(
-      fc.property(fc.array(fc.tuple(prompt, fc.constantFrom('a', 'b', 'c')), { maxLength: 12 }), prompt, (past, p) => {
-        const t = createRadixTree();
-        past.forEach(([bs, w], i) => t.insert(bs, w, i));
-        const want = new Map<string, number>();
-        for (const [bs, w] of past) {
-          let n = 0;
-          while (n < bs.length && n < p.length && bs[n] === p[n]) n += 1;
-          if (n > 0) want.set(w, Math.max(n, want.get(w) ?? 0));
-        }
-        expect(t.hits(p)).toEqual(want);
-        t.removeWorker('a');
-        want.delete('a');
-        expect(t.hits(p)).toEqual(want);
-      }),
+      fc.property(
+        fc.array(fc.tuple(anyPrompt, fc.constantFrom('a', 'b', 'c')), { maxLength: 12 }),
+        anyPrompt,
+        (sent, prompt) => {
+          const tree = createRadixTree();
+          sent.forEach(([blocks, worker], i) => tree.insert(blocks, worker, i));
+          const expected = new Map<string, number>();
+          for (const [blocks, worker] of sent) {
+            let length = 0;
+            while (length < blocks.length && length < prompt.length && blocks[length] === prompt[length]) length += 1;
+            if (length > 0) expected.set(worker, Math.max(length, expected.get(worker) ?? 0));
+          }
+          expect(tree.hits(prompt)).toEqual(expected);
+          tree.removeWorker('a');
+          expected.delete('a');
+          expect(tree.hits(prompt)).toEqual(expected);
+        },
+      ),
       { seed: 17 },
     );
   });
   it('stays within its bound', () => {
-    const t = createRadixTree(100);
-    for (let i = 0; i < 200; i += 1) t.insert([i, i + 1, i + 2, i + 3, i + 4], 'w', i);
-    expect(t.blockCount()).toBeLessThanOrEqual(100);
-    expect(t.hits([199, 200]).get('w')).toBe(2);
+    const tree = createRadixTree(100);
+    for (let i = 0; i < 200; i += 1) tree.insert([i, i + 1, i + 2, i + 3, i + 4], 'w', i);
+    expect(tree.blockCount()).toBeLessThanOrEqual(100);
+    expect(tree.hits([199, 200]).get('w')).toBe(2);
   });
 }
--- a/packages/placement/src/samples.ts
+++ b/packages/placement/src/samples.ts
@@ -1,31 +1,36 @@
 /**
- * Samples on their way from the routers to the holder of the training duty: rows of features with the
- * reward behind them, flushed in batches of a hundred. Losing a batch only delays a training round.
+ * Training samples as routers send them to the leader of the training role: rows of features, each with its reward, in
+ * batches of a hundred. Losing a batch only delays a training round.
  */
 
+/** Samples in a full batch. */
 export const sampleBatchSize = 100;
 
+/** One placement decision and its result. */
 export interface Sample {
   readonly features: Float32Array;
+  /** Negative TTFT in seconds. */
   readonly reward: number;
 }
 
-export function encodeSamples(ss: readonly Sample[], w: number): Buffer {
-  const b = Buffer.alloc(ss.length * (w + 1) * 4);
-  ss.forEach((s, i) => {
-    for (let j = 0; j < w; j += 1) b.writeFloatLE(s.features[j]!, 4 * (i * (w + 1) + j));
-    b.writeFloatLE(s.reward, 4 * (i * (w + 1) + w));
+/** Encodes samples of `width` features as rows of little-endian 32-bit floats, the reward last. */
+export function encodeSamples(samples: readonly Sample[], width: number): Buffer {
+  const buffer = Buffer.alloc(samples.length * (width + 1) * 4);
+  samples.forEach((sample, i) => {
+    for (let j = 0; j < width; j += 1) buffer.writeFloatLE(sample.features[j]!, 4 * (i * (width + 1) + j));
+    buffer.writeFloatLE(sample.reward, 4 * (i * (width + 1) + width));
   });
-  return b;
+  return buffer;
 }
 
-export function decodeSamples(b: Buffer, count: number, w: number): Sample[] {
-  if (b.length !== count * (w + 1) * 4) return [];
-  const out: Sample[] = [];
+/** Decodes samples; a buffer of another length holds none, and rows with impossible numbers are left out. */
+export function decodeSamples(buffer: Buffer, count: number, width: number): Sample[] {
+  if (buffer.length !== count * (width + 1) * 4) return [];
+  const samples: Sample[] = [];
   for (let i = 0; i < count; i += 1) {
-    const x = Float32Array.from({ length: w }, (_, j) => b.readFloatLE(4 * (i * (w + 1) + j)));
-    const y = b.readFloatLE(4 * (i * (w + 1) + w));
-    if (x.every(Number.isFinite) && Number.isFinite(y) && y <= 0) out.push({ features: x, reward: y });
+    const features = Float32Array.from({ length: width }, (_, j) => buffer.readFloatLE(4 * (i * (width + 1) + j)));
+    const reward = buffer.readFloatLE(4 * (i * (width + 1) + width));
+    if (features.every(Number.isFinite) && Number.isFinite(reward) && reward <= 0) samples.push({ features, reward });
   }
-  return out;
+  return samples;
 }
--- a/packages/placement/src/throughput.ts
+++ b/packages/placement/src/throughput.ts
@@ -1,33 +1,41 @@
 /**
- * The speed class of each worker, read from the pace that this router has seen: prefill tokens that were
- * not expected in its cache, a second, when the worker had little else to do. Workers state no
- * hardware type. Class 0 is unknown; 1 to 3 are slow, middle and fast against the fleet's median.
+ * The speed class of each worker, derived from its prefill throughput as this router has observed it: tokens a second that
+ * were not expected to be cached, measured while the worker had little else to do. Workers report no hardware type.
+ * Class 0 is unknown; 1, 2 and 3 are slow, middle and fast, relative to the median of the fleet.
  */
 
+/** Tracks the prefill throughput of workers. */
 export interface ThroughputTracker {
+  /** Records a prefill: tokens not expected to be cached, how long it took in microseconds, and the worker's load. */
   readonly record: (worker: string, missTokens: number, us: number, load: number) => void;
+  /** 0 (unknown) to 3 (fast). */
   readonly speedClass: (worker: string) => number;
   readonly removeWorker: (worker: string) => void;
 }
 
+/** Creates a tracker that has observed nothing. */
 export function createThroughputTracker(): ThroughputTracker {
-  const table = new Map<string, { pace: number; n: number }>();
-  function saw(worker: string, miss: number, us: number, load: number): void {
-    if (miss < 32 || us <= 0 || load > 2) return;
-    const p = (miss * 1e6) / us;
-    const t = table.get(worker) ?? { pace: p, n: 0 };
-    table.set(worker, { pace: t.pace + 0.1 * (p - t.pace), n: t.n + 1 });
+  const observed = new Map<string, { tokensPerSecond: number; samples: number }>();
+  // Prefills of fewer than 32 tokens, and those at a worker with more than two requests, say little about its speed.
+  function record(worker: string, missTokens: number, us: number, load: number): void {
+    if (missTokens < 32 || us <= 0 || load > 2) return;
+    const latest = (missTokens * 1e6) / us;
+    const average = observed.get(worker) ?? { tokensPerSecond: latest, samples: 0 };
+    observed.set(worker, {
+      tokensPerSecond: average.tokensPerSecond + 0.1 * (latest - average.tokensPerSecond),
+      samples: average.samples + 1,
+    });
   }
   function speedClass(worker: string): number {
-    const t = table.get(worker);
-    if (t === undefined || t.n < 5) return 0;
-    const ps = [...table.values()]
-      .filter((x) => x.n >= 5)
-      .map((x) => x.pace)
+    const average = observed.get(worker);
+    if (average === undefined || average.samples < 5) return 0;
+    const sorted = [...observed.values()]
+      .filter((other) => other.samples >= 5)
+      .map((other) => other.tokensPerSecond)
       .sort((a, b) => a - b);
-    const mid = ps[Math.floor(ps.length / 2)]!;
-    if (t.pace < 0.75 * mid) return 1;
-    return t.pace > 1.33 * mid ? 3 : 2;
+    const median = sorted[Math.floor(sorted.length / 2)]!;
+    if (average.tokensPerSecond < 0.75 * median) return 1;
+    return average.tokensPerSecond > 1.33 * median ? 3 : 2;
   }
-  return { record: saw, speedClass, removeWorker: (w) => table.delete(w) };
+  return { record, speedClass, removeWorker: (worker) => observed.delete(worker) };
 }
--- a/packages/placement/src/training.ts
+++ b/packages/placement/src/training.ts
@@ -1,8 +1,8 @@
 /**
- * The training side: a FIFO of the newest samples and a replay pool of those that left it, kept by a
- * gradient-coreset rule (what the last inner layer says of a sample, weighted by how wrong the
- * prediction was, must differ from what is kept already). A round trains on both pools, starting from
- * the last model. It runs away from every request: in a worker thread, or in steps of a few milliseconds each.
+ * Training: a FIFO of the newest samples, and a replay pool of samples that have left it. The pool is selected by a
+ * gradient coreset rule: a sample is represented by the last hidden layer's activations, weighted by the prediction error,
+ * and is kept if that differs from the samples kept already. A round trains on both, starting from the last
+ * model. It runs off the request path: in a worker thread, or in steps of a few milliseconds.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { featureCount } from './features.js';
@@ -10,15 +10,21 @@
 import { backward, createPredictor, forward, createZeroGradients, type Predictor } from './predictor.js';
 import type { Sample } from './samples.js';
 
+/** Parameters of training. */
 export interface TrainingOptions {
+  /** Samples in the FIFO. */
   readonly fifoCapacity: number;
+  /** Samples in the replay pool. */
   readonly replayCapacity: number;
+  /** New samples after which a round is due. */
   readonly samplesPerTraining: number;
+  /** How often a round goes through all samples. */
   readonly passes: number;
   readonly batchSize: number;
   readonly learningRate: number;
   readonly dropoutRate: number;
 }
+/** Default parameters of training. */
 export const trainingDefaults: TrainingOptions = {
   fifoCapacity: 5000,
   replayCapacity: 5000,
@@ -29,203 +35,218 @@
   dropoutRate: 0.1,
 };
 
+/** Collects samples and trains models on them. */
 export interface Trainer {
-  readonly add: (ss: readonly Sample[]) => void;
+  readonly add: (samples: readonly Sample[]) => void;
+  /** Whether enough samples have come since the last round. */
   readonly isDue: () => boolean;
-  readonly train: (v: ModelVersion, seed: number) => Model;
-  // The same in steps, each of which takes no more than so many rows through the net.
-  readonly trainInSteps: (v: ModelVersion, seed: number, rows: number) => Generator<undefined, Model>;
+  readonly train: (version: ModelVersion, seed: number) => Model;
+  /** The same in steps, each of which puts at most `rowsPerStep` rows through the predictor. */
+  readonly trainInSteps: (version: ModelVersion, seed: number, rowsPerStep: number) => Generator<undefined, Model>;
   readonly poolSizes: () => { fifo: number; replay: number };
 }
 
-interface Kept {
-  readonly s: Sample;
-  readonly g: Float32Array;
-  near: number;
+interface ReplayEntry {
+  readonly sample: Sample;
+  readonly sketch: Float32Array;
+  /** Squared distance to the nearest entry when this one was added. */
+  distance: number;
 }
-const sketch = 16;
+/** Dimensions that the representation of a sample is projected to. */
+const sketchSize = 16;
 
-export function createTrainer(o: TrainingOptions): Trainer {
+/** Creates a trainer without samples. */
+export function createTrainer(options: TrainingOptions): Trainer {
   let fifo: Sample[] = [];
-  const replay: Kept[] = [];
-  let fresh = 0;
-  let total = 0;
-  let last: Model | undefined;
-  const r = createSeededRandom(11);
-  const project = Float32Array.from({ length: 128 * sketch }, () => r() - 0.5);
+  const replay: ReplayEntry[] = [];
+  let newSamples = 0;
+  let totalSamples = 0;
+  let lastModel: Model | undefined;
+  const random = createSeededRandom(11);
+  const projection = Float32Array.from({ length: 128 * sketchSize }, () => random() - 0.5);
 
-  function gradientOf(s: Sample): Float32Array {
-    const g = new Float32Array(sketch);
-    if (last === undefined) {
-      for (let j = 0; j < sketch; j += 1) g[j] = s.features[j % featureCount]!;
-      return g;
+  /** A random projection of the sample's gradient; of its features where there is no model yet. */
+  function sketchOf(sample: Sample): Float32Array {
+    const sketch = new Float32Array(sketchSize);
+    if (lastModel === undefined) {
+      for (let j = 0; j < sketchSize; j += 1) sketch[j] = sample.features[j % featureCount]!;
+      return sketch;
     }
-    const p = forward(last.predictor, scale(last.scaling, s.features), 1)!;
-    const h = p.activations.at(-2)!;
-    const res = p.activations.at(-1)![0]! - (s.reward - last.scaling.yMean) / last.scaling.ySd;
-    for (let i = 0; i < h.length; i += 1) {
-      const v = h[i]! * res;
-      if (v !== 0) for (let j = 0; j < sketch; j += 1) g[j]! += v * project[i * sketch + j]!;
+    const pass = forward(lastModel.predictor, normalize(lastModel.scaling, sample.features), 1)!;
+    const hidden = pass.activations.at(-2)!;
+    const error = pass.activations.at(-1)![0]! - (sample.reward - lastModel.scaling.yMean) / lastModel.scaling.ySd;
+    for (let i = 0; i < hidden.length; i += 1) {
+      const gradient = hidden[i]! * error;
+      if (gradient !== 0)
+        for (let j = 0; j < sketchSize; j += 1) sketch[j]! += gradient * projection[i * sketchSize + j]!;
     }
-    return g;
+    return sketch;
   }
 
-  function apart(a: Float32Array, b: Float32Array): number {
-    let d = 0;
-    for (let i = 0; i < sketch; i += 1) d += (a[i]! - b[i]!) ** 2;
-    return d;
+  function squaredDistance(first: Float32Array, second: Float32Array): number {
+    let sum = 0;
+    for (let i = 0; i < sketchSize; i += 1) sum += (first[i]! - second[i]!) ** 2;
+    return sum;
   }
 
-  function admit(s: Sample): void {
-    const g = gradientOf(s);
-    let near = Infinity;
-    for (const k of replay) near = Math.min(near, apart(g, k.g));
-    if (replay.length < o.replayCapacity) {
-      replay.push({ s, g, near });
+  /** Adds a sample to the replay pool; to a full one in place of the least distinct entry, if it is more distinct. */
+  function addToReplay(sample: Sample): void {
+    const sketch = sketchOf(sample);
+    let distance = Infinity;
+    for (const entry of replay) distance = Math.min(distance, squaredDistance(sketch, entry.sketch));
+    if (replay.length < options.replayCapacity) {
+      replay.push({ sample, sketch, distance });
       return;
     }
-    let least = 0;
-    for (let i = 1; i < replay.length; i += 1) if (replay[i]!.near < replay[least]!.near) least = i;
-    if (near > replay[least]!.near) replay[least] = { s, g, near };
+    let leastDistinct = 0;
+    for (let i = 1; i < replay.length; i += 1)
+      if (replay[i]!.distance < replay[leastDistinct]!.distance) leastDistinct = i;
+    if (distance > replay[leastDistinct]!.distance) replay[leastDistinct] = { sample, sketch, distance };
   }
 
-  function add(ss: readonly Sample[]): void {
-    fifo.push(...ss);
-    fresh += ss.length;
-    total += ss.length;
-    const out = fifo.length - o.fifoCapacity;
-    if (out > 0) {
-      for (const s of fifo.slice(0, out)) admit(s);
-      fifo = fifo.slice(out);
+  function add(samples: readonly Sample[]): void {
+    fifo.push(...samples);
+    newSamples += samples.length;
+    totalSamples += samples.length;
+    const excess = fifo.length - options.fifoCapacity;
+    if (excess > 0) {
+      for (const sample of fifo.slice(0, excess)) addToReplay(sample);
+      fifo = fifo.slice(excess);
     }
   }
 
-  function train(v: ModelVersion, seed: number): Model {
-    const g = steps(v, seed, o.batchSize);
+  function train(version: ModelVersion, seed: number): Model {
+    const steps = trainInSteps(version, seed, options.batchSize);
     for (;;) {
-      const x = g.next();
-      if (x.done === true) return x.value;
+      const step = steps.next();
+      if (step.done === true) return step.value;
     }
   }
 
-  function* steps(v: ModelVersion, seed: number, rows: number): Generator<undefined, Model> {
-    fresh = 0;
-    const all = [...fifo, ...replay.map((k) => k.s)];
-    const scaling = computeScaling(all);
-    const p = last === undefined ? createPredictor(featureCount, seed) : rescale(last, scaling);
-    yield* fit(p, scaling, all, o, createSeededRandom(seed), rows);
-    const m = { version: v, sampleCount: total, predictor: p, scaling };
-    last = m;
-    return m;
+  function* trainInSteps(version: ModelVersion, seed: number, rowsPerStep: number): Generator<undefined, Model> {
+    newSamples = 0;
+    const samples = [...fifo, ...replay.map((entry) => entry.sample)];
+    const scaling = computeScaling(samples);
+    const predictor = lastModel === undefined ? createPredictor(featureCount, seed) : rescale(lastModel, scaling);
+    yield* fit(predictor, scaling, samples, options, createSeededRandom(seed), rowsPerStep);
+    const model = { version, sampleCount: totalSamples, predictor, scaling };
+    lastModel = model;
+    return model;
   }
 
   return {
     add,
-    isDue: () => fresh >= o.samplesPerTraining,
+    isDue: () => newSamples >= options.samplesPerTraining,
     train,
-    trainInSteps: steps,
+    trainInSteps,
     poolSizes: () => ({ fifo: fifo.length, replay: replay.length }),
   };
 }
 
-function scale(s: Scaling, x: Float32Array): Float32Array {
-  return x.map((v, j) => (v - s.mean[j]!) / s.deviation[j]!);
+function normalize(scaling: Scaling, features: Float32Array): Float32Array {
+  return features.map((value, j) => (value - scaling.mean[j]!) / scaling.deviation[j]!);
 }
 
-export function computeScaling(ss: readonly Sample[]): Scaling {
+/** Computes the statistics that features and rewards are normalized by; a deviation of 0 is replaced by 1. */
+export function computeScaling(samples: readonly Sample[]): Scaling {
   const mean = new Float32Array(featureCount);
-  const sd = new Float32Array(featureCount);
+  const deviation = new Float32Array(featureCount);
   const low = new Float32Array(featureCount).fill(Infinity);
   const high = new Float32Array(featureCount).fill(-Infinity);
   for (let j = 0; j < featureCount; j += 1) {
-    let m = 0;
-    for (const s of ss) {
-      m += s.features[j]!;
-      low[j] = Math.min(low[j]!, s.features[j]!);
-      high[j] = Math.max(high[j]!, s.features[j]!);
+    let featureMean = 0;
+    for (const sample of samples) {
+      featureMean += sample.features[j]!;
+      low[j] = Math.min(low[j]!, sample.features[j]!);
+      high[j] = Math.max(high[j]!, sample.features[j]!);
     }
-    m /= ss.length;
-    let q = 0;
-    for (const s of ss) q += (s.features[j]! - m) ** 2;
-    mean[j] = m;
-    sd[j] = Math.sqrt(q / ss.length) || 1;
+    featureMean /= samples.length;
+    let squares = 0;
+    for (const sample of samples) squares += (sample.features[j]! - featureMean) ** 2;
+    mean[j] = featureMean;
+    deviation[j] = Math.sqrt(squares / samples.length) || 1;
   }
-  const yMean = ss.reduce((a, s) => a + s.reward, 0) / ss.length;
-  const ySd = Math.sqrt(ss.reduce((a, s) => a + (s.reward - yMean) ** 2, 0) / ss.length) || 1;
-  return { mean, deviation: sd, low, high, yMean, ySd };
+  const yMean = samples.reduce((sum, sample) => sum + sample.reward, 0) / samples.length;
+  const ySd = Math.sqrt(samples.reduce((sum, sample) => sum + (sample.reward - yMean) ** 2, 0) / samples.length) || 1;
+  return { mean, deviation, low, high, yMean, ySd };
 }
 
-// Carries the last weights over to new statistics, so that the model says the same as before it trains on.
-function rescale(m: Model, s: Scaling): Predictor {
-  const p = {
-    sizes: m.predictor.sizes,
-    weights: m.predictor.weights.map((w) => w.slice()),
-    biases: m.predictor.biases.map((b) => b.slice()),
+/** Adapts the weights of a model to new statistics, so that its predictions stay the same before training goes on. */
+function rescale(model: Model, scaling: Scaling): Predictor {
+  const predictor = {
+    sizes: model.predictor.sizes,
+    weights: model.predictor.weights.map((weights) => weights.slice()),
+    biases: model.predictor.biases.map((biases) => biases.slice()),
   };
-  const b = p.sizes[1]!;
+  const units = predictor.sizes[1]!;
   for (let j = 0; j < featureCount; j += 1) {
-    const f = s.deviation[j]! / m.scaling.deviation[j]!;
-    const shift = (s.mean[j]! - m.scaling.mean[j]!) / m.scaling.deviation[j]!;
-    for (let k = 0; k < b; k += 1) {
-      p.biases[0]![k]! += p.weights[0]![j * b + k]! * shift;
-      p.weights[0]![j * b + k]! *= f;
+    const factor = scaling.deviation[j]! / model.scaling.deviation[j]!;
+    const shift = (scaling.mean[j]! - model.scaling.mean[j]!) / model.scaling.deviation[j]!;
+    for (let unit = 0; unit < units; unit += 1) {
+      predictor.biases[0]![unit]! += predictor.weights[0]![j * units + unit]! * shift;
+      predictor.weights[0]![j * units + unit]! *= factor;
     }
   }
-  const l = p.weights.length - 1;
-  const f = m.scaling.ySd / s.ySd;
-  p.weights[l] = p.weights[l]!.map((v) => v * f);
-  p.biases[l]![0] = p.biases[l]![0]! * f + (m.scaling.yMean - s.yMean) / s.ySd;
-  return p;
+  const lastLayer = predictor.weights.length - 1;
+  const outputFactor = model.scaling.ySd / scaling.ySd;
+  predictor.weights[lastLayer] = predictor.weights[lastLayer]!.map((weight) => weight * outputFactor);
+  predictor.biases[lastLayer]![0] =
+    predictor.biases[lastLayer]![0]! * outputFactor + (model.scaling.yMean - scaling.yMean) / scaling.ySd;
+  return predictor;
 }
 
-// Adam on a Huber loss: TTFT has a long tail, and squares would let a few waits rule the fit.
+/**
+ * Fits the predictor in place with Adam on a Huber loss. TTFT has a long tail: with squared errors a few long waits
+ * would dominate the fit.
+ */
 function* fit(
-  p: Predictor,
-  s: Scaling,
-  all: readonly Sample[],
-  o: TrainingOptions,
+  predictor: Predictor,
+  scaling: Scaling,
+  samples: readonly Sample[],
+  options: TrainingOptions,
   random: () => number,
-  rows: number,
+  rowsPerStep: number,
 ): Generator<undefined, void> {
-  const xs = all.map((a) => scale(s, a.features));
-  const ys = all.map((a) => (a.reward - s.yMean) / s.ySd);
-  const params = [...p.weights, ...p.biases];
-  const m1 = params.map((a) => new Float32Array(a.length));
-  const m2 = params.map((a) => new Float32Array(a.length));
-  const sum = createZeroGradients(p);
-  const gs = [...sum.weights, ...sum.biases];
-  const order = [...all.keys()];
-  let t = 0;
-  for (let e = 0; e < o.passes; e += 1) {
+  const inputs = samples.map((sample) => normalize(scaling, sample.features));
+  const targets = samples.map((sample) => (sample.reward - scaling.yMean) / scaling.ySd);
+  const parameters = [...predictor.weights, ...predictor.biases];
+  const firstMoments = parameters.map((array) => new Float32Array(array.length));
+  const secondMoments = parameters.map((array) => new Float32Array(array.length));
+  const gradientSum = createZeroGradients(predictor);
+  const gradients = [...gradientSum.weights, ...gradientSum.biases];
+  const order = [...samples.keys()];
+  let updates = 0;
+  for (let pass = 0; pass < options.passes; pass += 1) {
     for (let i = order.length - 1; i > 0; i -= 1) {
       const j = Math.floor(random() * (i + 1));
       [order[i], order[j]] = [order[j]!, order[i]!];
     }
-    for (let at = 0; at < order.length; at += o.batchSize) {
-      const whole = order.slice(at, at + o.batchSize);
-      for (const g of gs) g.fill(0);
-      for (let from = 0; from < whole.length; from += rows) {
-        const ids = whole.slice(from, from + rows);
-        const n = ids.length;
-        const x = new Float32Array(n * featureCount);
-        ids.forEach((id, i) => x.set(xs[id]!, i * featureCount));
-        const pass = forward(p, x, n, { rate: o.dropoutRate, random })!;
-        const up = Float32Array.from(
-          pass.activations.at(-1)!,
-          (v, i) => Math.max(-1, Math.min(1, v - ys[ids[i]!]!)) / whole.length,
+    for (let at = 0; at < order.length; at += options.batchSize) {
+      const batch = order.slice(at, at + options.batchSize);
+      for (const gradient of gradients) gradient.fill(0);
+      for (let from = 0; from < batch.length; from += rowsPerStep) {
+        const indices = batch.slice(from, from + rowsPerStep);
+        const rowCount = indices.length;
+        const rows = new Float32Array(rowCount * featureCount);
+        indices.forEach((index, i) => rows.set(inputs[index]!, i * featureCount));
+        const forwardPass = forward(predictor, rows, rowCount, { rate: options.dropoutRate, random })!;
+        const outputGradient = Float32Array.from(
+          forwardPass.activations.at(-1)!,
+          (output, i) => Math.max(-1, Math.min(1, output - targets[indices[i]!]!)) / batch.length,
         );
-        backward(p, pass, n, up, sum);
+        backward(predictor, forwardPass, rowCount, outputGradient, gradientSum);
         yield undefined;
       }
-      t += 1;
-      const c1 = 1 - 0.9 ** t;
-      const c2 = 1 - 0.999 ** t;
-      params.forEach((a, k) => {
-        const [b1, b2, d] = [m1[k]!, m2[k]!, gs[k]!];
-        for (let i = 0; i < a.length; i += 1) {
-          b1[i] = 0.9 * b1[i]! + 0.1 * d[i]!;
-          b2[i] = 0.999 * b2[i]! + 0.001 * d[i]! * d[i]!;
-          a[i]! -= (o.learningRate * (b1[i]! / c1)) / (Math.sqrt(b2[i]! / c2) + 1e-8);
+      updates += 1;
+      const firstCorrection = 1 - 0.9 ** updates;
+      const secondCorrection = 1 - 0.999 ** updates;
+      parameters.forEach((array, k) => {
+        const [first, second, gradient] = [firstMoments[k]!, secondMoments[k]!, gradients[k]!];
+        for (let i = 0; i < array.length; i += 1) {
+          first[i] = 0.9 * first[i]! + 0.1 * gradient[i]!;
+          second[i] = 0.999 * second[i]! + 0.001 * gradient[i]! * gradient[i]!;
+          array[i]! -=
+            (options.learningRate * (first[i]! / firstCorrection)) / (Math.sqrt(second[i]! / secondCorrection) + 1e-8);
         }
       });
     }
@@ -235,38 +256,40 @@
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
   const { decodeModel, encodeModel, modelHash, predictTtft } = await import('./model.js');
-  function sample(r: () => number): Sample {
-    const x = new Float32Array(featureCount);
-    x[0] = 100 + 3000 * r();
-    x[1] = r();
-    x[2] = x[0] * (1 - x[1]);
-    x[4] = Math.floor(10 * r());
-    const fast = r() < 0.5;
-    x[fast ? 11 : 9] = 1;
-    return { features: x, reward: -((x[2] / (fast ? 8000 : 3000)) * (1 + 0.3 * x[4])) };
+  function drawSample(random: () => number): Sample {
+    const features = new Float32Array(featureCount);
+    features[0] = 100 + 3000 * random();
+    features[1] = random();
+    features[2] = features[0] * (1 - features[1]);
+    features[4] = Math.floor(10 * random());
+    const isFast = random() < 0.5;
+    features[isFast ? 11 : 9] = 1;
+    return { features, reward: -((features[2] / (isFast ? 8000 : 3000)) * (1 + 0.3 * features[4])) };
   }
-  it('learns a TTFT that no straight line fits, and the model survives its encoding', () => {
-    const r = createSeededRandom(21);
-    const t = createTrainer({ ...trainingDefaults, fifoCapacity: 1000, replayCapacity: 500, passes: 6 });
-    t.add(Array.from({ length: 1500 }, () => sample(r)));
-    expect(t.isDue()).toBe(true);
-    t.train({ epoch: 64, n: 1 }, 5);
-    t.add(Array.from({ length: 600 }, () => sample(r)));
-    const m = t.train({ epoch: 64, n: 2 }, 6);
-    expect(t.poolSizes()).toEqual({ fifo: 1000, replay: 500 });
-    const test = Array.from({ length: 300 }, () => sample(r));
-    const b = encodeModel(m);
-    const d = decodeModel(b, modelHash(b));
-    if (d._tag === 'Left') throw d.left;
-    const ys = predictTtft(
-      d.right,
-      test.map((s) => s.features),
+  it('learns a TTFT that is not linear in the features, and the model survives encoding', () => {
+    const random = createSeededRandom(21);
+    const trainer = createTrainer({ ...trainingDefaults, fifoCapacity: 1000, replayCapacity: 500, passes: 6 });
+    trainer.add(Array.from({ length: 1500 }, () => drawSample(random)));
+    expect(trainer.isDue()).toBe(true);
+    trainer.train({ epoch: 64, n: 1 }, 5);
+    trainer.add(Array.from({ length: 600 }, () => drawSample(random)));
+    const model = trainer.train({ epoch: 64, n: 2 }, 6);
+    expect(trainer.poolSizes()).toEqual({ fifo: 1000, replay: 500 });
+    const testSamples = Array.from({ length: 300 }, () => drawSample(random));
+    const encoded = encodeModel(model);
+    const decoded = decodeModel(encoded, modelHash(encoded));
+    if (decoded._tag === 'Left') throw decoded.left;
+    const predictions = predictTtft(
+      decoded.right,
+      testSamples.map((sample) => sample.features),
     )!;
-    const err = test.reduce((a, s, i) => a + Math.abs(-s.reward - ys[i]!), 0) / test.length;
-    const mean = test.reduce((a, s) => a - s.reward, 0) / test.length;
-    const flat = test.reduce((a, s) => a + Math.abs(-s.reward - mean), 0) / test.length;
-    expect(err).toBeLessThan(0.3 * flat);
-    b[b.length - 1]! ^= 1;
-    expect(decodeModel(b, modelHash(encodeModel(m)))._tag).toBe('Left');
+    const modelError =
+      testSamples.reduce((sum, sample, i) => sum + Math.abs(-sample.reward - predictions[i]!), 0) / testSamples.length;
+    const mean = testSamples.reduce((sum, sample) => sum - sample.reward, 0) / testSamples.length;
+    const errorOfMean =
+      testSamples.reduce((sum, sample) => sum + Math.abs(-sample.reward - mean), 0) / testSamples.length;
+    expect(modelError).toBeLessThan(0.3 * errorOfMean);
+    encoded[encoded.length - 1]! ^= 1;
+    expect(decodeModel(encoded, modelHash(encodeModel(model)))._tag).toBe('Left');
   });
 }
