--- a/packages/learning/src/control-node-learning.ts
+++ b/packages/learning/src/control-node-learning.ts
@@ -1,8 +1,8 @@
 /**
- * What a keeper does for learning. Routers send their samples to the first keeper they hear; once it has enough, it
- * stands for the duty of training, and while a rehearsal is told of, for the duty of keeping it. Before that and between,
- * nobody stands and nothing is sent. Both go to another keeper when this one dies: samples are lost and come anew, the
- * totals of a rehearsal are at the routers.
+ * A control node's side of learning. Routers send their samples to the first control node that they are in contact with;
+ * once it has enough, it is a candidate for the training role, and while it receives statistics of a rehearsal, for the
+ * rehearsals role. At other times nobody is a candidate and nothing is sent. Both roles move to another control node when
+ * this one fails: its samples are lost and replaced by new ones, the totals of a rehearsal are kept by the routers.
  */
 import { every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import type { ControlNode } from '@tansypost/control-state';
@@ -16,139 +16,151 @@
 import { unpackSamples } from './sample-batch.js';
 import { createTrainingController, type ModelTrainer } from './training-controller.js';
 
+/** What a control node's learning works with. */
 export interface ControlNodeLearningOptions {
   readonly self: Address;
   readonly member: string;
   readonly controlNode: () => ControlNode | undefined;
   readonly controlClient: Pick<ControlStateClient, 'request'>;
   readonly trainer: ModelTrainer;
-  // No longer than voters lend their votes.
+  /** Lease of the roles, in microseconds; at most as long as a granted vote is binding. */
   readonly roleLeaseUs: number;
   readonly samplesPerTraining?: number;
   readonly treatmentShare?: number;
   readonly rehearsalTimeLimitUs?: number;
   readonly verdict?: VerdictOptions;
 }
+/** A control node's side of learning. */
 export interface ControlNodeLearning {
-  // True when it was for learning.
-  readonly receive: (m: Message, from: Address) => boolean;
+  /** Handles a message; returns whether it was meant for learning. */
+  readonly receive: (message: Message, from: Address) => boolean;
   readonly metrics: () => Record<string, unknown>;
   readonly stop: () => void;
 }
-// Ours: a round needs 2000 new samples, so that a model isn't made of one burst, and twice as many after each model in turn
-// that did not go live, up to eight times.
-export const learningDefaults = { samplesPerTraining: 2000, treatmentShare: 0.2, rehearsalTimeLimitUs: 600_000_000 };
-const mostDoublings = 3;
-const tickEvery = 250_000;
-const armsFresh = 6_000_000;
+/**
+ * Default parameters. A round needs 2000 new samples, so that a model is not trained on a single burst. The number
+ * doubles, up to three times, with each model in turn that did not go live.
+ */
+export const learningDefaults = {
+  samplesPerTraining: 2000,
+  treatmentShare: 0.2,
+  rehearsalTimeLimitUs: 600_000_000,
+};
+const maxDoublings = 3;
+const tickIntervalUs = 250_000;
+/** How long after the last statistics a rehearsal counts as reported. */
+const statisticsFreshUs = 6_000_000;
 
-export function createControlNodeLearning(w: World, o: ControlNodeLearningOptions): ControlNodeLearning {
-  const duties = {
-    training: candidate('training', wantsTraining),
-    rehearsals: candidate('rehearsals', wantsRehearsal),
+/** Creates the learning of a control node and starts its timer. */
+export function createControlNodeLearning(world: World, options: ControlNodeLearningOptions): ControlNodeLearning {
+  const roles = {
+    training: createRole('training', isTrainingWanted),
+    rehearsals: createRole('rehearsals', isRehearsalWanted),
   };
-  const samplesPerTraining = o.samplesPerTraining ?? learningDefaults.samplesPerTraining;
-  const writer = createRecordWriter(w, learnedService, o.controlClient, () => undefined);
-  const training = createTrainingController(w, {
+  const samplesPerTraining = options.samplesPerTraining ?? learningDefaults.samplesPerTraining;
+  const writer = createRecordWriter(world, learnedService, options.controlClient, () => undefined);
+  const training = createTrainingController(world, {
     service: learnedService,
-    heldEpoch: duties.training.heldEpoch,
-    record,
-    controlClient: o.controlClient,
+    heldEpoch: roles.training.heldEpoch,
+    record: localRecord,
+    controlClient: options.controlClient,
     writer,
-    trainer: o.trainer,
-    samplesPerTraining: samplesPerTraining,
-    treatmentShare: o.treatmentShare ?? learningDefaults.treatmentShare,
+    trainer: options.trainer,
+    samplesPerTraining,
+    treatmentShare: options.treatmentShare ?? learningDefaults.treatmentShare,
     approval: () => 'automatic',
   });
-  const keeping = createRehearsalController(w, {
-    heldEpoch: duties.rehearsals.heldEpoch,
-    record,
+  const rehearsals = createRehearsalController(world, {
+    heldEpoch: roles.rehearsals.heldEpoch,
+    record: localRecord,
     writer,
-    timeLimitUs: o.rehearsalTimeLimitUs ?? learningDefaults.rehearsalTimeLimitUs,
-    ...(o.verdict === undefined ? {} : { verdict: o.verdict }),
+    timeLimitUs: options.rehearsalTimeLimitUs ?? learningDefaults.rehearsalTimeLimitUs,
+    ...(options.verdict === undefined ? {} : { verdict: options.verdict }),
   });
-  let armsAt = -Infinity;
+  let statisticsAt = -Infinity;
 
-  function candidate(duty: string, willing: () => boolean): ReturnType<typeof createCandidate> {
-    return createCandidate(w, {
-      role: duty,
-      member: o.member,
-      self: o.self,
+  function createRole(role: string, isWanted: () => boolean): ReturnType<typeof createCandidate> {
+    return createCandidate(world, {
+      role,
+      member: options.member,
+      self: options.self,
       get slot() {
-        return o.controlNode()?.replica.slot ?? 0;
+        return options.controlNode()?.replica.slot ?? 0;
       },
-      leaseDuration: o.roleLeaseUs,
-      replicas: () => o.controlNode()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
-      isWilling: () => o.controlNode()?.replica.state() === 'voting' && willing(),
+      leaseDuration: options.roleLeaseUs,
+      replicas: () => options.controlNode()?.replica.membership() ?? { membershipEpoch: 0, replicas: [] },
+      isWilling: () => options.controlNode()?.replica.state() === 'voting' && isWanted(),
       onElected: () => undefined,
       onLeaseLost: () => undefined,
     });
   }
-  // As this place holds it: good enough to begin with, as each write is on the version read.
-  function record(): Buffer | undefined {
-    const r = o.controlNode()?.replica.row(rehearsalRecordKey);
-    return r === undefined || r.version === 0 ? undefined : r.value;
+  /** The record as the local replica holds it. It may be stale, which is safe: a write is conditional on its version. */
+  function localRecord(): Buffer | undefined {
+    const row = options.controlNode()?.replica.row(rehearsalRecordKey);
+    return row === undefined || row.version === 0 ? undefined : row.value;
   }
-  function running(): boolean {
-    const b = record();
-    return b !== undefined && decodeRehearsalRecord(b).running !== undefined;
+  function isRehearsing(): boolean {
+    const record = localRecord();
+    return record !== undefined && decodeRehearsalRecord(record).running !== undefined;
   }
-  // Enough new samples after what became of the models before.
-  function enough(): boolean {
-    const ended = decodeRehearsalRecord(record() ?? Buffer.alloc(0)).ended;
-    const live = ended.findIndex((x) => x.outcome === 'live');
+  /** Whether there are enough new samples, given how many models in turn have not gone live. */
+  function hasEnoughSamples(): boolean {
+    const ended = decodeRehearsalRecord(localRecord() ?? Buffer.alloc(0)).ended;
+    const lastLive = ended.findIndex((rehearsal) => rehearsal.outcome === 'live');
     return (
-      training.metrics().fresh >= samplesPerTraining * 2 ** Math.min(mostDoublings, live < 0 ? ended.length : live)
+      training.metrics().fresh >=
+      samplesPerTraining * 2 ** Math.min(maxDoublings, lastLive < 0 ? ended.length : lastLive)
     );
   }
-  // Nothing is trained while something is rehearsed: only one at a time can be. What has been begun is ended.
-  function wantsTraining(): boolean {
-    return training.isDue() && !running() && (training.metrics().fresh < samplesPerTraining || enough());
+  /** Nothing is trained during a rehearsal, as only one can run at a time. What has been begun is finished. */
+  function isTrainingWanted(): boolean {
+    return training.isDue() && !isRehearsing() && (training.metrics().fresh < samplesPerTraining || hasEnoughSamples());
   }
-  function wantsRehearsal(): boolean {
-    return w.now() - armsAt < armsFresh && running();
+  function isRehearsalWanted(): boolean {
+    return world.now() - statisticsAt < statisticsFreshUs && isRehearsing();
   }
 
-  function onSamples(m: Extract<Message, { kind: 'Samples' }>, from: Address): void {
-    if (m.width !== featureCount) return;
-    const holder = duties.training.leader();
-    const routed =
-      o
+  function onSamples(message: Extract<Message, { kind: 'Samples' }>, from: Address): void {
+    if (message.width !== featureCount) return;
+    const leader = roles.training.leader();
+    const isFromRouter =
+      options
         .controlNode()
         ?.replica.membership()
-        .replicas.every((p) => p.address !== from) === true;
-    if (routed && holder !== undefined && holder.address !== o.self) return w.send(holder.address as Address, m);
-    const ss = unpackSamples(m.rows, m.count);
-    if (ss.length > 0) training.addSamples({ ...m, rows: encodeSamples(ss, featureCount) });
+        .replicas.every((replica) => replica.address !== from) === true;
+    if (isFromRouter && leader !== undefined && leader.address !== options.self)
+      return world.send(leader.address as Address, message);
+    const samples = unpackSamples(message.rows, message.count);
+    if (samples.length > 0) training.addSamples({ ...message, rows: encodeSamples(samples, featureCount) });
   }
 
-  function receive(m: Message, from: Address): boolean {
-    if (m.kind === 'Samples') onSamples(m, from);
-    else if (m.kind === 'Arms') {
-      armsAt = w.now();
-      keeping.recordCohorts(m);
-    } else if (m.kind === 'BallotVote') {
-      duties.training.receiveVote(m);
-      duties.rehearsals.receiveVote(m);
+  function receive(message: Message, from: Address): boolean {
+    if (message.kind === 'Samples') onSamples(message, from);
+    else if (message.kind === 'Arms') {
+      statisticsAt = world.now();
+      rehearsals.recordCohorts(message);
+    } else if (message.kind === 'BallotVote') {
+      roles.training.receiveVote(message);
+      roles.rehearsals.receiveVote(message);
     } else return false;
     return true;
   }
 
   function tick(): void {
-    if (duties.training.heldEpoch() !== undefined && wantsTraining()) training.tick();
-    if (duties.rehearsals.heldEpoch() !== undefined) keeping.tick();
+    if (roles.training.heldEpoch() !== undefined && isTrainingWanted()) training.tick();
+    if (roles.rehearsals.heldEpoch() !== undefined) rehearsals.tick();
   }
-  const stop = every(w, () => micros(tickEvery), tick);
+  const stopTimer = every(world, () => micros(tickIntervalUs), tick);
   return {
     receive,
     metrics: () => ({
       ...training.metrics(),
-      holds: Object.entries(duties).flatMap(([k, d]) => (d.heldEpoch() === undefined ? [] : [k])),
+      holds: Object.entries(roles).flatMap(([name, role]) => (role.heldEpoch() === undefined ? [] : [name])),
     }),
     stop: () => {
-      stop();
-      duties.training.stop();
-      duties.rehearsals.stop();
+      stopTimer();
+      roles.training.stop();
+      roles.rehearsals.stop();
     },
   };
 }
--- a/packages/learning/src/feed-control-state-client.ts
+++ b/packages/learning/src/feed-control-state-client.ts
@@ -1,19 +1,20 @@
-/** Asks the core through what the control feed asks with, in the words of those who learn. */
+/** Adapts the client of the control feed to the interface that learning uses. */
 import type { ControlClient } from '@tansypost/control-feed';
 import type { World } from '@tansypost/inner-protocol';
 import type { ControlStateClient, ControlStateStatus } from './control-state-client.js';
 
+/** Creates a client that sends requests through `client`; a `claim`, which that client lacks, ends as `unknown`. */
 export function createControlStateClient(
-  w: Pick<World, 'now'>,
-  asker: ControlClient,
+  world: Pick<World, 'now'>,
+  client: ControlClient,
 ): Pick<ControlStateClient, 'request'> {
   return {
-    request: ({ op, timeoutUs, ...q }) =>
-      new Promise((done) => {
+    request: ({ op, timeoutUs, ...fields }) =>
+      new Promise((resolve) => {
         const [status, none] = ['unknown' as const, Buffer.alloc(0)];
-        if (op === 'claim') return done({ status, epoch: 0, version: 0, value: none });
-        asker.request({ ...q, op, deadline: w.now() + timeoutUs }, (a) =>
-          done({ ...a, status: a.status as ControlStateStatus }),
+        if (op === 'claim') return resolve({ status, epoch: 0, version: 0, value: none });
+        client.request({ ...fields, op, deadline: world.now() + timeoutUs }, (response) =>
+          resolve({ ...response, status: response.status as ControlStateStatus }),
         );
       }),
   };
--- a/packages/learning/src/incremental-trainer.ts
+++ b/packages/learning/src/incremental-trainer.ts
@@ -1,36 +1,41 @@
 /**
- * Trains on the thread that it is called on, a few milliseconds at a time, so that whatever else the thread does goes on
- * between. Where a thread of its own costs too much memory, this takes its place.
+ * Trains on the calling thread in steps of a few milliseconds, so that other work of the thread runs in between. It is
+ * used where a thread of its own would cost too much memory.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 import { createTrainer, encodeModel, trainingDefaults, type Model } from '@tansypost/placement';
 import type { ModelTrainer } from './training-controller.js';
 
-const slice = 2_500;
-const pause = 12_000;
-const rows = 8;
+/** Longest uninterrupted stretch of training, and the pause after it. */
+const sliceUs = 2_500;
+const pauseUs = 12_000;
+const rowsPerStep = 8;
 
-export function createIncrementalTrainer(w: Pick<World, 'now' | 'after'>, spoil?: (m: Model) => Model): ModelTrainer {
-  const t = createTrainer(trainingDefaults);
+/** Creates a trainer; tests alter the trained model with `transform`. */
+export function createIncrementalTrainer(
+  world: Pick<World, 'now' | 'after'>,
+  transform?: (model: Model) => Model,
+): ModelTrainer {
+  const trainer = createTrainer(trainingDefaults);
   return {
-    add: t.add,
-    train: (v) =>
-      new Promise((done, failed) => {
-        const g = t.trainInSteps(v, (v.epoch * 1000 + v.n) >>> 0, rows);
-        function go(): void {
-          const until = w.now() + slice;
+    add: trainer.add,
+    train: (version) =>
+      new Promise((resolve, reject) => {
+        const steps = trainer.trainInSteps(version, (version.epoch * 1000 + version.n) >>> 0, rowsPerStep);
+        function run(): void {
+          const sliceEnd = world.now() + sliceUs;
           try {
             for (;;) {
-              const x = g.next();
-              if (x.done === true) return done(encodeModel(spoil?.(x.value) ?? x.value));
-              if (w.now() >= until) break;
+              const step = steps.next();
+              if (step.done === true) return resolve(encodeModel(transform?.(step.value) ?? step.value));
+              if (world.now() >= sliceEnd) break;
             }
-          } catch (e) {
-            return failed(e as Error);
+          } catch (error) {
+            return reject(error as Error);
           }
-          w.after(micros(pause), go);
+          world.after(micros(pauseUs), run);
         }
-        go();
+        run();
       }),
   };
 }
--- a/packages/learning/src/record-writer.ts
+++ b/packages/learning/src/record-writer.ts
@@ -1,46 +1,50 @@
 /**
- * Changes the rehearsal record: reads it, applies a change to it, and writes on the version read. When
- * another write came between, the change is worked out anew on the new record; when it no longer applies
- * it is dropped. One write at a time.
+ * Updates the rehearsal record by compare-and-set: reads it, applies a change, and writes the result on condition that the
+ * version read is still current. Where another write came first, the change is applied again to the new record; where it
+ * no longer applies, nothing is written.
  */
 import type { World } from '@tansypost/inner-protocol';
 import { decodeRehearsalRecord, encodeRehearsalRecord, type RehearsalRecord } from '@tansypost/rehearsal';
 import type { ControlStateClient } from './control-state-client.js';
 
-export type RecordChange = (r: RehearsalRecord) => RehearsalRecord | undefined;
+/** A change of the record; undefined where it does not apply. */
+export type RecordChange = (record: RehearsalRecord) => RehearsalRecord | undefined;
+/** Writes the rehearsal record. */
 export interface RecordWriter {
-  readonly update: (f: RecordChange, still: () => boolean) => Promise<RehearsalRecord | undefined>;
+  /** Resolves to the record written, or undefined. Nothing is written once `isStillWanted` returns false. */
+  readonly update: (change: RecordChange, isStillWanted: () => boolean) => Promise<RehearsalRecord | undefined>;
 }
 
+/** Creates a writer of a service's record; `onWritten` is called after each write. */
 export function createRecordWriter(
-  w: World,
+  world: World,
   service: string,
-  a: Pick<ControlStateClient, 'request'>,
-  wrote: (version: number, epoch: number, value: Buffer) => void,
+  controlClient: Pick<ControlStateClient, 'request'>,
+  onWritten: (version: number, epoch: number, value: Buffer) => void,
 ): RecordWriter {
   const key = `rehearsal/${service}`;
-  async function change(f: RecordChange, still: () => boolean): Promise<RehearsalRecord | undefined> {
-    for (let n = 0; n < 4; n += 1) {
-      const r = await a.request({ op: 'read', key, timeoutUs: 5_000_000 });
-      if (r.status !== 'value' || !still()) return undefined;
-      const next = f(decodeRehearsalRecord(r.value));
+  async function update(change: RecordChange, isStillWanted: () => boolean): Promise<RehearsalRecord | undefined> {
+    for (let attempt = 0; attempt < 4; attempt += 1) {
+      const read = await controlClient.request({ op: 'read', key, timeoutUs: 5_000_000 });
+      if (read.status !== 'value' || !isStillWanted()) return undefined;
+      const next = change(decodeRehearsalRecord(read.value));
       if (next === undefined) return undefined;
       const value = encodeRehearsalRecord(next);
-      const x = await a.request({
+      const written = await controlClient.request({
         op: 'write',
         key,
-        change: `${key}/${Math.floor(w.random() * 2 ** 48).toString(36)}`,
-        base: r.version,
+        change: `${key}/${Math.floor(world.random() * 2 ** 48).toString(36)}`,
+        base: read.version,
         value,
         timeoutUs: 5_000_000,
       });
-      if (x.status === 'done') {
-        wrote(x.version, x.epoch, value);
+      if (written.status === 'done') {
+        onWritten(written.version, written.epoch, value);
         return next;
       }
-      if (x.status !== 'lost') return undefined;
+      if (written.status !== 'lost') return undefined;
     }
     return undefined;
   }
-  return { update: change };
+  return { update };
 }
--- a/packages/learning/src/rehearsal-controller.test.ts
+++ b/packages/learning/src/rehearsal-controller.test.ts
@@ -1,29 +1,30 @@
+/** The controller analyses a rehearsal only when an analysis is due, and carries it through its stages. */
 import { expect, it } from 'vitest';
 import { micros, type CohortStatistics } from '@tansypost/inner-protocol';
 import { beginRehearsal, emptyRecord, encodeRehearsalRecord, type RehearsalRecord } from '@tansypost/rehearsal';
 import { createRehearsalController } from './rehearsal-controller.js';
 
-function arm(rehearsal: string, which: string, count: number, slower: number): CohortStatistics {
-  const l = Math.log(100_000 * slower);
+function makeStatistics(rehearsal: string, arm: string, count: number, slowdown: number): CohortStatistics {
+  const logTtft = Math.log(100_000 * slowdown);
   return {
     rehearsal,
-    arm: which,
+    arm,
     stratum: 't/k',
     count,
     failures: 0,
-    sum: count * l,
-    squares: count * (l * l + 0.25),
+    sum: count * logTtft,
+    squares: count * (logTtft * logTtft + 0.25),
     tokenCount: count,
     tokenSum: 0,
     tokenSquares: 0.01 * count,
   };
 }
-function bench(): {
-  tell: (id: string, n: number, slower: number) => Promise<void>;
-  now: () => RehearsalRecord;
+function createTestController(): {
+  report: (id: string, count: number, slowdown: number) => Promise<void>;
+  currentRecord: () => RehearsalRecord;
   writes: () => number;
 } {
-  let rec = beginRehearsal(
+  let record = beginRehearsal(
     emptyRecord,
     'm',
     { type: 'model', model: { version: { epoch: 64, n: 1 }, hash: 'h', blob: 'b' } },
@@ -31,12 +32,12 @@
     'automatic',
   );
   let writes = 0;
-  const d = createRehearsalController(
+  const controller = createRehearsalController(
     {
       now: () => micros(0),
       random: () => 0,
-      after: (_d, f) => {
-        f();
+      after: (_delay, callback) => {
+        callback();
         return () => undefined;
       },
       send: () => undefined,
@@ -44,46 +45,53 @@
     },
     {
       heldEpoch: () => 64,
-      record: () => encodeRehearsalRecord(rec),
+      record: () => encodeRehearsalRecord(record),
       timeLimitUs: 300_000_000,
       writer: {
-        update: async (f) => {
-          const next = f(rec);
+        update: async (change) => {
+          const next = change(record);
           if (next === undefined) return undefined;
           writes += 1;
-          rec = next;
-          return rec;
+          record = next;
+          return record;
         },
       },
     },
   );
-  async function tell(id: string, n: number, slower: number): Promise<void> {
-    d.recordCohorts({ kind: 'Arms', from: 'r', arms: [arm(id, 'slice', n, slower), arm(id, 'control', n, 1)] });
+  async function report(id: string, count: number, slowdown: number): Promise<void> {
+    controller.recordCohorts({
+      kind: 'Arms',
+      from: 'r',
+      arms: [makeStatistics(id, 'slice', count, slowdown), makeStatistics(id, 'control', count, 1)],
+    });
     for (let i = 0; i < 3; i += 1) {
-      d.tick();
-      for (let k = 0; k < 10; k += 1) await Promise.resolve();
+      controller.tick();
+      for (let turn = 0; turn < 10; turn += 1) await Promise.resolve();
     }
   }
-  return { tell, now: () => rec, writes: () => writes };
+  return { report, currentRecord: () => record, writes: () => writes };
 }
-it('decides at the looks that are due and nowhere between them, and records each', async () => {
-  const b = bench();
-  await b.tell('m', 199, 1.3);
-  expect(b.writes()).toBe(0);
-  await b.tell('m', 200, 1.08);
-  expect([b.now().running!.looks, b.writes()]).toEqual([1, 1]);
-  await b.tell('m', 390, 1.4);
-  expect(b.writes()).toBe(1);
-  await b.tell('m', 400, 1.4);
-  expect(b.now().ended[0]!.outcome).toBe('harmful');
+it('decides only at the interim analyses that are due, and counts each in the record', async () => {
+  const rehearsal = createTestController();
+  await rehearsal.report('m', 199, 1.3);
+  expect(rehearsal.writes()).toBe(0);
+  await rehearsal.report('m', 200, 1.08);
+  expect([rehearsal.currentRecord().running!.looks, rehearsal.writes()]).toEqual([1, 1]);
+  await rehearsal.report('m', 390, 1.4);
+  expect(rehearsal.writes()).toBe(1);
+  await rehearsal.report('m', 400, 1.4);
+  expect(rehearsal.currentRecord().ended[0]!.outcome).toBe('harmful');
 });
-it('widens, goes live, and rolls back by measurement when harm shows beside the control held back', async () => {
-  const b = bench();
-  await b.tell('m', 800, 0.9);
-  expect(b.now().running!.stage).toBe(1);
-  await b.tell('m#1', 800, 0.9);
-  expect([b.now().running!.state, b.now().live?.hash]).toEqual(['watched', 'h']);
-  await b.tell('m#2', 800, 1.5);
-  expect([b.now().ended[0]!.outcome, b.now().live]).toEqual(['rolled back', undefined]);
-  expect(b.now().ended[0]!.measured!.why).toMatch(/TTFT is 50/);
+it('widens, goes live, and rolls back when harm is measured against the control cohort held back', async () => {
+  const rehearsal = createTestController();
+  await rehearsal.report('m', 800, 0.9);
+  expect(rehearsal.currentRecord().running!.stage).toBe(1);
+  await rehearsal.report('m#1', 800, 0.9);
+  expect([rehearsal.currentRecord().running!.state, rehearsal.currentRecord().live?.hash]).toEqual(['watched', 'h']);
+  await rehearsal.report('m#2', 800, 1.5);
+  expect([rehearsal.currentRecord().ended[0]!.outcome, rehearsal.currentRecord().live]).toEqual([
+    'rolled back',
+    undefined,
+  ]);
+  expect(rehearsal.currentRecord().ended[0]!.measured!.why).toMatch(/TTFT is 50/);
 });
--- a/packages/learning/src/rehearsal-controller.ts
+++ b/packages/learning/src/rehearsal-controller.ts
@@ -1,8 +1,8 @@
 /**
- * The duty of keeping rehearsals: sums the arms that all routers report as running totals, asks for the
- * verdict at each look that is due, and widens the rehearsal, lets it go live, ends it or rolls it back by one conditional
- * write, which also records the look. Since the totals live at the routers, a new holder has them again within a
- * second; a router's two arms come and are lost together, so that what is missing favours neither.
+ * The leader of the rehearsals role: sums the cohort statistics that all routers report as running totals, judges the
+ * rehearsal at each interim analysis that is due, and widens it, makes it live, ends it or rolls it back. Each of these is
+ * one conditional write, which also counts the analysis. As the totals are kept by the routers, a new leader has
+ * them within one reporting interval. A router's two cohorts are reported and lost together, so missing reports favour neither.
  */
 import { micros, type CohortStatistics, type MessageOf, type World } from '@tansypost/inner-protocol';
 import {
@@ -23,96 +23,118 @@
 } from '@tansypost/rehearsal';
 import type { RecordWriter } from './record-writer.js';
 
+/** What a rehearsal controller works with. */
 export interface RehearsalControllerOptions {
+  /** The epoch under which this process leads the rehearsals role; undefined while it does not. */
   readonly heldEpoch: () => number | undefined;
+  /** The rehearsal record as this process knows it. */
   readonly record: () => Buffer | undefined;
   readonly writer: RecordWriter;
+  /** Longest duration of one stage. */
   readonly timeLimitUs: number;
   readonly verdict?: VerdictOptions;
 }
+/** Runs rehearsals to their end. */
 export interface RehearsalController {
-  readonly recordCohorts: (m: MessageOf<'Arms'>) => void;
+  readonly recordCohorts: (message: MessageOf<'Arms'>) => void;
+  /** Takes the step that is due; to be called often. */
   readonly tick: () => void;
 }
 
-export function createRehearsalController(w: World, o: RehearsalControllerOptions): RehearsalController {
+/** Creates a controller that has received no statistics. */
+export function createRehearsalController(world: World, options: RehearsalControllerOptions): RehearsalController {
   const byRouter = new Map<string, { at: number; arms: CohortStatistics[] }>();
   let busy = false;
-  let watched: { id: string; stage: number; since: number } | undefined;
+  let observed: { id: string; stage: number; since: number } | undefined;
 
-  function arms(m: MessageOf<'Arms'>): void {
-    byRouter.set(m.from, { at: w.now(), arms: m.arms });
-    for (const [r, x] of byRouter) if (w.now() - x.at > 600_000_000) byRouter.delete(r);
+  /** Keeps a router's latest totals; those of routers that have not reported for ten minutes are dropped. */
+  function recordCohorts(message: MessageOf<'Arms'>): void {
+    byRouter.set(message.from, { at: world.now(), arms: message.arms });
+    for (const [router, report] of byRouter) if (world.now() - report.at > 600_000_000) byRouter.delete(router);
   }
 
-  // One conditional write, on the very stage and look that was judged.
-  function act(x: Rehearsal, f: (r: RehearsalRecord) => RehearsalRecord): void {
-    const { id } = x;
+  /** Changes the record by one conditional write, only if it is still at the stage and analysis that was judged. */
+  function apply(judged: Rehearsal, change: (record: RehearsalRecord) => RehearsalRecord): void {
+    const { id } = judged;
     busy = true;
-    void o.writer
+    void options.writer
       .update(
-        (r) => (r.running?.id === id && r.running.stage === x.stage && r.running.looks === x.looks ? f(r) : undefined),
-        () => o.heldEpoch() !== undefined,
+        (record) =>
+          record.running?.id === id && record.running.stage === judged.stage && record.running.looks === judged.looks
+            ? change(record)
+            : undefined,
+        () => options.heldEpoch() !== undefined,
       )
-      .then((r) => {
-        const done = r?.ended.find((e) => e.id === id);
-        if (done !== undefined) w.log(4102, { rehearsal: id, outcome: done.outcome, why: done.measured?.why });
+      .then((record) => {
+        const ended = record?.ended.find((rehearsal) => rehearsal.id === id);
+        if (ended !== undefined) world.log(4102, { rehearsal: id, outcome: ended.outcome, why: ended.measured?.why });
       })
       .finally(() => {
-        w.after(micros(200_000), () => {
+        world.after(micros(200_000), () => {
           busy = false;
         });
       });
   }
 
   function tick(): void {
-    if (busy || o.heldEpoch() === undefined) return;
-    const b = o.record();
-    const run = b === undefined ? undefined : decodeRehearsalRecord(b).running;
-    if (run === undefined) return;
-    if (watched?.id !== run.id || watched.stage !== run.stage) {
-      w.log(watched?.id === run.id ? 4104 : 4101, {
-        rehearsal: run.id,
-        stage: run.stage,
-        slice: run.slice,
-        subject: run.subject,
+    if (busy || options.heldEpoch() === undefined) return;
+    const record = options.record();
+    const running = record === undefined ? undefined : decodeRehearsalRecord(record).running;
+    if (running === undefined) return;
+    if (observed?.id !== running.id || observed.stage !== running.stage) {
+      world.log(observed?.id === running.id ? 4104 : 4101, {
+        rehearsal: running.id,
+        stage: running.stage,
+        slice: running.slice,
+        subject: running.subject,
       });
-      watched = { id: run.id, stage: run.stage, since: w.now() };
+      observed = { id: running.id, stage: running.stage, since: world.now() };
     }
-    if (run.asked === 'reject') return act(run, (r) => endRehearsal(r, 'rejected'));
-    if (run.state === 'passed') {
-      if (run.approval === 'automatic' || run.asked === 'approve')
-        act(run, (r) => (r.running!.asked === 'reject' ? endRehearsal(r, 'rejected') : goLive(r)));
+    if (running.asked === 'reject') return apply(running, (latest) => endRehearsal(latest, 'rejected'));
+    if (running.state === 'passed') {
+      if (running.approval === 'automatic' || running.asked === 'approve')
+        apply(running, (latest) =>
+          latest.running!.asked === 'reject' ? endRehearsal(latest, 'rejected') : goLive(latest),
+        );
       return;
     }
-    const all = [...byRouter.values()].flatMap((x) => x.arms.filter((a) => a.rehearsal === cohortNameOf(run)));
-    const late = run.spent + w.now() - watched.since > o.timeLimitUs;
-    const step = o.timeLimitUs / 5;
-    if (!late && w.now() - watched.since > step) {
-      watched.since += step;
-      return act(run, (r) => addElapsedTime(r, step));
+    const statistics = [...byRouter.values()].flatMap((report) =>
+      report.arms.filter((cohort) => cohort.rehearsal === cohortNameOf(running)),
+    );
+    const isTimeUp = running.spent + world.now() - observed.since > options.timeLimitUs;
+    // The time spent is stored in fifths of the limit, so that a new leader goes on from there.
+    const timeStep = options.timeLimitUs / 5;
+    if (!isTimeUp && world.now() - observed.since > timeStep) {
+      observed.since += timeStep;
+      return apply(running, (latest) => addElapsedTime(latest, timeStep));
     }
-    const v0 = o.verdict ?? verdictDefaults;
-    // In the watch the control is the smaller arm; a look is due by the smaller one.
-    const least = Math.min(
+    const verdictOptions = options.verdict ?? verdictDefaults;
+    // An analysis is due by the smaller cohort; once the change is live, that is the control.
+    const smallerCount = Math.min(
       ...(['slice', 'control'] as const).map((arm) =>
-        all.filter((a) => a.arm === arm).reduce((n, a) => n + a.count, 0),
+        statistics.filter((cohort) => cohort.arm === arm).reduce((sum, cohort) => sum + cohort.count, 0),
       ),
     );
-    if (!late && least < requestsAtAnalysis(run.looks, v0)) return;
-    const v = judgeRehearsal(all, v0, errorBudgetOf(run.looks, late));
-    if (v.verdict === 'harmful') act(run, (r) => endRehearsal(r, 'harmful', v.measured));
-    else if (run.state === 'watched') {
-      if (v.verdict === 'pass' || late)
-        act(run, (r) => endRehearsal(r, r.running!.asked === 'reject' ? 'rejected' : 'live', run.measured));
-      else act(run, countAnalysis);
-    } else if (v.verdict === 'pass')
-      act(run, (r) =>
-        r.running!.asked === 'reject' ? endRehearsal(r, 'rejected', v.measured) : passStage(r, v.measured),
+    if (!isTimeUp && smallerCount < requestsAtAnalysis(running.looks, verdictOptions)) return;
+    const result = judgeRehearsal(statistics, verdictOptions, errorBudgetOf(running.looks, isTimeUp));
+    if (result.verdict === 'harmful') apply(running, (latest) => endRehearsal(latest, 'harmful', result.measured));
+    else if (running.state === 'watched') {
+      if (result.verdict === 'pass' || isTimeUp)
+        apply(running, (latest) =>
+          endRehearsal(latest, latest.running!.asked === 'reject' ? 'rejected' : 'live', running.measured),
+        );
+      else apply(running, countAnalysis);
+    } else if (result.verdict === 'pass')
+      apply(running, (latest) =>
+        latest.running!.asked === 'reject'
+          ? endRehearsal(latest, 'rejected', result.measured)
+          : passStage(latest, result.measured),
+      );
+    else if (isTimeUp)
+      apply(running, (latest) =>
+        endRehearsal(latest, 'inconclusive', { ...result.measured, why: `time is up: ${result.measured.why}` }),
       );
-    else if (late)
-      act(run, (r) => endRehearsal(r, 'inconclusive', { ...v.measured, why: `time is up: ${v.measured.why}` }));
-    else act(run, countAnalysis);
+    else apply(running, countAnalysis);
   }
-  return { recordCohorts: arms, tick };
+  return { recordCohorts, tick };
 }
--- a/packages/learning/src/router-learning.ts
+++ b/packages/learning/src/router-learning.ts
@@ -1,7 +1,7 @@
 /**
- * What a router does for learning: it sends samples of how long its choices took, holds the models that the rehearsal's
- * record names, decoded before a request needs them, draws for each request whether a rehearsal takes it, and tells how
- * those went as running totals. Without samples, a record or a keeper it does nothing.
+ * A router's side of learning. It sends samples of the TTFT that its placements led to, holds the models that the rehearsal
+ * record names (decoded before a request needs them), assigns each request to a cohort of the running rehearsal, and
+ * reports the statistics of the cohorts as running totals. Without samples, a record or a control node it does nothing.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { micros, type Address, type CohortStatistics, type KeyUpdate, type World } from '@tansypost/inner-protocol';
@@ -20,172 +20,200 @@
 import type { ControlStateClient } from './control-state-client.js';
 import { packSamples } from './sample-batch.js';
 
+/** The service whose placement is learned. */
 export const learnedService = 'main';
+/** Key of its rehearsal record. */
 export const rehearsalRecordKey = `rehearsal/${learnedService}`;
 
+/** What a router's learning works with. */
 export interface RouterLearningOptions {
   readonly member: string;
-  // The first is the one that learns.
+  /** Control nodes in contact; the first receives samples and statistics. */
   readonly controlNodes: () => readonly Address[];
   readonly controlClient: Pick<ControlStateClient, 'request'>;
 }
+/** A router's side of learning. */
 export interface RouterLearning {
-  readonly applyUpdate: (n: KeyUpdate) => void;
+  /** Takes the update of a key; other keys than the record and the models are ignored. */
+  readonly applyUpdate: (update: KeyUpdate) => void;
+  /** Version of the rehearsal record that this router holds. */
   readonly recordVersion: () => number;
-  readonly recordSample: (row: Float32Array, firstTime: number) => void;
+  /** Records the features of a placement and the TTFT that it led to, in microseconds. */
+  readonly recordSample: (featureRow: Float32Array, ttftUs: number) => void;
   readonly assignCohort: (request: string) => CohortAssignment;
   readonly metrics: () => Record<string, unknown>;
 }
-const flushAfter = 5_000_000;
-const armsEvery = 2_000_000;
-const askAgain = 2_000_000;
-const armsKept = 64;
-const bytesKept = 2;
+const sampleFlushDelayUs = 5_000_000;
+const reportIntervalUs = 2_000_000;
+const fetchRetryDelayUs = 2_000_000;
+const maxCohortStatistics = 64;
+const maxModelUpdates = 2;
 
-export function createRouterLearning(w: World, o: RouterLearningOptions): RouterLearning {
+/** Creates the learning of a router that holds no record yet. */
+export function createRouterLearning(world: World, options: RouterLearningOptions): RouterLearning {
   const models = new Map<string, Model>();
-  // Model bytes that were told of, the newest of each key.
-  const bytes = new Map<string, KeyUpdate>();
-  const arms = new Map<string, CohortStatistics>();
+  // Updates with the bytes of models, the latest of each key.
+  const modelUpdates = new Map<string, KeyUpdate>();
+  const statistics = new Map<string, CohortStatistics>();
   let record: RehearsalRecord = emptyRecord;
-  let at: { version: number; epoch: number } = { version: 0, epoch: 0 };
+  let recordAt: { version: number; epoch: number } = { version: 0, epoch: 0 };
   let samples: Sample[] = [];
-  let telling = false;
-  let asking = false;
+  let isReportScheduled = false;
+  let isFetching = false;
 
-  function named(): ModelRef[] {
-    const s = record.running?.subject;
-    return [record.live, s?.type === 'model' ? s.model : undefined, record.before].flatMap((x) => x ?? []);
+  function referencedModels(): ModelRef[] {
+    const subject = record.running?.subject;
+    return [record.live, subject?.type === 'model' ? subject.model : undefined, record.before].flatMap(
+      (model) => model ?? [],
+    );
   }
 
-  function take(n: KeyUpdate): void {
-    if (n.key.startsWith(`blob/${learnedService}/`)) {
-      const had = bytes.get(n.key);
-      if (had !== undefined && had.version >= n.version) return;
-      bytes.delete(n.key);
-      bytes.set(n.key, n);
-      for (const k of bytes.keys()) if (bytes.size > bytesKept) bytes.delete(k);
-    } else if (n.key === rehearsalRecordKey) {
-      if (n.version < at.version || (n.version === at.version && n.epoch <= at.epoch)) return;
-      at = { version: n.version, epoch: n.epoch };
-      record = decodeRehearsalRecord(n.value);
-      const hashes = new Set(named().map((r) => r.hash));
-      for (const h of models.keys()) if (!hashes.has(h)) models.delete(h);
+  function applyUpdate(update: KeyUpdate): void {
+    if (update.key.startsWith(`blob/${learnedService}/`)) {
+      const known = modelUpdates.get(update.key);
+      if (known !== undefined && known.version >= update.version) return;
+      modelUpdates.delete(update.key);
+      modelUpdates.set(update.key, update);
+      for (const key of modelUpdates.keys()) if (modelUpdates.size > maxModelUpdates) modelUpdates.delete(key);
+    } else if (update.key === rehearsalRecordKey) {
+      if (update.version < recordAt.version || (update.version === recordAt.version && update.epoch <= recordAt.epoch))
+        return;
+      recordAt = { version: update.version, epoch: update.epoch };
+      record = decodeRehearsalRecord(update.value);
+      const hashes = new Set(referencedModels().map((model) => model.hash));
+      for (const hash of models.keys()) if (!hashes.has(hash)) models.delete(hash);
     } else return;
-    prepare();
-    if (n.key === rehearsalRecordKey && !asking) bytes.clear();
-    if (record.running !== undefined) tell();
+    loadModels();
+    if (update.key === rehearsalRecordKey && !isFetching) modelUpdates.clear();
+    if (record.running !== undefined) scheduleReport();
   }
 
-  // Of the model before, only what a watched rehearsal holds back for its control is needed.
-  function prepare(): void {
-    const missing = named().filter((r) => !models.has(r.hash) && !learned(r, bytes.get(r.blob)?.value));
-    const first = missing.find((r) => r !== record.before || record.running?.state === 'watched');
+  /** Decodes or fetches missing models; the previous model is fetched only for the control of a change that is live. */
+  function loadModels(): void {
+    const missing = referencedModels().filter(
+      (model) => !models.has(model.hash) && !decode(model, modelUpdates.get(model.blob)?.value),
+    );
+    const first = missing.find((model) => model !== record.before || record.running?.state === 'watched');
     if (first !== undefined) fetch(first);
   }
 
-  // Runs it a few times so that it is quick by the time a request needs it.
-  function learned(r: ModelRef, b: Buffer | undefined): boolean {
-    const d = b === undefined ? undefined : decodeModel(b, r.hash);
-    if (d === undefined) return false;
-    if (E.isLeft(d)) {
-      bytes.delete(r.blob);
-      w.log(4004, { version: r.version, hash: r.hash, blob: r.blob });
+  /** Decodes a model and runs it a few times, so that the code is compiled before a request needs it. */
+  function decode(model: ModelRef, bytes: Buffer | undefined): boolean {
+    const decoded = bytes === undefined ? undefined : decodeModel(bytes, model.hash);
+    if (decoded === undefined) return false;
+    if (E.isLeft(decoded)) {
+      modelUpdates.delete(model.blob);
+      world.log(4004, { version: model.version, hash: model.hash, blob: model.blob });
       return false;
     }
-    models.set(r.hash, d.right);
-    const rows = Array.from({ length: 12 }, () => new Float32Array(d.right.predictor.sizes[0]!));
-    for (let n = 0; n < 3; n += 1) predictTtft(d.right, rows);
-    w.log(4002, { version: r.version, hash: r.hash });
+    models.set(model.hash, decoded.right);
+    const rows = Array.from({ length: 12 }, () => new Float32Array(decoded.right.predictor.sizes[0]!));
+    for (let run = 0; run < 3; run += 1) predictTtft(decoded.right, rows);
+    world.log(4002, { version: model.version, hash: model.hash });
     return true;
   }
 
-  function fetch(r: ModelRef): void {
-    if (asking) return;
-    asking = true;
-    // What was written just now is being told to all.
-    w.after(micros(askAgain * (0.25 + 0.5 * w.random())), () => {
-      if (models.has(r.hash) || !named().some((x) => x.hash === r.hash)) return over();
-      void o.controlClient.request({ op: 'read', key: r.blob, timeoutUs: 4_000_000 }).then((a) => {
-        if (a.status === 'value' && named().some((x) => x.hash === r.hash)) learned(r, a.value);
-        w.after(micros(askAgain), over);
+  function fetch(model: ModelRef): void {
+    if (isFetching) return;
+    isFetching = true;
+    // A model that has just been written is being sent to all routers; the delay gives that update time to arrive.
+    world.after(micros(fetchRetryDelayUs * (0.25 + 0.5 * world.random())), () => {
+      if (models.has(model.hash) || !referencedModels().some((other) => other.hash === model.hash)) return finish();
+      void options.controlClient.request({ op: 'read', key: model.blob, timeoutUs: 4_000_000 }).then((response) => {
+        if (response.status === 'value' && referencedModels().some((other) => other.hash === model.hash))
+          decode(model, response.value);
+        world.after(micros(fetchRetryDelayUs), finish);
       });
     });
-    function over(): void {
-      asking = false;
-      prepare();
+    function finish(): void {
+      isFetching = false;
+      loadModels();
     }
   }
 
-  function sample(row: Float32Array, firstTime: number): void {
-    samples.push({ features: row, reward: -firstTime / 1e6 });
+  function recordSample(featureRow: Float32Array, ttftUs: number): void {
+    samples.push({ features: featureRow, reward: -ttftUs / 1e6 });
     if (samples.length >= sampleBatchSize) flush();
-    else if (samples.length === 1) w.after(micros(flushAfter), flush);
+    else if (samples.length === 1) world.after(micros(sampleFlushDelayUs), flush);
   }
   function flush(): void {
-    const to = o.controlNodes()[0];
-    const ss = samples;
-    if (ss.length === 0) return;
+    const to = options.controlNodes()[0];
+    const batch = samples;
+    if (batch.length === 0) return;
     samples = [];
     if (to !== undefined)
-      w.send(to, { kind: 'Samples', from: o.member, count: ss.length, width: featureCount, rows: packSamples(ss) });
+      world.send(to, {
+        kind: 'Samples',
+        from: options.member,
+        count: batch.length,
+        width: featureCount,
+        rows: packSamples(batch),
+      });
   }
 
-  function tell(): void {
-    if (telling) return;
-    telling = true;
-    w.after(micros(armsEvery), () => {
-      telling = false;
-      const to = o.controlNodes()[0];
-      if (record.running === undefined) return arms.clear();
-      const now = cohortNameOf(record.running);
+  /** Reports the cohorts of the current stage regularly for as long as a rehearsal runs. */
+  function scheduleReport(): void {
+    if (isReportScheduled) return;
+    isReportScheduled = true;
+    world.after(micros(reportIntervalUs), () => {
+      isReportScheduled = false;
+      const to = options.controlNodes()[0];
+      if (record.running === undefined) return statistics.clear();
+      const current = cohortNameOf(record.running);
       if (to !== undefined)
-        w.send(to, { kind: 'Arms', from: o.member, arms: [...arms.values()].filter((a) => a.rehearsal === now) });
-      tell();
+        world.send(to, {
+          kind: 'Arms',
+          from: options.member,
+          arms: [...statistics.values()].filter((cohort) => cohort.rehearsal === current),
+        });
+      scheduleReport();
     });
   }
 
-  // A router that lacks the model takes no part, in either arm, so that what is missing favours neither.
-  function lot(request: string): CohortAssignment {
-    const run = record.running;
-    const s = run?.subject.type === 'model' ? run.subject : undefined;
+  /** A router that lacks a model counts requests in neither cohort, so that missing data favours neither. */
+  function assignCohort(request: string): CohortAssignment {
+    const running = record.running;
+    const subject = running?.subject.type === 'model' ? running.subject : undefined;
     const live = record.live === undefined ? undefined : models.get(record.live.hash);
-    const before = record.before === undefined ? undefined : models.get(record.before.hash);
-    const rehearsed = s === undefined ? undefined : models.get(s.model.hash);
-    const ready =
-      rehearsed !== undefined && (run!.state !== 'watched' || record.before === undefined || before !== undefined);
-    if (run === undefined || !ready) return { model: live, completed: () => undefined };
-    const rehearsal = cohortNameOf(run);
-    const arm = cohortOf(rehearsal, request, run.slice);
-    // While a model that went live is watched, the control stays with the one before.
-    const control = run.state === 'watched' ? before : live;
+    const previous = record.before === undefined ? undefined : models.get(record.before.hash);
+    const rehearsed = subject === undefined ? undefined : models.get(subject.model.hash);
+    const isReady =
+      rehearsed !== undefined &&
+      (running!.state !== 'watched' || record.before === undefined || previous !== undefined);
+    if (running === undefined || !isReady) return { model: live, completed: () => undefined };
+    const rehearsal = cohortNameOf(running);
+    const cohort = cohortOf(rehearsal, request, running.slice);
+    // While a model that went live is watched, the control cohort stays with the previous model.
+    const control = running.state === 'watched' ? previous : live;
     return {
-      model: arm === 'slice' ? rehearsed : arm === 'control' ? control : live,
-      completed: (x) => {
-        if (arm !== 'none' && x.end !== 'left') count(rehearsal, arm, x);
+      model: cohort === 'slice' ? rehearsed : cohort === 'control' ? control : live,
+      completed: (result) => {
+        if (cohort !== 'none' && result.end !== 'left') countResult(rehearsal, cohort, result);
       },
     };
   }
 
-  function count(rehearsal: string, arm: string, x: CompletedRequest): void {
-    const k = `${rehearsal}/${arm}/${x.route}`;
-    const whole = x.end === 'whole';
-    // From arrival, with the waiting here; whoever failed has waited its whole patience.
-    const l = Math.log(Math.max(1, whole ? x.timeToFirstChunk : x.timeout));
-    const t = whole && x.timePerChunk !== undefined ? Math.log(Math.max(1, x.timePerChunk)) : undefined;
-    const counts = { ...(arms.get(k) ?? { rehearsal, ...createCohortCounts(arm, x.route) }) };
-    countAnswer(counts, { failed: !whole, logTtft: l, logTokenTime: t });
-    arms.set(k, counts);
-    for (const old of arms.keys()) if (arms.size > armsKept && !old.startsWith(rehearsal)) arms.delete(old);
+  function countResult(rehearsal: string, cohort: string, result: CompletedRequest): void {
+    const key = `${rehearsal}/${cohort}/${result.route}`;
+    const isComplete = result.end === 'whole';
+    // TTFT counts from arrival and includes time queued here; a request that failed counts with its whole timeout.
+    const logTtft = Math.log(Math.max(1, isComplete ? result.timeToFirstChunk : result.timeout));
+    const logTokenTime =
+      isComplete && result.timePerChunk !== undefined ? Math.log(Math.max(1, result.timePerChunk)) : undefined;
+    const counts = { ...(statistics.get(key) ?? { rehearsal, ...createCohortCounts(cohort, result.route) }) };
+    countAnswer(counts, { failed: !isComplete, logTtft, logTokenTime });
+    statistics.set(key, counts);
+    for (const other of statistics.keys())
+      if (statistics.size > maxCohortStatistics && !other.startsWith(rehearsal)) statistics.delete(other);
   }
 
   return {
-    applyUpdate: take,
-    recordVersion: () => at.version,
-    recordSample: sample,
-    assignCohort: lot,
+    applyUpdate,
+    recordVersion: () => recordAt.version,
+    recordSample,
+    assignCohort,
     metrics: () => ({
-      record: at.version,
+      record: recordAt.version,
       live: record.live !== undefined && models.has(record.live.hash) ? record.live.hash.slice(0, 8) : '',
       rehearsal: record.running === undefined ? '' : `${cohortNameOf(record.running)} ${record.running.state}`,
     }),
--- a/packages/learning/src/sample-batch.test.ts
+++ b/packages/learning/src/sample-batch.test.ts
@@ -1,30 +1,31 @@
+/** Samples keep their size bound and accuracy through compression. */
 import { expect, it } from 'vitest';
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { featureCount, type Sample } from '@tansypost/placement';
 import { packSamples, unpackSamples } from './sample-batch.js';
 
-it('packs samples to a fifth of their size or less, and gives them back to within 0.4 %; what is spoilt gives none', () => {
-  const r = createSeededRandom(4);
-  const ss = Array.from({ length: 100 }, (): Sample => {
-    const x = new Float32Array(featureCount);
-    x[0] = Math.round(400 + 9000 * r());
-    x[2] = x[0];
-    x[3] = Math.floor(4 * r());
-    x[5] = Math.floor(2 * r()) * x[0];
-    x[8] = 1;
-    return { features: x, reward: -Math.fround(r()) };
+it('packs samples to a fifth of their size or less and restores them to within 0.4 %; malformed input gives none', () => {
+  const random = createSeededRandom(4);
+  const samples = Array.from({ length: 100 }, (): Sample => {
+    const features = new Float32Array(featureCount);
+    features[0] = Math.round(400 + 9000 * random());
+    features[2] = features[0];
+    features[3] = Math.floor(4 * random());
+    features[5] = Math.floor(2 * random()) * features[0];
+    features[8] = 1;
+    return { features, reward: -Math.fround(random()) };
   });
-  const b = packSamples(ss);
-  expect(b.length).toBeLessThan((100 * (featureCount + 1) * 4) / 5);
-  const got = unpackSamples(b, 100);
-  expect(got.length).toBe(100);
-  got.forEach((g, i) => {
-    const s = ss[i]!;
-    [...g.features, g.reward].forEach((v, j) => {
-      const was = j < featureCount ? s.features[j]! : s.reward;
-      expect(Math.abs(v - was)).toBeLessThanOrEqual(0.004 * Math.abs(was));
+  const packed = packSamples(samples);
+  expect(packed.length).toBeLessThan((100 * (featureCount + 1) * 4) / 5);
+  const unpacked = unpackSamples(packed, 100);
+  expect(unpacked.length).toBe(100);
+  unpacked.forEach((restored, i) => {
+    const sample = samples[i]!;
+    [...restored.features, restored.reward].forEach((value, j) => {
+      const original = j < featureCount ? sample.features[j]! : sample.reward;
+      expect(Math.abs(value - original)).toBeLessThanOrEqual(0.004 * Math.abs(original));
     });
   });
-  expect(unpackSamples(b, 99)).toEqual([]);
-  expect(unpackSamples(b.subarray(3), 100)).toEqual([]);
+  expect(unpackSamples(packed, 99)).toEqual([]);
+  expect(unpackSamples(packed.subarray(3), 100)).toEqual([]);
 });
--- a/packages/learning/src/training-controller.ts
+++ b/packages/learning/src/training-controller.ts
@@ -1,7 +1,7 @@
 /**
- * The duty of training: pools the samples of all agents, trains when enough are new, and puts the model up for
- * rehearsal. The bytes go into one of four slots that neither the live model, the one before, nor a
- * running rehearsal uses. Only a rehearsal can make it live.
+ * The leader of the training role: pools the samples of all routers, trains a model when there are enough new ones, and
+ * starts its rehearsal. The model's bytes go into one of four slots that neither the live model, the previous one nor a
+ * running rehearsal uses. A model goes live only through a rehearsal.
  */
 import { micros, type MessageOf, type World } from '@tansypost/inner-protocol';
 import { decodeSamples, modelHash, featureCount, type ModelVersion, type Sample } from '@tansypost/placement';
@@ -9,113 +9,138 @@
 import type { ControlStateClient } from './control-state-client.js';
 import type { RecordWriter } from './record-writer.js';
 
+/** Trains models; see `createTrainer` of the placement package. */
 export interface ModelTrainer {
-  readonly add: (ss: readonly Sample[]) => void;
-  readonly train: (v: ModelVersion) => Promise<Buffer>;
+  readonly add: (samples: readonly Sample[]) => void;
+  /** Resolves to the encoded model. */
+  readonly train: (version: ModelVersion) => Promise<Buffer>;
 }
+/** What a training controller works with. */
 export interface TrainingControllerOptions {
   readonly service: string;
+  /** The epoch under which this process leads the training role; undefined while it does not. */
   readonly heldEpoch: () => number | undefined;
+  /** The rehearsal record as this process knows it. */
   readonly record: () => Buffer | undefined;
   readonly controlClient: Pick<ControlStateClient, 'request'>;
   readonly writer: RecordWriter;
   readonly trainer: ModelTrainer;
   readonly samplesPerTraining: number;
+  /** Share of the requests that take a new model at first. */
   readonly treatmentShare: number;
   readonly approval: () => 'automatic' | 'operator';
 }
+/** Trains models and starts their rehearsals. */
 export interface TrainingController {
-  readonly addSamples: (m: MessageOf<'Samples'>) => void;
+  readonly addSamples: (message: MessageOf<'Samples'>) => void;
+  /** Starts what is due; to be called often. */
   readonly tick: () => void;
-  // There is something to train, or a model to offer.
+  /** Whether there are samples to train on, or a model to rehearse. */
   readonly isDue: () => boolean;
   readonly metrics: () => { fresh: number; trained: number };
 }
 
-function freeSlot(r: RehearsalRecord, service: string): string | undefined {
-  const s = r.running?.subject;
-  const used = new Set([r.live?.blob, r.before?.blob, s?.type === 'model' ? s.model.blob : undefined]);
-  return [0, 1, 2, 3].map((n) => `blob/${service}/${n}`).find((k) => !used.has(k));
+/** Key of a slot whose bytes are not in use. */
+function freeSlot(record: RehearsalRecord, service: string): string | undefined {
+  const subject = record.running?.subject;
+  const used = new Set([
+    record.live?.blob,
+    record.before?.blob,
+    subject?.type === 'model' ? subject.model.blob : undefined,
+  ]);
+  return [0, 1, 2, 3].map((slot) => `blob/${service}/${slot}`).find((key) => !used.has(key));
 }
 
-export function createTrainingController(w: World, o: TrainingControllerOptions): TrainingController {
+/** Creates a controller without samples. */
+export function createTrainingController(world: World, options: TrainingControllerOptions): TrainingController {
   let fresh = 0;
   let trained = 0;
   let busy = false;
-  let waiting: { v: ModelVersion; bytes: Buffer } | undefined;
+  let waiting: { version: ModelVersion; bytes: Buffer } | undefined;
 
-  function samples(m: MessageOf<'Samples'>): void {
-    if (m.width !== featureCount) return;
-    const ss = decodeSamples(m.rows, m.count, m.width);
-    o.trainer.add(ss);
-    fresh += ss.length;
+  function addSamples(message: MessageOf<'Samples'>): void {
+    if (message.width !== featureCount) return;
+    const samples = decodeSamples(message.rows, message.count, message.width);
+    options.trainer.add(samples);
+    fresh += samples.length;
   }
 
   function tick(): void {
-    const epoch = o.heldEpoch();
+    const epoch = options.heldEpoch();
     if (busy || epoch === undefined) return;
-    const b = o.record();
-    const running = b !== undefined && decodeRehearsalRecord(b).running !== undefined;
-    if (fresh >= o.samplesPerTraining) {
+    const record = options.record();
+    const isRehearsing = record !== undefined && decodeRehearsalRecord(record).running !== undefined;
+    if (fresh >= options.samplesPerTraining) {
       busy = true;
       fresh = 0;
       trained += 1;
-      const v = { epoch, n: trained };
-      void o.trainer
-        .train(v)
+      const version = { epoch, n: trained };
+      void options.trainer
+        .train(version)
         .then((bytes) => {
-          waiting = { v, bytes };
-          w.log(4003, { version: v, bytes: bytes.length });
+          waiting = { version, bytes };
+          world.log(4003, { version, bytes: bytes.length });
         })
-        .catch((e: unknown) => w.log(4005, { version: v, why: String(e) }))
+        .catch((error: unknown) => world.log(4005, { version, why: String(error) }))
         .finally(() => {
           busy = false;
         });
-    } else if (waiting !== undefined && !running) {
+    } else if (waiting !== undefined && !isRehearsing) {
       busy = true;
-      void offer(waiting).finally(() => {
-        w.after(micros(500_000), () => {
+      void startRehearsal(waiting).finally(() => {
+        world.after(micros(500_000), () => {
           busy = false;
         });
       });
     }
   }
 
-  async function offer(x: { v: ModelVersion; bytes: Buffer }): Promise<void> {
-    const r = await o.controlClient.request({ op: 'read', key: `rehearsal/${o.service}`, timeoutUs: 5_000_000 });
-    if (r.status !== 'value' || o.heldEpoch() === undefined) return;
-    const blob = freeSlot(decodeRehearsalRecord(r.value), o.service);
-    if (blob === undefined || decodeRehearsalRecord(r.value).running !== undefined) return;
-    const old = await o.controlClient.request({ op: 'read', key: blob, timeoutUs: 5_000_000 });
-    if (old.status !== 'value') return;
-    const hash = modelHash(x.bytes);
-    const put = await o.controlClient.request({
+  /** Stores the model in a free slot and begins its rehearsal; leaves it waiting where either fails. */
+  async function startRehearsal(trainedModel: { version: ModelVersion; bytes: Buffer }): Promise<void> {
+    const read = await options.controlClient.request({
+      op: 'read',
+      key: `rehearsal/${options.service}`,
+      timeoutUs: 5_000_000,
+    });
+    if (read.status !== 'value' || options.heldEpoch() === undefined) return;
+    const blob = freeSlot(decodeRehearsalRecord(read.value), options.service);
+    if (blob === undefined || decodeRehearsalRecord(read.value).running !== undefined) return;
+    const previous = await options.controlClient.request({ op: 'read', key: blob, timeoutUs: 5_000_000 });
+    if (previous.status !== 'value') return;
+    const hash = modelHash(trainedModel.bytes);
+    const written = await options.controlClient.request({
       op: 'write',
       key: blob,
       change: hash,
-      base: old.version,
-      value: x.bytes,
+      base: previous.version,
+      value: trainedModel.bytes,
       timeoutUs: 5_000_000,
     });
-    if (put.status !== 'done' || o.heldEpoch() === undefined) return;
-    const model: ModelRef = { version: x.v, hash, blob };
-    const done = await o.writer.update(
-      (rec) =>
-        rec.running === undefined && freeSlotFits(rec, blob, o.service)
-          ? beginRehearsal(rec, `model-${x.v.epoch}-${x.v.n}`, { type: 'model', model }, o.treatmentShare, o.approval())
+    if (written.status !== 'done' || options.heldEpoch() === undefined) return;
+    const model: ModelRef = { version: trainedModel.version, hash, blob };
+    const begun = await options.writer.update(
+      (record) =>
+        record.running === undefined && isSlotUnused(record, blob, options.service)
+          ? beginRehearsal(
+              record,
+              `model-${trainedModel.version.epoch}-${trainedModel.version.n}`,
+              { type: 'model', model },
+              options.treatmentShare,
+              options.approval(),
+            )
           : undefined,
-      () => o.heldEpoch() !== undefined,
+      () => options.heldEpoch() !== undefined,
     );
-    if (done !== undefined && waiting === x) waiting = undefined;
+    if (begun !== undefined && waiting === trainedModel) waiting = undefined;
   }
   return {
-    addSamples: samples,
+    addSamples,
     tick,
-    isDue: () => busy || waiting !== undefined || fresh >= o.samplesPerTraining,
+    isDue: () => busy || waiting !== undefined || fresh >= options.samplesPerTraining,
     metrics: () => ({ fresh, trained }),
   };
 }
 
-function freeSlotFits(r: RehearsalRecord, blob: string, service: string): boolean {
-  return r.live?.blob !== blob && r.before?.blob !== blob && blob.startsWith(`blob/${service}/`);
+function isSlotUnused(record: RehearsalRecord, blob: string, service: string): boolean {
+  return record.live?.blob !== blob && record.before?.blob !== blob && blob.startsWith(`blob/${service}/`);
 }
