--- a/packages/rehearsal/src/cohort-counts.test.ts
+++ b/packages/rehearsal/src/cohort-counts.test.ts
@@ -1,8 +1,8 @@
-/** Answers are counted into the sums that a verdict reads. */
+/** Results of requests are added to the sums that a verdict is computed from. */
 import { expect, it } from 'vitest';
 import { countAnswer, createCohortCounts } from './cohort-counts.js';
 
-it('counts every answer with its TTFT, and a time per token only where there is one', () => {
+it('counts the TTFT of every request, and a time per token only where there is one', () => {
   const counts = createCohortCounts('slice', 'tenant/kind');
   countAnswer(counts, { failed: false, logTtft: 2, logTokenTime: 3 });
   countAnswer(counts, { failed: true, logTtft: 5, logTokenTime: undefined });
--- a/packages/rehearsal/src/cohort-counts.ts
+++ b/packages/rehearsal/src/cohort-counts.ts
@@ -1,17 +1,17 @@
-/** Counts of one cohort (arm) in one stratum: the sums from which a verdict takes means and variances. */
+/** Statistics of one cohort in one stratum: the sums from which a verdict computes means and variances. */
 import type { VerdictCounts } from './verdict.js';
 
-/** One answer as it is counted. */
+/** The result of one request. */
 export interface CohortAnswer {
-  /** Not answered within its patience. */
+  /** Not answered within its timeout. */
   readonly failed: boolean;
-  /** Natural logarithm of the TTFT from arrival; for one that failed, of its whole patience. */
+  /** Natural logarithm of the TTFT from arrival; for one that failed, of its whole timeout. */
   readonly logTtft: number;
-  /** Natural logarithm of the time per token, where the answer was whole and long enough to have one. */
+  /** Natural logarithm of the time per token; undefined where the answer was incomplete or too short to have one. */
   readonly logTokenTime: number | undefined;
 }
 
-/** Counts of nothing yet. */
+/** Statistics of a cohort (`slice` or `control`) without requests. */
 export function createCohortCounts(arm: string, stratum: string): VerdictCounts {
   return {
     arm,
@@ -26,7 +26,7 @@
   };
 }
 
-/** Adds an answer to the counts, in place. */
+/** Adds the result of a request to the statistics, in place. */
 export function countAnswer(counts: VerdictCounts, answer: CohortAnswer): void {
   const { failed, logTtft, logTokenTime } = answer;
   counts.count += 1;
--- a/packages/rehearsal/src/error-spending.ts
+++ b/packages/rehearsal/src/error-spending.ts
@@ -1,23 +1,23 @@
 /**
- * When a rehearsal is looked at (interim analyses), and how much of the error each look may spend. The looks are fixed by
- * the slice's count beforehand, as in Lan and DeMets, "Discrete sequential boundaries for clinical trials" (Biometrika 70,
- * 1983). What a look may spend is bounded by the plain sum over the looks (Bonferroni) and not by the joint law of the
- * looks: that costs some requests more, but holds however the answers depend on each other. Nothing is decided between
- * the looks. The last look, when time is up, spends what is left.
+ * When a rehearsal is analysed, and how much of the error rate each interim analysis may spend. The analyses are fixed in
+ * advance by the treatment cohort's count, as in Lan and DeMets, "Discrete sequential boundaries for clinical trials"
+ * (Biometrika 70, 1983). The sum over the analyses is bounded by the error rate (Bonferroni) instead of using their
+ * joint distribution: that needs somewhat more requests, but holds whatever the dependence between results. Nothing is
+ * decided between analyses. The last analysis, when time is up, spends all that is left.
  */
 
-/** The chance of a wrong verdict over all looks. */
-const level = 0.05;
-/** The part of it that each look may spend. */
-const spending = [0.15, 0.2, 0.25, 0.2, 0.2];
+/** The chance of a wrong verdict over all analyses. */
+const errorRate = 0.05;
+/** The share of it that each analysis may spend. */
+const spendingShares = [0.15, 0.2, 0.25, 0.2, 0.2];
 
-/** The slice's count at which a look is due, from 0 on; each look has twice the requests of the one before. */
-export function requestsAtAnalysis(look: number, options: { readonly minCount: number }): number {
-  return look < spending.length ? options.minCount * 2 ** look : Infinity;
+/** The cohort's count at which an analysis (numbered from 0) is due; each has twice the requests of the previous. */
+export function requestsAtAnalysis(analysis: number, options: { readonly minCount: number }): number {
+  return analysis < spendingShares.length ? options.minCount * 2 ** analysis : Infinity;
 }
 
-/** What a look may spend; the last one, at whatever count, all that is left. */
-export function errorBudgetOf(look: number, last: boolean): number {
-  const left = level * spending.slice(look).reduce((sum, part) => sum + part, 0);
-  return last ? left : level * (spending[look] ?? 0);
+/** The chance of a wrong verdict that an analysis may take; the last one, at any count, takes all that is left. */
+export function errorBudgetOf(analysis: number, last: boolean): number {
+  const left = errorRate * spendingShares.slice(analysis).reduce((sum, share) => sum + share, 0);
+  return last ? left : errorRate * (spendingShares[analysis] ?? 0);
 }
--- a/packages/rehearsal/src/record.ts
+++ b/packages/rehearsal/src/record.ts
@@ -1,21 +1,21 @@
 /**
- * The rehearsal record, one key of the control state: which model is live, which stage each worker plays (its part), what
- * is being rehearsed now, and how earlier rehearsals ended. It is stored as JSON.
+ * The rehearsal record, one key of the control state: which model is live, which stage each worker serves (stored as its
+ * `part`), which change is being rehearsed, and how earlier rehearsals ended. It is stored as JSON under these names.
  */
 import type { ModelVersion } from '@tansypost/placement';
 
-/** What a worker does: prefill, decode, or either. */
+/** The stage that a worker serves: prefill, decode, or both. */
 export type WorkerStage = 'prefill' | 'decode' | 'both';
 
-/** A model and where its bytes are. */
+/** A reference to a model. */
 export interface ModelRef {
   readonly version: ModelVersion;
   readonly hash: string;
-  /** Key of the control state. */
+  /** Key of the control state that holds its bytes. */
   readonly blob: string;
 }
 
-/** A worker's change from one part to another. */
+/** A worker's change from one stage to another. */
 export interface StageChange {
   readonly worker: string;
   readonly incarnation: number;
@@ -23,14 +23,14 @@
   readonly to: WorkerStage;
 }
 
-/** What is rehearsed. */
+/** The change that is rehearsed: a new model, or a worker's stage. */
 export type Subject =
   { readonly type: 'model'; readonly model: ModelRef } | { readonly type: 'part'; readonly shift: StageChange };
 
 /** How a rehearsal ended. */
 export type Outcome = 'live' | 'harmful' | 'inconclusive' | 'rejected' | 'rolled back' | 'superseded';
 
-/** What was measured of one cohort; times as natural logarithms. */
+/** TTFT of one cohort: mean and standard deviation of its natural logarithm. */
 export interface CohortMeasurements {
   readonly count: number;
   readonly failures: number;
@@ -38,7 +38,7 @@
   readonly sdLog: number;
 }
 
-/** What a verdict was based on. */
+/** The measurements that a verdict was based on. */
 export interface Measured {
   readonly slice: CohortMeasurements;
   readonly control: CohortMeasurements;
@@ -46,8 +46,8 @@
 }
 
 /**
- * One rehearsal. It widens: a slice, then half of the requests, then, once live, all but a control cohort held back. Each
- * stage is counted and judged by itself.
+ * One rehearsal. It widens in stages: a small treatment cohort, then half of the requests, then, once live, all but a
+ * control cohort that is held back. Each stage has its own statistics and verdicts.
  */
 export interface Rehearsal {
   readonly id: string;
@@ -55,36 +55,36 @@
   readonly stage: number;
   /** How many interim analyses of this stage have been made. */
   readonly looks: number;
-  /** How long this stage has been under way, in microseconds, as its keepers counted one after the other. */
+  /** How long this stage has run, in microseconds, added up over the successive leaders of the role. */
   readonly spent: number;
   /** Share of the requests that take the change. */
   readonly slice: number;
   readonly state: 'running' | 'passed' | 'watched' | 'ended';
   readonly approval: 'automatic' | 'operator';
-  /** What an operator has asked for. */
+  /** The operator's decision. */
   readonly asked: 'none' | 'approve' | 'reject';
   readonly outcome?: Outcome;
   readonly measured?: Measured;
 }
 
-/** The part that a worker plays. */
+/** The stage assigned to a worker. */
 export interface StageEntry {
   readonly part: WorkerStage;
   readonly incarnation: number;
 }
 
-/** The whole record. */
+/** The rehearsal record. */
 export interface RehearsalRecord {
   readonly live: ModelRef | undefined;
-  /** What was live before, to roll back to. */
+  /** The model that was live before, to roll back to. */
   readonly before: ModelRef | undefined;
   readonly parts: { readonly [worker: string]: StageEntry };
   readonly running: Rehearsal | undefined;
-  /** The newest first. */
+  /** Earlier rehearsals, newest first. */
   readonly ended: readonly Rehearsal[];
 }
 
-/** The record of a fleet that has rehearsed nothing. */
+/** The record before the first rehearsal. */
 export const emptyRecord: RehearsalRecord = {
   live: undefined,
   before: undefined,
@@ -93,18 +93,18 @@
   ended: [],
 };
 
-/** Reads the key's value; an empty one is the empty record. Throws when it is not JSON. */
+/** Decodes the key's value; an empty value is the empty record. Throws when it is not JSON. */
 export function decodeRehearsalRecord(value: Buffer): RehearsalRecord {
   if (value.length === 0) return emptyRecord;
   const record = { ...emptyRecord, ...(JSON.parse(value.toString()) as RehearsalRecord) };
   const { running } = record;
   if (running === undefined) return record;
-  // A release without stages wrote none of the three.
+  // Releases that had no stages did not write these three fields.
   const { stage = 0, looks = 0, spent = 0 } = running;
   return { ...record, running: { ...running, stage, looks, spent } };
 }
 
-/** The key's value. */
+/** Encodes the record as the key's value. */
 export function encodeRehearsalRecord(record: RehearsalRecord): Buffer {
   return Buffer.from(JSON.stringify(record));
 }
--- a/packages/rehearsal/src/statistics.ts
+++ b/packages/rehearsal/src/statistics.ts
@@ -1,6 +1,6 @@
-/** The statistics behind a verdict: quantiles, moments, intervals of shares, and pooled differences. */
+/** Statistics for verdicts: quantiles, moments, confidence intervals of proportions, and pooled differences. */
 
-/** The upper quantile of the normal law (Abramowitz and Stegun 26.2.23, to within 0.0005). */
+/** The upper quantile of the normal distribution (Abramowitz and Stegun 26.2.23, error below 0.0005). */
 export function upperNormalQuantile(alpha: number): number {
   if (alpha <= 0) return Infinity;
   const root = Math.sqrt(-2 * Math.log(alpha));
@@ -23,14 +23,14 @@
   return { count, mean, variance };
 }
 
-/** A share and the bounds of its interval. */
+/** A proportion and the bounds of its confidence interval. */
 interface ShareInterval {
   readonly share: number;
   readonly low: number;
   readonly high: number;
 }
 
-/** Wilson's interval of a share. */
+/** Wilson's score interval of a proportion. */
 function wilson(hits: number, count: number, deviations: number): ShareInterval {
   const share = hits / count;
   const scale = 1 + (deviations * deviations) / count;
@@ -46,14 +46,14 @@
   readonly count: number;
 }
 
-/** The difference of two shares and the bounds of its interval. */
+/** The difference of two proportions and the bounds of its confidence interval. */
 export interface ShareDifference {
   readonly difference: number;
   readonly low: number;
   readonly high: number;
 }
 
-/** Newcombe's interval of the difference of two shares, `deviations` standard errors to each side. */
+/** Newcombe's interval of the difference of two proportions, `deviations` standard errors to each side. */
 export function shareDifference(first: Proportion, second: Proportion, deviations: number): ShareDifference {
   const one = wilson(first.hits, first.count, deviations);
   const two = wilson(second.hits, second.count, deviations);
@@ -72,14 +72,15 @@
   readonly weight: number;
 }
 
-const leastPerStratum = 5;
+/** A stratum in which either sample is smaller is left out. */
+const minPerStratum = 5;
 
-/** The difference of means within strata, pooled. Each pair is one stratum's two samples. */
+/** The difference of means, computed within each stratum and pooled. Each pair holds one stratum's two samples. */
 export function pooledDifference(strata: readonly (readonly [Moments, Moments])[]): MeanDifference {
   let [totalWeight, difference, variance] = [0, 0, 0];
   for (const [one, two] of strata) {
-    if (one.count < leastPerStratum || two.count < leastPerStratum) continue;
-    // Weighted by what the scarcer sample lends, so that a full slice against a small control is weighed as its reverse.
+    if (one.count < minPerStratum || two.count < minPerStratum) continue;
+    // The weight is symmetric in the two samples: a large treatment beside a small control counts like the reverse.
     const weight = (one.count * two.count) / (one.count + two.count);
     totalWeight += weight;
     difference += weight * (one.mean - two.mean);
--- a/packages/rehearsal/src/verdict.test.ts
+++ b/packages/rehearsal/src/verdict.test.ts
@@ -1,4 +1,4 @@
-/** The verdict holds its level over all looks, on drawn answers with heavy tails. */
+/** The verdict keeps its error rate over all analyses, on simulated requests with heavy tails. */
 import { expect, it } from 'vitest';
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { countAnswer, createCohortCounts } from './cohort-counts.js';
@@ -6,100 +6,109 @@
 import { upperNormalQuantile } from './statistics.js';
 import { judgeRehearsal, verdictDefaults, type Verdict, type VerdictCounts } from './verdict.js';
 
-interface Truth {
-  readonly slower?: number;
-  readonly thicker?: number;
-  readonly fail?: number;
+/** What the change really does to the requests that take it. */
+interface TrueEffect {
+  readonly ttftFactor?: number;
+  readonly tokenTimeFactor?: number;
+  readonly addedFailureRate?: number;
 }
-// Answers come in a queue's spells, which both arms share, and with heavy tails: one in twenty is five times as slow.
-function draw(
-  r: () => number,
-  slice: number,
-  truth: Truth,
-): { step: (n: number) => void; counts: () => VerdictCounts[] } {
-  const cs = ['slice', 'control'].flatMap((a) => ['long', 'short'].map((s) => createCohortCounts(a, s)));
-  let spell = 0;
+// TTFTs are autocorrelated as in a queue, alike for both cohorts, and have a heavy tail: one in twenty is five times as long.
+function simulateRequests(
+  random: () => number,
+  treatmentShare: number,
+  effect: TrueEffect,
+): { step: (count: number) => void; counts: () => VerdictCounts[] } {
+  const statistics = ['slice', 'control'].flatMap((arm) =>
+    ['long', 'short'].map((stratum) => createCohortCounts(arm, stratum)),
+  );
+  let queueEffect = 0;
   function normal(): number {
-    return Math.sqrt(-2 * Math.log(r() + 1e-12)) * Math.cos(2 * Math.PI * r());
+    return Math.sqrt(-2 * Math.log(random() + 1e-12)) * Math.cos(2 * Math.PI * random());
   }
-  function drawTime(stratum: string, harmed: boolean): number {
+  function drawLogTtft(stratum: string, isTreated: boolean): number {
     return (
       Math.log(stratum === 'long' ? 0.4 : 0.06) +
-      spell +
+      queueEffect +
       0.55 * normal() +
-      (r() < 0.05 ? Math.log(5) : 0) +
-      (harmed ? Math.log(truth.slower ?? 1) : 0)
+      (random() < 0.05 ? Math.log(5) : 0) +
+      (isTreated ? Math.log(effect.ttftFactor ?? 1) : 0)
     );
   }
-  function step(n: number): void {
-    for (let i = 0; i < n; i += 1) {
-      spell = 0.95 * spell + 0.1 * normal();
-      const u = r();
-      if (u >= 4 * slice) continue;
-      const harmed = u < slice;
-      const c = cs[(harmed ? 0 : 2) + (r() < 0.3 ? 0 : 1)]!;
-      const failed = r() < 0.002 + (harmed ? (truth.fail ?? 0) : 0);
-      const l = failed ? Math.log(8) : drawTime(c.stratum, harmed);
-      const k = failed ? undefined : Math.log(0.012) + 0.25 * normal() + (harmed ? Math.log(truth.thicker ?? 1) : 0);
-      countAnswer(c, { failed, logTtft: l, logTokenTime: k });
+  function step(count: number): void {
+    for (let i = 0; i < count; i += 1) {
+      queueEffect = 0.95 * queueEffect + 0.1 * normal();
+      const position = random();
+      if (position >= 4 * treatmentShare) continue;
+      const isTreated = position < treatmentShare;
+      const counts = statistics[(isTreated ? 0 : 2) + (random() < 0.3 ? 0 : 1)]!;
+      const failed = random() < 0.002 + (isTreated ? (effect.addedFailureRate ?? 0) : 0);
+      const logTtft = failed ? Math.log(8) : drawLogTtft(counts.stratum, isTreated);
+      const logTokenTime = failed
+        ? undefined
+        : Math.log(0.012) + 0.25 * normal() + (isTreated ? Math.log(effect.tokenTimeFactor ?? 1) : 0);
+      countAnswer(counts, { failed, logTtft, logTokenTime });
     }
   }
-  return { step, counts: () => cs };
+  return { step, counts: () => statistics };
 }
-function rehearse(r: () => number, truth: Truth, rate: number): { verdict: Verdict; seconds: number } {
-  const d = draw(r, 0.1, truth);
-  let n = 0;
-  for (let s = 1; s <= 300; s += 1) {
-    d.step(rate);
-    const count = d
+function rehearse(
+  random: () => number,
+  effect: TrueEffect,
+  requestsPerSecond: number,
+): { verdict: Verdict; seconds: number } {
+  const simulation = simulateRequests(random, 0.1, effect);
+  let analyses = 0;
+  for (let second = 1; second <= 300; second += 1) {
+    simulation.step(requestsPerSecond);
+    const count = simulation
       .counts()
-      .filter((c) => c.arm === 'slice')
-      .reduce((a, c) => a + c.count, 0);
-    const last = s === 300;
-    if (count < requestsAtAnalysis(n, verdictDefaults) && !last) continue;
-    const v = judgeRehearsal(d.counts(), verdictDefaults, errorBudgetOf(n, last)).verdict;
-    if (v !== 'open') return { verdict: v, seconds: s };
-    n += 1;
+      .filter((cohort) => cohort.arm === 'slice')
+      .reduce((sum, cohort) => sum + cohort.count, 0);
+    const last = second === 300;
+    if (count < requestsAtAnalysis(analyses, verdictDefaults) && !last) continue;
+    const found = judgeRehearsal(simulation.counts(), verdictDefaults, errorBudgetOf(analyses, last)).verdict;
+    if (found !== 'open') return { verdict: found, seconds: second };
+    analyses += 1;
   }
   return { verdict: 'open', seconds: 300 };
 }
-it('holds its level over all looks: harm at the margin seldom passes, the harmless is seldom called harmful, and most of it passes', () => {
-  const r = createSeededRandom(77);
+it('keeps its error rate over all analyses: harm at the margin seldom passes, a harmless change is seldom called harmful and mostly passes', () => {
+  const random = createSeededRandom(77);
   const runs = 200;
-  const n = { none: 0, called: 0, slow: 0, thick: 0, failing: 0 };
+  const found = { none: 0, called: 0, slow: 0, thick: 0, failing: 0 };
   for (let i = 0; i < runs; i += 1) {
-    const calm = rehearse(r, { slower: 0.95 }, 70).verdict;
-    if (calm === 'pass') n.none += 1;
-    if (calm === 'harmful') n.called += 1;
-    if (rehearse(r, { slower: 1.1 }, 70).verdict === 'pass') n.slow += 1;
-    if (rehearse(r, { thicker: 1.1 }, 70).verdict === 'pass') n.thick += 1;
-    if (rehearse(r, { fail: 0.02 }, 70).verdict === 'pass') n.failing += 1;
+    const harmless = rehearse(random, { ttftFactor: 0.95 }, 70).verdict;
+    if (harmless === 'pass') found.none += 1;
+    if (harmless === 'harmful') found.called += 1;
+    if (rehearse(random, { ttftFactor: 1.1 }, 70).verdict === 'pass') found.slow += 1;
+    if (rehearse(random, { tokenTimeFactor: 1.1 }, 70).verdict === 'pass') found.thick += 1;
+    if (rehearse(random, { addedFailureRate: 0.02 }, 70).verdict === 'pass') found.failing += 1;
   }
   console.log(
-    `of ${runs} rehearsals, seed 77: harmless ${n.none} passed, ${n.called} called harmful; at the margin passed: TTFT ${n.slow}, time per token ${n.thick}, failures ${n.failing}`,
+    `of ${runs} rehearsals, seed 77: harmless ${found.none} passed, ${found.called} called harmful; at the margin passed: TTFT ${found.slow}, time per token ${found.thick}, failures ${found.failing}`,
   );
-  expect(n.none).toBeGreaterThan(0.6 * runs);
-  // The level is 5 %; three standard errors of so many draws are 4.6 points.
-  for (const k of ['slow', 'thick', 'failing', 'called'] as const) expect(n[k]).toBeLessThan(0.096 * runs);
+  expect(found.none).toBeGreaterThan(0.6 * runs);
+  // The error rate is 5 %; three standard errors at this number of runs are 4.6 percentage points.
+  for (const wrong of ['slow', 'thick', 'failing', 'called'] as const) expect(found[wrong]).toBeLessThan(0.096 * runs);
 });
-it('spends no more than its level over all looks, whenever the last one comes', () => {
+it('spends exactly its error rate over all analyses, whichever is the last', () => {
   for (let last = 0; last <= 5; last += 1) {
-    let all = errorBudgetOf(last, true);
-    for (let n = 0; n < last; n += 1) all += errorBudgetOf(n, false);
-    expect(all).toBeCloseTo(0.05, 9);
+    let spent = errorBudgetOf(last, true);
+    for (let analysis = 0; analysis < last; analysis += 1) spent += errorBudgetOf(analysis, false);
+    expect(spent).toBeCloseTo(0.05, 9);
   }
-  for (const [a, z] of [
+  for (const [alpha, deviations] of [
     [0.05, 1.645],
     [0.01, 2.326],
     [0.0025, 2.807],
   ] as const)
-    expect(upperNormalQuantile(a)).toBeCloseTo(z, 2);
+    expect(upperNormalQuantile(alpha)).toBeCloseTo(deviations, 2);
 });
-it('counts a failure with its patience, so that failing fast does not look quick', () => {
-  const r = createSeededRandom(5);
-  const d = draw(r, 0.1, { fail: 0.3 });
-  d.step(20_000);
-  const v = judgeRehearsal(d.counts(), { ...verdictDefaults, failureMargin: 1 }, 0.05);
-  expect(v.verdict).toBe('harmful');
-  expect(v.measured.why).toMatch(/TTFT/);
+it('counts a failure with its whole timeout as TTFT, so that failing fast does not look good', () => {
+  const random = createSeededRandom(5);
+  const simulation = simulateRequests(random, 0.1, { addedFailureRate: 0.3 });
+  simulation.step(20_000);
+  const result = judgeRehearsal(simulation.counts(), { ...verdictDefaults, failureMargin: 1 }, 0.05);
+  expect(result.verdict).toBe('harmful');
+  expect(result.measured.why).toMatch(/TTFT/);
 });
--- a/packages/rehearsal/src/verdict.ts
+++ b/packages/rehearsal/src/verdict.ts
@@ -1,9 +1,10 @@
 /**
- * The verdict on a rehearsal: non-inferiority of the slice against the control drawn beside it, on three measures at once:
- * TTFT from arrival, time per token of the answer, and the share answered within patience. The first two are ratios of
- * geometric means, compared within each kind of request and pooled, so that the mix does not blur them; a request that
- * failed counts with its whole patience as TTFT, lest failing fast look good. To pass, all three must be shown to be
- * within their margins; harm shown on any one of them ends it.
+ * The verdict on a rehearsal: a test of non-inferiority of the treatment cohort (`slice`) against the control cohort drawn
+ * beside it, on three measures: TTFT from arrival, time per token, and the share of requests answered within
+ * their timeout. The first two are ratios of geometric means, compared within each stratum (kind of request) and pooled, so
+ * that a different mix of requests does not distort them. A request that failed counts with its whole timeout as TTFT,
+ * so that failing fast does not look good. To pass, all three measures must be shown to be within their margins; harm shown
+ * on any one ends the rehearsal.
  */
 import type { CohortStatistics } from '@tansypost/inner-protocol';
 import type { CohortMeasurements, Measured } from './record.js';
@@ -17,9 +18,9 @@
   type ShareDifference,
 } from './statistics.js';
 
-/** How much worse than the control a change may be. */
+/** How much worse than the control cohort a change may be. */
 export interface VerdictOptions {
-  /** A pass needs so many requests in each cohort. */
+  /** Least number of requests in each cohort for a pass. */
   readonly minCount: number;
   /** As a share of the control's TTFT. */
   readonly ttftMargin: number;
@@ -29,7 +30,7 @@
   readonly failureMargin: number;
 }
 
-/** The margins of the product. */
+/** Default margins. */
 export const verdictDefaults: VerdictOptions = {
   minCount: 200,
   ttftMargin: 0.1,
@@ -37,87 +38,94 @@
   failureMargin: 0.02,
 };
 
-/** Whether a rehearsal goes on, has passed, or is ended as harmful. */
+/** Whether a rehearsal goes on, passes, or ends as harmful. */
 export type Verdict = 'open' | 'pass' | 'harmful';
 
-/** Counts of one cohort in one stratum. */
+/** Statistics of one cohort in one stratum. */
 export type VerdictCounts = Pick<
   CohortStatistics,
   'arm' | 'stratum' | 'count' | 'failures' | 'sum' | 'squares' | 'tokenCount' | 'tokenSum' | 'tokenSquares'
 >;
 
-/** A verdict with what it is based on. */
+/** A verdict with the measurements that it is based on. */
 export interface VerdictResult {
   readonly verdict: Verdict;
   readonly measured: Measured;
 }
 
-/** Below this count of a cohort nothing is said. */
-const leastCount = 30;
-/** Any of the measures may show harm, so each may spend its part of the error. */
-const measures = 3;
+/** With fewer requests than this in a cohort, there is no verdict. */
+const minCountForVerdict = 30;
+/** Harm on any of the measures ends a rehearsal, so each may take only its share of the error (Bonferroni). */
+const measureCount = 3;
 
 interface Comparison {
   readonly ttft: MeanDifference;
   readonly token: MeanDifference;
-  /** The share not answered in patience, at the error for a pass and at the one for harm. */
+  /** Difference in the share not answered in time, with intervals for a pass and for harm. */
   readonly failures: ShareDifference;
   readonly failuresForHarm: ShareDifference;
-  /** Standard errors to each side, for a pass and for harm. */
+  /** Half width of the intervals in standard errors, for a pass and for harm. */
   readonly deviations: number;
   readonly deviationsForHarm: number;
 }
 
 /**
  * Judges a rehearsal.
- * @param counts counts of both cohorts
- * @param options margins
- * @param spend chance of a wrong verdict that this look may take, see `spendOf`
+ * @param counts statistics of both cohorts
+ * @param options margins and least counts
+ * @param errorBudget chance of a wrong verdict that this analysis may take, see `errorBudgetOf`
  */
 export function judgeRehearsal(
   counts: readonly VerdictCounts[],
   options: VerdictOptions,
-  spend: number,
+  errorBudget: number,
 ): VerdictResult {
-  const slice = figures(counts.filter((count) => count.arm === 'slice'));
-  const control = figures(counts.filter((count) => count.arm === 'control'));
+  const treatment = measure(counts.filter((count) => count.arm === 'slice'));
+  const control = measure(counts.filter((count) => count.arm === 'control'));
   function result(found: Verdict, why: string): VerdictResult {
-    return { verdict: found, measured: { slice, control, why } };
+    return { verdict: found, measured: { slice: treatment, control, why } };
   }
-  if (slice.count < leastCount || control.count < leastCount) return result('open', 'too few requests yet');
-  const comparison = compare(counts, slice, control, spend);
+  if (treatment.count < minCountForVerdict || control.count < minCountForVerdict)
+    return result('open', 'too few requests yet');
+  const comparison = compare(counts, treatment, control, errorBudget);
   const harm = harmShown(comparison, options);
   if (harm !== undefined) return result('harmful', harm);
   const found = describe(comparison);
-  const enough = slice.count >= options.minCount && control.count >= options.minCount;
-  return enough && withinMargins(comparison, options)
+  const isLargeEnough = treatment.count >= options.minCount && control.count >= options.minCount;
+  return isLargeEnough && withinMargins(comparison, options)
     ? result('pass', found)
     : result('open', `${found}: neither harm nor its absence is shown yet`);
 }
 
 function compare(
   counts: readonly VerdictCounts[],
-  slice: CohortMeasurements,
+  treatment: CohortMeasurements,
   control: CohortMeasurements,
-  spend: number,
+  errorBudget: number,
 ): Comparison {
-  const [deviations, deviationsForHarm] = [upperNormalQuantile(spend), upperNormalQuantile(spend / measures)];
-  const [treated, untreated] = [slice, control].map(({ failures, count }) => ({ hits: failures, count }));
+  const [deviations, deviationsForHarm] = [
+    upperNormalQuantile(errorBudget),
+    upperNormalQuantile(errorBudget / measureCount),
+  ];
+  const [treatmentFailures, controlFailures] = [treatment, control].map(({ failures, count }) => ({
+    hits: failures,
+    count,
+  }));
   return {
     ttft: pooledDifference(byStratum(counts, ttftMoments)),
     token: pooledDifference(byStratum(counts, tokenMoments)),
-    failures: shareDifference(treated!, untreated!, deviations),
-    failuresForHarm: shareDifference(treated!, untreated!, deviationsForHarm),
+    failures: shareDifference(treatmentFailures!, controlFailures!, deviations),
+    failuresForHarm: shareDifference(treatmentFailures!, controlFailures!, deviationsForHarm),
     deviations,
     deviationsForHarm,
   };
 }
 
-/** The harm that is shown, in words; nothing where none is. */
+/** Describes the harm that is shown; undefined where none is. */
 function harmShown(comparison: Comparison, options: VerdictOptions): string | undefined {
   const { ttft, token, deviationsForHarm } = comparison;
   if (comparison.failuresForHarm.low > options.failureMargin) {
-    return `the share not answered in patience is ${points(comparison.failures)} points above the control's`;
+    return `the share of requests not answered in time is ${points(comparison.failures)} points above the control's`;
   }
   if (ttft.difference - deviationsForHarm * ttft.error > Math.log(1 + options.ttftMargin)) {
     return `TTFT is ${percent(ttft.difference)} above the control's`;
@@ -143,10 +151,10 @@
 
 function describe({ ttft, token, failures }: Comparison): string {
   const times = `TTFT ${percent(ttft.difference)}, time per token ${percent(token.difference)}`;
-  return `${times}, not answered in patience ${points(failures)} points, against the control`;
+  return `${times}, not answered in time ${points(failures)} points, against the control`;
 }
 
-/** A difference of logarithms as a ratio. */
+/** Formats a difference of logarithms as a relative difference. */
 function percent(difference: number): string {
   return `${((Math.exp(difference) - 1) * 100).toFixed(1)} %`;
 }
@@ -161,9 +169,9 @@
   const strata = new Set(counts.map((count) => count.stratum));
   return [...strata].map((stratum) => {
     const inStratum = counts.filter((count) => count.stratum === stratum);
-    const slice = inStratum.filter((count) => count.arm === 'slice');
+    const treatment = inStratum.filter((count) => count.arm === 'slice');
     const control = inStratum.filter((count) => count.arm === 'control');
-    return [momentsOf(slice), momentsOf(control)] as const;
+    return [momentsOf(treatment), momentsOf(control)] as const;
   });
 }
 
@@ -179,7 +187,7 @@
   return counts.reduce((sum, count) => sum + count[field], 0);
 }
 
-function figures(counts: readonly VerdictCounts[]): CohortMeasurements {
+function measure(counts: readonly VerdictCounts[]): CohortMeasurements {
   const { count, mean, variance } = ttftMoments(counts);
   return { count, failures: total(counts, 'failures'), meanLog: mean, sdLog: Math.sqrt(variance) };
 }
