--- a/packages/event-log/src/log.ts
+++ b/packages/event-log/src/log.ts
@@ -1,6 +1,6 @@
 /**
  * Writes numbered events. Each line carries the number, the meaning from the catalogue, and the fields as
- * JSON, so that a page can list all numbers and a search finds one.
+ * JSON, so that all numbers can be listed on a page and each can be searched for.
  */
 import { createConsola, type ConsolaInstance } from 'consola';
 import { catalogue, type EventLevel } from './catalogue.js';
--- a/packages/event-log/src/page.ts
+++ b/packages/event-log/src/page.ts
@@ -1,7 +1,7 @@
-/** Writes the page of event numbers from the catalogue: `npm run events`. */
+/** Generates the reference page of event numbers from the catalogue (`npm run events`). */
 import { catalogue } from './catalogue.js';
 
-/** The whole of docs/events.md. */
+/** The content of docs/events.md. */
 export function eventPage(): string {
   const rows = Object.entries(catalogue).map(
     ([event, entry]) => `| ${event} | ${entry.level} | ${entry.meaning} | ${entry.remedy} |`,
@@ -9,7 +9,7 @@
   return [
     '# Event numbers',
     '',
-    'Written from the catalogue by `npm run events`. Numbers are never used again for something else.',
+    'Generated from the catalogue by `npm run events`. Numbers are never reused for other events.',
     '',
     '| number | level | meaning | remedy |',
     '|---|---|---|---|',
