--- a/packages/decision-report/src/decision-report.test.ts
+++ b/packages/decision-report/src/decision-report.test.ts
@@ -1,4 +1,4 @@
-/** Logs and reports as they are read, counted and drawn. */
+/** Logs and reports are parsed, tabulated and plotted. */
 import { expect, it } from 'vitest';
 import * as E from 'fp-ts/lib/Either.js';
 import { plotMissedRequests } from './missed-requests-plot.js';
@@ -7,7 +7,7 @@
 import { parseRunReport } from './parse-run-report.js';
 import { renderMissedRequests, renderRunReport } from './render.js';
 
-function fields(over: Record<string, unknown> = {}): string {
+function fields(overrides: Record<string, unknown> = {}): string {
   const event = {
     request: 'q1',
     path: 'chat',
@@ -24,50 +24,50 @@
     sends: 1,
     workers: ['i-1', 'i-2'],
   };
-  return JSON.stringify({ ...event, ...over });
+  return JSON.stringify({ ...event, ...overrides });
 }
-function line(over: Record<string, unknown> = {}, clock = 2_500_000): string {
-  return `${clock} E5109 info router edge-1 request did not end in time {x ${fields(over)}`.replace('{x ', '');
+function line(overrides: Record<string, unknown> = {}, clock = 2_500_000): string {
+  return `${clock} E5109 info router edge-1 request did not end in time {x ${fields(overrides)}`.replace('{x ', '');
 }
 const started = '100 E1001 info router edge-1 program started {"front":"10.0.0.1:80"}';
 
-it('reads lost requests with the clock of the router, or of who collected the log', () => {
+it('takes the time of a missed request from the router, or from the collector of the log', () => {
   const log = parseMissedRequests([started, 'some other line', line(), `  7.25 edge-1 ${line()}`].join('\n'), 'a.log');
   expect(log).toMatchObject({ right: { damagedLines: 0 } });
   if (E.isLeft(log)) throw log.left;
-  expect(log.right.missed.map((loss) => [loss.second, loss.router, loss.cause])).toEqual([
+  expect(log.right.missed.map((request) => [request.second, request.router, request.cause])).toEqual([
     [2.5, 'edge-1', 'prefillQueue'],
     [7.25, 'edge-1', 'prefillQueue'],
   ]);
 });
 
-it('leaves out a line that is cut short, and refuses a log that holds no events or is damaged throughout', () => {
+it('skips a truncated line, and rejects a log that contains no events or has many damaged lines', () => {
   const cut = line().slice(0, -20);
   expect(parseMissedRequests([started, line(), cut].join('\n'), 'a.log')).toMatchObject({ right: { damagedLines: 1 } });
   expect(parseMissedRequests('nothing here', 'a.log')).toMatchObject({
-    left: { message: 'a.log holds no events. Give the output of routers.' },
+    left: { message: 'a.log contains no events. Provide the log output of routers.' },
   });
   expect(parseMissedRequests([started, cut, cut, cut, cut].join('\n'), 'a.log')).toMatchObject({
-    left: { message: 'a.log has 4 damaged lines of lost requests. Give the whole log.' },
+    left: { message: 'a.log has 4 damaged lines of missed requests. Provide the complete log.' },
   });
 });
 
-it('counts by cause, by size and by second', () => {
+it('counts by cause, by prompt size and by second', () => {
   const text = [started, line(), line({ prompt: 40_000, cause: 'size' }, 3_100_000), line({}, 2_900_000)].join('\n');
   const log = parseMissedRequests(text, 'a.log');
   if (E.isLeft(log)) throw log.left;
-  const { missed: losses } = log.right;
-  expect(groupMissedRequests(losses, (loss) => [loss.cause])).toEqual([
+  const { missed } = log.right;
+  expect(groupMissedRequests(missed, (request) => [request.cause])).toEqual([
     { key: ['prefillQueue'], count: 2, meanExcessMs: 200, meanPromptTokens: 900 },
     { key: ['size'], count: 1, meanExcessMs: 200, meanPromptTokens: 40_000 },
   ]);
-  expect([...countCausesBySecond(losses)].map(([second, causes]) => [second, [...causes]])).toEqual([
+  expect([...countCausesBySecond(missed)].map(([second, causes]) => [second, [...causes]])).toEqual([
     [2, [['prefillQueue', 2]]],
     [3, [['size', 1]]],
   ]);
   expect([0, 511, 512, 9000, 99_999].map(sizeRange)).toEqual(['0-511', '0-511', '512-2047', '8192-16383', '32768+']);
   expect(renderMissedRequests(log.right)).toContain('| chat | prefillQueue | apart | 2 | 200 | 900 |');
-  const svg = plotMissedRequests(losses, 'A day');
+  const svg = plotMissedRequests(missed, 'A day');
   expect(svg).toMatch(/^<svg[\s\S]*<\/svg>$/);
   for (const text of ['A day', 'prefillQueue', 'size', 'second']) expect(svg).toContain(text);
 });
@@ -81,7 +81,7 @@
   parts: [['whole day', 0.4, 0.85]],
 };
 
-it('reads the report of a run, and says what is wrong with one that it cannot use', () => {
+it('parses the report of a run, and says what is wrong with one that it cannot use', () => {
   const run = parseRunReport(JSON.stringify(report), 'r.json');
   if (E.isLeft(run)) throw run.left;
   const text = renderRunReport(run.right);
@@ -89,9 +89,11 @@
   expect(text).toContain('| memory | 12.0 | 0.0300 |');
   expect(text).not.toContain('orders');
   expect(parseRunReport(JSON.stringify(report).slice(0, -9), 'r.json')).toMatchObject({
-    left: { message: 'r.json cannot be read as a report: it is no JSON or cut short. Give the whole file.' },
+    left: {
+      message: 'r.json cannot be parsed as a report: it is not JSON or is truncated. Provide the complete file.',
+    },
   });
   expect(parseRunReport('{"classes": []}', 'r.json')).toMatchObject({
-    left: { message: 'The report has no list "prices". Give the report of a run.' },
+    left: { message: 'The report has no list "prices". Provide the report of a run.' },
   });
 });
--- a/packages/decision-report/src/missed-requests-plot.ts
+++ b/packages/decision-report/src/missed-requests-plot.ts
@@ -1,4 +1,4 @@
-/** A plot of what requests were lost to, second by second, as SVG, with no browser. */
+/** Plots the causes of missed requests over time as SVG, without a browser. */
 import { init, use } from 'echarts/core';
 import { BarChart } from 'echarts/charts';
 import { GridComponent, LegendComponent, TitleComponent } from 'echarts/components';
@@ -7,30 +7,30 @@
 import type { MissedRequest } from './parse-missed-requests.js';
 
 const size = { width: 900, height: 420 };
-/** Causes beyond these are drawn as one. */
-const mostCauses = 9;
+/** The rarer causes beyond this number are drawn as one. */
+const maxCauses = 9;
 
-function namesByCount(seconds: ReadonlyMap<number, ReadonlyMap<string, number>>): string[] {
+function causesByCount(seconds: ReadonlyMap<number, ReadonlyMap<string, number>>): string[] {
   const totals = new Map<string, number>();
   for (const causes of seconds.values())
     for (const [name, count] of causes) totals.set(name, (totals.get(name) ?? 0) + count);
   return [...totals].sort((a, b) => b[1] - a[1]).map(([name]) => name);
 }
 
-/** A stacked bar a second, one colour a cause; the causes of most losses have names. */
-export function plotMissedRequests(losses: readonly MissedRequest[], title: string): string {
+/** Draws one stacked bar for each second, with one colour for each cause; only the most frequent causes are named. */
+export function plotMissedRequests(requests: readonly MissedRequest[], title: string): string {
   use([BarChart, GridComponent, LegendComponent, TitleComponent, SVGRenderer]);
-  const seconds = countCausesBySecond(losses);
+  const seconds = countCausesBySecond(requests);
   const times = [...seconds.keys()].sort((a, b) => a - b);
-  const names = namesByCount(seconds);
-  const shown = names.slice(0, mostCauses);
-  const rest = names.slice(mostCauses);
-  function countsOf(of: readonly string[]): number[] {
-    return times.map((time) => of.reduce((sum, name) => sum + (seconds.get(time)?.get(name) ?? 0), 0));
+  const names = causesByCount(seconds);
+  const shownNames = names.slice(0, maxCauses);
+  const otherNames = names.slice(maxCauses);
+  function countsOf(ofNames: readonly string[]): number[] {
+    return times.map((time) => ofNames.reduce((sum, name) => sum + (seconds.get(time)?.get(name) ?? 0), 0));
   }
   const series = [
-    ...shown.map((name) => ({ name, data: countsOf([name]) })),
-    ...(rest.length > 0 ? [{ name: 'others', data: countsOf(rest) }] : []),
+    ...shownNames.map((name) => ({ name, data: countsOf([name]) })),
+    ...(otherNames.length > 0 ? [{ name: 'others', data: countsOf(otherNames) }] : []),
   ];
   const chart = init(null, null, { renderer: 'svg', ssr: true, ...size });
   chart.setOption({
--- a/packages/decision-report/src/missed-requests-table.ts
+++ b/packages/decision-report/src/missed-requests-table.ts
@@ -1,19 +1,19 @@
-/** Counts lost requests by what they were lost to. */
+/** Counts the requests that did not end in time by cause. */
 import type { MissedRequest } from './parse-missed-requests.js';
 
-/** A row of a table of losses. */
+/** A group of missed requests. */
 export interface CauseRow {
   readonly key: readonly string[];
   readonly count: number;
-  /** The mean excess over the aim until the first piece, in milliseconds; undefined where none had one. */
+  /** Mean excess of TTFT over the target latency, in milliseconds; undefined where no request had a first chunk. */
   readonly meanExcessMs: number | undefined;
   readonly meanPromptTokens: number;
 }
 
-/** Bounds of the sizes of prompts that are counted apart, in tokens. */
+/** Bounds of the ranges of prompt sizes, in tokens. */
 const sizeBounds = [512, 2048, 8192, 16_384, 32_768];
 
-/** The size of a prompt as a range. */
+/** Names the range that a prompt's size is in. */
 export function sizeRange(tokens: number): string {
   const above = sizeBounds.filter((bound) => tokens >= bound);
   const low = above.at(-1) ?? 0;
@@ -21,56 +21,56 @@
   return high === undefined ? `${low}+` : `${low}-${high - 1}`;
 }
 
-/** Whether the prompt was read apart from its run, at the runner, or not at all. */
-export function placementOf(loss: MissedRequest): 'apart' | 'alone' | 'no prompt' {
-  if (loss.prompt === 0) return 'no prompt';
-  return loss.reads > 0 ? 'apart' : 'alone';
+/** Whether the prompt was prefilled at a separate worker, at the decode worker, or not at all. */
+export function placementOf(request: MissedRequest): 'apart' | 'alone' | 'no prompt' {
+  if (request.prompt === 0) return 'no prompt';
+  return request.reads > 0 ? 'apart' : 'alone';
 }
 
 function mean(values: readonly number[]): number | undefined {
   return values.length === 0 ? undefined : values.reduce((sum, value) => sum + value, 0) / values.length;
 }
 
-function rowOf(key: readonly string[], losses: readonly MissedRequest[]): CauseRow {
-  const excess = losses.filter((loss) => loss.firstMs >= 0).map((loss) => loss.firstMs - loss.aimMs);
+function rowOf(key: readonly string[], requests: readonly MissedRequest[]): CauseRow {
+  const excess = requests.filter((request) => request.firstMs >= 0).map((request) => request.firstMs - request.aimMs);
   return {
     key,
-    count: losses.length,
+    count: requests.length,
     meanExcessMs: mean(excess),
-    meanPromptTokens: mean(losses.map((loss) => loss.prompt)) ?? 0,
+    meanPromptTokens: mean(requests.map((request) => request.prompt)) ?? 0,
   };
 }
 
-/** Groups losses by the texts that `keyOf` gives, the largest group first. */
+/** Groups requests by the key that `keyOf` returns, largest group first. */
 export function groupMissedRequests(
-  losses: readonly MissedRequest[],
-  keyOf: (loss: MissedRequest) => readonly string[],
+  requests: readonly MissedRequest[],
+  keyOf: (request: MissedRequest) => readonly string[],
 ): CauseRow[] {
-  const groups = new Map<string, { key: readonly string[]; of: MissedRequest[] }>();
-  for (const loss of losses) {
-    const key = keyOf(loss);
+  const groups = new Map<string, { key: readonly string[]; requests: MissedRequest[] }>();
+  for (const request of requests) {
+    const key = keyOf(request);
     const name = key.join('\n');
-    const group = groups.get(name) ?? { key, of: [] };
-    group.of.push(loss);
+    const group = groups.get(name) ?? { key, requests: [] };
+    group.requests.push(request);
     groups.set(name, group);
   }
-  return [...groups.values()].map((group) => rowOf(group.key, group.of)).sort((a, b) => b.count - a.count);
+  return [...groups.values()].map((group) => rowOf(group.key, group.requests)).sort((a, b) => b.count - a.count);
 }
 
-/** How many requests were lost to each cause in each second. */
-export function countCausesBySecond(losses: readonly MissedRequest[]): Map<number, Map<string, number>> {
+/** Counts the missed requests of each cause in each second. */
+export function countCausesBySecond(requests: readonly MissedRequest[]): Map<number, Map<string, number>> {
   const seconds = new Map<number, Map<string, number>>();
-  for (const loss of losses) {
-    const second = Math.floor(loss.second);
+  for (const request of requests) {
+    const second = Math.floor(request.second);
     const causes = seconds.get(second) ?? new Map<string, number>();
-    const name = causeName(loss);
+    const name = causeName(request);
     causes.set(name, (causes.get(name) ?? 0) + 1);
     seconds.set(second, causes);
   }
   return seconds;
 }
 
-/** The cause of a late request, or how it ended where it had no whole answer. */
-export function causeName(loss: MissedRequest): string {
-  return loss.outcome.startsWith('late') ? loss.cause : `${loss.outcome}: ${loss.cause}`;
+/** Names the cause of a late request; for one without a complete answer, its outcome too. */
+export function causeName(request: MissedRequest): string {
+  return request.outcome.startsWith('late') ? request.cause : `${request.outcome}: ${request.cause}`;
 }
--- a/packages/decision-report/src/parse-run-report.ts
+++ b/packages/decision-report/src/parse-run-report.ts
@@ -1,8 +1,8 @@
-/** Reads the report of a run: what was asked for and earned by kind of request, and what was charged. */
+/** Parses the report of a run: the results and the worth earned by kind of request, the prices charged, and the score. */
 import * as E from 'fp-ts/lib/Either.js';
 import { UnusableReportError } from '@tansypost/inner-protocol';
 
-/** The requests of one kind, as their clients saw them. */
+/** The results of one kind of request, as clients saw them. */
 export interface KindResult {
   readonly name: string;
   readonly requests: number;
@@ -10,25 +10,25 @@
   readonly late: number;
   readonly refused: number;
   readonly failed: number;
-  /** The share of the worth owed that was earned, from 0 to 1. */
-  readonly valueShare: number;
+  /** The earned share of the total worth of these requests, from 0 to 1. */
+  readonly earnedShare: number;
 }
 
-/** A price as a share of the worth owed. */
+/** A cost charged to the run, also as a share of the total worth of its requests. */
 export interface Price {
   readonly name: string;
   readonly amount: number;
   readonly share: number;
 }
 
-/** A part of what a run is measured by. */
+/** A weighted component of the score of a run. */
 export interface ScoreComponent {
   readonly name: string;
   readonly weight: number;
   readonly value: number;
 }
 
-/** What a report says that decisions are judged by. */
+/** The parts of a report that are rendered. */
 export interface RunReport {
   readonly kinds: readonly KindResult[];
   readonly prices: readonly Price[];
@@ -41,23 +41,23 @@
   return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-function listOf(report: Json, field: string): readonly unknown[] {
+function requireList(report: Json, field: string): readonly unknown[] {
   const list = report[field];
   if (!Array.isArray(list))
-    throw new UnusableReportError(`The report has no list "${field}". Give the report of a run.`);
+    throw new UnusableReportError(`The report has no list "${field}". Provide the report of a run.`);
   return list;
 }
 
-function numberOf(value: unknown, what: string): number {
+function requireNumber(value: unknown, what: string): number {
   if (typeof value !== 'number')
-    throw new UnusableReportError(`The report's ${what} is no number. Give it as it was written.`);
+    throw new UnusableReportError(`The report's ${what} is not a number. Provide the report as it was written.`);
   return value;
 }
 
-function kindOf(value: unknown): KindResult {
-  if (!isObject(value)) throw new UnusableReportError('The report has a kind of request that is no object.');
+function parseKind(value: unknown): KindResult {
+  if (!isObject(value)) throw new UnusableReportError('The report has a kind of request that is not an object.');
   function field(name: string): number {
-    return numberOf((value as Json)[name], `"${name}" of a kind of request`);
+    return requireNumber((value as Json)[name], `"${name}" of a kind of request`);
   }
   return {
     name: String(value['name']),
@@ -66,39 +66,39 @@
     late: field('late'),
     refused: field('refused'),
     failed: field('failed'),
-    valueShare: field('worth'),
+    earnedShare: field('worth'),
   };
 }
 
-function priceOf(value: unknown): Price {
+function parsePrice(value: unknown): Price {
   const [name, amount, share] = Array.isArray(value) ? (value as unknown[]) : [];
-  return { name: String(name), amount: numberOf(amount, 'price'), share: numberOf(share, 'price') };
+  return { name: String(name), amount: requireNumber(amount, 'price'), share: requireNumber(share, 'price') };
 }
 
-function partOf(value: unknown): ScoreComponent {
+function parseScoreComponent(value: unknown): ScoreComponent {
   const [name, weight, result] = Array.isArray(value) ? (value as unknown[]) : [];
-  return { name: String(name), weight: numberOf(weight, 'part'), value: numberOf(result, 'part') };
+  return { name: String(name), weight: requireNumber(weight, 'part'), value: requireNumber(result, 'part') };
 }
 
-function toReport(text: string): RunReport {
+function parseReport(text: string): RunReport {
   const report: unknown = JSON.parse(text);
-  if (!isObject(report)) throw new UnusableReportError('The report is no object. Give the report of a run.');
+  if (!isObject(report)) throw new UnusableReportError('The report is not an object. Provide the report of a run.');
   return {
-    kinds: listOf(report, 'classes').map(kindOf),
-    prices: listOf(report, 'prices').map(priceOf),
-    parts: listOf(report, 'parts').map(partOf),
+    kinds: requireList(report, 'classes').map(parseKind),
+    prices: requireList(report, 'prices').map(parsePrice),
+    parts: requireList(report, 'parts').map(parseScoreComponent),
   };
 }
 
-/** Reads the text of a report; the error names what is wrong with it. */
+/** Parses the text of a report; the error says what is wrong with it. */
 export function parseRunReport(text: string, name: string): E.Either<Error, RunReport> {
   return E.tryCatch(
-    () => toReport(text),
+    () => parseReport(text),
     (error) =>
       error instanceof UnusableReportError
         ? error
         : new UnusableReportError(
-            `${name} cannot be read as a report: it is no JSON or cut short. Give the whole file.`,
+            `${name} cannot be parsed as a report: it is not JSON or is truncated. Provide the complete file.`,
           ),
   );
 }
--- a/programs/tansypost/src/decisions.ts
+++ b/programs/tansypost/src/decisions.ts
@@ -1,4 +1,4 @@
-/** The command that tells what a run's worth was lost to, from its report and the logs of its routers. */
+/** The command that tells why requests did not end in time, from the report of a run and the logs of its routers. */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { Command, Option, type BaseContext } from 'clipanion';
 import * as E from 'fp-ts/lib/Either.js';
@@ -12,15 +12,15 @@
 } from '@tansypost/decision-report';
 import { UnusableReportError } from '@tansypost/inner-protocol';
 
-/** Reads a file whole; an error names the file and the remedy. */
+/** Reads a whole file; the error names the file and the remedy. */
 function readText(file: string): E.Either<Error, string> {
   return E.tryCatch(
     () => readFileSync(file, 'utf8'),
-    (error) => new UnusableReportError(`${file} cannot be read: ${String(error)}. Name a file that can.`),
+    (error) => new UnusableReportError(`${file} cannot be read: ${String(error)}. Name a readable file.`),
   );
 }
 
-function readAllLosses(files: readonly string[]): E.Either<Error, MissedRequestLog> {
+function readAllLogs(files: readonly string[]): E.Either<Error, MissedRequestLog> {
   let all: MissedRequestLog = { missed: [], damagedLines: 0 };
   for (const file of files) {
     const text = readText(file);
@@ -32,24 +32,24 @@
   return E.right(all);
 }
 
-/** `tansypost decisions`: tables on standard output, and a plot where a file for it is named. */
+/** `tansypost decisions`: writes tables to standard output, and a plot to a file where one is named. */
 export class Decisions extends Command<BaseContext> {
   static override paths = [['decisions']];
   static override usage = Command.Usage({
     category: 'Decisions',
-    description: 'tell what requests that did not end in time were lost to',
+    description: 'tell why requests did not end in time',
     details:
-      'Reads the output of routers that were started with `--log info`, and the report of a run where there is one. Ends with 2 where a file cannot be used.',
+      'Reads the output of routers that were started with `--log info`, and the report of a run where there is one. The exit code is 2 where a file cannot be used.',
   });
   logs = Option.Rest({ name: 'LOG', required: 1 });
   report = Option.String('--report', { description: 'the report of the run, in JSON' });
-  plot = Option.String('--plot', { description: 'write a plot of losses by second to this file, as SVG' });
-  title = Option.String('--title', 'Requests not in time, by what they were lost to', {
+  plot = Option.String('--plot', { description: 'write a plot of missed requests by second to this file, as SVG' });
+  title = Option.String('--title', 'Requests not in time, by cause', {
     description: 'the title of the plot',
   });
 
   async execute(): Promise<number> {
-    const log = readAllLosses(this.logs);
+    const log = readAllLogs(this.logs);
     if (E.isLeft(log)) return this.refuse(log.left);
     if (this.report !== undefined) {
       const text = readText(this.report);
