--- a/packages/boot/src/program.ts
+++ b/packages/boot/src/program.ts
@@ -1,6 +1,6 @@
 /**
- * What every program has in common: its one command with a settings file and flags, `--check`, exit codes,
- * and a stop that lets the work under way finish.
+ * What all programs have in common: a single command with a settings file and flags, `--check`, exit codes, and a graceful
+ * stop.
  */
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import type { Static, TSchema } from '@sinclair/typebox';
@@ -9,20 +9,20 @@
 import { onStopSignal } from '@tansypost/inner-protocol';
 import { readSettings } from './settings.js';
 
-/** A program that has started. */
+/** A started program. */
 export interface RunningProgram {
-  /** Lets the work under way finish, then frees everything. */
+  /** Finishes the work in progress, then releases all resources. */
   readonly stop: () => Promise<void>;
 }
 
-/** What distinguishes one program from another. */
+/** Name, settings and start of one program. */
 export interface ProgramOptions<S extends TSchema> {
   readonly name: string;
-  /** One line for `--help`. */
+  /** One line for the output of `--help`. */
   readonly description: string;
   /** Schema of the settings. */
   readonly schema: S;
-  /** Names of the fields that `--set` takes. */
+  /** Names of the fields that `--set` accepts. */
   readonly flags: readonly string[];
   readonly start: (settings: Static<S>, log: Log) => Promise<RunningProgram>;
 }
@@ -30,10 +30,10 @@
 /** Exit codes of all programs. */
 export const exitCode = { stopped: 0, failed: 1, badSettings: 2 } as const;
 
-/** The longest delay that a timer of Node.js takes, in milliseconds, rounded down to a power of two. */
-const longestInterval = 1 << 30;
+/** The longest timer delay that Node.js accepts, in milliseconds, rounded down to a power of two. */
+const maxTimerDelayMs = 1 << 30;
 
-/** Runs the program of this process by its command line, and ends the process with its exit code. */
+/** Runs the program with the arguments of this process, and ends the process with the program's exit code. */
 export async function runProgram<S extends TSchema>(options: ProgramOptions<S>): Promise<void> {
   const cli = new Cli({ binaryLabel: options.name, binaryName: options.name, binaryVersion: '0.1.0' });
   cli.register(Builtins.HelpCommand);
@@ -52,10 +52,10 @@
         ['Only check the file', `${options.name} --boot boot.json --check`],
       ],
     });
-    boot = Option.String('--boot', { description: 'the boot file (JSON)' });
-    check = Option.Boolean('--check', false, { description: 'check the boot settings and end' });
+    boot = Option.String('--boot', { description: 'the settings file (JSON)' });
+    check = Option.Boolean('--check', false, { description: 'check the settings and exit' });
     set = Option.Array('--set', [], {
-      description: 'field=value, over the file; one of ' + options.flags.join(', '),
+      description: 'field=value, overrides the file; one of ' + options.flags.join(', '),
     });
     async execute(): Promise<number> {
       const flags = Object.fromEntries(this.set.map(splitFlag));
@@ -65,7 +65,7 @@
         return exitCode.badSettings;
       }
       if (this.check) {
-        this.context.stdout.write(`${options.name}: boot settings are sound\n`);
+        this.context.stdout.write(`${options.name}: settings are valid\n`);
         return exitCode.stopped;
       }
       return runUntilStopped(options, settings.right);
@@ -97,10 +97,10 @@
   }
 }
 
-/** Settles at the first SIGTERM or SIGINT, and keeps the process alive until then. A second SIGINT ends it at once. */
+/** Resolves at the first SIGTERM or SIGINT, and keeps the process alive until then. A second SIGINT ends it at once. */
 function waitForStopSignal(): Promise<void> {
   return new Promise((resolve) => {
-    const keepAlive = setInterval(() => undefined, longestInterval);
+    const keepAlive = setInterval(() => undefined, maxTimerDelayMs);
     function stop(): void {
       clearInterval(keepAlive);
       resolve();
--- a/packages/boot/src/settings.ts
+++ b/packages/boot/src/settings.ts
@@ -1,6 +1,6 @@
 /**
- * Settings of the programs: read from a file, overridden by flags, checked by TypeBox. A fault ends the program
- * with one line that names the field. Fields named `...Ms` are milliseconds.
+ * Settings of the programs: read from a file, overridden by flags, checked by TypeBox. An invalid field ends the program
+ * with one line that names the field. Fields named `...Ms` are in milliseconds.
  */
 import { readFileSync } from 'node:fs';
 import { Type, type Static, type TSchema } from '@sinclair/typebox';
@@ -10,7 +10,7 @@
 
 /** IPv4 address and port. */
 const SocketAddress = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
-/** Fields that programs share. */
+/** Fields that several programs have. */
 const common = {
   member: Type.String({ minLength: 1, maxLength: 64 }),
   zone: Type.String({ minLength: 1, maxLength: 64 }),
@@ -21,7 +21,7 @@
   logLevel: Type.Optional(Type.Integer({ minimum: 0, maximum: 5 })),
 };
 
-/** What a control node reads at its start. */
+/** Schema of the settings of a control node. */
 export const ControlNodeSettings = Type.Object(
   {
     ...common,
@@ -37,7 +37,7 @@
 /** Settings of a control node. */
 export type ControlNodeSettings = Static<typeof ControlNodeSettings>;
 
-/** What a router-agent reads at its start. */
+/** Schema of the settings of a router-agent. */
 export const AgentSettings = Type.Object(
   {
     ...common,
@@ -57,7 +57,7 @@
 /** Settings of a router-agent. */
 export type AgentSettings = Static<typeof AgentSettings>;
 
-/** What a request-router reads at its start. */
+/** Schema of the settings of a request-router. */
 export const RouterSettings = Type.Object(
   {
     member: common.member,
@@ -77,19 +77,19 @@
 /** Settings of a request-router. */
 export type RouterSettings = Static<typeof RouterSettings>;
 
-/** Where settings come from: a flag goes before the file. */
+/** Where settings come from; flags override the file. */
 export interface SettingsSource {
   /** Path of a JSON file. */
   readonly file?: string;
   readonly flags: { readonly [field: string]: string | undefined };
 }
 
-/** Fields whose flag is a list, separated by commas. */
+/** Fields whose flag is a comma-separated list. */
 const listFields: readonly string[] = ['seeds', 'core'];
 
 /**
  * Reads and checks the settings of a program.
- * @returns the settings, or a `BadSettingsError` whose one line names the first field at fault
+ * @returns the settings, or a `BadSettingsError` whose message, a single line, names the first invalid field
  */
 export function readSettings<S extends TSchema>(schema: S, source: SettingsSource): E.Either<Error, Static<S>> {
   const fromFile = source.file === undefined ? E.right({}) : readJson(source.file);
@@ -98,39 +98,39 @@
   for (const [field, flag] of Object.entries(source.flags)) {
     if (flag !== undefined) settings[field] = listFields.includes(field) ? flag.split(',') : parseFlag(flag);
   }
-  const fault = Value.Errors(schema, settings).First();
-  return fault === undefined ? E.right(settings as Static<S>) : E.left(fieldError(fault));
+  const invalid = Value.Errors(schema, settings).First();
+  return invalid === undefined ? E.right(settings as Static<S>) : E.left(fieldError(invalid));
 }
 
 function readJson(file: string): E.Either<Error, Record<string, unknown>> {
   return E.tryCatch(
     () => JSON.parse(readFileSync(file, 'utf8')) as Record<string, unknown>,
     (error) => {
-      const why = error instanceof Error ? error.message : String(error);
-      return new BadSettingsError(`boot file ${file}: ${why}; give a readable JSON file.`);
+      const reason = error instanceof Error ? error.message : String(error);
+      return new BadSettingsError(`settings file ${file}: ${reason}; provide a readable JSON file.`);
     },
   );
 }
 
-/** Numbers and booleans by their form; everything else is a text. */
+/** Parses numbers and booleans; everything else is a string. */
 function parseFlag(flag: string): unknown {
   if (/^-?\d+(\.\d+)?$/.test(flag)) return Number(flag);
   if (flag === 'true' || flag === 'false') return flag === 'true';
   return flag;
 }
 
-function fieldError(fault: ValueError): Error {
-  const field = fault.path === '' ? '(file)' : fault.path.slice(1).replace(/\//g, '.');
-  const got = JSON.stringify(fault.value) ?? 'nothing';
+function fieldError(invalid: ValueError): Error {
+  const field = invalid.path === '' ? '(file)' : invalid.path.slice(1).replace(/\//g, '.');
+  const got = JSON.stringify(invalid.value) ?? 'nothing';
   const remedy = `Set it in the file or with --set ${field.split('.')[0]}=...`;
-  return new BadSettingsError(`boot field ${field}: ${fault.message}; got ${got}. ${remedy}`);
+  return new BadSettingsError(`settings field ${field}: ${invalid.message}; got ${got}. ${remedy}`);
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  const good = { member: 'm', zone: 'z', listen: '127.0.0.1:1', agent: '127.0.0.1:2', http: '127.0.0.1:3' };
-  it('names the field at fault in one line, for every field altered one at a time', () => {
-    expect(E.isRight(readSettings(RouterSettings, { flags: good }))).toBe(true);
+  const valid = { member: 'm', zone: 'z', listen: '127.0.0.1:1', agent: '127.0.0.1:2', http: '127.0.0.1:3' };
+  it('names the invalid field in one line, for each field altered in turn', () => {
+    expect(E.isRight(readSettings(RouterSettings, { flags: valid }))).toBe(true);
     for (const [field, value] of [
       ['member', ''],
       ['zone', ''],
@@ -140,8 +140,8 @@
       ['bodyLimit', 'x'],
       ['colour', 'red'],
     ] as const) {
-      const result = readSettings(RouterSettings, { flags: { ...good, [field]: value } });
-      expect(E.isLeft(result) && result.left.message).toContain(`boot field ${field}`);
+      const result = readSettings(RouterSettings, { flags: { ...valid, [field]: value } });
+      expect(E.isLeft(result) && result.left.message).toContain(`settings field ${field}`);
       expect(E.isLeft(result) && result.left.message.includes('\n')).toBe(false);
     }
   });
--- a/tests/smoke.test.ts
+++ b/tests/smoke.test.ts
@@ -217,7 +217,7 @@
       );
     });
     expect(badBoot.code).toBe(2);
-    expect(badBoot.err).toMatch(/^request-router: boot field zone/);
+    expect(badBoot.err).toMatch(/^request-router: settings field zone/);
     expect(badBoot.err.trim().split('\n').length).toBe(1);
   } finally {
     await agent.destroy();
