--- a/packages/desired-state/src/desired-state.ts
+++ b/packages/desired-state/src/desired-state.ts
@@ -1,6 +1,6 @@
 /**
- * The configuration (desired state) of a service: its tenants' templates. It is taken whole or refused whole; a
- * refusal lists every fault that was found, each with its place in the document.
+ * The configuration (desired state) of a service: the templates of its tenants. It is accepted or rejected as a whole; a
+ * rejection lists all faults that were found, each with its place in the document.
  */
 import { Type, type Static } from '@sinclair/typebox';
 import { Value } from '@sinclair/typebox/value';
@@ -20,20 +20,20 @@
 /** A configuration. */
 export type DesiredState = Static<typeof DesiredState>;
 
-/** One thing that is wrong with a configuration. */
+/** One fault of a configuration. */
 export interface ConfigurationFault {
-  /** JSON pointer to its place; `/` for the whole. */
+  /** JSON pointer to its place; `/` for the whole document. */
   readonly at: string;
   readonly why: string;
 }
 
-/** Checks shape and rules; on the left are all faults of the shape, or else all of the rules. */
+/** Validates a document against the schema, then against further rules; the left holds all faults of the first that fails. */
 export function checkDesiredState(document: unknown): E.Either<readonly ConfigurationFault[], DesiredState> {
-  const shapeFaults = [...Value.Errors(DesiredState, document)].map((error): ConfigurationFault => ({
+  const schemaFaults = [...Value.Errors(DesiredState, document)].map((error): ConfigurationFault => ({
     at: error.path === '' ? '/' : error.path,
     why: error.message,
   }));
-  if (shapeFaults.length > 0) return E.left(shapeFaults);
+  if (schemaFaults.length > 0) return E.left(schemaFaults);
   const state = document as DesiredState;
   const faults = ruleFaults(state);
   return faults.length > 0 ? E.left(faults) : E.right(state);
@@ -46,21 +46,21 @@
     if (seen.has(tenant)) {
       faults.push({
         at: `/templates/${index}/tenant`,
-        why: `tenant ${tenant} has a template already; keep one`,
+        why: `tenant ${tenant} has more than one template; keep one`,
       });
     }
     seen.add(tenant);
     if (Object.keys(kinds).length === 0) {
-      faults.push({ at: `/templates/${index}/kinds`, why: 'name at least one kind of request' });
+      faults.push({ at: `/templates/${index}/kinds`, why: 'define at least one kind of request' });
     }
   });
   if (state.templates.every(({ kinds }) => Object.values(kinds).every((kind) => kind.share === 0))) {
-    faults.push({ at: '/templates', why: 'every share is 0; give at least one kind a share of credits' });
+    faults.push({ at: '/templates', why: 'every share is 0; set a positive share for at least one kind' });
   }
   return faults;
 }
 
-/** The template of a tenant's kind, or which of the two is not stated. */
+/** The template of a tenant's kind of request, or which of the two is unknown. */
 export function findKind(
   state: DesiredState,
   tenant: string,
@@ -71,7 +71,7 @@
   return Object.hasOwn(template.kinds, kind) ? template.kinds[kind]! : 'unknown_kind';
 }
 
-/** Whether any tenant wants an operator to approve changes before they go live. */
+/** Whether any tenant requires an operator's approval before changes go live. */
 export function needsApproval(state: DesiredState | undefined): boolean {
   return state?.templates.some((template) => template.approval === 'operator') ?? false;
 }
