--- a/packages/event-log/src/catalogue.ts
+++ b/packages/event-log/src/catalogue.ts
@@ -1,6 +1,7 @@
 /**
  * The catalogue of numbered events. docs/events.md is generated from it; a test checks that it is up to date.
- * A number is never reused for another event.
+ * A number is never reused for another event. A replica is a control node's copy of the control state; a duty is a task
+ * that one node at a time carries out through calls to the platform.
  */
 
 /** Severity of an event. */
--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -135,7 +135,7 @@
   const group = promptGroup(request);
   const tokens = cumulativeTokens(request);
   const shared = tokens[Math.max(0, request.promptSegments.length - 1)]!;
-  const promptFacts: PromptSummary = { tokens: request.promptTokens, blocks, prefixGroup: group };
+  const promptSummary: PromptSummary = { tokens: request.promptTokens, blocks, prefixGroup: group };
 
   // Routers do not share which prefixes they sent where, but all rank the workers of a group alike by rendezvous
   // hashing: the first is assumed to have most of the shared prefix cached, the second, which receives the overflow,
@@ -259,7 +259,7 @@
   }
   const assignment = assignPrefill(
     {
-      prompt: promptFacts,
+      prompt: promptSummary,
       candidates: scored.map((view) => view.candidate),
       expectedTtft: (candidate) => prefillTime(viewOf(candidate)),
       expectedHitShare: (candidate) => prefillCached(viewOf(candidate)) / Math.max(1, request.promptTokens),
--- a/packages/pass-through/src/handler-context.ts
+++ b/packages/pass-through/src/handler-context.ts
@@ -45,7 +45,7 @@
   readonly placement: PlacementOptions;
   readonly pairCosts: typeof defaultPairCosts;
   readonly fleet: WorkerFleet;
-  readonly paces: ReturnType<typeof createThroughputTracker>;
+  readonly throughput: ReturnType<typeof createThroughputTracker>;
   readonly prefixTree: ReturnType<typeof createRadixTree>;
   readonly retryBudget: RetryBudget;
   readonly admission: Admission;
@@ -61,7 +61,7 @@
   options: RequestHandlerOptions,
   ports: RequestHandlerPorts,
 ): HandlerContext {
-  const paces = createThroughputTracker();
+  const throughput = createThroughputTracker();
   const counts = new Map<string, number>();
 
   function count(event: string): number {
@@ -76,8 +76,8 @@
     ports,
     placement: options.placement ?? placementDefaults,
     pairCosts: { ...defaultPairCosts, ...options.pairCosts },
-    fleet: createWorkerFleet(world.now, paces.speedClass),
-    paces,
+    fleet: createWorkerFleet(world.now, throughput.speedClass),
+    throughput: throughput,
     prefixTree: createRadixTree(),
     retryBudget: createRetryBudget(world.now, options.retryBudget),
     admission: createAdmission(),
--- a/packages/pass-through/src/prefill-attempt.ts
+++ b/packages/pass-through/src/prefill-attempt.ts
@@ -87,7 +87,12 @@
   attempt.tracker.finish('done');
   context.prefixTree.insert(promptBlocks(inFlight.request), prefillWorker.id, now);
   if (pair.assignment === undefined) return;
-  context.paces.record(prefillWorker.id, pair.prefillWorkerTokens, now - startedAt, pair.assignment.worker.running);
+  context.throughput.record(
+    prefillWorker.id,
+    pair.prefillWorkerTokens,
+    now - startedAt,
+    pair.assignment.worker.running,
+  );
   inFlight.placementSample = { features: pair.assignment.featureRow, chosenAt: startedAt };
   countReason(context, pair.assignment.reason);
 }
--- a/packages/placement/src/training.ts
+++ b/packages/placement/src/training.ts
@@ -240,8 +240,8 @@
       updates += 1;
       const firstCorrection = 1 - 0.9 ** updates;
       const secondCorrection = 1 - 0.999 ** updates;
-      parameters.forEach((array, k) => {
-        const [first, second, gradient] = [firstMoments[k]!, secondMoments[k]!, gradients[k]!];
+      parameters.forEach((array, index) => {
+        const [first, second, gradient] = [firstMoments[index]!, secondMoments[index]!, gradients[index]!];
         for (let i = 0; i < array.length; i += 1) {
           first[i] = 0.9 * first[i]! + 0.1 * gradient[i]!;
           second[i] = 0.999 * second[i]! + 0.001 * gradient[i]! * gradient[i]!;
--- a/packages/rehearsal/src/transitions.ts
+++ b/packages/rehearsal/src/transitions.ts
@@ -16,12 +16,22 @@
   record: RehearsalRecord,
   id: string,
   subject: Subject,
-  slice: number,
+  treatmentShare: number,
   approval: Rehearsal['approval'],
 ): RehearsalRecord {
   return {
     ...record,
-    running: { id, subject, stage: 0, looks: 0, spent: 0, slice, state: 'running', approval, asked: 'none' },
+    running: {
+      id,
+      subject,
+      stage: 0,
+      looks: 0,
+      spent: 0,
+      slice: treatmentShare,
+      state: 'running',
+      approval,
+      asked: 'none',
+    },
   };
 }
 
