--- a/packages/pass-through/src/handler-context.ts
+++ b/packages/pass-through/src/handler-context.ts
@@ -77,7 +77,7 @@
     placement: options.placement ?? placementDefaults,
     pairCosts: { ...defaultPairCosts, ...options.pairCosts },
     fleet: createWorkerFleet(world.now, throughput.speedClass),
-    throughput: throughput,
+    throughput,
     prefixTree: createRadixTree(),
     retryBudget: createRetryBudget(world.now, options.retryBudget),
     admission: createAdmission(),
