--- a/packages/control-feed/src/control-cluster.test.ts
+++ b/packages/control-feed/src/control-cluster.test.ts
@@ -257,7 +257,7 @@
     leader = seedNames.find((name) =>
       cluster
         .machine(name)
-        .host!.core()!
+        .host!.controlNode()!
         .ledKeys()
         .some((led) => led.key === configurationKey),
     )!;
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -46,7 +46,7 @@
       }),
     look: (at, core) => {
       for (const m of core.running()) {
-        const r = m.host?.core()?.replica.row(rehearsalRecordKey);
+        const r = m.host?.controlNode()?.replica.row(rehearsalRecordKey);
         if (r !== undefined && r.version > 0) records.push({ at, record: decodeRehearsalRecord(r.value) });
         for (const duty of (m.learning?.metrics()['holds'] ?? []) as string[]) holders.push({ at, who: m.name, duty });
       }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -150,7 +150,7 @@
         const learning = createControlNodeLearning(w, {
           self: m.address,
           member: name,
-          controlNode: host.core,
+          controlNode: host.controlNode,
           controlClient: createControlStateClient(w, coreAsker),
           trainer: createIncrementalTrainer(w, g.learning?.spoil),
           roleLeaseUs: dutyTenure,
@@ -160,9 +160,9 @@
         const recovery = createDecodeRecovery(w, {
           self: m.address,
           member: name,
-          controlNode: host.core,
+          controlNode: host.controlNode,
           workers: listed,
-          services: () => servicesOf(host.core()?.replica.row(configurationKey).value),
+          services: () => servicesOf(host.controlNode()?.replica.row(configurationKey).value),
           record: createStoredValue(w, orderRecordKey, (question) => answerTo(coreAsker, question)),
           workerClient: createVirtualOrders(g, workers, m.proc),
           leaseDuration: dutyTenure,
--- a/programs/control-node/src/control-node-host.test.ts
+++ b/programs/control-node/src/control-node-host.test.ts
@@ -1,81 +1,88 @@
+/** A control node on a disk that fails and recovers. */
 import { expect, it } from 'vitest';
 import * as E from 'fp-ts/lib/Either.js';
 import type { Disk, JournalRecord } from '@tansypost/control-state';
 import { micros, type Address, type World } from '@tansypost/inner-protocol';
 import { createControlNodeHost } from './control-node-host.js';
 
-it('drops the core when its disk fails, tries until the disk is well, and comes back with what was on it', async () => {
-  let t = 0;
-  let timers: { at: number; f: () => void }[] = [];
-  let file: JournalRecord[] = [];
-  let broken = false;
-  const opened: boolean[] = [];
+it('stops the control node when its disk fails, retries until the disk works, and restores what was stored', async () => {
+  let now = 0;
+  let timers: { at: number; task: () => void }[] = [];
+  let stored: JournalRecord[] = [];
+  let isBroken = false;
+  const rewrites: boolean[] = [];
   const logged: number[] = [];
-  const w: World = {
-    now: () => micros(t),
+  const world: World = {
+    now: () => micros(now),
     random: () => 0.5,
     send: () => undefined,
-    log: (n) => logged.push(n),
-    after: (d, f) => {
-      const x = { at: t + d, f };
-      timers.push(x);
+    log: (event) => logged.push(event),
+    after: (delay, task) => {
+      const timer = { at: now + delay, task };
+      timers.push(timer);
       return () => {
-        timers = timers.filter((y) => y !== x);
+        timers = timers.filter((other) => other !== timer);
       };
     },
   };
-  async function step(us: number): Promise<void> {
-    const end = t + us;
-    for (let n = next(end); n !== undefined; n = next(end)) {
-      const due = n;
-      timers = timers.filter((x) => x !== due);
-      t = due.at;
-      due.f();
+  async function step(durationUs: number): Promise<void> {
+    const end = now + durationUs;
+    for (let timer = next(end); timer !== undefined; timer = next(end)) {
+      const due = timer;
+      timers = timers.filter((timer) => timer !== due);
+      now = due.at;
+      due.task();
       for (let i = 0; i < 5; i += 1) await Promise.resolve();
     }
-    t = end;
+    now = end;
   }
-  function next(end: number): { at: number; f: () => void } | undefined {
-    return timers.filter((x) => x.at <= end).sort((p, q) => p.at - q.at)[0];
+  function next(end: number): { at: number; task: () => void } | undefined {
+    return timers.filter((timer) => timer.at <= end).sort((left, right) => left.at - right.at)[0];
   }
   const disk: Disk = {
-    append: (r, done) => {
-      if (broken) return done(new Error('no space left'));
-      file.push(r);
+    append: (record, done) => {
+      if (isBroken) return done(new Error('no space left'));
+      stored.push(record);
       done();
     },
-    rewrite: (rs, done) => {
-      file = [...rs];
+    rewrite: (records, done) => {
+      stored = [...records];
       done();
     },
-    size: () => file.length,
+    size: () => stored.length,
   };
   let ids = 0;
-  const h = createControlNodeHost(w, {
+  const host = createControlNodeHost(world, {
     slot: 0,
     self: 'k0:1' as Address,
     bootstrapMembers: ['k0:1', 'k1:1', 'k2:1'] as Address[],
     seeds: [],
     routerLeaseUs: 10_000_000,
-    dutyTenure: 3_000_000,
+    roleLeaseUs: 3_000_000,
     newDiskId: () => `d${(ids += 1)}`,
-    open: async (afresh) => {
-      opened.push(afresh);
-      return broken ? E.left(new Error('still full')) : E.right({ disk, found: [...file], cut: 0 });
+    open: async (rewrite) => {
+      rewrites.push(rewrite);
+      return isBroken
+        ? E.left(new Error('still full'))
+        : E.right({ disk, storedRecords: [...stored], truncatedBytes: 0 });
     },
   });
-  await h.begin();
-  h.core()!.replica.putRow('k', { promised: 8, epoch: 8, version: 1, value: Buffer.from('v') }, [], () => undefined);
-  broken = true;
-  h.core()!.replica.putRow('k', { promised: 8, epoch: 8, version: 2, value: Buffer.from('w') }, [], () => undefined);
+  await host.start();
+  host
+    .controlNode()!
+    .replica.putRow('k', { promised: 8, epoch: 8, version: 1, value: Buffer.from('v') }, [], () => undefined);
+  isBroken = true;
+  host
+    .controlNode()!
+    .replica.putRow('k', { promised: 8, epoch: 8, version: 2, value: Buffer.from('w') }, [], () => undefined);
   await step(5_000_000);
-  expect(h.core()).toBeUndefined();
-  expect(opened.length).toBeGreaterThan(2);
-  expect(opened.slice(1).every((x) => x)).toBe(true);
-  broken = false;
+  expect(host.controlNode()).toBeUndefined();
+  expect(rewrites.length).toBeGreaterThan(2);
+  expect(rewrites.slice(1).every((rewrite) => rewrite)).toBe(true);
+  isBroken = false;
   await step(10_000_000);
-  expect(h.core()!.replica.state()).not.toBe('failed');
-  expect(h.core()!.replica.diskId()).toBe('d1');
-  expect(h.core()!.replica.row('k').version).toBe(1);
+  expect(host.controlNode()!.replica.state()).not.toBe('failed');
+  expect(host.controlNode()!.replica.diskId()).toBe('d1');
+  expect(host.controlNode()!.replica.row('k').version).toBe(1);
   expect(logged).toEqual(expect.arrayContaining([2005, 2010, 2011]));
 });
--- a/programs/control-node/src/control-node-host.ts
+++ b/programs/control-node/src/control-node-host.ts
@@ -1,122 +1,133 @@
 /**
- * Keeps a keeper core running on its disk without anybody's help. When the disk fails a write, the core is dropped and
- * its state is read afresh, as after a restart, and written whole to a new file before it votes again; that is tried for
- * as long as it takes. A damaged file is put aside by whoever opens the disk, and the place comes back blank. The
- * programs pass a file, the simulator its own disk. A place that was replaced, and that nobody needs any more, begins
- * anew as a blank machine that asks for a place, where it may.
+ * Keeps a control node running on its disk without an operator. If a write fails, the node is stopped, its state is read
+ * again as after a restart, and written to a new file before the node votes again; this is retried until it succeeds.
+ * Whoever opens the disk quarantines a damaged file, and the replica then starts empty. The programs pass a file, the
+ * simulator its own disk. A replica that was replaced and is no longer needed restarts as an empty node and asks to join
+ * again, where that is allowed.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import type { ControlNode, Disk, LeaveResult, JournalRecord } from '@tansypost/control-state';
 import { every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
 import { createVotingControlNode, type VotingControlNodeOptions } from './voting-control-node.js';
 
+/** A disk that was opened, and what was stored on it. */
 export interface OpenDisk {
   readonly disk: Disk;
-  readonly found: readonly JournalRecord[];
-  readonly cut: number;
-  // Why the file that was there was put aside, where it was.
-  readonly aside?: string;
+  readonly storedRecords: readonly JournalRecord[];
+  readonly truncatedBytes: number;
+  /** Why the previous file was quarantined, if it was. */
+  readonly quarantineReason?: string;
   readonly close?: () => Promise<void>;
 }
+/** Settings of the host. */
 export interface ControlNodeHostOptions extends Omit<VotingControlNodeOptions, 'disk' | 'storedRecords' | 'newDiskId'> {
-  // `afresh` asks that what is found be written to a new file and synced before it is handed over.
-  // `blank` asks that what is found be thrown away.
-  readonly open: (afresh: boolean, blank: boolean) => Promise<E.Either<Error, OpenDisk>>;
+  /**
+   * Opens the disk. With `rewrite` the stored records are written to a new file and synced before they are returned; with
+   * `discard` they are deleted.
+   */
+  readonly open: (rewrite: boolean, discard: boolean) => Promise<E.Either<Error, OpenDisk>>;
   readonly newDiskId: () => string;
-  // Whether a place that was replaced asks for another one.
-  readonly rejoins?: boolean;
-  readonly firstPause?: number;
-  readonly longestPause?: number;
+  /** Whether a replica that was replaced asks to join again. */
+  readonly rejoinsWhenSuperseded?: boolean;
+  readonly initialRetryDelayUs?: number;
+  readonly maxRetryDelayUs?: number;
 }
+/** The host of a control node. */
 export interface ControlNodeHost {
-  readonly receive: (m: Message, from: Address) => void;
-  readonly core: () => ControlNode | undefined;
-  readonly bytes: () => number;
-  // The first opening: an error here is for the program to report, as nothing has run yet.
-  readonly begin: () => Promise<E.Either<Error, void>>;
-  // Leaves within `limit` microseconds; without a sound disk there is nothing to hand over.
-  readonly leave: (limit: number, done: (result: LeaveResult) => void) => void;
+  readonly receive: (message: Message, from: Address) => void;
+  readonly controlNode: () => ControlNode | undefined;
+  readonly diskBytes: () => number;
+  /** Opens the disk for the first time. The program reports an error here, as nothing has run yet. */
+  readonly start: () => Promise<E.Either<Error, void>>;
+  /** Leaves gracefully within `timeoutUs`. Without a working disk there is nothing to transfer, and it is incomplete. */
+  readonly leave: (timeoutUs: number, done: (result: LeaveResult) => void) => void;
   readonly stop: () => Promise<void>;
 }
-export function createControlNodeHost(w: World, o: ControlNodeHostOptions): ControlNodeHost {
-  let core: ControlNode | undefined;
-  let disk: OpenDisk | undefined;
-  const firstPause = o.firstPause ?? 1_000_000;
-  const longestPause = o.longestPause ?? 10_000_000;
-  let pause = firstPause;
+
+/** Creates a host whose disk is not opened yet. */
+export function createControlNodeHost(world: World, options: ControlNodeHostOptions): ControlNodeHost {
+  let controlNode: ControlNode | undefined;
+  let openDisk: OpenDisk | undefined;
+  const initialRetryDelayUs = options.initialRetryDelayUs ?? 1_000_000;
+  const maxRetryDelayUs = options.maxRetryDelayUs ?? 10_000_000;
+  let retryDelayUs = initialRetryDelayUs;
   let retryAt = Infinity;
-  let opening = false;
+  let isOpening = false;
 
-  async function open(afresh: boolean, blank: boolean): Promise<E.Either<Error, void>> {
-    opening = true;
-    const d = await o.open(afresh, blank);
-    opening = false;
-    if (E.isLeft(d)) return d;
-    disk = d.right;
-    if (disk.cut > 0) w.log(2008, { bytes: disk.cut });
-    if (disk.aside !== undefined) w.log(2009, { why: disk.aside });
-    core = createVotingControlNode(w, {
-      ...o,
-      ...(blank ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
-      reopened: afresh,
-      disk: disk.disk,
-      storedRecords: disk.found,
-      newDiskId: o.newDiskId(),
-      onStateChange: (s) => {
-        if (s === 'failed') w.after(micros(0), look);
+  async function openNode(rewrite: boolean, discard: boolean): Promise<E.Either<Error, void>> {
+    isOpening = true;
+    const opened = await options.open(rewrite, discard);
+    isOpening = false;
+    if (E.isLeft(opened)) return opened;
+    openDisk = opened.right;
+    if (openDisk.truncatedBytes > 0) world.log(2008, { bytes: openDisk.truncatedBytes });
+    if (openDisk.quarantineReason !== undefined) world.log(2009, { why: openDisk.quarantineReason });
+    controlNode = createVotingControlNode(world, {
+      ...options,
+      ...(discard ? { mayBootstrap: false, bootstrapSlot: undefined } : {}),
+      reopened: rewrite,
+      disk: openDisk.disk,
+      storedRecords: openDisk.storedRecords,
+      newDiskId: options.newDiskId(),
+      onStateChange: (state) => {
+        if (state === 'failed') world.after(micros(0), check);
       },
     });
     return E.right(undefined);
   }
 
-  function look(): void {
-    if (core?.replica.state() === 'failed') {
-      void drop()?.close?.();
-      retryAt = w.now() + pause;
+  function check(): void {
+    if (controlNode?.replica.state() === 'failed') {
+      void closeNode()?.close?.();
+      retryAt = world.now() + retryDelayUs;
     }
-    if (o.rejoins === true && core?.replica.isSuperseded() === true && !core.replica.isLeaving()) {
-      const d = drop();
-      opening = true;
-      void Promise.resolve(d?.close?.()).then(() => again(true));
+    if (
+      options.rejoinsWhenSuperseded === true &&
+      controlNode?.replica.isSuperseded() === true &&
+      !controlNode.replica.isLeaving()
+    ) {
+      const dropped = closeNode();
+      isOpening = true;
+      void Promise.resolve(dropped?.close?.()).then(() => reopen(true));
       return;
     }
-    if (core !== undefined || opening || w.now() < retryAt) return;
-    again(false);
+    if (controlNode !== undefined || isOpening || world.now() < retryAt) return;
+    reopen(false);
   }
 
-  function drop(): OpenDisk | undefined {
-    const d = disk;
-    core?.stop();
-    core = undefined;
-    disk = undefined;
-    return d;
+  function closeNode(): OpenDisk | undefined {
+    const dropped = openDisk;
+    controlNode?.stop();
+    controlNode = undefined;
+    openDisk = undefined;
+    return dropped;
   }
 
-  function again(blank: boolean): void {
+  function reopen(discard: boolean): void {
     retryAt = Infinity;
-    void open(true, blank).then((r) => {
-      if (E.isRight(r)) {
-        w.log(2010, { afterMs: pause / 1000 });
-        pause = firstPause;
+    void openNode(true, discard).then((opened) => {
+      if (E.isRight(opened)) {
+        world.log(2010, { afterMs: retryDelayUs / 1000 });
+        retryDelayUs = initialRetryDelayUs;
         return;
       }
-      pause = Math.min(longestPause, 2 * pause);
-      retryAt = w.now() + pause;
-      w.log(2011, { why: r.left.message, againMs: pause / 1000 });
+      retryDelayUs = Math.min(maxRetryDelayUs, 2 * retryDelayUs);
+      retryAt = world.now() + retryDelayUs;
+      world.log(2011, { why: opened.left.message, againMs: retryDelayUs / 1000 });
     });
   }
 
-  const stop = every(w, () => micros(250_000), look);
+  const stop = every(world, () => micros(250_000), check);
   return {
-    receive: (m, from) => core?.receive(m, from),
-    core: () => core,
-    bytes: () => disk?.disk.size() ?? 0,
-    begin: () => open(false, false),
-    leave: (limit, done) => (core === undefined ? done('incomplete') : core.leave(limit, done)),
+    receive: (message, from) => controlNode?.receive(message, from),
+    controlNode: () => controlNode,
+    diskBytes: () => openDisk?.disk.size() ?? 0,
+    start: () => openNode(false, false),
+    leave: (timeoutUs, done) => (controlNode === undefined ? done('incomplete') : controlNode.leave(timeoutUs, done)),
     stop: async () => {
       stop();
-      core?.stop();
-      await disk?.close?.();
+      controlNode?.stop();
+      await openDisk?.close?.();
     },
   };
 }
--- /dev/null
+++ b/programs/request-router/src/concurrency-window.ts
@@ -0,0 +1,76 @@
+/**
+ * Adaptive limit of the prefills that this router runs concurrently. The window shrinks when a prefill takes longer than
+ * the target, and grows while it is full and prefills are fast enough. Under overload requests therefore wait here, where
+ * they can be ordered by priority or rejected, and not in the workers' queues.
+ */
+import type { Micros } from '@tansypost/inner-protocol';
+
+/** The current limit and the prefills in flight. */
+export interface ConcurrencyWindow {
+  readonly hasRoom: (granted?: number) => boolean;
+  /** Counts a prefill; the returned function ends it. Only a successful one changes the limit. */
+  readonly beginPrefill: () => (succeeded: boolean) => void;
+  readonly isIdle: () => boolean;
+  readonly size: () => number;
+}
+
+/** Creates a window of `initialSize` that never exceeds `maxSize`; `targetUs` is the target duration of a prefill. */
+export function createConcurrencyWindow(
+  now: () => Micros,
+  targetUs: () => number,
+  initialSize = 64,
+  maxSize = 512,
+): ConcurrencyWindow {
+  let size = initialSize;
+  let inFlight = 0;
+  let shrunkAt = -Infinity;
+  function beginPrefill(): (succeeded: boolean) => void {
+    const startedAt = now();
+    inFlight += 1;
+    return function endPrefill(succeeded) {
+      inFlight -= 1;
+      if (!succeeded) return;
+      const durationUs = now() - startedAt;
+      if (durationUs > targetUs()) {
+        if (now() - shrunkAt < Math.max(200_000, targetUs() / 2)) return;
+        shrunkAt = now();
+        size = Math.max(2, Math.min(size, inFlight + 1) * 0.7);
+      } else if (inFlight + 1 >= 0.8 * size) size = Math.min(maxSize, size + 0.5);
+    };
+  }
+  return {
+    hasRoom: (granted = 0) => inFlight + granted < size,
+    beginPrefill,
+    isIdle: () => inFlight === 0,
+    size: () => size,
+  };
+}
+
+if (import.meta.vitest) {
+  const { it, expect } = import.meta.vitest;
+  const { micros } = await import('@tansypost/inner-protocol');
+  it('shrinks to the number of prefills that finish within the target, and grows again when workers are fast', () => {
+    let now = 0;
+    const window = createConcurrencyWindow(
+      () => micros(now),
+      () => 1_000_000,
+    );
+    // A worker that prefills one prompt at a time, at first in 250 ms each and later in 10 ms.
+    const ends: { at: number; end: (succeeded: boolean) => void }[] = [];
+    let busy = 0;
+    function step(each: number, until: number): void {
+      while (now < until) {
+        while (window.hasRoom()) {
+          busy = Math.max(busy, now) + each;
+          ends.push({ at: busy, end: window.beginPrefill() });
+        }
+        now = ends[0]!.at;
+        ends.shift()!.end(true);
+      }
+    }
+    step(250_000, 60_000_000);
+    expect(window.size()).toBeLessThan(8);
+    step(10_000, 120_000_000);
+    expect(window.size()).toBeGreaterThan(40);
+  });
+}
--- /dev/null
+++ b/programs/request-router/src/retry-budget.ts
@@ -0,0 +1,136 @@
+/**
+ * The common budget of retries and load probes: a fifth of the first attempts of the last ten seconds. Half of it is
+ * granted to the zone leader for fetching load reports as traffic flows; what is granted counts as spent, whether or not it
+ * is used. Unspent budget is saved only up to two retries (a repeated prefill and its decode) plus a fiftieth of the first
+ * attempts of the last ten seconds. Otherwise the savings of a burst would be spent after it has ended, and the ten seconds
+ * after it would hold far more retries than a fifth.
+ */
+import type { Micros } from '@tansypost/inner-protocol';
+
+/** Counts first attempts and limits retries and probes by them. */
+export interface RetryBudget {
+  readonly recordFirstAttempt: () => void;
+  /** How many retries are allowed now. */
+  readonly availableRetries: () => number;
+  readonly recordRetry: () => void;
+  /** Grants the probes that are due; returns the total granted so far. */
+  readonly grantProbes: () => number;
+  readonly totals: () => { first: number; extra: number };
+}
+const budgetWindowUs = 10_000_000;
+const slotUs = 100_000;
+// A router begins with one retry, as a worker may fail before the first attempts have earned any budget.
+const initialRetries = 1;
+/** How many retries can be saved, however little traffic there is. */
+export const maxSavedRetries = 2;
+/** How many more can be saved, as a share of the first attempts within the budget window. */
+export const savedRetryRatio = 0.02;
+
+/** Creates a budget of `retryRatio` of the first attempts, of which probes get `probeRatio`. */
+export function createRetryBudget(now: () => Micros, retryRatio = 0.2, probeRatio = 0.1): RetryBudget {
+  const slots: { slotNumber: number; firstAttempts: number; spent: number }[] = [];
+  let [firstAttempts, retries, probes] = [0, 0, 0];
+  let savedRetries = initialRetries;
+  function currentSlot(): { slotNumber: number; firstAttempts: number; spent: number } {
+    const slotNumber = Math.floor(now() / slotUs);
+    while (slots.length > 0 && slots[0]!.slotNumber <= slotNumber - budgetWindowUs / slotUs) slots.shift();
+    if (slots.at(-1)?.slotNumber !== slotNumber) slots.push({ slotNumber, firstAttempts: 0, spent: 0 });
+    return slots.at(-1)!;
+  }
+  function sums(): { firstAttempts: number; spent: number } {
+    currentSlot();
+    return slots.reduce(
+      (sum, slot) => ({ firstAttempts: sum.firstAttempts + slot.firstAttempts, spent: sum.spent + slot.spent }),
+      { firstAttempts: 0, spent: 0 },
+    );
+  }
+  function availableRetries(): number {
+    const total = sums();
+    return Math.max(
+      0,
+      Math.floor(Math.min(savedRetries, retryRatio * total.firstAttempts + initialRetries - total.spent) + 1e-9),
+    );
+  }
+  function spendRetry(): void {
+    savedRetries -= 1;
+    currentSlot().spent += 1;
+  }
+  return {
+    recordFirstAttempt: () => {
+      firstAttempts += 1;
+      currentSlot().firstAttempts += 1;
+      savedRetries = Math.min(savedRetries + retryRatio, maxSavedRetries + savedRetryRatio * sums().firstAttempts);
+    },
+    availableRetries,
+    recordRetry: () => {
+      retries += 1;
+      spendRetry();
+    },
+    grantProbes: () => {
+      const due = Math.floor(firstAttempts * probeRatio);
+      while (probes < due && availableRetries() > 0) {
+        probes += 1;
+        spendRetry();
+      }
+      return probes;
+    },
+    totals: () => ({ first: firstAttempts, extra: retries }),
+  };
+}
+
+if (import.meta.vitest) {
+  const { it, expect } = import.meta.vitest;
+  const { createSeededRandom, micros } = await import('@tansypost/inner-protocol');
+  it('spends at most a fifth of the first attempts of any ten seconds, in any order of calls', () => {
+    const random = createSeededRandom(8);
+    let now = 0;
+    const budget = createRetryBudget(() => micros(now));
+    const past: { at: number; firstAttempts: number; spent: number }[] = [];
+    let probes = 0;
+    for (let i = 0; i < 4000; i += 1) {
+      now += Math.floor(random() * 30_000);
+      const burst = Math.floor(now / 3_000_000) % 2 === 0;
+      let [firstAttempts, spent] = [0, 0];
+      if (random() < (burst ? 0.9 : 0.2)) {
+        budget.recordFirstAttempt();
+        firstAttempts = 1;
+      }
+      if (budget.availableRetries() > 0) {
+        budget.recordRetry();
+        spent += 1;
+      }
+      const granted = budget.grantProbes();
+      spent += granted - probes;
+      probes = granted;
+      past.push({ at: now, firstAttempts, spent });
+      const recent = past.filter((entry) => entry.at > now - 9_800_000);
+      const totals = recent.reduce(
+        (sum, entry) => ({ firstAttempts: sum.firstAttempts + entry.firstAttempts, spent: sum.spent + entry.spent }),
+        { firstAttempts: 0, spent: 0 },
+      );
+      const allFirstAttempts = past
+        .filter((entry) => entry.at > now - 10_200_000)
+        .reduce((sum, entry) => sum + entry.firstAttempts, 0);
+      expect(totals.spent).toBeLessThanOrEqual(0.2 * allFirstAttempts + 2);
+    }
+  });
+  it('stays near a fifth also in the ten seconds after a burst', () => {
+    let now = 0;
+    const budget = createRetryBudget(() => micros(now));
+    for (let i = 0; i < 400; i += 1) {
+      now += 25_000;
+      budget.recordFirstAttempt();
+    }
+    let [firstAttempts, spent] = [0, 0];
+    for (let i = 0; i < 10; i += 1) {
+      now += 990_000;
+      budget.recordFirstAttempt();
+      firstAttempts += 1;
+      while (budget.availableRetries() > 0) {
+        budget.recordRetry();
+        spent += 1;
+      }
+    }
+    expect(spent).toBeLessThanOrEqual(0.2 * firstAttempts + maxSavedRetries + savedRetryRatio * 400);
+  });
+}
