--- a/programs/request-router/src/router-core.ts
+++ b/programs/request-router/src/router-core.ts
@@ -4,25 +4,32 @@
  * the simulator passes virtual ones; the code is the same.
  */
 import { appliedAllVersions, every, micros, type Address, type Message, type World } from '@tansypost/inner-protocol';
-import { kindOf, type KindTemplate } from '@tansypost/desired-state';
+import { findKind, type KindTemplate } from '@tansypost/desired-state';
 import {
   assignDecode,
   assignPrefill,
-  batchSize,
-  createPaces,
+  sampleBatchSize,
+  createThroughputTracker,
   createRadixTree,
   encodeSamples,
   placementDefaults,
-  promptFacts,
-  width,
+  summarizePrompt,
+  featureCount,
   type Assignment,
   type Candidate,
   type Model,
   type PlacementOptions,
-  type PromptFacts,
+  type PromptSummary,
   type Sample,
 } from '@tansypost/placement';
-import { armOf, armsOf, countAnswer, emptyCounts, type Arm, type Part } from '@tansypost/rehearsal';
+import {
+  cohortOf,
+  cohortNameOf,
+  countAnswer,
+  createCohortCounts,
+  type Cohort,
+  type WorkerStage,
+} from '@tansypost/rehearsal';
 import type { CohortStatistics, WorkerStateEntry, WorkerId } from '@tansypost/inner-protocol';
 import { createAdmission, type AdmissionRequest } from './admission.js';
 import { createIdempotencyClaims } from './idempotency-claims.js';
@@ -126,12 +133,12 @@
   readonly response: ResponseWriter;
   template: KindTemplate;
   readonly ledger: AttemptLedger;
-  readonly facts: PromptFacts;
+  readonly facts: PromptSummary;
   readonly workerRequest: WorkerRequest;
   readonly arrivedAt: number;
   deadline: number;
   cancelDeadlineTimer: () => void;
-  readonly cohort: Arm;
+  readonly cohort: Cohort;
   readonly triedWorkers: Set<string>;
   readonly abortController: AbortController;
   // The version of the desired state that `template` comes from.
@@ -151,7 +158,7 @@
     now: world.now,
     log: world.log,
   });
-  const paces = createPaces();
+  const paces = createThroughputTracker();
   const workerTable = createWorkerTable(world.now, paces);
   const prefixTree = createRadixTree();
   const retryBudget = createRetryBudget(world.now);
@@ -173,7 +180,7 @@
 
   // The stage that requests of this cohort see a worker in: while a stage shift is rehearsed, the treatment cohort sees
   // the new stage and all others the old one.
-  function stageFor(cohort: Arm): (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part {
+  function stageFor(cohort: Cohort): (entry: WorkerStateEntry, reportedStage: WorkerStage | undefined) => WorkerStage {
     const record = feed.rehearsalRecord();
     const subject = record.running?.subject;
     return function stage(entry, reportedStage) {
@@ -191,7 +198,7 @@
     };
   }
 
-  function candidates(phase: 'prefill' | 'decode', cohort: Arm, excluded: ReadonlySet<string>): Candidate[] {
+  function candidates(phase: 'prefill' | 'decode', cohort: Cohort, excluded: ReadonlySet<string>): Candidate[] {
     return workerTable.candidates(phase, stageFor(cohort), excluded);
   }
 
@@ -219,7 +226,7 @@
     );
   }
 
-  function modelFor(cohort: Arm): Model | undefined {
+  function modelFor(cohort: Cohort): Model | undefined {
     const record = feed.rehearsalRecord();
     const subject = record.running?.subject;
     if (cohort === 'slice' && subject?.type === 'model') return feed.model(subject.model);
@@ -257,7 +264,7 @@
     clientGone: AbortSignal,
     arrivedAt: number,
   ): Promise<void> {
-    const template = kindOf(feed.desiredState()!, request.tenant, request.kind);
+    const template = findKind(feed.desiredState()!, request.tenant, request.kind);
     const version = feed.appliedVersion();
     if (typeof template === 'string')
       return rejectRequest(
@@ -335,7 +342,7 @@
     clientGone: AbortSignal,
     arrivedAt: number,
   ): Promise<Failure | 'forwarded to peer' | undefined> {
-    const promptTokens = promptFacts(request.prompt).tokens;
+    const promptTokens = summarizePrompt(request.prompt).tokens;
     if (promptTokens > options.maxPromptTokens)
       return failure(
         'prompt_too_long',
@@ -347,7 +354,9 @@
       const routers = feed.otherRouters();
       const forwardUntil = world.now() + forwardTimeoutUs;
       const template =
-        feed.desiredState() === undefined ? 'unknown_kind' : kindOf(feed.desiredState()!, request.tenant, request.kind);
+        feed.desiredState() === undefined
+          ? 'unknown_kind'
+          : findKind(feed.desiredState()!, request.tenant, request.kind);
       const deadline = arrivedAt + (typeof template === 'string' ? 30_000_000 : template.patienceMs * 1000);
       for (
         let i = 0;
@@ -442,14 +451,14 @@
     arrivedAt: number,
     version: number,
   ): Promise<string> {
-    const facts = promptFacts(request.prompt);
+    const facts = summarizePrompt(request.prompt);
     // Credits charged for admission: prompt tokens plus four for each output token that is allowed.
     const cost = facts.tokens + 4 * request.maxTokens;
     const elapsedUs = world.now() - arrivedAt;
     let template = initialTemplate;
     // Uses the template in force, also if the desired state changes while the request is queued.
     function currentAdmissionRequest(): AdmissionRequest {
-      const current = kindOf(feed.desiredState()!, request.tenant, request.kind);
+      const current = findKind(feed.desiredState()!, request.tenant, request.kind);
       if (typeof current !== 'string') template = current;
       return {
         fairShareKey: `${request.tenant}/${request.kind}`,
@@ -504,7 +513,7 @@
         maxTokens: request.maxTokens,
         sampling: request.sampling ?? {},
       },
-      cohort: rehearsal === undefined ? 'none' : armOf(armsOf(rehearsal), request.id, rehearsal.slice),
+      cohort: rehearsal === undefined ? 'none' : cohortOf(cohortNameOf(rehearsal), request.id, rehearsal.slice),
       triedWorkers: new Set(),
       abortController: new AbortController(),
       templateVersion: version,
@@ -514,7 +523,7 @@
       firstChunkAt: 0,
       chunkCount: 0,
     };
-    const rehearsalId = rehearsal === undefined ? undefined : armsOf(rehearsal);
+    const rehearsalId = rehearsal === undefined ? undefined : cohortNameOf(rehearsal);
     startDeadlineTimer(context);
     function onClientGone(): void {
       context.abortController.abort();
@@ -598,7 +607,7 @@
   // idempotent, so that it is not retried.
   function refreshTemplate(context: RequestContext): boolean {
     if (context.templateVersion === feed.appliedVersion()) return true;
-    const template = kindOf(feed.desiredState()!, context.request.tenant, context.request.kind);
+    const template = findKind(feed.desiredState()!, context.request.tenant, context.request.kind);
     context.templateVersion = feed.appliedVersion();
     context.template = typeof template === 'string' ? { ...context.template, repeatable: false } : template;
     context.deadline = context.arrivedAt + context.template.patienceMs * 1000;
@@ -648,7 +657,7 @@
     const endPrefill = prefillWindow.beginPrefill();
     // Only an idempotent request is taken from an unresponsive worker before its deadline, as only it may be repeated.
     const unresponsive = new AbortController();
-    const responseTimeoutUs = Math.max(2_000_000, 6_000_000 * (assignment.predicted ?? 0.5));
+    const responseTimeoutUs = Math.max(2_000_000, 6_000_000 * (assignment.predictedTtft ?? 0.5));
     const cancelTimer = context.template.repeatable
       ? world.after(micros(responseTimeoutUs), () => unresponsive.abort())
       : () => undefined;
@@ -664,7 +673,7 @@
       attempt.outcome = 'done';
       context.kvHandle = { params: result.handle, source: entry };
       workerTable.recordSuccess(assignment.worker.worker);
-      paces.saw(
+      paces.record(
         assignment.worker.worker,
         context.facts.tokens -
           ((prefixHits.get(assignment.worker.worker) ?? 0) * context.facts.tokens) /
@@ -748,8 +757,11 @@
 
   function recordSample(context: RequestContext): void {
     if (context.assignment === undefined || context.ledger.attempts.length !== 2) return;
-    samples.push({ x: context.assignment.row, y: -(context.firstChunkAt - context.prefillSentAt) / 1e6 });
-    if (samples.length >= batchSize) flushSamples();
+    samples.push({
+      features: context.assignment.featureRow,
+      reward: -(context.firstChunkAt - context.prefillSentAt) / 1e6,
+    });
+    if (samples.length >= sampleBatchSize) flushSamples();
   }
 
   function flushSamples(): void {
@@ -759,8 +771,8 @@
       kind: 'Samples',
       from: options.routerId,
       count: samples.length,
-      width,
-      rows: encodeSamples(samples, width),
+      width: featureCount,
+      rows: encodeSamples(samples, featureCount),
     });
     samples = [];
   }
@@ -768,7 +780,10 @@
   function recordOutcome(rehearsalId: string, context: RequestContext, outcome: FailureKind | 'whole'): void {
     const stratum = `${context.request.tenant}/${context.request.kind}`;
     const key = `${rehearsalId}/${context.cohort}/${stratum}`;
-    const statistics = cohortStatistics.get(key) ?? { rehearsal: rehearsalId, ...emptyCounts(context.cohort, stratum) };
+    const statistics = cohortStatistics.get(key) ?? {
+      rehearsal: rehearsalId,
+      ...createCohortCounts(context.cohort, stratum),
+    };
     const failed = outcome !== 'whole';
     // Measured from arrival, with the time queued here. A failed request counts with its whole timeout.
     const ttft = failed ? context.template.patienceMs * 1000 : context.firstChunkAt - context.arrivedAt;
@@ -794,8 +809,8 @@
     if (message.kind === 'ClaimAnswer') return idempotencyClaims.receiveAnswer(message);
     if (message.kind !== 'Feed') return;
     for (const worker of workerTable.mergeStates(message.workers)) {
-      prefixTree.forget(worker);
-      paces.forget(worker);
+      prefixTree.removeWorker(worker);
+      paces.removeWorker(worker);
     }
     workerTable.mergeReports(message.reports);
     const previousVersion = feed.appliedVersion();
@@ -845,7 +860,7 @@
       placement: Object.fromEntries(placementCounts),
       ...retryBudget.totals(),
       probes: retryBudget.grantProbes(),
-      treeBlocks: prefixTree.size(),
+      treeBlocks: prefixTree.blockCount(),
     }),
     stopAccepting: () => {
       accepting = false;
--- a/programs/request-router/src/worker-table.ts
+++ b/programs/request-router/src/worker-table.ts
@@ -4,8 +4,8 @@
  * never one that is leaving or gone, and one that is ejected after failures only if no other is left.
  */
 import type { WorkerStateEntry, Micros, WorkerReport, WorkerId } from '@tansypost/inner-protocol';
-import type { Candidate, Paces } from '@tansypost/placement';
-import type { Part } from '@tansypost/rehearsal';
+import type { Candidate, ThroughputTracker } from '@tansypost/placement';
+import type { WorkerStage } from '@tansypost/rehearsal';
 
 // A request that this router started (+1) or ended (-1).
 interface LoadChange {
@@ -35,10 +35,10 @@
   readonly recordFailure: (worker: WorkerId) => void;
   readonly recordSuccess: (worker: WorkerId) => void;
   readonly workerState: (worker: WorkerId) => WorkerStateEntry | undefined;
-  readonly reportedStage: (worker: WorkerId) => Part | undefined;
+  readonly reportedStage: (worker: WorkerId) => WorkerStage | undefined;
   readonly candidates: (
     phase: 'prefill' | 'decode',
-    stageOf: (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part,
+    stageOf: (entry: WorkerStateEntry, reportedStage: WorkerStage | undefined) => WorkerStage,
     excluded: ReadonlySet<string>,
   ) => Candidate[];
   /** The table for operators. */
@@ -58,7 +58,7 @@
 }
 
 /** Creates an empty table; `paces` gives the workers' measured speed. */
-export function createWorkerTable(now: () => Micros, paces: Paces): WorkerTable {
+export function createWorkerTable(now: () => Micros, paces: ThroughputTracker): WorkerTable {
   const rows = new Map<string, Row>();
 
   function mergeStates(entries: readonly WorkerStateEntry[]): string[] {
@@ -167,12 +167,13 @@
 
   function candidates(
     phase: 'prefill' | 'decode',
-    stageOf: (entry: WorkerStateEntry, reportedStage: Part | undefined) => Part,
+    stageOf: (entry: WorkerStateEntry, reportedStage: WorkerStage | undefined) => WorkerStage,
     excluded: ReadonlySet<string>,
   ): Candidate[] {
     const otherStage = phase === 'prefill' ? 'decode' : 'prefill';
     const eligible = [...rows.values()].filter(
-      (row) => row.state.state === 1 && stageOf(row.state, row.report?.report.part as Part | undefined) !== otherStage,
+      (row) =>
+        row.state.state === 1 && stageOf(row.state, row.report?.report.part as WorkerStage | undefined) !== otherStage,
     );
     const at = now();
     const healthy = eligible.filter((row) => !isEjected(row, at) && !excluded.has(row.state.worker));
@@ -189,7 +190,7 @@
     recordSuccess,
     candidates,
     workerState: (worker) => rows.get(worker)?.state,
-    reportedStage: (worker) => rows.get(worker)?.report?.report.part as Part | undefined,
+    reportedStage: (worker) => rows.get(worker)?.report?.report.part as WorkerStage | undefined,
     snapshot: () =>
       [...rows.values()].map((row) => ({
         ...row.state,
@@ -206,7 +207,7 @@
   const { micros } = await import('@tansypost/inner-protocol');
   it('ends the ejection of a failed worker sooner once a later report shows that it responds', () => {
     let now = 0;
-    const table = createWorkerTable(() => micros(now), { speedClass: () => 0 } as unknown as Paces);
+    const table = createWorkerTable(() => micros(now), { speedClass: () => 0 } as unknown as ThroughputTracker);
     table.mergeStates([1, 2].map((number) => ({ worker: `w${number}`, incarnation: 1, state: 1, address: 'x' })));
     function names(): string {
       return table
--- a/programs/router-agent/src/control-client.ts
+++ b/programs/router-agent/src/control-client.ts
@@ -4,17 +4,26 @@
  * request that is unanswered at its deadline is unknown; it can be looked up by its change id.
  */
 import { micros, type Address, type MessageOf, type ReplicaEntry, type World } from '@tansypost/inner-protocol';
-import type { Asker, AskRequest, AskResult, AskStatus } from '@tansypost/learning';
+import type {
+  ControlStateClient,
+  ControlStateRequest,
+  ControlStateResponse,
+  ControlStateStatus,
+} from '@tansypost/learning';
 
 const emptyValue = Buffer.alloc(0);
 
 /** Creates a client; replicas send their answers to `self`. */
-export function createAgentControlClient(world: World, self: Address, replicas: () => readonly ReplicaEntry[]): Asker {
+export function createAgentControlClient(
+  world: World,
+  self: Address,
+  replicas: () => readonly ReplicaEntry[],
+): ControlStateClient {
   const pending = new Map<string, (message: MessageOf<'Answer'>) => void>();
   let requestCount = Math.floor(world.random() * 1e9);
 
-  function ask(request: AskRequest): Promise<AskResult> {
-    const deadline = world.now() + request.patience;
+  function ask(request: ControlStateRequest): Promise<ControlStateResponse> {
+    const deadline = world.now() + request.timeoutUs;
     let replicaIndex = Math.floor(world.random() * 3);
     // Only a write of the desired state may take long, as it waits until the routers have applied it.
     const attemptTimeoutUs = request.op === 'write' && request.key.startsWith('desired/') ? 2_500_000 : 600_000;
@@ -42,7 +51,7 @@
           }
           pending.delete(requestId);
           resolve({
-            status: message.status as AskStatus,
+            status: message.status as ControlStateStatus,
             epoch: message.epoch,
             version: message.version,
             value: message.value,
@@ -63,5 +72,5 @@
       sendOnce();
     });
   }
-  return { ask, answer: (message) => pending.get(message.id)?.(message) };
+  return { request: ask, handleAnswer: (message) => pending.get(message.id)?.(message) };
 }
--- a/programs/router-agent/src/main.ts
+++ b/programs/router-agent/src/main.ts
@@ -12,7 +12,7 @@
 
 await runProgram({
   name: 'router-agent',
-  about: 'Connects the request router on its machine to the control cluster.',
+  description: 'Connects the request router on its machine to the control cluster.',
   schema: AgentSettings,
   flags: Object.keys(AgentSettings.properties),
   start: async (settings, log) => {
--- a/programs/router-agent/src/stage-assignment.ts
+++ b/programs/router-agent/src/stage-assignment.ts
@@ -5,7 +5,14 @@
  * epoch of the role. A new leader first fences every worker, so that orders of earlier leaders still in flight are refused.
  */
 import { micros, type WorkerStateEntry, type WorkerReport, type World } from '@tansypost/inner-protocol';
-import { begin, end, readRecord, type Part, type PartEntry, type RehearsalRecord } from '@tansypost/rehearsal';
+import {
+  beginRehearsal,
+  endRehearsal,
+  decodeRehearsalRecord,
+  type WorkerStage,
+  type StageEntry,
+  type RehearsalRecord,
+} from '@tansypost/rehearsal';
 import type { RecordWriter } from '@tansypost/learning';
 
 /** Settings of the role. */
@@ -15,7 +22,11 @@
   readonly workers: () => WorkerStateEntry[];
   readonly reports: () => WorkerReport[];
   readonly writer: RecordWriter;
-  readonly orderStage: (worker: WorkerStateEntry, epoch: number, stage: Part | '') => Promise<boolean | undefined>;
+  readonly orderStage: (
+    worker: WorkerStateEntry,
+    epoch: number,
+    stage: WorkerStage | '',
+  ) => Promise<boolean | undefined>;
   readonly shiftStages: boolean;
   readonly treatmentShare: number;
   readonly approval: () => 'automatic' | 'operator';
@@ -30,7 +41,7 @@
 }
 
 /** The stage that a worker is to have by the record. */
-export function assignedStage(record: RehearsalRecord, worker: WorkerStateEntry): Part | undefined {
+export function assignedStage(record: RehearsalRecord, worker: WorkerStateEntry): WorkerStage | undefined {
   const subject = record.running?.subject;
   if (
     subject?.type === 'part' &&
@@ -50,9 +61,9 @@
   record: RehearsalRecord,
   workers: readonly WorkerStateEntry[],
 ): RehearsalRecord | undefined {
-  const parts: Record<string, PartEntry> = { ...record.parts };
+  const parts: Record<string, StageEntry> = { ...record.parts };
   let changed = false;
-  function countOfStage(stage: Part): number {
+  function countOfStage(stage: WorkerStage): number {
     return workers.filter((worker) => parts[worker.worker]?.part === stage).length;
   }
   for (const worker of [...workers].sort((a, b) => (a.worker < b.worker ? -1 : 1))) {
@@ -80,7 +91,7 @@
   const hasLeftRehearsal =
     subject?.type === 'part' && parts[subject.shift.worker]?.incarnation !== subject.shift.incarnation;
   if (!hasLeftRehearsal) return { ...record, parts };
-  const ended = end({ ...record, parts }, 'superseded');
+  const ended = endRehearsal({ ...record, parts }, 'superseded');
   return {
     ...ended,
     parts: {
@@ -106,7 +117,7 @@
       .filter((report) => report.age < 5_000_000)
       .map((report) => [`${report.worker}/${report.incarnation}`, report]),
   );
-  function mean(stage: Part, loadOf: (report: WorkerReport) => number): number | undefined {
+  function mean(stage: WorkerStage, loadOf: (report: WorkerReport) => number): number | undefined {
     const stageReports = workers
       .filter((worker) => assignedStage(record, worker) === stage)
       .map((worker) => reportByWorker.get(`${worker.worker}/${worker.incarnation}`))
@@ -122,14 +133,14 @@
 
 /** Creates the role; `tick` is to be called regularly. */
 export function createStageAssignment(world: World, options: StageAssignmentOptions): StageAssignment {
-  const confirmedOrders = new Map<string, { epoch: number; part: Part | '' }>();
+  const confirmedOrders = new Map<string, { epoch: number; part: WorkerStage | '' }>();
   let working = false;
   let fencingEpoch: number | undefined;
   let orderCount = 0;
-  let imbalance: { to: Part; since: number } | undefined;
+  let imbalance: { to: WorkerStage; since: number } | undefined;
   let cooldownUntil = 0;
 
-  async function sendOrder(worker: WorkerStateEntry, epoch: number, part: Part | ''): Promise<void> {
+  async function sendOrder(worker: WorkerStateEntry, epoch: number, part: WorkerStage | ''): Promise<void> {
     if (options.heldEpoch() !== epoch) return;
     orderCount += 1;
     // A broken link may hold an order back and deliver it long after this leader's term, to a worker that no later leader
@@ -160,7 +171,7 @@
     const epoch = options.heldEpoch();
     const value = options.record();
     if (epoch === undefined || value === undefined || working || fencingEpoch === epoch) return;
-    const record = readRecord(value);
+    const record = decodeRehearsalRecord(value);
     const workers = options.workers();
     working = true;
     void applyAssignments(record, workers, epoch).finally(() => {
@@ -172,7 +183,7 @@
 
   async function applyAssignments(record: RehearsalRecord, workers: WorkerStateEntry[], epoch: number): Promise<void> {
     if (workers.length > 0 && assignNewWorkers(record, workers) !== undefined) {
-      await options.writer.change(
+      await options.writer.update(
         (current) => assignNewWorkers(current, workers),
         () => options.heldEpoch() === epoch,
       );
@@ -195,7 +206,7 @@
       imbalance = undefined;
       return;
     }
-    const toStage: Part | undefined =
+    const toStage: WorkerStage | undefined =
       load.prefill > 2 && load.prefill > 2.5 * load.decode
         ? 'prefill'
         : load.decode > 1 && load.decode > 2.5 * load.prefill
@@ -207,16 +218,16 @@
     }
     if (imbalance?.to !== toStage) imbalance = { to: toStage, since: world.now() };
     if (world.now() - imbalance.since < (options.shiftHoldUs ?? 8_000_000)) return;
-    const fromStage: Part = toStage === 'prefill' ? 'decode' : 'prefill';
+    const fromStage: WorkerStage = toStage === 'prefill' ? 'decode' : 'prefill';
     const donors = workers.filter((worker) => assignedStage(record, worker) === fromStage);
     if (donors.length < 2) return;
     const donor = donors[0]!;
     cooldownUntil = world.now() + (options.shiftCooldownUs ?? 60_000_000);
     const shift = { worker: donor.worker, incarnation: donor.incarnation, from: fromStage, to: toStage };
-    await options.writer.change(
+    await options.writer.update(
       (current) =>
         current.running === undefined && assignedStage(current, donor) === fromStage
-          ? begin(
+          ? beginRehearsal(
               current,
               `part-${epoch}-${donor.worker}-${Math.floor(world.random() * 1e6)}`,
               { type: 'part', shift },
@@ -273,7 +284,7 @@
         record: () => record,
         workers: () => [workerState('a'), workerState('b')],
         reports: () => [],
-        writer: { change: async () => undefined },
+        writer: { update: async () => undefined },
         orderStage: async (worker, _epoch, stage) => {
           ordered.push(`${worker.worker} ${stage === '' ? 'fence' : stage}`);
           return worker.worker === 'a' ? true : undefined;
--- a/programs/router-agent/src/trainer-port.ts
+++ b/programs/router-agent/src/trainer-port.ts
@@ -3,10 +3,10 @@
  * role receives.
  */
 import { Worker } from 'node:worker_threads';
-import type { TrainerPort } from '@tansypost/learning';
+import type { ModelTrainer } from '@tansypost/learning';
 
 /** Creates a trainer whose thread is not started yet; `close` ends the thread. */
-export function createThreadTrainer(): TrainerPort & { readonly close: () => Promise<void> } {
+export function createThreadTrainer(): ModelTrainer & { readonly close: () => Promise<void> } {
   let worker: Worker | undefined;
   let requestCount = 0;
   const pending = new Map<number, { resolve: (model: Buffer) => void; reject: (error: Error) => void }>();
