--- a/packages/event-log/src/log.ts
+++ b/packages/event-log/src/log.ts
@@ -1,6 +1,6 @@
 /**
  * Writes numbered events. Each line carries the number, the meaning from the catalogue, and the fields as
- * JSON, so that a page can list all numbers and a search finds one.
+ * JSON, so that all numbers can be listed on a page and each can be searched for.
  */
 import { createConsola, type ConsolaInstance } from 'consola';
 import { catalogue, type EventLevel } from './catalogue.js';
@@ -20,7 +20,7 @@
   const output = createConsola({ level, fancy: false, formatOptions: { date: true, colors: false } });
   return function log(event, fields) {
     const entry = catalogue[event];
-    const meaning = entry?.means ?? 'not in the catalogue';
+    const meaning = entry?.meaning ?? 'not in the catalogue';
     write(output, entry?.level ?? 'info', `E${event} ${program} ${member} ${meaning} ${JSON.stringify(fields)}`);
   };
 }
--- a/packages/rehearsal/src/arm-counts.ts
+++ b/packages/rehearsal/src/cohort-counts.ts
@@ -1,18 +1,18 @@
-/** Counts of one cohort (arm) in one stratum: the sums from which a verdict takes means and variances. */
+/** Statistics of one cohort in one stratum: the sums from which a verdict computes means and variances. */
 import type { VerdictCounts } from './verdict.js';
 
-/** One answer as it is counted. */
-export interface CountedAnswer {
-  /** Not answered within its patience. */
+/** The result of one request. */
+export interface CohortAnswer {
+  /** Not answered within its timeout. */
   readonly failed: boolean;
-  /** Natural logarithm of the TTFT from arrival; for one that failed, of its whole patience. */
+  /** Natural logarithm of the TTFT from arrival; for one that failed, of its whole timeout. */
   readonly logTtft: number;
-  /** Natural logarithm of the time per token, where the answer was whole and long enough to have one. */
+  /** Natural logarithm of the time per token; undefined where the answer was incomplete or too short to have one. */
   readonly logTokenTime: number | undefined;
 }
 
-/** Counts of nothing yet. */
-export function emptyCounts(arm: string, stratum: string): VerdictCounts {
+/** Statistics of a cohort (`slice` or `control`) without requests. */
+export function createCohortCounts(arm: string, stratum: string): VerdictCounts {
   return {
     arm,
     stratum,
@@ -26,8 +26,8 @@
   };
 }
 
-/** Adds an answer to the counts, in place. */
-export function countAnswer(counts: VerdictCounts, answer: CountedAnswer): void {
+/** Adds the result of a request to the statistics, in place. */
+export function countAnswer(counts: VerdictCounts, answer: CohortAnswer): void {
   const { failed, logTtft, logTokenTime } = answer;
   counts.count += 1;
   if (failed) counts.failures += 1;
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -9,7 +9,12 @@
   startMembershipRelay,
   type ControlFeed,
 } from '@tansypost/control-feed';
-import { askThrough, createRouterLearning, recordKey, type RouterLearning } from '@tansypost/learning';
+import {
+  createControlStateClient,
+  createRouterLearning,
+  rehearsalRecordKey,
+  type RouterLearning,
+} from '@tansypost/learning';
 import { hash32, micros, createSeededRandom, type Address } from '@tansypost/inner-protocol';
 import {
   createRequestHandler,
@@ -23,7 +28,14 @@
 } from '@tansypost/pass-through';
 import { placementDefaults } from '@tansypost/placement';
 import { validateRouteTable, type RouteTable } from '@tansypost/paths';
-import { createProc, die, into, procWorld, wake, type Proc } from '../process.js';
+import {
+  createSimProcess,
+  killProcess,
+  deliver,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from '../process.js';
 import type { Ground } from './ground.js';
 import type { TrySeen } from './passed-history.js';
 import { createPipe } from './pipe.js';
@@ -43,7 +55,7 @@
   readonly name: string;
   readonly machine: string;
   readonly zone: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   readonly start: () => void;
   readonly kill: (power: boolean) => void;
   readonly wake: () => void;
@@ -131,10 +143,10 @@
   place: RouterPlace,
   resets: () => number,
 ): VirtualRouter {
-  const { e, net, random, h } = g;
+  const { engine: e, network: net, random, h } = g;
   const { name, zone, machine } = place;
   const holdsControlState = machine !== name;
-  const proc = createProc(name, machine);
+  const proc = createSimProcess(name, machine);
   const self = `${machine}:${holdsControlState ? 2 : 1}` as Address;
   net.add(self, proc);
   let course: RequestHandler | undefined;
@@ -152,7 +164,7 @@
     life += 1;
     const mine = life;
     h.lives.push({ router: name, life, from: e.now(), to: Infinity });
-    const w = procWorld(
+    const w = createProcessWorld(
       e,
       proc,
       random,
@@ -174,7 +186,11 @@
       resets,
     });
     const asker = createControlClient(w, self, () => feed.votingNodes());
-    const l = createRouterLearning(w, { member: name, keepers: () => feed.votingNodes(), asker: askThrough(w, asker) });
+    const l = createRouterLearning(w, {
+      member: name,
+      controlNodes: () => feed.votingNodes(),
+      controlClient: createControlStateClient(w, asker),
+    });
     learning = l;
     const c = createRequestHandler(
       w,
@@ -186,8 +202,8 @@
           : {
               placement: {
                 ...placementDefaults,
-                minSamples: g.learning.trainEvery,
-                trust: g.learning.trust ?? placementDefaults.trust,
+                minSamples: g.learning.samplesPerTraining,
+                maxExpectedSlowdown: g.learning.trust ?? placementDefaults.maxExpectedSlowdown,
               },
             }),
         retryBudget:
@@ -204,8 +220,8 @@
       {
         workers: spoiledTellings(g.spoil, spoiled(g, port)),
         announceActivity: (id, us) => feed.announcePrefill(id, us),
-        recordSample: l.sample,
-        assignCohort: l.lot,
+        recordSample: l.recordSample,
+        assignCohort: l.assignCohort,
       },
     );
     course = c;
@@ -226,7 +242,7 @@
       seeds,
       fetchWorkerList: core.fetchList(name, proc),
       onPeerPrefill: c.recordPeerActivity,
-      additionalKey: { key: recordKey, version: l.version, onUpdate: l.take },
+      additionalKey: { key: rehearsalRecordKey, version: l.recordVersion, onUpdate: l.applyUpdate },
       onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
@@ -283,7 +299,7 @@
   function kill(power: boolean): void {
     if (!proc.alive) return;
     if (power) g.silent.add(machine);
-    die(proc);
+    killProcess(proc);
     course = undefined;
     ended('the router died', power);
   }
@@ -293,7 +309,7 @@
     if (g.spoil === 'leaves-at-once') left();
   }
   function left(): void {
-    die(proc);
+    killProcess(proc);
     course = undefined;
     ended('the router left in order', false);
     e.at(e.now() + startAgainAfter, start);
@@ -347,7 +363,7 @@
     connection.busy = true;
     open.set(t, (why) => finish(t.readAt === undefined ? 'unread' : 'cut', why));
     there(() =>
-      into(proc, incarnation, () => {
+      deliver(proc, incarnation, () => {
         if (!connections.has(connection)) return finish('unread', 'the connection was closed');
         t.readAt = e.now();
         const refusal = shutdown?.checkArrival(connection.used);
@@ -364,7 +380,9 @@
               const copy = Buffer.from(b);
               back(() => told.bytes(copy));
               if (random() > 0.05) return undefined;
-              return new Promise((ok) => e.at(e.now() + random() * 20_000, () => into(proc, incarnation, () => ok())));
+              return new Promise((ok) =>
+                e.at(e.now() + random() * 20_000, () => deliver(proc, incarnation, () => ok())),
+              );
             },
             end: () => finish('whole', ''),
             abort: () => finish('cut', 'cut by the router'),
@@ -376,7 +394,7 @@
       }),
     );
     return function leave() {
-      there(() => into(proc, incarnation, () => gone.abort()));
+      there(() => deliver(proc, incarnation, () => gone.abort()));
     };
   }
 
@@ -388,10 +406,10 @@
     start,
     kill,
     roll,
-    wake: () => wake(e, proc),
+    wake: () => resumeProcess(e, proc),
     ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.isReady() === true,
     controlNode: () => (proc.alive ? controlFeed?.source() : undefined),
-    figures: () => ({ ...course?.metrics(), learning: learning?.figures() }),
+    figures: () => ({ ...course?.metrics(), learning: learning?.metrics() }),
     connect,
     take,
   };
--- a/packages/usage/src/usage-fleet.test.ts
+++ b/packages/usage/src/usage-fleet.test.ts
@@ -12,7 +12,15 @@
   type MessageOf,
   type World,
 } from '@tansypost/inner-protocol';
-import { createEngine, createNetwork, createProc, die, procWorld, wake, type Proc } from '@tansypost/simulator';
+import {
+  createEngine,
+  createNetwork,
+  createSimProcess,
+  killProcess,
+  createProcessWorld,
+  resumeProcess,
+  type SimProcess,
+} from '@tansypost/simulator';
 import { createFleetClock } from './fleet-clock.js';
 import { createUsageCollector, type UsageCollector } from './usage-collector.js';
 import { encodeUsageContent, type UsageContent } from './usage-content.js';
@@ -52,7 +60,7 @@
 
 interface Router {
   readonly name: string;
-  readonly proc: Proc;
+  readonly proc: SimProcess;
   counter: UsageCounter;
   starts: number;
   /** The requests that this process has counted, in order. */
@@ -97,12 +105,12 @@
     if (event === 3501) late.received += fields['count'] as number;
     if (event === 3502) late.dropped += fields['count'] as number;
   }
-  function worldOf(proc: Proc): World {
+  function worldOf(proc: SimProcess): World {
     const address = `${proc.machine}:1`;
-    return procWorld(engine, proc, random, (to, message) => net.send(proc, address, to, message), log);
+    return createProcessWorld(engine, proc, random, (to, message) => net.send(proc, address, to, message), log);
   }
-  function addProc(name: string): Proc {
-    const proc = createProc(name, name);
+  function addProc(name: string): SimProcess {
+    const proc = createSimProcess(name, name);
     net.add(`${name}:1`, proc);
     proc.alive = true;
     return proc;
@@ -119,7 +127,7 @@
     const clock = createFleetClock(world, { wallClock: () => wallOf(name) });
     function sampleClocks(): void {
       for (const node of controlNodes) {
-        if (net.blocked(node, name)) continue;
+        if (net.isBlocked(node, name)) continue;
         const sentAt = world.now();
         const wall = wallOf(node) + random();
         world.after(micros(400 + random() * 2000), () => clock.addSample(node, wall, sentAt, world.now()));
@@ -159,7 +167,7 @@
   const lastContactAt = new Map<Router, number>();
   function recordContacts(): void {
     for (const router of routers)
-      if (router.proc.alive && !router.proc.frozen && !net.blocked(router.name, controlNodes[leader]!))
+      if (router.proc.alive && !router.proc.frozen && !net.isBlocked(router.name, controlNodes[leader]!))
         lastContactAt.set(router, engine.now());
     engine.at(engine.now() + heartbeatIntervalUs, recordContacts);
   }
@@ -204,7 +212,7 @@
   }
 
   /** Starts a control node. Its poll loop replaces the duty runner and writes one window after the other to the record. */
-  function startNode(index: number): { proc: Proc; collector: UsageCollector } {
+  function startNode(index: number): { proc: SimProcess; collector: UsageCollector } {
     const name = controlNodes[index]!;
     const proc = addProc(name);
     const world = worldOf(proc);
@@ -275,12 +283,12 @@
       const unreceived = unreceivedOf(router);
       mayBeLost.push(...unreceived);
       maxima.lostPerKill = Math.max(maxima.lostPerKill, unreceived.length);
-      die(router.proc);
+      killProcess(router.proc);
     },
     start: startRouter,
-    freeze: ({ proc }: { readonly proc: Proc }) => void (proc.frozen = true),
-    resume: ({ proc }: { readonly proc: Proc }) => wake(engine, proc),
-    partition: (...names: string[]) => net.cut('cut', (from, to) => names.includes(from) || names.includes(to)),
+    freeze: ({ proc }: { readonly proc: SimProcess }) => void (proc.frozen = true),
+    resume: ({ proc }: { readonly proc: SimProcess }) => resumeProcess(engine, proc),
+    partition: (...names: string[]) => net.partition('cut', (from, to) => names.includes(from) || names.includes(to)),
     endPartition: () => net.heal('cut'),
     /** Makes another node the leader, and raises the record's version as the write of its term would. */
     replaceLeader: (index: number) => {
@@ -351,11 +359,11 @@
 /** Drops a quarter of the usage messages, and delivers another quarter twice, the second time up to four seconds later. */
 function disturbMessages(fleet: Fleet, seed: number): void {
   const random = createSeededRandom(seed);
-  fleet.net.tamper((m: Message) => {
+  fleet.net.intercept((m: Message) => {
     if (m.kind !== 'UsageAsk' && m.kind !== 'UsageTold') return undefined;
     const draw = random();
     if (draw < 0.25) return [];
-    return draw < 0.5 ? [{ m }, { m, after: Math.floor(random() * 4_000_000) }] : undefined;
+    return draw < 0.5 ? [{ message: m }, { message: m, delayUs: Math.floor(random() * 4_000_000) }] : undefined;
   });
 }
 
@@ -377,7 +385,7 @@
 function disturbEveryThird(fleet: Fleet, kind: Message['kind'], disturbance: Disturbance): () => number {
   const older = new Map<string, Message>();
   let [seen, disturbed] = [0, 0];
-  fleet.net.tamper((m, from, to) => {
+  fleet.net.intercept((m, from, to) => {
     if (m.kind !== kind) return undefined;
     seen += 1;
     const link = `${from}>${to}`;
@@ -387,9 +395,9 @@
     if (seen % 3 !== 0) return undefined;
     disturbed += 1;
     if (disturbance === 'dropped') return [];
-    if (disturbance === 'repeated') return [{ m }, { m }];
-    if (disturbance === 'late') return [{ m, after: 400_000 }];
-    return stale === undefined ? undefined : [{ m: stale }, { m }];
+    if (disturbance === 'repeated') return [{ message: m }, { message: m }];
+    if (disturbance === 'late') return [{ message: m, delayUs: 400_000 }];
+    return stale === undefined ? undefined : [{ message: stale }, { message: m }];
   });
   return () => disturbed;
 }
@@ -470,7 +478,7 @@
   await fleet.run(11);
   fleet.replaceLeader(1);
   await fleet.run(9);
-  die(fleet.nodes[1]!.proc);
+  killProcess(fleet.nodes[1]!.proc);
   await fleet.run(3);
   fleet.replaceLeader(2);
   await fleet.run(7);
@@ -497,7 +505,7 @@
   const fleet = createFleet({ seed: 11, routerCount: 10, rate: 400, standby: true });
   await fleet.run(9);
   for (let leader = 0; leader < 4; leader += 1) {
-    die(fleet.nodes[leader]!.proc);
+    killProcess(fleet.nodes[leader]!.proc);
     const killed = [fleet.routers[leader]!, fleet.routers[leader + 5]!];
     killed.forEach(fleet.kill);
     await fleet.run(0.5);
--- a/programs/control-node/src/main.ts
+++ b/programs/control-node/src/main.ts
@@ -13,7 +13,7 @@
 
 await runProgram({
   name: 'control-node',
-  about: 'Runs one of the three replicas of the control state.',
+  description: 'Runs one of the three replicas of the control state.',
   schema: ControlNodeSettings,
   flags: Object.keys(ControlNodeSettings.properties),
   start: async (settings, log) => {
--- a/programs/request-router/src/configuration-feed.ts
+++ b/programs/request-router/src/configuration-feed.ts
@@ -6,8 +6,8 @@
 import * as E from 'fp-ts/lib/Either.js';
 import type { Micros, MessageOf, KeyUpdate } from '@tansypost/inner-protocol';
 import { checkDesiredState, type DesiredState } from '@tansypost/desired-state';
-import { decodeModel, scoreAll, type Model } from '@tansypost/placement';
-import { emptyRecord, readRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
+import { decodeModel, predictTtft, type Model } from '@tansypost/placement';
+import { emptyRecord, decodeRehearsalRecord, type ModelRef, type RehearsalRecord } from '@tansypost/rehearsal';
 
 /** Settings of the feed. */
 export interface ConfigurationFeedOptions {
@@ -78,7 +78,7 @@
       const decoded = findModel(reference);
       if (decoded === undefined) continue;
       const rows = Array.from({ length: 12 }, () => new Float32Array(decoded.predictor.sizes[0]!));
-      for (let run = 0; run < 3; run += 1) scoreAll(decoded, rows);
+      for (let run = 0; run < 3; run += 1) predictTtft(decoded, rows);
     }
   }
 
@@ -90,7 +90,7 @@
       version = update.version;
       options.log(5003, { version, epoch: update.epoch, change: 'desired' });
     } else if (update.key === `rehearsal/${options.service}`) {
-      rehearsalRecord = readRecord(update.value);
+      rehearsalRecord = decodeRehearsalRecord(update.value);
     }
     for (const hash of models.keys()) {
       const subject = rehearsalRecord.running?.subject;
--- a/programs/request-router/src/main.ts
+++ b/programs/request-router/src/main.ts
@@ -11,7 +11,7 @@
 
 await runProgram({
   name: 'request-router',
-  about: 'Accepts completion requests and streams the responses from a prefill and a decode worker.',
+  description: 'Accepts completion requests and streams the responses from a prefill and a decode worker.',
   schema: RouterSettings,
   flags: Object.keys(RouterSettings.properties),
   start: async (settings, log) => {
@@ -35,7 +35,7 @@
         ...(settings.promptLimit === undefined ? {} : { maxPromptTokens: settings.promptLimit }),
         placement: {
           ...routerDefaults.placement,
-          ...(settings.explore === undefined ? {} : { explore: settings.explore }),
+          ...(settings.explore === undefined ? {} : { explorationRate: settings.explore }),
         },
       },
       {
--- a/programs/router-agent/src/agent-core.ts
+++ b/programs/router-agent/src/agent-core.ts
@@ -16,23 +16,23 @@
   type ReplicaEntry,
   type World,
 } from '@tansypost/inner-protocol';
-import { checkDesiredState, needsApproval, type DesiredState, type Fault } from '@tansypost/desired-state';
+import { checkDesiredState, needsApproval, type DesiredState, type ConfigurationFault } from '@tansypost/desired-state';
 import { claimBucketKey } from '@tansypost/control-state';
 import { createCandidate, type Candidate } from '@tansypost/duty';
 import {
   createRecordWriter,
-  createRehearsalDuty,
-  createTrainingDuty,
-  type AskResult,
-  type TrainerPort,
+  createRehearsalController,
+  createTrainingController,
+  type ControlStateResponse,
+  type ModelTrainer,
 } from '@tansypost/learning';
 import { createWorkerStateTable, createGossipMembership, workerStates } from '@tansypost/membership';
 import {
-  answerOperator,
-  readRecord,
+  applyOperatorDecision,
+  decodeRehearsalRecord,
   emptyRecord,
-  type AnswerKind,
-  type Part,
+  type OperatorDecisionKind,
+  type WorkerStage,
   type RehearsalRecord,
   type VerdictOptions,
 } from '@tansypost/rehearsal';
@@ -82,8 +82,12 @@
 export interface AgentPorts {
   readonly fetchReport: (worker: WorkerStateEntry) => Promise<FetchedReport | undefined>;
   /** Orders a stage, or only fences the worker if the stage is empty; undefined if the worker did not answer. */
-  readonly orderStage: (worker: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
-  readonly trainer: TrainerPort;
+  readonly orderStage: (
+    worker: WorkerStateEntry,
+    epoch: number,
+    part: WorkerStage | '',
+  ) => Promise<boolean | undefined>;
+  readonly trainer: ModelTrainer;
   readonly save: (persisted: AgentOptions['persisted']) => void;
   readonly wallClockUs: () => number;
   /** Called for each change of a key that this agent sees. */
@@ -99,7 +103,7 @@
 /** The answer to a submitted desired state. */
 export type SubmitResult =
   | { readonly answer: 'acknowledged'; readonly version: number; readonly change: string }
-  | { readonly answer: 'refused'; readonly faults: readonly Fault[]; readonly change: string }
+  | { readonly answer: 'refused'; readonly faults: readonly ConfigurationFault[]; readonly change: string }
   | { readonly answer: 'lost the race'; readonly version: number; readonly change: string }
   | { readonly answer: 'outcome unknown'; readonly change: string };
 
@@ -110,10 +114,13 @@
     entries: readonly WorkerStateEntry[],
   ) => Promise<{ readonly newEntries: WorkerStateEntry[]; readonly confirmed: boolean }>;
   readonly submit: (expectedVersion: number, change: string, state: unknown) => Promise<SubmitResult>;
-  readonly readDesiredState: () => Promise<AskResult>;
-  readonly lookUpChange: (change: string) => Promise<AskResult>;
+  readonly readDesiredState: () => Promise<ControlStateResponse>;
+  readonly lookUpChange: (change: string) => Promise<ControlStateResponse>;
   readonly rehearsalRecord: () => RehearsalRecord;
-  readonly decideRehearsal: (id: string, word: 'approve' | 'reject') => Promise<AnswerKind | 'outcome_unknown'>;
+  readonly decideRehearsal: (
+    id: string,
+    word: 'approve' | 'reject',
+  ) => Promise<OperatorDecisionKind | 'outcome_unknown'>;
   readonly members: () => MemberEntry[];
   readonly workerStates: () => WorkerStateEntry[];
   readonly trace: (key: string, version: number) => TraceEvent[];
@@ -253,22 +260,22 @@
     shiftHoldUs: options.shiftHoldUs,
     shiftCooldownUs: options.shiftCooldownUs,
   });
-  const trainingRole = createTrainingDuty(world, {
+  const trainingRole = createTrainingController(world, {
     service: options.service,
-    holds: () => heldEpoch('training'),
+    heldEpoch: () => heldEpoch('training'),
     record: rehearsalRecord,
-    asker: controlClient,
+    controlClient,
     writer: recordWriter,
     trainer: ports.trainer,
-    every: options.samplesPerTraining,
-    slice: options.treatmentShare,
+    samplesPerTraining: options.samplesPerTraining,
+    treatmentShare: options.treatmentShare,
     approval: approvalMode,
   });
-  const rehearsalRole = createRehearsalDuty(world, {
-    holds: () => heldEpoch('rehearsals'),
+  const rehearsalRole = createRehearsalController(world, {
+    heldEpoch: () => heldEpoch('rehearsals'),
     record: rehearsalRecord,
     writer: recordWriter,
-    timeLimit: options.rehearsalTimeLimitUs,
+    timeLimitUs: options.rehearsalTimeLimitUs,
     verdict: options.verdict,
   });
 
@@ -387,7 +394,7 @@
   function sendCohortStatistics(): void {
     if (router === undefined || router.arms.length === 0) return;
     const message: MessageOf<'Arms'> = { kind: 'Arms', from: router.router, arms: router.arms };
-    sendToRoleLeader('rehearsals', message, () => rehearsalRole.arms(message));
+    sendToRoleLeader('rehearsals', message, () => rehearsalRole.recordCohorts(message));
   }
 
   function receive(message: Message, from: Address): void {
@@ -402,7 +409,7 @@
       case 'MarksDigest':
         return onStatesDigest(message);
       case 'Answer':
-        return controlClient.answer(message);
+        return controlClient.handleAnswer(message);
       case 'News':
         return keyUpdates.receiveUpdates(message);
       case 'Subscribe':
@@ -419,14 +426,14 @@
         return onRouterState(message);
       case 'Samples': {
         if (from === options.routerAddress)
-          return sendToRoleLeader('training', message, () => trainingRole.samples(message));
-        if (heldEpoch('training') !== undefined) trainingRole.samples(message);
+          return sendToRoleLeader('training', message, () => trainingRole.addSamples(message));
+        if (heldEpoch('training') !== undefined) trainingRole.addSamples(message);
         return undefined;
       }
       case 'Claim':
         return onClaim(message);
       case 'Arms':
-        return rehearsalRole.arms(message);
+        return rehearsalRole.recordCohorts(message);
       default:
         return undefined;
     }
@@ -455,7 +462,7 @@
       }),
     );
     void controlClient
-      .ask({ op: 'claim', key: claimBucketKey(claim.key), value, patience: 2_500_000 })
+      .request({ op: 'claim', key: claimBucketKey(claim.key), value, timeoutUs: 2_500_000 })
       .then((result) => {
         const known = result.value.toString();
         const status = result.status !== 'done' ? 'failed' : known === 'won' ? 'won' : 'taken';
@@ -490,23 +497,25 @@
         checkConfirmed();
       }
       confirmations.add(onConfirmation);
-      void controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 550_000 }).then((result) => {
-        hasControlQuorum = result.status === 'value';
-        checkConfirmed();
-      });
+      void controlClient
+        .request({ op: 'read', key: `desired/${options.service}`, timeoutUs: 550_000 })
+        .then((result) => {
+          hasControlQuorum = result.status === 'value';
+          checkConfirmed();
+        });
     });
   }
 
   async function submit(expectedVersion: number, change: string, state: unknown): Promise<SubmitResult> {
     const checked = checkDesiredState(state);
     if (E.isLeft(checked)) return { answer: 'refused', faults: checked.left, change };
-    const result = await controlClient.ask({
+    const result = await controlClient.request({
       op: 'write',
       key: `desired/${options.service}`,
       change,
       base: expectedVersion,
       value: Buffer.from(JSON.stringify(checked.right)),
-      patience: options.submitTimeoutUs ?? 25_000_000,
+      timeoutUs: options.submitTimeoutUs ?? 25_000_000,
     });
     if (result.status === 'done') return { answer: 'acknowledged', version: result.version, change };
     if (result.status === 'lost') return { answer: 'lost the race', version: result.version, change };
@@ -517,11 +526,14 @@
     return { answer: 'outcome unknown', change };
   }
 
-  async function decideRehearsal(id: string, word: 'approve' | 'reject'): Promise<AnswerKind | 'outcome_unknown'> {
-    let answerKind = 'outcome_unknown' as AnswerKind | 'outcome_unknown';
-    const written = await recordWriter.change(
+  async function decideRehearsal(
+    id: string,
+    word: 'approve' | 'reject',
+  ): Promise<OperatorDecisionKind | 'outcome_unknown'> {
+    let answerKind = 'outcome_unknown' as OperatorDecisionKind | 'outcome_unknown';
+    const written = await recordWriter.update(
       (record) => {
-        const answer = answerOperator(record, id, word);
+        const answer = applyOperatorDecision(record, id, word);
         answerKind = answer.kind;
         return answer.kind === 'taken' ? answer.record : undefined;
       },
@@ -558,12 +570,13 @@
     decideRehearsal,
     keyUpdates,
     heldEpoch,
-    readDesiredState: () => controlClient.ask({ op: 'read', key: `desired/${options.service}`, patience: 8_000_000 }),
+    readDesiredState: () =>
+      controlClient.request({ op: 'read', key: `desired/${options.service}`, timeoutUs: 8_000_000 }),
     lookUpChange: (change) =>
-      controlClient.ask({ op: 'lookup', key: `desired/${options.service}`, change, patience: 8_000_000 }),
+      controlClient.request({ op: 'lookup', key: `desired/${options.service}`, change, timeoutUs: 8_000_000 }),
     rehearsalRecord: () => {
       const value = rehearsalRecord();
-      return value === undefined ? emptyRecord : readRecord(value);
+      return value === undefined ? emptyRecord : decodeRehearsalRecord(value);
     },
     members: () => [...membership.liveMembers()],
     workerStates: () => workerTable.all(),
@@ -576,7 +589,7 @@
       core: controlMembership,
       members: membership.liveMembers().length,
       duties: heldRoles(),
-      training: trainingRole.figures(),
+      training: trainingRole.metrics(),
       orders: stageAssignment.orderCount(),
       probes: loadReports.probes(),
       routerHeard: world.now() - routerStateAt < 2_000_000,
--- a/programs/router-agent/src/index.ts
+++ b/programs/router-agent/src/index.ts
@@ -2,4 +2,4 @@
 export * from './control-client.js';
 export * from './stage-assignment.js';
 export * from './load-reports.js';
-export type { TrainerPort } from '@tansypost/learning';
+export type { ModelTrainer } from '@tansypost/learning';
--- a/tests/messages.test.ts
+++ b/tests/messages.test.ts
@@ -38,7 +38,7 @@
   let seen = 0;
   const olderMessages = new Map<string, Message>();
   return function set(network) {
-    network.tamper((message, from, to) => {
+    network.intercept((message, from, to) => {
       if (message.kind !== kind) return undefined;
       seen += 1;
       if (seen % (infrequentKinds.has(kind) ? 2 : 3) !== 0) {
@@ -47,10 +47,10 @@
       }
       tampered.count += 1;
       if (tampering === 'dropped') return [];
-      if (tampering === 'repeated') return [{ m: message }, { m: message }];
-      if (tampering === 'late') return [{ m: message, after: 400_000 }];
+      if (tampering === 'repeated') return [{ message }, { message }];
+      if (tampering === 'late') return [{ message, delayUs: 400_000 }];
       const older = olderMessages.get(`${from}>${to}`);
-      return older === undefined ? undefined : [{ m: older }, { m: message }];
+      return older === undefined ? undefined : [{ message: older }, { message }];
     });
   };
 }
@@ -133,11 +133,11 @@
 
 it('violates no invariant while every second machine runs a release without the newest fields', async () => {
   function dropNewestFields(network: Network): void {
-    network.tamper((message, from) => {
+    network.intercept((message, from) => {
       if (!/^m[13]$/.test(from)) return undefined;
-      if (message.kind === 'Feed') return [{ m: { ...message, contact: false } }];
-      if (message.kind === 'RouterState') return [{ m: { ...message, have: [] } }];
-      if (message.kind === 'Reports') return [{ m: { ...message, relay: false } }];
+      if (message.kind === 'Feed') return [{ message: { ...message, contact: false } }];
+      if (message.kind === 'RouterState') return [{ message: { ...message, have: [] } }];
+      if (message.kind === 'Reports') return [{ message: { ...message, relay: false } }];
       return message.kind === 'Claim' || message.kind === 'MarksDigest' ? [] : undefined;
     });
   }
--- a/tests/smoke.test.ts
+++ b/tests/smoke.test.ts
@@ -246,7 +246,7 @@
       );
     });
     expect(invalidSettings.code).toBe(2);
-    expect(invalidSettings.err).toMatch(/^request-router: boot field zone/);
+    expect(invalidSettings.err).toMatch(/^request-router: settings field zone/);
     expect(invalidSettings.err.trim().split('\n').length).toBe(1);
   } finally {
     await agent.destroy();
