--- a/packages/inner-protocol/src/codec.test.ts
+++ b/packages/inner-protocol/src/codec.test.ts
@@ -7,7 +7,7 @@
   encodeHello,
   encodeMessage,
   encodeShortHello,
-  readHello,
+  decodeHello,
   schemaFingerprint,
   type MessageDecoder,
 } from './codec.js';
@@ -19,7 +19,7 @@
 }
 
 function decoderFrom(hello: Buffer): MessageDecoder | undefined {
-  const decoded = readHello(hello);
+  const decoded = decodeHello(hello);
   if (E.isLeft(decoded)) throw decoded.left;
   return decoded.right.decode;
 }
@@ -65,9 +65,9 @@
     { ...hello, schemas: undefined },
     { ...hello, schemas: [{ type: 'record' }] },
   ]) {
-    expect(E.isLeft(readHello(Buffer.from(JSON.stringify(invalid))))).toBe(true);
+    expect(E.isLeft(decodeHello(Buffer.from(JSON.stringify(invalid))))).toBe(true);
   }
-  expect(E.isLeft(readHello(Buffer.from('GET /')))).toBe(true);
+  expect(E.isLeft(decodeHello(Buffer.from('GET /')))).toBe(true);
   const schemas = [{ name: 'Marks', type: 'no such type' }, ...hello.schemas];
   const decode = decoderFrom(Buffer.from(JSON.stringify({ ...hello, schemas })))!;
   expect(E.isLeft(decode(Buffer.from([0, 0, 0])))).toBe(true);
--- a/packages/inner-protocol/src/codec.ts
+++ b/packages/inner-protocol/src/codec.ts
@@ -1,8 +1,8 @@
 /**
- * Encodes and decodes messages. A link opens with a hello that carries the sender's schemas, so that a receiver of
- * another release can resolve them: a field that the sender lacks takes its default, a field that the receiver lacks is
- * dropped, and a message of an unknown kind is ignored. A short hello carries only the fingerprint of the schemas; a
- * receiver with other schemas can't decode anything after it and has to request the full hello.
+ * Encodes and decodes messages. A link opens with a short hello, which carries the fingerprint of the sender's schemas.
+ * A receiver with other schemas can't decode anything after it, and has to request the full hello, which carries the
+ * schemas. With them it decodes the messages of another release (Avro schema resolution): a field that the sender lacks
+ * takes its default, a field that the receiver lacks is dropped, and a message of an unknown kind is ignored.
  * Each schema is compiled when the first message of its kind is handled, as compiling all of them delays the start.
  */
 import avsc from 'avsc';
@@ -12,16 +12,16 @@
 import { messageShapes, type MessageKind, type Message } from './messages.js';
 import { toSchema } from './shape.js';
 
-/** Version of the framing and of the hello; peers of different versions can't talk to each other. */
+/** Version of the framing and of the hello; peers of different versions can't exchange messages. */
 export const protocolVersion = 1;
 /** All message kinds; a message is sent with the index of its kind in this list. */
 export const messageKinds = Object.keys(messageShapes) as MessageKind[];
 const kindIndexes = new Map(messageKinds.map((kind, i) => [kind, i]));
 const compiledTypes = new Map<MessageKind, avsc.Type>();
-/** Computed at first use. */
+/** JSON and fingerprint of this release's schemas, each computed at first use. */
 const ownSchemas: { json?: string; fingerprint?: string } = {};
 
-/** A decoded message, or the notice that its kind is unknown to this release. */
+/** A decoded message, or `known: false` if this release has no such kind. */
 export type DecodedMessage = { readonly known: true; readonly message: Message } | { readonly known: false };
 /** Decodes the body of one frame. */
 export type MessageDecoder = (body: Buffer) => E.Either<Error, DecodedMessage>;
@@ -29,7 +29,7 @@
 /** The contents of a hello. */
 export interface DecodedHello {
   readonly from: string;
-  /** Undefined after a short hello whose fingerprint is not that of the receiver's schemas. */
+  /** Undefined if a short hello has another fingerprint than this process; the full hello must be requested then. */
   readonly decode: MessageDecoder | undefined;
 }
 
@@ -47,7 +47,7 @@
   return ownSchemas.json;
 }
 
-/** Identifies the schemas of this release. */
+/** Identifies the schemas of this release: the first 16 characters of the hex digest of their JSON. */
 export function schemaFingerprint(): string {
   ownSchemas.fingerprint ??= digest(schemasJson()).slice(0, 16);
   return ownSchemas.fingerprint;
@@ -72,24 +72,24 @@
   return body;
 }
 
-/** Parses a full or a short hello. */
-export function readHello(body: Buffer): E.Either<Error, DecodedHello> {
+/** Decodes a full or a short hello. */
+export function decodeHello(body: Buffer): E.Either<Error, DecodedHello> {
   return E.tryCatch(
     () => {
       const hello = JSON.parse(body.toString()) as Record<string, unknown>;
       if (hello['tansypost'] !== protocolVersion) {
         throw new BadFrameError(
-          `The peer speaks protocol version ${String(hello['tansypost'])}, this process ${protocolVersion}; upgrade both to releases that share a version.`,
+          `The peer uses protocol version ${String(hello['tansypost'])}, this process ${protocolVersion}; run releases with the same protocol version on both sides.`,
         );
       }
       const from = hello['from'];
       if (typeof from !== 'string') throw incompleteHelloError();
       if (typeof hello['fingerprint'] === 'string') {
-        return { from, decode: hello['fingerprint'] === schemaFingerprint() ? decodeOwn : undefined };
+        return { from, decode: hello['fingerprint'] === schemaFingerprint() ? decodeWithOwnSchemas : undefined };
       }
       const schemas = hello['schemas'];
       if (!Array.isArray(schemas) || !schemas.every(isNamedSchema)) throw incompleteHelloError();
-      if (JSON.stringify(schemas) === schemasJson()) return { from, decode: decodeOwn };
+      if (JSON.stringify(schemas) === schemasJson()) return { from, decode: decodeWithOwnSchemas };
       const readers = schemas.map(readerFor);
       return { from, decode: (frameBody: Buffer) => decodeWith(readers, frameBody) };
     },
@@ -98,7 +98,9 @@
 }
 
 function incompleteHelloError(): Error {
-  return new BadFrameError('The hello lacks the sender or its schemas; check that the peer is a tansypost process.');
+  return new BadFrameError(
+    'The hello has no valid sender address or no valid schemas; check that the peer is a tansypost process.',
+  );
 }
 
 function isNamedSchema(schema: unknown): schema is avsc.Schema & { name: string } {
@@ -111,7 +113,7 @@
   readonly read: (content: Buffer) => unknown;
 }
 
-/** A reader of messages written with a sender's schema; undefined for a kind that this release doesn't know. */
+/** The reader of messages written with a sender's schema; undefined for a kind that this release doesn't know. */
 function readerFor(schema: avsc.Schema & { name: string }): KindReader | undefined {
   const kind = schema.name as MessageKind;
   if (!kindIndexes.has(kind)) return undefined;
@@ -123,13 +125,13 @@
   return { kind, read };
 }
 
-const ownReaders: readonly KindReader[] = messageKinds.map((kind) => ({
+const ownSchemaReaders: readonly KindReader[] = messageKinds.map((kind) => ({
   kind,
   read: (content) => typeOf(kind).fromBuffer(content),
 }));
 
-function decodeOwn(body: Buffer): E.Either<Error, DecodedMessage> {
-  return decodeWith(ownReaders, body);
+function decodeWithOwnSchemas(body: Buffer): E.Either<Error, DecodedMessage> {
+  return decodeWith(ownSchemaReaders, body);
 }
 
 function decodeWith(readers: readonly (KindReader | undefined)[], body: Buffer): E.Either<Error, DecodedMessage> {
@@ -151,5 +153,5 @@
 
 /** The decoder of messages from a sender with the same schemas. */
 export function decoderForOwnSchemas(): MessageDecoder {
-  return decodeOwn;
+  return decodeWithOwnSchemas;
 }
--- a/packages/inner-protocol/src/incoming-link.ts
+++ b/packages/inner-protocol/src/incoming-link.ts
@@ -5,7 +5,7 @@
 import type net from 'node:net';
 import * as E from 'fp-ts/lib/Either.js';
 import type { Address } from './brands.js';
-import { readHello, type MessageDecoder } from './codec.js';
+import { decodeHello, type MessageDecoder } from './codec.js';
 import { createFrameDecoder } from './frame.js';
 import { encodeReply, replyKind } from './link-reply.js';
 import type { Message } from './messages.js';
@@ -75,7 +75,7 @@
 }
 
 function handleHello(link: IncomingLink, body: Buffer): boolean {
-  const hello = readHello(body);
+  const hello = decodeHello(body);
   if (E.isLeft(hello)) return fail(link, hello.left);
   link.from = hello.right.from as Address;
   link.handlers.onHello(link.from);
--- a/packages/inner-protocol/src/link.test.ts
+++ b/packages/inner-protocol/src/link.test.ts
@@ -105,7 +105,7 @@
   await new Promise<void>((resolve) => unresponsiveServer.listen(splitAddress(address), resolve));
   const sender = await createTransport({
     listen: `${host}:${port + 4}` as Address,
-    stuckMs: 60,
+    stuckTimeoutMs: 60,
     log: () => undefined,
     receive: () => undefined,
   });
@@ -140,7 +140,7 @@
     listen: earlyAddress!,
     log: () => undefined,
     receive: () => undefined,
-    connectMs: 60_000,
+    connectTimeoutMs: 60_000,
     // The SYN of the first connection is lost and never retransmitted.
     connect: (options) => {
       connects += 1;
--- a/packages/inner-protocol/src/link.ts
+++ b/packages/inner-protocol/src/link.ts
@@ -1,8 +1,9 @@
 /**
- * Message transport over TCP. A process listens on one address and keeps at most one outgoing link to each other
- * address. Delivery is best effort: when a link fails, the messages buffered on it are lost. The hello gives the
- * receiver the sender's listening address and the fingerprint of its schemas; a receiver with other schemas requests
- * the sender's.
+ * Message transport over TCP. A process listens on one address and keeps at most one outgoing link to the address of
+ * every other process. Messages go in one direction on a link, and delivery is best effort: when a link fails, the
+ * messages buffered on it are lost. A link begins with a hello, which gives the receiver the sender's listening address
+ * and the fingerprint of its schemas; a receiver with other schemas requests the sender's by a reply on the same
+ * connection.
  */
 import net from 'node:net';
 import type { Address } from './brands.js';
@@ -10,7 +11,7 @@
 import { encodeFrame } from './frame.js';
 import { readIncoming } from './incoming-link.js';
 import type { Message } from './messages.js';
-import { openLink, writeRetained, type OutgoingLink, type OutgoingOptions } from './outgoing-link.js';
+import { openLink, writeAndRetain, type OutgoingLink, type OutgoingOptions } from './outgoing-link.js';
 import { splitAddress } from './socket-address.js';
 
 /** Sends messages and passes incoming ones to `TransportOptions.receive`. */
@@ -31,23 +32,27 @@
   /** Bytes that may be buffered on a link; above that, messages to it are dropped. */
   readonly maxBufferedBytes?: number;
   /** Timeout of connecting, in milliseconds. */
-  readonly connectMs?: number;
+  readonly connectTimeoutMs?: number;
   /** How long a link may have unacknowledged bytes without any progress before it is closed, in milliseconds. */
-  readonly stuckMs?: number;
+  readonly stuckTimeoutMs?: number;
   /** Idle timeout of incoming links, in milliseconds. */
-  readonly idleMs?: number;
+  readonly idleTimeoutMs?: number;
   /** Opens a connection; `net.connect` by default. */
   readonly connect?: (options: net.TcpNetConnectOpts) => net.Socket;
 }
 
-const defaults = { heldLimit: 16 * 1024 * 1024, connectMs: 300, stuckMs: 2000, idleMs: 30_000 } as const;
-
+const defaults = {
+  maxBufferedBytes: 16 * 1024 * 1024,
+  connectTimeoutMs: 300,
+  stuckTimeoutMs: 2000,
+  idleTimeoutMs: 30_000,
+} as const;
 interface TransportState {
   readonly options: TransportOptions;
   readonly outgoing: OutgoingOptions;
   readonly links: Map<Address, OutgoingLink>;
   readonly incoming: Set<net.Socket>;
-  dropped: number;
+  droppedCount: number;
   closed: boolean;
   /** The last message and its encoding: the same message is often sent to many receivers in a row. */
   lastSent: { readonly message: Message; readonly bytes: Buffer } | undefined;
@@ -59,13 +64,13 @@
     options,
     outgoing: {
       self: options.advertise ?? options.listen,
-      connectMs: options.connectMs ?? defaults.connectMs,
-      stuckMs: options.stuckMs ?? defaults.stuckMs,
+      connectTimeoutMs: options.connectTimeoutMs ?? defaults.connectTimeoutMs,
+      stuckTimeoutMs: options.stuckTimeoutMs ?? defaults.stuckTimeoutMs,
       connect: options.connect ?? net.connect,
     },
     links: new Map(),
     incoming: new Set(),
-    dropped: 0,
+    droppedCount: 0,
     closed: false,
     lastSent: undefined,
   };
@@ -77,16 +82,17 @@
   return {
     send: (to, message) => send(state, to, message),
     close: () => close(state, server),
-    droppedCount: () => state.dropped,
+    droppedCount: () => state.droppedCount,
   };
 }
 
+/** Opens a link; `retained` was written to a link that this one replaces before that one was connected. */
 function open(state: TransportState, to: Address, retained: readonly Buffer[] = []): OutgoingLink {
-  const link = openLink(to, state.outgoing, (closed) => {
-    if (state.links.get(to) === closed) state.links.delete(to);
+  const link = openLink(to, state.outgoing, (closedLink) => {
+    if (state.links.get(to) === closedLink) state.links.delete(to);
   });
   state.links.set(to, link);
-  for (const bytes of retained) writeRetained(link, bytes, state.outgoing.stuckMs);
+  for (const bytes of retained) writeAndRetain(link, bytes, state.outgoing.stuckTimeoutMs);
   return link;
 }
 
@@ -94,11 +100,11 @@
   if (state.closed) return;
   const existing = state.links.get(to);
   const link = existing === undefined || existing.socket.destroyed ? open(state, to) : existing;
-  if (link.socket.writableLength > (state.options.maxBufferedBytes ?? defaults.heldLimit)) {
-    state.dropped += 1;
+  if (link.socket.writableLength > (state.options.maxBufferedBytes ?? defaults.maxBufferedBytes)) {
+    state.droppedCount += 1;
     return;
   }
-  writeRetained(link, bytesOf(state, message), state.outgoing.stuckMs);
+  writeAndRetain(link, bytesOf(state, message), state.outgoing.stuckTimeoutMs);
 }
 
 /** Messages aren't modified once they have been sent, so the same object always has the same encoding. */
@@ -108,10 +114,11 @@
 }
 
 /**
- * Replaces a link that is still connecting. The peer has just connected to this process, so it is up; the SYN may have
- * been lost before that, and its retransmission would only come later.
+ * Replaces a link that is still connecting; does nothing for another one. The peer has just connected to this process,
+ * so it is up. If the SYN of this process was lost while the peer was down, its retransmission would come later than a
+ * new connection.
  */
-function reconnect(state: TransportState, to: Address): void {
+function reconnectIfConnecting(state: TransportState, to: Address): void {
   const link = state.links.get(to);
   if (link?.retained === undefined || link.socket.destroyed) return;
   const { retained } = link;
@@ -124,12 +131,12 @@
   const { options, incoming } = state;
   incoming.add(socket);
   socket.setNoDelay(true);
-  socket.setTimeout(options.idleMs ?? defaults.idleMs, () => socket.destroy());
+  socket.setTimeout(options.idleTimeoutMs ?? defaults.idleTimeoutMs, () => socket.destroy());
   socket.on('error', () => undefined);
   socket.on('close', () => incoming.delete(socket));
   readIncoming(socket, {
     onHello: (from) => {
-      if (!state.closed) reconnect(state, from);
+      if (!state.closed) reconnectIfConnecting(state, from);
     },
     onMessage: options.receive,
     onError: (from, error) => options.log(1101, { from, why: error.message }),
--- a/packages/inner-protocol/src/outgoing-link.ts
+++ b/packages/inner-protocol/src/outgoing-link.ts
@@ -15,9 +15,9 @@
   /** The address at which other processes reach this one, sent in the hello. */
   readonly self: Address;
   /** Timeout of connecting, in milliseconds. */
-  readonly connectMs: number;
+  readonly connectTimeoutMs: number;
   /** How long a link may have unacknowledged bytes without any progress before it is closed, in milliseconds. */
-  readonly stuckMs: number;
+  readonly stuckTimeoutMs: number;
   readonly connect: (options: net.TcpNetConnectOpts) => net.Socket;
 }
 
@@ -44,7 +44,7 @@
 export function openLink(to: Address, options: OutgoingOptions, onClose: (link: OutgoingLink) => void): OutgoingLink {
   const socket = options.connect({ ...splitAddress(to), noDelay: true });
   const link: OutgoingLink = { socket, sent: 0, acknowledged: 0, stuckTimer: undefined, retained: [] };
-  const connectTimer = setTimeout(() => socket.destroy(), options.connectMs);
+  const connectTimer = setTimeout(() => socket.destroy(), options.connectTimeoutMs);
   const readReplies = createReplyReader();
   socket.on('connect', () => {
     clearTimeout(connectTimer);
@@ -59,35 +59,35 @@
   socket.on('data', (chunk: Buffer) => {
     for (const reply of readReplies(chunk)) {
       if (reply.kind === replyKind.wantSchemas)
-        writeRetained(link, encodeFrame(encodeHello(options.self)), options.stuckMs);
-      else acknowledge(link, reply.received, options.stuckMs);
+        writeAndRetain(link, encodeFrame(encodeHello(options.self)), options.stuckTimeoutMs);
+      else acknowledge(link, reply.received, options.stuckTimeoutMs);
     }
   });
-  write(link, encodeFrame(encodeShortHello(options.self)), options.stuckMs);
+  write(link, encodeFrame(encodeShortHello(options.self)), options.stuckTimeoutMs);
   return link;
 }
 
 /** Writes bytes, and retains them for a link that replaces this one before the connection is established. */
-export function writeRetained(link: OutgoingLink, bytes: Buffer, stuckMs: number): void {
+export function writeAndRetain(link: OutgoingLink, bytes: Buffer, stuckTimeoutMs: number): void {
   link.retained?.push(bytes);
-  write(link, bytes, stuckMs);
+  write(link, bytes, stuckTimeoutMs);
 }
 
-function write(link: OutgoingLink, bytes: Buffer, stuckMs: number): void {
+function write(link: OutgoingLink, bytes: Buffer, stuckTimeoutMs: number): void {
   link.sent += bytes.length;
   link.socket.write(bytes);
-  if (link.stuckTimer === undefined) startStuckTimer(link, stuckMs);
+  if (link.stuckTimer === undefined) startStuckTimer(link, stuckTimeoutMs);
 }
 
-function acknowledge(link: OutgoingLink, received: number, stuckMs: number): void {
+function acknowledge(link: OutgoingLink, received: number, stuckTimeoutMs: number): void {
   if (received <= link.acknowledged) return;
   link.acknowledged = received;
   clearTimeout(link.stuckTimer);
   link.stuckTimer = undefined;
-  if (link.acknowledged < link.sent) startStuckTimer(link, stuckMs);
+  if (link.acknowledged < link.sent) startStuckTimer(link, stuckTimeoutMs);
 }
 
-function startStuckTimer(link: OutgoingLink, stuckMs: number): void {
-  link.stuckTimer = setTimeout(() => link.socket.destroy(), stuckMs);
+function startStuckTimer(link: OutgoingLink, stuckTimeoutMs: number): void {
+  link.stuckTimer = setTimeout(() => link.socket.destroy(), stuckTimeoutMs);
   link.stuckTimer.unref();
 }
