--- a/packages/control-state/src/replica.test.ts
+++ b/packages/control-state/src/replica.test.ts
@@ -1,4 +1,4 @@
-/** A replica on an in-memory disk: compaction of its journal, and when it refuses to vote. */
+/** A replica on an in-memory disk: compaction of its journal, and when it votes. */
 import { expect, it } from 'vitest';
 import { micros, type Address, type World } from '@tansypost/inner-protocol';
 import type { Disk } from './disk.js';
@@ -14,7 +14,7 @@
   log: () => undefined,
 };
 
-it('compacts its journal when it grows, and restarts from it with every row', () => {
+it('compacts its journal when it grows, and restarts from the compacted journal with all rows and their histories', () => {
   let file: JournalRecord[] = [];
   let rewrites = 0;
   const disk: Disk = {
@@ -27,6 +27,7 @@
       file = [...records];
       done();
     },
+    // 400 bytes for each record, so that the journal is compacted when it has more than ten.
     size: () => file.length * 400,
   };
   function open(): Replica {
@@ -59,7 +60,7 @@
   }
 });
 
-it('refuses a vote for an older membership or a lower epoch, and before it is a voting member', () => {
+it('refuses to vote for an older membership epoch or a lower epoch, before it is voting, and where its disk is not a member', () => {
   const file: JournalRecord[] = [];
   const disk: Disk = {
     append: (record, done) => done(void file.push(record)),
@@ -70,19 +71,20 @@
   function record(kind: string, key: string, epoch: number, value = Buffer.alloc(0)): JournalRecord {
     return { kind, key, promised: epoch, epoch, version: epoch, value, changes: [] };
   }
-  const found = [
+  const storedRecords = [
     record('disk', 'd0', 0),
     record('state', 'voting', 0),
     record('row', 'core', 32, Buffer.from(JSON.stringify(replicas))),
     record('row', 'k', 17),
   ];
-  function accept(overrides: { membershipEpoch?: number; epoch?: number }, from = found): boolean {
+  /** Whether a replica that starts with these records accepts a write with these epochs. */
+  function isAccepted(overrides: { membershipEpoch?: number; epoch?: number }, records = storedRecords): boolean {
     const replica = createReplica(world, {
       slot: undefined,
       self: 'a' as Address,
       bootstrapMembers: [],
       disk,
-      storedRecords: from,
+      storedRecords: records,
       newDiskId: 'x',
     });
     let ok = false;
@@ -105,21 +107,21 @@
     );
     return ok;
   }
-  expect(accept({})).toBe(true);
-  expect(accept({ membershipEpoch: 31 })).toBe(false);
-  expect(accept({ epoch: 16 })).toBe(false);
-  expect(accept({}, [found[0]!, ...found.slice(2)])).toBe(false);
-  expect(accept({}, [record('disk', 'other', 0), ...found.slice(1)])).toBe(false);
+  expect(isAccepted({})).toBe(true);
+  expect(isAccepted({ membershipEpoch: 31 })).toBe(false);
+  expect(isAccepted({ epoch: 16 })).toBe(false);
+  expect(isAccepted({}, [storedRecords[0]!, ...storedRecords.slice(2)])).toBe(false);
+  expect(isAccepted({}, [record('disk', 'other', 0), ...storedRecords.slice(1)])).toBe(false);
 });
 
-it('votes after a power loss between writing the bootstrap membership record, which names its disk, and its state', () => {
+it('becomes voting where power was lost after the bootstrap membership record was written, but before its state was', () => {
   const disk: Disk = { append: (_record, done) => done(), rewrite: (_r, done) => done(), size: () => 0 };
-  function stateAfterStart(own: string, membershipEpoch: number): string {
+  function stateAfterStart(ownDiskId: string, membershipEpoch: number): string {
     const members = ['a', 'b', 'c'].map((address, slot) => ({ slot, address, disk: `d${slot}` }));
     const value = Buffer.from(JSON.stringify({ format: 2, cluster: 'd0-d1-d2', replicas: members }));
     const row = { promised: membershipEpoch, epoch: membershipEpoch, version: 1 };
-    const found: JournalRecord[] = [
-      { kind: 'disk', key: own, promised: 0, epoch: 0, version: 0, value: Buffer.alloc(0), changes: [] },
+    const storedRecords: JournalRecord[] = [
+      { kind: 'disk', key: ownDiskId, promised: 0, epoch: 0, version: 0, value: Buffer.alloc(0), changes: [] },
       { kind: 'row', key: 'core', ...row, value, changes: [] },
     ];
     const replica = createReplica(world, {
@@ -127,14 +129,15 @@
       self: 'a' as Address,
       bootstrapMembers: [],
       disk,
-      storedRecords: found,
+      storedRecords,
       newDiskId: 'x',
     });
     replica.tick();
     return replica.state();
   }
+  // Epoch 1 is that of the record that a bootstrap writes.
   expect(stateAfterStart('d0', 1)).toBe('voting');
   expect(stateAfterStart('other', 1)).toBe('blank');
-  // A later record may name a disk that has not yet copied what others have voted for.
+  // A later membership record may name a disk that still lacks rows that a majority has accepted, so it must not vote.
   expect(stateAfterStart('d0', 18)).toBe('blank');
 });
--- a/packages/control-state/src/serving-lease.ts
+++ b/packages/control-state/src/serving-lease.ts
@@ -39,7 +39,7 @@
 interface Lease {
   keepUntil: number;
   validUntil: number;
-  renewing: boolean;
+  isRenewing: boolean;
 }
 
 /** Creates the serving leases of a node; it holds none yet. */
@@ -53,7 +53,7 @@
       lease.keepUntil = world.now() + leaseRetentionUs;
       return;
     }
-    const created: Lease = { keepUntil: world.now() + leaseRetentionUs, validUntil: -Infinity, renewing: false };
+    const created: Lease = { keepUntil: world.now() + leaseRetentionUs, validUntil: -Infinity, isRenewing: false };
     leases.set(key, created);
     renewLease(key, created);
   }
@@ -70,17 +70,17 @@
   }
 
   function renewLease(key: string, lease: Lease): void {
-    if (lease.renewing || replica.state() !== 'voting') return;
-    lease.renewing = true;
-    const askedAt = world.now();
+    if (lease.isRenewing || replica.state() !== 'voting') return;
+    lease.isRenewing = true;
+    const startedAt = world.now();
     const { membershipEpoch } = replica.membership();
     function buildRequest(id: string): VoteRequest {
       return { kind: 'Check', id, from: '', key, epoch: epochAboveAll, membershipEpoch };
     }
-    rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (confirmed) => {
-      lease.renewing = false;
-      const current = confirmed.won && newestOf(confirmed.votes).version <= committed.newest(key).version;
-      if (current) lease.validUntil = askedAt + servingLeaseUs * (1 - maxClockDrift);
+    rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (round) => {
+      lease.isRenewing = false;
+      const isCurrent = round.won && newestOf(round.votes).version <= committed.newest(key).version;
+      if (isCurrent) lease.validUntil = startedAt + servingLeaseUs * (1 - maxClockDrift);
     });
   }
 
