--- a/packages/control-feed/src/configuration-follower.ts
+++ b/packages/control-feed/src/configuration-follower.ts
@@ -36,13 +36,13 @@
   readonly onAdopted: () => void;
 }
 
-/** The configuration of one router. */
+/** Keeps the configuration of one router up to date. */
 export interface ConfigurationFollower {
   /** The adopted configuration. */
   readonly current: () => Configuration | undefined;
   /** How the current configuration was adopted. */
   readonly adoption: () => Adoption | undefined;
-  /** The newest known version, adopted or candidate; 0 if there is none. */
+  /** The version of the adopted configuration, or else of the newest candidate; 0 if there is none. */
   readonly newestVersion: () => number;
   readonly handleConfiguration: (configuration: Configuration) => void;
   readonly handlePatch: (patch: MessageOf<'ConfigurationPatch'>, from: Address) => void;
--- a/packages/control-feed/src/configuration-gate.ts
+++ b/packages/control-feed/src/configuration-gate.ts
@@ -1,33 +1,36 @@
 /**
  * Decides which configuration a router adopts.
  *
- * A starting router has none. It adopts one that is at least as new as the version that a control node with a serving
- * lease has just confirmed to be current. Until then, configurations received without a lease are only candidates. If
- * no confirmation arrives for `unconfirmedTimeout` after the first candidate, the newest candidate is adopted: serving
- * with a configuration that may be old is better than not serving, and by then a router that reaches no majority is
- * out of contact by the platform's own definition.
+ * A starting router has none, and treats the configurations that it receives as candidates. A control node that holds a
+ * serving lease knows the current version, and confirms it in its heartbeats. The router adopts the first candidate
+ * that is at least as new as a confirmed version. If no confirmation arrives for `unconfirmedTimeout` after the first
+ * candidate, the newest candidate is adopted: serving with a configuration that may be old is better than not serving.
+ * The timeout is the setting `contact_ms`; a router that has reached no majority for that long counts as out of contact
+ * anyway.
  *
- * A running router keeps its configuration and adopts only newer versions, with or without a lease: every version that
- * is sent is on a majority and stays part of the history.
+ * A running router keeps its configuration and adopts only newer versions, without a confirmation: control nodes send
+ * only versions that a majority has stored, and such a version is never undone.
  */
 import { micros, type Cancel, type World } from '@tansypost/inner-protocol';
 import type { Configuration } from './configuration.js';
 
 /**
- * Why a version was adopted: it is newer than the previous one, or it is the first one and was confirmed by a node with
- * a lease, or it is the first one and no confirmation arrived in time.
+ * Why a version was adopted:
+ * - `newer`: it is newer than the version adopted before.
+ * - `confirmed`: it is the first one, and at least as new as a version that a node with a serving lease confirmed.
+ * - `unconfirmed`: it is the first one, and no confirmation arrived in time.
  */
 export type AdoptionReason = 'newer' | 'confirmed' | 'unconfirmed';
 
-/** Options of the gate. */
+/** Options of `createConfigurationGate`. */
 export interface ConfigurationGateOptions {
   /** How long to wait for a confirmation before an unconfirmed configuration is adopted, in microseconds. */
   readonly unconfirmedTimeout: number;
-  /** The router has adopted a configuration. */
+  /** Called after a configuration has been adopted. */
   readonly onAdopted: (reason: AdoptionReason) => void;
 }
 
-/** The configuration of one router. */
+/** Decides which configuration one router adopts. */
 export interface ConfigurationGate {
   /** Offers a configuration received from a control node. */
   readonly offer: (configuration: Configuration) => void;
@@ -35,8 +38,9 @@
   readonly confirmCurrent: (version: number) => void;
   /** The adopted configuration. */
   readonly current: () => Configuration | undefined;
-  /** The newest known configuration, adopted or candidate. */
+  /** The adopted configuration, or else the newest candidate. */
   readonly newest: () => Configuration | undefined;
+  /** Cancels the timeout after which an unconfirmed candidate is adopted. */
   readonly stop: () => void;
 }
 
@@ -59,9 +63,9 @@
   }
 
   function adoptIfConfirmed(): void {
-    const confirmed =
+    const isNewEnough =
       candidate !== undefined && confirmedVersion !== undefined && candidate.version >= confirmedVersion;
-    if (confirmed) adopt(candidate!, 'confirmed');
+    if (isNewEnough) adopt(candidate!, 'confirmed');
   }
 
   function addCandidate(configuration: Configuration): void {
--- a/packages/control-feed/src/configuration-history.ts
+++ b/packages/control-feed/src/configuration-history.ts
@@ -34,9 +34,9 @@
     if (packed.version <= (newest?.version ?? 0)) return false;
     newest = packed;
     patches.clear();
-    const whole = unpackConfiguration(packed.value);
-    versions.set(packed.version, whole);
-    bytes += whole.length;
+    const json = unpackConfiguration(packed.value);
+    versions.set(packed.version, json);
+    bytes += json.length;
     dropOldest();
     return true;
   }
--- a/packages/control-feed/src/feed-server.ts
+++ b/packages/control-feed/src/feed-server.ts
@@ -10,7 +10,7 @@
 import { startMembershipAnnouncer } from './membership-announcer.js';
 import type { ListedWorker } from './listed-worker.js';
 import { createWorkerListPoller } from './worker-list-poller.js';
-import { startWorkerLoadPoller, type ReportedLoad } from './worker-load-poller.js';
+import { startWorkerLoadPoller, type PolledLoad } from './worker-load-poller.js';
 import { createWorkerLoadTable, type WorkerLoad } from './worker-loads.js';
 
 /** Options of a feed server; intervals are in microseconds. */
@@ -23,7 +23,7 @@
   readonly seeds?: () => readonly Address[];
   readonly fetchWorkerList: () => Promise<readonly ListedWorker[] | undefined>;
   /** Fetches the load of one worker; without it, or with an interval of 0, no loads are polled. */
-  readonly fetchWorkerLoad?: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
+  readonly fetchWorkerLoad?: (worker: ListedWorker) => Promise<PolledLoad | undefined>;
   readonly loadPollInterval?: number;
   /** Whether control nodes also send the loads to each other, so that each has those of all workers. */
   readonly sharesLoadsBetweenNodes?: boolean;
@@ -147,9 +147,9 @@
   }
 
   /** This node's share in polling the loads of workers. */
-  function shareOfWorkers(): { rank: number; nodes: number } | undefined {
+  function shareOfWorkers(): { rank: number; nodeCount: number } | undefined {
     const node = options.controlNode();
-    return node === undefined ? undefined : { rank: node.rankAmongLive(), nodes: node.liveReplicas().length };
+    return node === undefined ? undefined : { rank: node.rankAmongLive(), nodeCount: node.liveReplicas().length };
   }
 
   function loadReceivers(): readonly Address[] {
@@ -164,15 +164,15 @@
     seeds: options.seeds ?? noSeeds,
   });
   const stops = [workerList.stop, configuration.stop, stopAnnouncing];
-  const { fetchWorkerLoad: fetchLoad, loadPollInterval: loadEvery } = options;
-  if (fetchLoad !== undefined && loadEvery !== undefined && loadEvery > 0)
+  const { fetchWorkerLoad: fetchLoad, loadPollInterval } = options;
+  if (fetchLoad !== undefined && loadPollInterval !== undefined && loadPollInterval > 0)
     stops.push(
       startWorkerLoadPoller(world, {
         fetchWorkerLoad: fetchLoad,
-        pollInterval: loadEvery,
+        pollInterval: loadPollInterval,
         workers: workerList.workers,
         share: shareOfWorkers,
-        followers: loadReceivers,
+        receivers: loadReceivers,
       }),
     );
   return {
--- a/packages/control-feed/src/index.ts
+++ b/packages/control-feed/src/index.ts
@@ -10,4 +10,4 @@
 export * from './stored-value.js';
 export * from './worker-list-view.js';
 export type { WorkerLoad } from './worker-loads.js';
-export type { ReportedLoad } from './worker-load-poller.js';
+export type { PolledLoad } from './worker-load-poller.js';
--- a/packages/control-feed/src/worker-load-poller.ts
+++ b/packages/control-feed/src/worker-load-poller.ts
@@ -3,31 +3,42 @@
 import type { ListedWorker } from './listed-worker.js';
 import type { WorkerLoad } from './worker-loads.js';
 
-/** The load that a worker reports of itself. */
-export type ReportedLoad = Omit<WorkerLoad, 'at' | 'silent'>;
+const microsPerMillisecond = 1000;
+
+/** The load in a worker's own report. */
+export type PolledLoad = Omit<WorkerLoad, 'at' | 'silent'>;
 
 /** Options of the poller. */
 export interface WorkerLoadPollerOptions {
-  readonly fetchWorkerLoad: (worker: ListedWorker) => Promise<ReportedLoad | undefined>;
-  /** In microseconds. */
+  /** Fetches the load of a worker; resolves to undefined, or rejects, if the worker gives no valid report. */
+  readonly fetchWorkerLoad: (worker: ListedWorker) => Promise<PolledLoad | undefined>;
+  /** Interval between polls, in microseconds. */
   readonly pollInterval: number;
   readonly workers: () => readonly ListedWorker[];
-  /** This node's index among the live ones, and their number; undefined while this node isn't one of them. */
-  readonly share: () => { readonly rank: number; readonly nodes: number } | undefined;
-  readonly followers: () => readonly Address[];
+  /**
+   * The index of this node among the live control nodes, and their number, which determine the workers that it polls;
+   * undefined while this node has no replica.
+   */
+  readonly share: () => { readonly rank: number; readonly nodeCount: number } | undefined;
+  /** Addresses that the loads are sent to: routers and other followers, and control nodes that share their loads. */
+  readonly receivers: () => readonly Address[];
 }
 
-type TimedLoad = Omit<WorkerLoad, 'at'> & { readonly at: number };
+/** A load, or that a worker gave none; `at` is the time at which the poll was sent. */
+type PollResult = Omit<WorkerLoad, 'at'> & { readonly at: number };
 
-/** Polls until the returned function is called. A round starts only after the answers of the last one. */
+/**
+ * Polls periodically until the returned function is called, and sends the results of a poll together when all are
+ * there. A poll is skipped while results of the previous one are outstanding.
+ */
 export function startWorkerLoadPoller(world: World, options: WorkerLoadPollerOptions): Cancel {
   let outstanding = 0;
-  let results: TimedLoad[] = [];
+  let results: PollResult[] = [];
 
   function poll(): void {
     const share = options.share();
     if (share === undefined || outstanding > 0) return;
-    const workers = options.workers().filter((_, index) => index % Math.max(1, share.nodes) === share.rank);
+    const workers = options.workers().filter((_, index) => index % Math.max(1, share.nodeCount) === share.rank);
     outstanding = workers.length;
     for (const worker of workers) pollWorker(worker);
   }
@@ -35,24 +46,27 @@
   function pollWorker(worker: ListedWorker): void {
     const at = world.now();
     options.fetchWorkerLoad(worker).then(
-      (load) => addResult(load === undefined ? noAnswer(worker.id, at) : { ...load, silent: false, at }),
-      () => addResult(noAnswer(worker.id, at)),
+      (load) => addResult(load === undefined ? silentLoad(worker.id, at) : { ...load, silent: false, at }),
+      () => addResult(silentLoad(worker.id, at)),
     );
   }
 
-  function addResult(load: TimedLoad): void {
+  function addResult(load: PollResult): void {
     results.push(load);
     outstanding -= 1;
     if (outstanding > 0) return;
-    const loads = results.map(({ at, ...rest }) => ({ ...rest, age: Math.round((world.now() - at) / 1000) }));
+    const loads = results.map(({ at, ...rest }) => ({
+      ...rest,
+      age: Math.round((world.now() - at) / microsPerMillisecond),
+    }));
     results = [];
     const message: MessageOf<'WorkerLoads'> = { kind: 'WorkerLoads', loads };
-    for (const address of options.followers()) world.send(address, message);
+    for (const address of options.receivers()) world.send(address, message);
   }
 
   return every(world, () => micros(options.pollInterval), poll);
 }
 
-function noAnswer(id: string, at: number): TimedLoad {
+function silentLoad(id: string, at: number): PollResult {
   return { id, queued: 0, active: 0, kvUsed: 0, kvTotal: 0, part: '', silent: true, at };
 }
