--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -81,7 +81,7 @@
   /** Time until the prefill worker has answered. */
   readonly prefillTime: number;
   readonly timeToFirstToken: number;
-  /** Duration of the prefill itself, without the wait in the queue. */
+  /** Estimated duration of the prefill at whichever worker does it, without the wait in the queue. */
   readonly serviceTime: number;
   readonly assignment: Assignment | undefined;
 }
--- a/packages/pass-through/src/request-handler.test.ts
+++ b/packages/pass-through/src/request-handler.test.ts
@@ -1,6 +1,6 @@
 /**
  * The request handler in virtual time, one request at a time, with workers whose behavior is scripted or generated:
- * which attempts are made at which workers, and when each one follows the failure of the previous one.
+ * which attempts are made at which workers, and when an attempt starts after the previous one failed.
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
@@ -18,6 +18,7 @@
 const body = Buffer.from('x');
 
 interface Attempt {
+  /** `read` is a prefill; so is the result `read` of one that succeeded. */
   readonly kind: 'read' | 'run';
   readonly worker: string;
   readonly remainingTime: number;
@@ -32,8 +33,10 @@
 }
 interface ClientResponse {
   readonly time: number;
+  /** `failed`: a worker's error response was forwarded; `cut`: the handler aborted a started response. */
   readonly result: 'whole' | 'failed' | 'cut' | Rejection;
   readonly status?: number;
+  /** The value of the `Seal` header, which shows whose error response was forwarded. */
   readonly seal?: string;
 }
 interface Outcome {
@@ -45,12 +48,14 @@
   readonly startedTenants: readonly string[];
 }
 
+/** Ends only when the handler aborts the attempt. */
 function neverAnswers(signal: AbortSignal): Promise<{ readonly tag: 'unknown'; readonly reason: string }> {
   return new Promise((done) => {
     signal.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
   });
 }
 
+/** The prefill workers are `reader0`, `reader1` and so on, the decode workers `runner0`, `runner1` and so on. */
 function createWorkers(prefillWorkers: number, decodeWorkers: number): FleetWorker[] {
   return [...Array(prefillWorkers + decodeWorkers).keys()].map((i) => ({
     id: i < prefillWorkers ? `reader${i}` : `runner${i - prefillWorkers}`,
@@ -131,7 +136,7 @@
     kind: Attempt['kind'],
     worker: FleetWorker,
     remainingTime: number,
-    answer: (record: Attempt) => Promise<R>,
+    behave: (record: Attempt) => Promise<R>,
   ): Promise<R> {
     const record: Attempt = {
       kind,
@@ -142,7 +147,7 @@
       result: undefined,
     };
     attempts.push(record);
-    const result = await answer(record);
+    const result = await behave(record);
     record.endedAt = world.now();
     record.result = result.tag;
     return result;
@@ -155,7 +160,7 @@
     freeKv: (_worker, handle) => void freedHandles.push(handle),
   };
   function end(result: ClientResponse['result'], more: { status?: number; seal?: string } = {}): void {
-    if (response !== undefined) throw new Error('answered twice');
+    if (response !== undefined) throw new Error('The handler ended the response twice.');
     response = { time: world.now(), result, ...more };
   }
   const writer: ResponseWriter = {
@@ -165,8 +170,8 @@
     chunk: () => undefined,
     end: () => end('whole'),
     abort: () => end('cut'),
-    respond: (h) => end('failed', { status: h.status, seal: h.headers[1]! }),
-    reject: (g) => end(g),
+    respond: (failure) => end('failed', { status: failure.status, seal: failure.headers[1]! }),
+    reject: (rejection) => end(rejection),
   };
   const handler: RequestHandler = createRequestHandler(
     world,
@@ -178,13 +183,14 @@
     },
     { workers: port, requestStarted: (tenant) => startedTenants.push(tenant) },
   );
-  at(scenario.routesAt, () => handler.updateRoutes(routeTable(scenario.route ?? {})));
-  at(scenario.workersAt, () => handler.updateWorkers(workers));
-  function at(time: number | undefined, run: () => void): void {
+  runAt(scenario.routesAt, () => handler.updateRoutes(routeTable(scenario.route ?? {})));
+  runAt(scenario.workersAt, () => handler.updateWorkers(workers));
+  /** Runs at once if `time` is undefined. */
+  function runAt(time: number | undefined, run: () => void): void {
     if (time === undefined) run();
     else world.after(time as Micros, run);
   }
-  if (scenario.rejectUnstartedAt !== undefined) at(scenario.rejectUnstartedAt, handler.rejectUnstarted);
+  if (scenario.rejectUnstartedAt !== undefined) runAt(scenario.rejectUnstartedAt, handler.rejectUnstarted);
   // All workers report their load regularly, so none of them counts as unresponsive.
   function reportLoads(): void {
     const load = { queued: 0, active: 1, kvUsed: 0.1, unresponsive: false, reportedAt: world.now() };
@@ -192,9 +198,9 @@
     world.after(second as Micros, reportLoads);
   }
   reportLoads();
-  const served = handler.serve({ ...incoming, ...scenario.request }, writer, new AbortController().signal);
+  const servePromise = handler.serve({ ...incoming, ...scenario.request }, writer, new AbortController().signal);
   await runUntil(() => response !== undefined);
-  await served;
+  await servePromise;
   return {
     attempts,
     freedHandles,
@@ -212,7 +218,7 @@
   void sink!.chunk(Buffer.from('id: 1\n\n'));
   return Promise.resolve({ tag: 'whole' });
 }
-/** Leaves the first attempt unanswered; later ones behave as given. */
+/** The first attempt gets no answer; later ones follow `behavior`. */
 function firstUnanswered<R>(
   behavior: WorkerBehavior<R>,
 ): WorkerBehavior<R | { readonly tag: 'unknown'; readonly reason: string }> {
@@ -223,17 +229,17 @@
     return neverAnswers(signal);
   };
 }
-function attemptsOf(outcome: Outcome): string {
+function describeAttempts(outcome: Outcome): string {
   return outcome.attempts.map((attempt) => `${attempt.kind} ${attempt.result}`).join(', ');
 }
 
-/** Decode workers so busy that even a short prompt is sent to a prefill worker. */
+/** The load function of a scenario whose decode workers are so busy that a prefill worker gets even a short prompt. */
 function busyDecodeWorkers(id: string): Partial<ReportedLoad> {
   return id.startsWith('runner') ? { active: 8 } : {};
 }
 
 /** The first prefill has the given result, later ones succeed. */
-function firstPrefill(result: PrefillResult): WorkerBehavior<PrefillResult> {
+function firstPrefillReturns(result: PrefillResult): WorkerBehavior<PrefillResult> {
   let isLater = false;
   return (attempt) => {
     if (isLater) return prefillSucceeds(attempt);
@@ -241,7 +247,7 @@
     return Promise.resolve(result);
   };
 }
-it('counts the wait for a starting router against the timeout of the route', async () => {
+it('counts the wait for routes against the timeout of the route', async () => {
   const timeout = second;
   const routesAt = 0.1 * second;
   const outcome = await runRequest(
@@ -253,27 +259,28 @@
   expect(outcome.response).toMatchObject({ time: timeout, result: { kind: 'budget_spent', ran: 'maybe' } });
 });
 
-it("gives each attempt only the time that remains of the client's timeout, also a late one", async () => {
+it("gives each attempt, also a late one, only the time that remains of the client's timeout", async () => {
   const timeout = 4 * second;
   const outcome = await runRequest(
     { prefill: prefillSucceeds, run: firstUnanswered(runSucceeds) },
     { request: { timeout } },
   );
   expect(outcome.response?.result).toBe('whole');
+  // The first run is abandoned after 0.4 s at the earliest (`kvRunTimeout`).
   expect(outcome.attempts.at(-1)!.startedAt).toBeGreaterThan(0.35 * second);
   for (const attempt of outcome.attempts) expect(attempt.remainingTime).toBe(timeout - attempt.startedAt);
 });
 
-it('rejects unrun requests that waited for workers or routes within a quarter of the target latency', async () => {
-  const refused = { kind: 'not_ready', ran: 'no', retryAfterSeconds: 1.2 };
+it('rejects requests after a fifth of the target latency where no workers are known, and after 150 ms where no routes are', async () => {
+  const rejection = { kind: 'not_ready', ran: 'no', retryAfterSeconds: 1.2 };
   const noWorkers = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, { workersAt: second });
-  expect(noWorkers.response).toMatchObject({ time: targetLatency / 5, result: refused });
-  const later = { route: { targetLatency: 2 * targetLatency }, routesAt: targetLatency / 8, workersAt: second };
-  const late = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, later);
-  expect(late.response).toMatchObject({ time: (2 * targetLatency) / 5, result: refused });
+  expect(noWorkers.response).toMatchObject({ time: targetLatency / 5, result: rejection });
+  const laterRoutes = { route: { targetLatency: 2 * targetLatency }, routesAt: targetLatency / 8, workersAt: second };
+  const lateRoutes = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, laterRoutes);
+  expect(lateRoutes.response).toMatchObject({ time: (2 * targetLatency) / 5, result: rejection });
   const noRoutes = await runRequest({ prefill: prefillSucceeds, run: runSucceeds }, { routesAt: second });
-  expect(noRoutes.response).toMatchObject({ time: 150_000, result: refused });
-  for (const outcome of [noWorkers, late, noRoutes]) expect(outcome.attempts).toEqual([]);
+  expect(noRoutes.response).toMatchObject({ time: 150_000, result: rejection });
+  for (const outcome of [noWorkers, lateRoutes, noRoutes]) expect(outcome.attempts).toEqual([]);
 });
 
 it('serves waiting requests as soon as routes and workers are known', async () => {
@@ -288,8 +295,8 @@
 const lostPrefill: PrefillResult = { tag: 'unknown', reason: 'reset' };
 
 it('retries a refused prefill at another prefill worker at once, and runs with its KV cache', async () => {
-  const outcome = await runRequest({ prefill: firstPrefill(refusedPrefill), run: runSucceeds });
-  expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+  const outcome = await runRequest({ prefill: firstPrefillReturns(refusedPrefill), run: runSucceeds });
+  expect([outcome.response?.result, outcome.response?.time, describeAttempts(outcome)]).toEqual([
     'whole',
     0,
     'read refused, read read, run whole',
@@ -297,20 +304,23 @@
 });
 
 it('retries a lost prefill only where that retry and the run stay within the maximum attempts', async () => {
-  for (const sends of [2, 3]) {
+  for (const maxAttempts of [2, 3]) {
     const outcome = await runRequest(
-      { prefill: firstPrefill(lostPrefill), run: runSucceeds },
-      { route: { maxAttempts: sends } },
+      { prefill: firstPrefillReturns(lostPrefill), run: runSucceeds },
+      { route: { maxAttempts } },
     );
-    expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+    expect([outcome.response?.result, outcome.response?.time, describeAttempts(outcome)]).toEqual([
       'whole',
       0,
       'read unknown, read read, run whole',
     ]);
   }
   for (const first of [lostPrefill, refusedPrefill]) {
-    const outcome = await runRequest({ prefill: firstPrefill(first), run: runSucceeds }, { route: { maxAttempts: 1 } });
-    expect([outcome.response?.result, outcome.response?.time, attemptsOf(outcome)]).toEqual([
+    const outcome = await runRequest(
+      { prefill: firstPrefillReturns(first), run: runSucceeds },
+      { route: { maxAttempts: 1 } },
+    );
+    expect([outcome.response?.result, outcome.response?.time, describeAttempts(outcome)]).toEqual([
       'whole',
       0,
       `read ${first.tag}, run whole`,
@@ -323,29 +333,32 @@
     { prefill: () => Promise.resolve(lostPrefill), run: runSucceeds },
     { route: { maxAttempts: 4 } },
   );
-  expect([lost.response?.result, attemptsOf(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
-  const none = await runRequest({
-    prefill: firstPrefill(lostPrefill),
+  expect([lost.response?.result, describeAttempts(lost)]).toEqual(['whole', 'read unknown, read unknown, run whole']);
+  const runUnanswered = await runRequest({
+    prefill: firstPrefillReturns(lostPrefill),
     run: () => Promise.resolve({ tag: 'unknown', reason: '' }),
   });
-  expect([attemptsOf(none), none.response?.result]).toEqual([
+  expect([describeAttempts(runUnanswered), runUnanswered.response?.result]).toEqual([
     'read unknown, read read, run unknown',
     expect.objectContaining({ kind: 'outcome_unknown', ran: 'maybe' }),
   ]);
 });
 
-it('sends a request without a prompt to no prefill worker, which would run it', async () => {
+it('sends a request without a prompt only to a decode worker, since a prefill worker would run it', async () => {
   const request = { promptTokens: 0, promptSegments: [] };
   const outcome = await runRequest(
     { prefill: prefillSucceeds, run: runSucceeds },
     { request, load: busyDecodeWorkers, pairCosts: { interferenceCost: 1000 } },
   );
-  expect(attemptsOf(outcome)).toBe('run whole');
+  expect(describeAttempts(outcome)).toBe('run whole');
 });
 
-it('abandons a prefill that a responsive worker does not answer, long before the deadline of the request', async () => {
+it('abandons a prefill that gets no answer from a worker which still reports its load, long before the deadline', async () => {
   const outcome = await runRequest({ prefill: firstUnanswered<PrefillResult>(prefillSucceeds), run: runSucceeds });
-  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read unknown, read read, run whole']);
+  expect([outcome.response?.result, describeAttempts(outcome)]).toEqual([
+    'whole',
+    'read unknown, read read, run whole',
+  ]);
   expect(outcome.response!.time).toBeLessThanOrEqual(targetLatency);
 });
 
@@ -359,31 +372,35 @@
     load: busyDecodeWorkers,
     route: { maxAttempts: 1, idempotent: false, resumable: false },
   });
-  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read unknown, run whole']);
+  expect([outcome.response?.result, describeAttempts(outcome)]).toEqual(['whole', 'read unknown, run whole']);
   expect(outcome.response!.time).toBeLessThanOrEqual(0.6 * targetLatency);
-  const long = await runRequest(script(), { request: { promptTokens: 40_000, promptSegments: [] } });
-  expect(long.response!.time).toBeGreaterThanOrEqual(targetLatency);
+  const longPromptOutcome = await runRequest(script(), { request: { promptTokens: 40_000, promptSegments: [] } });
+  expect(longPromptOutcome.response!.time).toBeGreaterThanOrEqual(targetLatency);
 });
 
 it('abandons an unanswered run only where the request may run at another worker', async () => {
   const outcome = await runRequest({ prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) });
-  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
+  expect([outcome.response?.result, describeAttempts(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
   expect(outcome.response!.time).toBeLessThan(targetLatency);
-  const once = await runRequest(
+  const notResumable = await runRequest(
     { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
     { route: { resumable: false } },
   );
-  expect([attemptsOf(once), once.response?.time]).toEqual(['read read, run unknown', routeTimeout]);
-  expect(once.response?.result).toMatchObject({ kind: 'budget_spent', ran: 'maybe' });
+  expect([describeAttempts(notResumable), notResumable.response?.time]).toEqual([
+    'read read, run unknown',
+    routeTimeout,
+  ]);
+  expect(notResumable.response?.result).toMatchObject({ kind: 'budget_spent', ran: 'maybe' });
 });
 
 it('abandons no worker where the retry budget is exhausted or no other worker exists', async () => {
+  // Without slack, the retry budget of a router that has just started allows a single request no retry.
   for (const scenario of [{ retrySlack: 0 }, { decodeWorkers: 1 }]) {
     const outcome = await runRequest(
       { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
       scenario,
     );
-    expect([attemptsOf(outcome), outcome.response?.time]).toEqual(['read read, run unknown', routeTimeout]);
+    expect([describeAttempts(outcome), outcome.response?.time]).toEqual(['read read, run unknown', routeTimeout]);
   }
 });
 
@@ -396,15 +413,15 @@
 function firstStallsMidStream(): WorkerBehavior<RunResult> {
   let first = true;
   return (attempt, signal, sink) => {
-    const answer = first ? stallsMidStream : runSucceeds;
+    const behavior = first ? stallsMidStream : runSucceeds;
     first = false;
-    return answer(attempt, signal, sink);
+    return behavior(attempt, signal, sink);
   };
 }
 
 it('abandons a stalled stream where another worker is available to resume it', async () => {
   const outcome = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() });
-  expect([outcome.response?.result, attemptsOf(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
+  expect([outcome.response?.result, describeAttempts(outcome)]).toEqual(['whole', 'read read, run unknown, run whole']);
   expect(outcome.response!.time).toBeLessThan(1.1 * second);
 });
 
@@ -419,16 +436,16 @@
 function unreachable(): Promise<RunResult> {
   return Promise.resolve({ tag: 'unsent', reason: 'refused' });
 }
-/** Runs behave as given, one after the other. */
+/** The n-th run follows the n-th behavior. */
 function sequence(...behaviors: readonly WorkerBehavior<RunResult>[]): WorkerBehavior<RunResult> {
-  let turn = 0;
-  return (attempt, signal, sink) => behaviors[turn++]!(attempt, signal, sink);
+  let runCount = 0;
+  return (attempt, signal, sink) => behaviors[runCount++]!(attempt, signal, sink);
 }
 function decodeWorkersOf(outcome: Outcome): string[] {
   return outcome.attempts.filter((attempt) => attempt.kind === 'run').map((attempt) => attempt.worker);
 }
 
-it('retries a worker whose connection broke once, as it has the prompt cached, and then another', async () => {
+it('retries once at the worker whose connection broke, as it has the prompt in its KV cache, and then at another', async () => {
   for (const broken of [breaksMidStream, breaksBeforeResponse]) {
     const outcome = await runRequest(
       { prefill: prefillSucceeds, run: sequence(broken, broken, runSucceeds) },
@@ -440,42 +457,42 @@
   }
 });
 
-it('reports the start of a request of a tenant once for all its runs, and never without a run', async () => {
+it("reports the start of a tenant's request once, however many runs it takes, and never without a run", async () => {
   const request = { tenant: 'acme' };
   const twice = await runRequest(
     { prefill: prefillSucceeds, run: sequence(breaksMidStream, breaksMidStream, runSucceeds) },
     { request, route: { maxAttempts: 3 } },
   );
   expect([twice.response?.result, decodeWorkersOf(twice).length, twice.startedTenants]).toEqual(['whole', 3, ['acme']]);
-  const late = await runRequest(
+  const brokenBeforeResponse = await runRequest(
     { prefill: prefillSucceeds, run: sequence(breaksBeforeResponse, runSucceeds) },
     { request },
   );
-  expect([late.response?.result, late.startedTenants]).toEqual(['whole', ['acme']]);
-  const none = await runRequest({ prefill: prefillSucceeds, run: () => unreachable() }, { request });
-  expect(none.startedTenants).toEqual([]);
-  const nobody = await runRequest({ prefill: prefillSucceeds, run: runSucceeds });
-  expect([nobody.response?.result, nobody.startedTenants]).toEqual(['whole', []]);
+  expect([brokenBeforeResponse.response?.result, brokenBeforeResponse.startedTenants]).toEqual(['whole', ['acme']]);
+  const neverRan = await runRequest({ prefill: prefillSucceeds, run: () => unreachable() }, { request });
+  expect(neverRan.startedTenants).toEqual([]);
+  const withoutTenant = await runRequest({ prefill: prefillSucceeds, run: runSucceeds });
+  expect([withoutTenant.response?.result, withoutTenant.startedTenants]).toEqual(['whole', []]);
 });
 
-it('goes to another worker where the one whose connection broke is unreachable or was abandoned', async () => {
+it('runs at another worker where the one whose connection broke is unreachable, or where a stalled one was abandoned', async () => {
   const broken = await runRequest({
     prefill: prefillSucceeds,
     run: sequence(breaksMidStream, unreachable, runSucceeds),
   });
   expect([broken.response?.result, broken.response?.time]).toEqual(['whole', 0]);
   expect(new Set(decodeWorkersOf(broken)).size).toBe(2);
-  const left = await runRequest({ prefill: prefillSucceeds, run: sequence(stallsMidStream, runSucceeds) });
-  expect([left.response?.result, new Set(decodeWorkersOf(left)).size]).toEqual(['whole', 2]);
+  const abandoned = await runRequest({ prefill: prefillSucceeds, run: sequence(stallsMidStream, runSucceeds) });
+  expect([abandoned.response?.result, new Set(decodeWorkersOf(abandoned)).size]).toEqual(['whole', 2]);
 });
 
 it('waits for a stalled stream until the deadline where no other worker is available', async () => {
   const others = /^runner[12]$/;
   const full = { load: (id: string) => (others.test(id) ? { queued: 9 } : {}) };
-  const silent = { load: (id: string) => (others.test(id) ? { unresponsive: true } : {}) };
-  for (const scenario of [{ decodeWorkers: 1 }, { retrySlack: 0 }, { route: { maxAttempts: 1 } }, full, silent]) {
+  const unresponsive = { load: (id: string) => (others.test(id) ? { unresponsive: true } : {}) };
+  for (const scenario of [{ decodeWorkers: 1 }, { retrySlack: 0 }, { route: { maxAttempts: 1 } }, full, unresponsive]) {
     const outcome = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() }, scenario);
-    expect([attemptsOf(outcome), outcome.response?.result, outcome.response?.time]).toEqual([
+    expect([describeAttempts(outcome), outcome.response?.result, outcome.response?.time]).toEqual([
       'read read, run unknown',
       'cut',
       routeTimeout,
@@ -486,7 +503,7 @@
 it('waits for a started response of a request that is idempotent but not resumable', async () => {
   const route = { idempotent: true, resumable: false };
   const started = await runRequest({ prefill: prefillSucceeds, run: firstStallsMidStream() }, { route });
-  expect([attemptsOf(started), started.response?.result, started.response?.time]).toEqual([
+  expect([describeAttempts(started), started.response?.result, started.response?.time]).toEqual([
     'read read, run unknown',
     'cut',
     routeTimeout,
@@ -495,7 +512,10 @@
     { prefill: prefillSucceeds, run: firstUnanswered<RunResult>(runSucceeds) },
     { route },
   );
-  expect([attemptsOf(unstarted), unstarted.response?.result]).toEqual(['read read, run unknown, run whole', 'whole']);
+  expect([describeAttempts(unstarted), unstarted.response?.result]).toEqual([
+    'read read, run unknown, run whole',
+    'whole',
+  ]);
 });
 
 it('rejects at the deadline during a prefill, guarantees that nothing ran, and starts no run', async () => {
@@ -510,7 +530,7 @@
   });
 });
 
-it('frees the KV cache of a request that no worker is left to run', async () => {
+it('frees the KV cache where no worker can be reached to run the request', async () => {
   const outcome = await runRequest({
     prefill: prefillSucceeds,
     run: () => Promise.resolve({ tag: 'unsent', reason: '' }),
@@ -521,27 +541,35 @@
 
 const behaviors = fc.record({
   tag: fc.constantFrom('good', 'unsent', 'refused', 'misdirected', 'failed', 'unknown', 'broken', 'never'),
-  delay: fc.integer({ min: 0, max: 2 * second }),
+  /** An attempt with a value above 1.9 s, about one in twenty, is not answered, as with the tag `never`. */
+  unansweredDraw: fc.integer({ min: 0, max: 2 * second }),
 });
 
-it('makes attempts without delay, runs non-resumable requests once, and respects the maximum attempts', async () => {
-  const ends = new Map<string, number>();
+it('starts each attempt as soon as the previous one failed, runs non-resumable requests once, and respects the maximum attempts', async () => {
+  const countsByResult = new Map<string, number>();
   await fc.assert(
     fc.asyncProperty(
       fc.array(behaviors, { minLength: 8, maxLength: 8 }),
       fc.record({ resumable: fc.boolean(), maxAttempts: fc.integer({ min: 1, max: 4 }) }),
       fc.constantFrom(0, 50),
       async (drawn, route, retrySlack) => {
-        let turn = 0;
+        let attemptCount = 0;
         const statuses = new Map<string, number>();
-        function behaving(good: WorkerBehavior<PrefillResult | RunResult>): WorkerBehavior<PrefillResult | RunResult> {
+        function drawnBehavior(
+          success: WorkerBehavior<PrefillResult | RunResult>,
+        ): WorkerBehavior<PrefillResult | RunResult> {
           return async (attempt, signal, sink) => {
-            const { tag, delay } = drawn[(turn += 1) % drawn.length]!;
-            // Workers answer at once unless they are silent, so any other time that passes is an idle delay.
-            if (tag === 'never' || delay > 1.9 * second) return neverAnswers(signal);
-            const failure = { status: 500 + turn, headers: ['Seal', `seal of ${attempt.worker} ${500 + turn}`], body };
+            const { tag, unansweredDraw } = drawn[(attemptCount += 1) % drawn.length]!;
+            // Workers answer at once or never, so any gap between the end of an attempt and the next is a delay by the
+            // handler.
+            if (tag === 'never' || unansweredDraw > 1.9 * second) return neverAnswers(signal);
+            const failure = {
+              status: 500 + attemptCount,
+              headers: ['Seal', `seal of ${attempt.worker} ${500 + attemptCount}`],
+              body,
+            };
             statuses.set(failure.headers[1]!, failure.status);
-            if (tag === 'good') return good(attempt, signal, sink);
+            if (tag === 'good') return success(attempt, signal, sink);
             if (tag === 'unsent') return { tag, reason: '' };
             if (tag === 'refused' || tag === 'misdirected')
               return { tag: 'refused', reason: '', misdirected: tag === 'misdirected', response: failure };
@@ -555,14 +583,14 @@
         }
         const outcome = await runRequest(
           {
-            prefill: behaving(prefillSucceeds as WorkerBehavior<PrefillResult>) as WorkerBehavior<PrefillResult>,
-            run: behaving(runSucceeds as WorkerBehavior<RunResult>) as WorkerBehavior<RunResult>,
+            prefill: drawnBehavior(prefillSucceeds as WorkerBehavior<PrefillResult>) as WorkerBehavior<PrefillResult>,
+            run: drawnBehavior(runSucceeds as WorkerBehavior<RunResult>) as WorkerBehavior<RunResult>,
           },
           { route, retrySlack },
         );
         const result = outcome.response!.result;
         const name = typeof result === 'string' ? result : `${result.kind} ${result.ran}`;
-        ends.set(name, (ends.get(name) ?? 0) + 1);
+        countsByResult.set(name, (countsByResult.get(name) ?? 0) + 1);
 
         outcome.attempts.forEach((attempt, i) =>
           expect((outcome.attempts[i + 1]?.startedAt ?? outcome.response!.time) - attempt.endedAt!).toBe(0),
@@ -583,31 +611,32 @@
     ),
     { seed: 517, numRuns: 1000 },
   );
-  for (const end of ['whole', 'failed', 'cut', 'outcome_unknown maybe', 'workers_refused no', 'no_workers no'])
-    expect([end, (ends.get(end) ?? 0) > 3]).toEqual([end, true]);
+  for (const name of ['whole', 'failed', 'cut', 'outcome_unknown maybe', 'workers_refused no', 'no_workers no'])
+    expect([name, (countsByResult.get(name) ?? 0) > 3]).toEqual([name, true]);
 });
 
-it('rejects unstarted requests at shutdown, and guarantees that nothing ran only where that holds', async () => {
+it('rejects unstarted requests at shutdown, and states that nothing ran only where no run was started', async () => {
   const rejectAt = 0.3 * second;
-  const unread = await runRequest(
+  const duringPrefill = await runRequest(
     { prefill: (_attempt, signal) => neverAnswers(signal), run: runSucceeds },
     { rejectUnstartedAt: rejectAt, route: { maxAttempts: 1 } },
   );
-  expect(unread.response).toMatchObject({
+  expect(duringPrefill.response).toMatchObject({
     time: rejectAt,
     result: { kind: 'budget_spent', ran: 'no', retryAfterSeconds: 0.3 },
   });
-  const running = await runRequest(
+  const duringRun = await runRequest(
     { prefill: prefillSucceeds, run: (_attempt, signal) => neverAnswers(signal) },
     { rejectUnstartedAt: rejectAt, route: { maxAttempts: 1 } },
   );
-  expect(running.response).toMatchObject({ time: rejectAt, result: { kind: 'budget_spent', ran: 'maybe' } });
-  expect(running.attempts.map((attempt) => attempt.kind)).toEqual(['read', 'run']);
+  expect(duringRun.response).toMatchObject({ time: rejectAt, result: { kind: 'budget_spent', ran: 'maybe' } });
+  expect(duringRun.attempts.map((attempt) => attempt.kind)).toEqual(['read', 'run']);
 });
 
 it('lets started responses complete at shutdown', async () => {
   let finish: (() => void) | undefined;
-  function waitsForLoadReport(
+  /** Ends when the load function of the scenario is called again, at 1 s. */
+  function endsAtNextLoadReport(
     _attempt: Attempt,
     signal: AbortSignal,
     sink: ResponseSink | undefined,
@@ -618,11 +647,11 @@
       signal.addEventListener('abort', () => done({ tag: 'unknown', reason: 'left' }), { once: true });
     });
   }
-  const playing = runRequest(
-    { prefill: prefillSucceeds, run: waitsForLoadReport },
+  const outcomePromise = runRequest(
+    { prefill: prefillSucceeds, run: endsAtNextLoadReport },
     { rejectUnstartedAt: 0.3 * second, load: () => (finish?.(), {}) },
   );
-  expect((await playing).response).toMatchObject({ result: 'whole', time: second });
+  expect((await outcomePromise).response).toMatchObject({ result: 'whole', time: second });
 });
 
 const retryBudget = { ratio: 1, slack: 50, window: 10 * second, routerCount: () => 1 };
@@ -639,7 +668,7 @@
 };
 
 it('aborts the attempt at once when the client disconnects, and makes no other', async () => {
-  const leftAt = 0.3 * second;
+  const disconnectedAt = 0.3 * second;
   const clock = createVirtualClock();
   const aborted: number[] = [];
   let attempts = 0;
@@ -662,11 +691,11 @@
   handler.updateRoutes(routeTable({ idempotent: true, maxAttempts: 3 }));
   handler.updateWorkers(createWorkers(3, 3));
   const client = new AbortController();
-  const served = handler.serve(incoming, ignoredResponse, client.signal);
-  clock.world.after(leftAt as Micros, () => client.abort());
+  const servePromise = handler.serve(incoming, ignoredResponse, client.signal);
+  clock.world.after(disconnectedAt as Micros, () => client.abort());
   await clock.runTo(4 * second);
-  await served;
-  expect([attempts, aborted]).toEqual([1, [leftAt]]);
+  await servePromise;
+  expect([attempts, aborted]).toEqual([1, [disconnectedAt]]);
 });
 
 it('distributes the requests of a route over its services by weight', async () => {
--- a/packages/pass-through/src/run-attempt.ts
+++ b/packages/pass-through/src/run-attempt.ts
@@ -57,13 +57,13 @@
   const abort = createAttemptAbort(world, inFlight);
   const startedAt = world.now();
   const initialState = { chunkReceived: false, lastHeardAt: startedAt, ended: false, overdue: false };
-  const { serviceTime } = pair;
+  const { serviceTime: prefillServiceTime } = pair;
   const attempt: RunAttempt = {
     inFlight,
     worker,
     kvSource,
     timing,
-    serviceTime,
+    prefillServiceTime,
     startedAt,
     abort,
     tracker,
@@ -100,13 +100,13 @@
   inFlight.response.head(head);
 }
 
-function recordTimeToFirstChunk({ inFlight, kvSource, serviceTime }: RunAttempt, took: number): void {
+function recordTimeToFirstChunk({ inFlight, kvSource, prefillServiceTime }: RunAttempt, took: number): void {
   const { parts } = inFlight.timeline;
   if (kvSource !== undefined) {
     parts.move += took;
     return;
   }
-  const { queue, prefill } = splitPrefillTime(took, serviceTime);
+  const { queue, prefill } = splitPrefillTime(took, prefillServiceTime);
   parts.decodeQueue += queue;
   parts.decodePrefill += prefill;
 }
