--- a/packages/control-feed/src/configuration-publisher.ts
+++ b/packages/control-feed/src/configuration-publisher.ts
@@ -106,10 +106,10 @@
     const { key, version } = request;
     const node = options.controlNode();
     if (node === undefined || node.replica.row(key).version === 0) return;
-    const known = otherKeys.get(key);
+    const knownUpdate = otherKeys.get(key);
     const newest = refresh(key)?.version ?? 0;
-    if (newest > (known?.version ?? 0)) addWaitingFollower(key, from);
-    else if (known !== undefined && known.version > version) sendUpdates(from, [known]);
+    if (newest > (knownUpdate?.version ?? 0)) addWaitingFollower(key, from);
+    else if (knownUpdate !== undefined && knownUpdate.version > version) sendUpdates(from, [knownUpdate]);
   }
 
   function addWaitingFollower(key: string, follower: Address): void {
--- a/packages/control-feed/src/control-node-table.ts
+++ b/packages/control-feed/src/control-node-table.ts
@@ -70,9 +70,9 @@
   let source: Address | undefined;
 
   function state(address: Address): ControlNodeState {
-    let known = nodes.get(address);
-    if (known === undefined) {
-      known = {
+    let node = nodes.get(address);
+    if (node === undefined) {
+      node = {
         address,
         lastHeartbeatAt: -Infinity,
         voting: false,
@@ -83,9 +83,9 @@
         followerCount: 0,
         list: 0,
       };
-      nodes.set(address, known);
+      nodes.set(address, node);
     }
-    return known;
+    return node;
   }
 
   function recordHeartbeat(heartbeat: MessageOf<'Beat'>, from: Address, fresh: boolean): void {
--- a/packages/control-feed/src/follower-registry.ts
+++ b/packages/control-feed/src/follower-registry.ts
@@ -45,10 +45,10 @@
   function addresses(): Address[] {
     if (world.now() - lastCheckAt < checkIntervalUs) return current;
     lastCheckAt = world.now();
-    const found = [...lastFollowAt.keys()].filter((address) => timeSinceFollow(address) <= followTimeoutUs);
-    if (found.length !== current.length || found.some((address, index) => address !== current[index]))
+    const active = [...lastFollowAt.keys()].filter((address) => timeSinceFollow(address) <= followTimeoutUs);
+    if (active.length !== current.length || active.some((address, index) => address !== current[index]))
       peersByAddress.clear();
-    current = found;
+    current = active;
     return current;
   }
 
--- a/packages/control-feed/src/worker-list-poller.ts
+++ b/packages/control-feed/src/worker-list-poller.ts
@@ -80,15 +80,15 @@
   }
 
   function difference(previous: readonly ListedWorker[], base: number): WorkerList {
-    const known = new Map(previous.map((worker) => [worker.id, worker]));
-    const present = new Set(list.map((worker) => worker.id));
+    const previousById = new Map(previous.map((worker) => [worker.id, worker]));
+    const currentIds = new Set(list.map((worker) => worker.id));
     return {
       kind: 'WorkerList',
       base,
       digest,
       age: ageMs(),
-      workers: list.filter((worker) => !isSameListing(known.get(worker.id), worker)),
-      gone: [...known.keys()].filter((id) => !present.has(id)),
+      workers: list.filter((worker) => !isSameListing(previousById.get(worker.id), worker)),
+      gone: [...previousById.keys()].filter((id) => !currentIds.has(id)),
     };
   }
 
--- a/packages/control-feed/src/worker-list-view.ts
+++ b/packages/control-feed/src/worker-list-view.ts
@@ -52,8 +52,8 @@
     if (newest === undefined) return false;
     const at = newest.at;
     for (const [source, snapshot] of snapshots) if (at - snapshot.at > retentionUs) snapshots.delete(source);
-    const present = new Set(newest.workers.map((worker) => worker.id));
-    for (const worker of list) if (!present.has(worker.id)) vanishedAt.set(worker.id, at);
+    const newestIds = new Set(newest.workers.map((worker) => worker.id));
+    for (const worker of list) if (!newestIds.has(worker.id)) vanishedAt.set(worker.id, at);
     for (const times of [leavingAt, vanishedAt])
       for (const [id, time] of times) if (at - time > retentionUs) times.delete(id);
     const next = newest.workers
@@ -83,15 +83,15 @@
 
   return {
     addSnapshot: (source, snapshot) => {
-      const known = snapshots.get(source);
-      if (known !== undefined && known.at > snapshot.at) return false;
+      const previous = snapshots.get(source);
+      if (previous !== undefined && previous.at > snapshot.at) return false;
       snapshots.set(source, snapshot);
       return merge();
     },
     confirmSnapshot: (source, at) => {
-      const known = snapshots.get(source);
-      if (known === undefined || known.at >= at) return false;
-      snapshots.set(source, { at, workers: known.workers });
+      const snapshot = snapshots.get(source);
+      if (snapshot === undefined || snapshot.at >= at) return false;
+      snapshots.set(source, { at, workers: snapshot.workers });
       return merge();
     },
     snapshotOf: (source) => snapshots.get(source),
--- a/packages/control-state/src/catch-up.ts
+++ b/packages/control-state/src/catch-up.ts
@@ -77,12 +77,10 @@
 
   function progressOf(entry: ReplicaEntry): Progress {
     const { membershipEpoch } = options.membership();
-    const present = progress.get(entry.slot);
-    if (present === undefined || present.disk !== entry.disk)
+    const stored = progress.get(entry.slot);
+    if (stored === undefined || stored.disk !== entry.disk)
       return { disk: entry.disk, source: '', after: 0, membershipEpoch, completeAt: -Infinity };
-    return present.membershipEpoch === membershipEpoch
-      ? present
-      : { ...present, membershipEpoch, completeAt: -Infinity };
+    return stored.membershipEpoch === membershipEpoch ? stored : { ...stored, membershipEpoch, completeAt: -Infinity };
   }
 
   function tick(): void {
@@ -146,13 +144,13 @@
   function storeRow(record: CopiedRow, done: (ok: boolean) => void): void {
     const { key, promised, epoch, version, value, changes } = record;
     const copied: Row = { promised, epoch, version, value };
-    const present = storage.row(key);
-    if (options.state() === 'blank') return options.putRow(key, mergeRows(present, copied), changes, done);
+    const storedRow = storage.row(key);
+    if (options.state() === 'blank') return options.putRow(key, mergeRows(storedRow, copied), changes, done);
     // A voting replica takes a copied row under the same rule as a leader's Accept: never below its current promise.
-    const replaces = isNewer(copied, present) && epoch >= present.promised;
+    const replaces = isNewer(copied, storedRow) && epoch >= storedRow.promised;
     const missed = changes.filter((change) => (storage.history(key).at(change.version)?.epoch ?? -1) < change.epoch);
     if (!replaces && missed.length === 0) return done(true);
-    options.putRow(key, replaces ? { ...copied, promised: epoch } : present, missed, done);
+    options.putRow(key, replaces ? { ...copied, promised: epoch } : storedRow, missed, done);
   }
 
   function recordProgress(entry: ReplicaEntry, received: CopyPage, askedAt: number): void {
@@ -174,8 +172,8 @@
 
   function countComplete(since: number): number {
     return sources().filter((entry) => {
-      const { completeAt: wholeAt } = progressOf(entry);
-      return wholeAt > since;
+      const { completeAt } = progressOf(entry);
+      return completeAt > since;
     }).length;
   }
 
--- a/packages/control-state/src/change-history.ts
+++ b/packages/control-state/src/change-history.ts
@@ -46,10 +46,10 @@
   let newest = 0;
 
   function add(change: AppliedChange): boolean {
-    const present = byVersion.get(change.version);
-    if (change.version <= newest - maxVersions || (present !== undefined && present.epoch >= change.epoch))
+    const existing = byVersion.get(change.version);
+    if (change.version <= newest - maxVersions || (existing !== undefined && existing.epoch >= change.epoch))
       return false;
-    if (present !== undefined) remove(present);
+    if (existing !== undefined) remove(existing);
     byVersion.set(change.version, change);
     versionById.set(change.id, Math.max(versionById.get(change.id) ?? 0, change.version));
     oldest = Math.min(oldest, change.version);
--- a/packages/control-state/src/committed-rows.ts
+++ b/packages/control-state/src/committed-rows.ts
@@ -25,8 +25,8 @@
   }
 
   function onAnnounced(key: string, stamp: RowVersion): void {
-    const known = announcements.get(key);
-    if (known === undefined || isNewer(stamp, known)) announcements.set(key, stamp);
+    const announced = announcements.get(key);
+    if (announced === undefined || isNewer(stamp, announced)) announcements.set(key, stamp);
   }
 
   function newest(key: string): Row {
--- a/packages/control-state/src/control-node.ts
+++ b/packages/control-state/src/control-node.ts
@@ -130,12 +130,12 @@
   }
 
   function leaderOf(key: string): KeyLeader {
-    let present = leaders.get(key);
-    if (present === undefined) {
-      present = createKeyLeader(world, { key, replica, rounds, onCommitted: (row) => onCommitted(key, row) });
-      leaders.set(key, present);
+    let leader = leaders.get(key);
+    if (leader === undefined) {
+      leader = createKeyLeader(world, { key, replica, rounds, onCommitted: (row) => onCommitted(key, row) });
+      leaders.set(key, leader);
     }
-    return present;
+    return leader;
   }
 
   function onCommitted(key: string, row: Row): void {
--- a/packages/control-state/src/discovery-bootstrap.ts
+++ b/packages/control-state/src/discovery-bootstrap.ts
@@ -76,21 +76,21 @@
   }
 
   function allCandidates(): BootstrapCandidate[] {
-    const all = new Map(knownCandidates).set(candidateId(self()), self());
-    return [...all.values()].sort(byCandidateId);
+    const candidatesById = new Map(knownCandidates).set(candidateId(self()), self());
+    return [...candidatesById.values()].sort(byCandidateId);
   }
 
   function otherCandidates(): BootstrapCandidate[] {
-    const own = candidateId(self());
-    return allCandidates().filter((candidate) => candidateId(candidate) !== own);
+    const ownId = candidateId(self());
+    return allCandidates().filter((candidate) => candidateId(candidate) !== ownId);
   }
 
   function receiveRoster(message: FoundingRoster): void {
     if (!seeds.includes(message.from as Address)) return;
     statelessSeeds.add(message.from);
     addCandidates(message.candidates);
-    const own = candidateId(self());
-    const isListed = message.candidates.some((candidate) => candidateId(candidate) === own);
+    const ownId = candidateId(self());
+    const isListed = message.candidates.some((candidate) => candidateId(candidate) === ownId);
     if (message.firstStart && isListed) listingSeeds.add(message.from);
   }
 
@@ -102,11 +102,11 @@
   }
 
   function chooseMembers(): ReplicaEntry[] {
-    const all = allCandidates();
-    const count = Math.min(all.length, options.maxMembers);
+    const candidates = allCandidates();
+    const count = Math.min(candidates.length, options.maxMembers);
     // An even number of replicas tolerates no more failures than one replica less.
     const memberCount = count % 2 === 0 && count > options.minMembers ? count - 1 : count;
-    return all.slice(0, memberCount).map(({ address, disk }, slot) => ({ slot, address, disk }));
+    return candidates.slice(0, memberCount).map(({ address, disk }, slot) => ({ slot, address, disk }));
   }
 
   function members(): readonly ReplicaEntry[] | undefined {
@@ -127,11 +127,13 @@
     const needed = majorityOf(seeds.length);
     if (listingSeeds.size < needed)
       return { why: 'too few seeds have run since the first start', remembering: listingSeeds.size, needed };
-    const all = allCandidates();
-    if (all.length < options.minMembers)
-      return { why: 'too few machines with a disk', known: all.length, needed: options.minMembers };
-    const own = viewKeyOf(all);
-    const differing = otherCandidates().filter((candidate) => viewKeyByCandidate.get(candidateId(candidate)) !== own);
+    const candidates = allCandidates();
+    if (candidates.length < options.minMembers)
+      return { why: 'too few machines with a disk', known: candidates.length, needed: options.minMembers };
+    const ownViewKey = viewKeyOf(candidates);
+    const differing = otherCandidates().filter(
+      (candidate) => viewKeyByCandidate.get(candidateId(candidate)) !== ownViewKey,
+    );
     if (differing.length > 0)
       return {
         why: 'candidates not heard or with a different view',
--- a/packages/control-state/src/followers.ts
+++ b/packages/control-state/src/followers.ts
@@ -87,14 +87,15 @@
     if (replica.state() !== 'voting') return;
     followers.set(from, world.now() + followerTimeoutUs);
     const updates: KeyUpdate[] = [];
-    for (const held of request.have) {
-      const leader = node.leaderOf(held.key);
-      if (!leader.isLeading() && options.shouldLead(held.key)) leader.acquire();
+    for (const subscribed of request.have) {
+      const leader = node.leaderOf(subscribed.key);
+      if (!leader.isLeading() && options.shouldLead(subscribed.key)) leader.acquire();
       if (!leader.isLeading()) continue;
-      if (leader.row().version > held.version) updates.push(updateOf(held.key, leader.row()));
-      if (isLeasedToRouters(held.key) && request.tenures.length > 0) options.routerLeases.grant(held.key, request);
+      if (leader.row().version > subscribed.version) updates.push(updateOf(subscribed.key, leader.row()));
+      if (isLeasedToRouters(subscribed.key) && request.tenures.length > 0)
+        options.routerLeases.grant(subscribed.key, request);
     }
-    updates.push(...updatesOfOtherKeys(new Set(request.have.map((held) => held.key))));
+    updates.push(...updatesOfOtherKeys(new Set(request.have.map((subscribed) => subscribed.key))));
     sendUpdates(from, updates);
   }
 
--- a/packages/control-state/src/graceful-leave.ts
+++ b/packages/control-state/src/graceful-leave.ts
@@ -71,8 +71,8 @@
   }
 
   function isCurrent(key: string): boolean {
-    const known = copied.get(key);
-    return known !== undefined && !isNewer(replica.row(key), known);
+    const copiedRow = copied.get(key);
+    return copiedRow !== undefined && !isNewer(replica.row(key), copiedRow);
   }
 
   function copyRows(): void {
--- a/packages/control-state/src/key-leader.ts
+++ b/packages/control-state/src/key-leader.ts
@@ -122,14 +122,14 @@
     const promises = prepared.votes.filter((vote) => vote.ok);
     const newest = promises.reduce<Row>((found, vote) => mergeRows(found, vote), emptyRow);
     const acquired: Row = { ...newest, promised: epoch, epoch };
-    const known = historyOf(promises, newest.version);
-    if (newest.version === 0) return becomeLeader(acquired, known);
-    const lastChange = known.at(newest.version);
+    const knownChanges = historyOf(promises, newest.version);
+    if (newest.version === 0) return becomeLeader(acquired, knownChanges);
+    const lastChange = knownChanges.at(newest.version);
     const changes = lastChange === undefined ? [] : [{ ...lastChange, epoch }];
-    for (const change of changes) known.add(change);
+    for (const change of changes) knownChanges.add(change);
     rounds.start({ buildRequest: (id) => buildAccept(id, acquired, changes, membershipEpoch) }, (accepted) => {
       recordPromisedEpochs(accepted.votes);
-      if (accepted.won) becomeLeader(acquired, known);
+      if (accepted.won) becomeLeader(acquired, knownChanges);
       else onAcquireFailed();
     });
   }
--- a/packages/control-state/src/membership-changes.ts
+++ b/packages/control-state/src/membership-changes.ts
@@ -86,9 +86,11 @@
   }
 
   function recordCandidate(request: MessageOf<'Join'>): number {
-    const known = candidates.get(request.from);
+    const previous = candidates.get(request.from);
     const askingSince =
-      known === undefined || world.now() - known.lastAskedAt > candidateResetUs ? world.now() : known.askingSince;
+      previous === undefined || world.now() - previous.lastAskedAt > candidateResetUs
+        ? world.now()
+        : previous.askingSince;
     candidates.set(request.from, { askingSince, lastAskedAt: world.now(), isFirstStart: request.first });
     return askingSince;
   }
@@ -99,8 +101,8 @@
    */
   function replaceableEntryFor(address: string): ReplicaEntry | undefined {
     const { replicas } = replica.membership();
-    const own = replicas.find((entry) => entry.address === address);
-    if (own !== undefined) return own;
+    const entryAtAddress = replicas.find((entry) => entry.address === address);
+    if (entryAtAddress !== undefined) return entryAtAddress;
     return replicas.find(({ slot }) => slot !== replica.slot && (peers.isLeaving(slot) || peers.isMissing(slot)));
   }
 
--- a/packages/control-state/src/membership-record.ts
+++ b/packages/control-state/src/membership-record.ts
@@ -90,9 +90,9 @@
 
 /** The members with one more replica on the lowest free slot. */
 export function withAdded(record: MembershipRecord, address: string, disk: string): ReplicaEntry[] {
-  const taken = new Set(record.replicas.map((replica) => replica.slot));
+  const takenSlots = new Set(record.replicas.map((replica) => replica.slot));
   let slot = 0;
-  while (taken.has(slot)) slot += 1;
+  while (takenSlots.has(slot)) slot += 1;
   return [...record.replicas, { slot, address, disk }];
 }
 
--- a/packages/control-state/src/peer-liveness.ts
+++ b/packages/control-state/src/peer-liveness.ts
@@ -69,7 +69,7 @@
   let listeningSince = world.now();
 
   function receiveHello(hello: MessageOf<'ReplicaHello'>): void {
-    const known = peers.get(hello.slot);
+    const previous = peers.get(hello.slot);
     const { membershipEpoch } = replica.membership();
     const isBehind = hello.membershipEpoch < membershipEpoch;
     peers.set(hello.slot, {
@@ -78,16 +78,16 @@
       healthy: !hello.ill && !hello.leaving,
       leaving: hello.leaving,
       membershipEpoch: hello.membershipEpoch,
-      behindSince: isBehind ? Math.min(known?.behindSince ?? Infinity, world.now()) : Infinity,
+      behindSince: isBehind ? Math.min(previous?.behindSince ?? Infinity, world.now()) : Infinity,
     });
-    if (known !== undefined && world.now() - known.heardAt > reconnectAfterUs) options.onReconnected();
+    if (previous !== undefined && world.now() - previous.heardAt > reconnectAfterUs) options.onReconnected();
   }
 
   function noteNewDisks(): void {
     for (const { slot, disk } of replica.membership().replicas) {
-      const present = diskBySlot.get(slot);
+      const previousDisk = diskBySlot.get(slot);
       diskBySlot.set(slot, disk);
-      if (present !== undefined && present !== disk) peers.set(slot, unheardPeer(world.now()));
+      if (previousDisk !== undefined && previousDisk !== disk) peers.set(slot, unheardPeer(world.now()));
     }
   }
 
--- a/packages/control-state/src/replica-storage.ts
+++ b/packages/control-state/src/replica-storage.ts
@@ -132,9 +132,9 @@
   }
 
   function history(key: string): ChangeHistory {
-    let present = histories.get(key);
-    if (present === undefined) histories.set(key, (present = createChangeHistory()));
-    return present;
+    let existing = histories.get(key);
+    if (existing === undefined) histories.set(key, (existing = createChangeHistory()));
+    return existing;
   }
 
   function append(record: JournalRecord, done: SyncCallback): void {
@@ -209,12 +209,12 @@
   }
 
   function changesSince(key: string, after: number): AppliedChange[] {
-    const found: AppliedChange[] = [];
+    const changes: AppliedChange[] = [];
     for (const [version, at] of changeSequencesByKey.get(key) ?? []) {
       const change = at > after ? history(key).at(version) : undefined;
-      if (change !== undefined) found.push(change);
+      if (change !== undefined) changes.push(change);
     }
-    return found;
+    return changes;
   }
 
   return {
--- a/packages/control-state/src/replica.ts
+++ b/packages/control-state/src/replica.ts
@@ -210,8 +210,8 @@
    * cluster.
    */
   function isFromOtherCluster(hello: ReplicaHello): boolean {
-    const known = membership.cluster;
-    if (known === '' || hello.cluster === '' || hello.cluster === known) return false;
+    const ownCluster = membership.cluster;
+    if (ownCluster === '' || hello.cluster === '' || hello.cluster === ownCluster) return false;
     foreignAddresses.add(hello.from);
     const foreignCount = membership.replicas.filter((entry) => foreignAddresses.has(entry.address)).length;
     if (foreignCount >= majorityOf(membership.replicas.length)) becomeUnusable(foreignClusterMessage);
@@ -256,12 +256,12 @@
 
   function adoptMembership(record: MembershipRecord): void {
     const { membershipEpoch: epoch, cluster, replicas } = record;
-    const present = storage.row(membershipKey);
-    if (epoch <= present.epoch || epoch < present.promised) return;
+    const currentRow = storage.row(membershipKey);
+    if (epoch <= currentRow.epoch || epoch < currentRow.promised) return;
     const row: Row = {
       promised: epoch,
       epoch,
-      version: present.version + 1,
+      version: currentRow.version + 1,
       value: encodeMembership(cluster, replicas),
     };
     putRow(membershipKey, row, [], () => undefined);
--- a/packages/control-state/src/seed-bootstrap.ts
+++ b/packages/control-state/src/seed-bootstrap.ts
@@ -66,9 +66,9 @@
   }
 
   function membersOnceComplete(slot: number): readonly ReplicaEntry[] | undefined {
-    const fresh = [...blankPeers].filter(([, blank]) => isFresh(blank));
-    if (fresh.length !== expectedMembers().length - 1) return undefined;
-    const others = fresh.map(([other, blank]) => ({ slot: other, address: blank.address, disk: blank.disk }));
+    const freshPeers = [...blankPeers].filter(([, blank]) => isFresh(blank));
+    if (freshPeers.length !== expectedMembers().length - 1) return undefined;
+    const others = freshPeers.map(([other, blank]) => ({ slot: other, address: blank.address, disk: blank.disk }));
     return [{ slot, address: options.self, disk: options.diskId() }, ...others].sort(
       (left, right) => left.slot - right.slot,
     );
--- a/packages/pass-through/src/admission-attempts.test.ts
+++ b/packages/pass-through/src/admission-attempts.test.ts
@@ -107,7 +107,7 @@
   return received;
 }
 
-it('removes the key and names the tenant in attempts after tenants were added', async () => {
+it("forwards the tenant's name instead of the API key in attempts after tenants were added", async () => {
   const received = await requestsSentToWorkers(undefined, [tenant], () => ({
     tag: 'refused',
     reason: '503',
--- a/packages/pass-through/src/assign-worker-pair.ts
+++ b/packages/pass-through/src/assign-worker-pair.ts
@@ -113,9 +113,9 @@
 function memoized(valueOf: (view: WorkerView) => number): (view: WorkerView) => number {
   const values = new Map<WorkerView, number>();
   return function value(view) {
-    let known = values.get(view);
-    if (known === undefined) values.set(view, (known = valueOf(view)));
-    return known;
+    let cached = values.get(view);
+    if (cached === undefined) values.set(view, (cached = valueOf(view)));
+    return cached;
   };
 }
 
@@ -172,8 +172,9 @@
   });
   function score(time: number, cost: number): number {
     // A smooth step at the late threshold, added to a cost linear in time.
-    const late = 1 / (1 + Math.exp(-(time - costs.lateThreshold * costs.targetLatency) / (0.08 * costs.targetLatency)));
-    return costs.latencyCost * time + costs.lateCost * late + cost;
+    const lateness =
+      1 / (1 + Math.exp(-(time - costs.lateThreshold * costs.targetLatency) / (0.08 * costs.targetLatency)));
+    return costs.latencyCost * time + costs.lateCost * lateness + cost;
   }
 
   function prefillTime(view: WorkerView): number {
--- a/packages/pass-through/src/attempt-loop.ts
+++ b/packages/pass-through/src/attempt-loop.ts
@@ -92,14 +92,18 @@
 }
 
 /** One run, preceded by prefills where the pair has a prefill worker. Returns true when the request has ended. */
-async function attemptPair(context: HandlerContext, inFlight: InFlightRequest, first: WorkerPair): Promise<boolean> {
-  let pair = first;
+async function attemptPair(
+  context: HandlerContext,
+  inFlight: InFlightRequest,
+  firstPair: WorkerPair,
+): Promise<boolean> {
+  let pair = firstPair;
   while (pair.prefillWorker !== undefined && !inFlight.responseStarted) {
     const result = await attemptPrefill(context, inFlight, pair, pair.prefillWorker);
-    const after = afterPrefill(context, inFlight, pair.prefillWorker, result);
-    if (after.next === 'ended') return true;
-    if (after.next === 'run') return attemptRun(context, inFlight, after.pair, after.kvSource);
-    pair = after.pair;
+    const nextStep = afterPrefill(context, inFlight, pair.prefillWorker, result);
+    if (nextStep.next === 'ended') return true;
+    if (nextStep.next === 'run') return attemptRun(context, inFlight, nextStep.pair, nextStep.kvSource);
+    pair = nextStep.pair;
   }
   return attemptRun(context, inFlight, pair, undefined);
 }
--- a/packages/pass-through/src/worker-fleet.ts
+++ b/packages/pass-through/src/worker-fleet.ts
@@ -234,8 +234,9 @@
     )
       return true;
     // A worker that has just reported its load is alive, however long its queue.
-    const alive = row.load !== undefined && !row.load.unresponsive && time - row.load.reportedAt < loadRetentionMicros;
-    const [minimum, factor] = alive ? [3 * unresponsiveAfterMicros, 5] : [unresponsiveAfterMicros, 2.5];
+    const hasRecentReport =
+      row.load !== undefined && !row.load.unresponsive && time - row.load.reportedAt < loadRetentionMicros;
+    const [minimum, factor] = hasRecentReport ? [3 * unresponsiveAfterMicros, 5] : [unresponsiveAfterMicros, 2.5];
     for (const attempt of row.attempts)
       if (
         !attempt.prefilled &&
@@ -254,13 +255,14 @@
       row.load !== undefined && !row.load.unresponsive && now() - row.load.reportedAt < loadRetentionMicros
         ? row.load
         : undefined;
-    const own = row.attempts.size;
-    const total = Math.max(own, load === undefined ? own : load.queued + load.active);
+    const ownAttempts = row.attempts.size;
+    const total = Math.max(ownAttempts, load === undefined ? ownAttempts : load.queued + load.active);
     const queued = Math.min(total, load?.queued ?? 0);
     const ownTokens = pendingTokens(row);
     // Where other routers do not report, only the number of their requests is known.
     const peersReport = now() - row.lastPeerReportAt < peerReportRetentionMicros;
-    const peerTokens = row.worker.part !== 'prefill' || peersReport ? 0 : Math.max(0, total - own) * meanPrefillTokens;
+    const peerTokens =
+      row.worker.part !== 'prefill' || peersReport ? 0 : Math.max(0, total - ownAttempts) * meanPrefillTokens;
     return {
       worker: row.worker,
       candidate: {
