--- a/packages/control-feed/src/worker-load-poller.ts
+++ b/packages/control-feed/src/worker-load-poller.ts
@@ -3,8 +3,6 @@
 import type { ListedWorker } from './listed-worker.js';
 import type { WorkerLoad } from './worker-loads.js';
 
-const microsPerMillisecond = 1000;
-
 /** The load in a worker's own report. */
 export type PolledLoad = Omit<WorkerLoad, 'at' | 'silent'>;
 
@@ -55,9 +53,10 @@
     results.push(load);
     outstanding -= 1;
     if (outstanding > 0) return;
+    // The age in a message is in milliseconds.
     const loads = results.map(({ at, ...rest }) => ({
       ...rest,
-      age: Math.round((world.now() - at) / microsPerMillisecond),
+      age: Math.round((world.now() - at) / 1000),
     }));
     results = [];
     const message: MessageOf<'WorkerLoads'> = { kind: 'WorkerLoads', loads };
--- a/packages/control-state/src/replica-count.ts
+++ b/packages/control-state/src/replica-count.ts
@@ -20,7 +20,7 @@
 export interface BootstrapSize {
   /**
    * With fewer, the failure of as many machines as the fault budget allows could lose acknowledged writes. If the
-   * budget includes zones or regions, it is also at least `minReplicas`.
+   * budget includes zones or regions, at least `minReplicas` members are required.
    */
   readonly minMembers: number;
   readonly maxMembers: number;
