--- a/packages/simulator/src/sim-fleet.ts
+++ b/packages/simulator/src/sim-fleet.ts
@@ -27,13 +27,13 @@
 import {
   createTraffic,
   steadyMix,
-  swingMix,
-  templates,
-  type Ask,
+  oscillatingMix,
+  buildDesiredState,
+  type TestRequest,
   type Deployment,
 } from '@tansypost/requester-stand-in';
 import { readRecord, type VerdictOptions } from '@tansypost/rehearsal';
-import { judge } from '@tansypost/worker-stand-in';
+import { classifyAnswer } from '@tansypost/worker-stand-in';
 import { createEngine, type Engine } from './engine.js';
 import { newHistory, type History, type RequestSeen } from './history.js';
 import { createNetwork, type Network } from './network.js';
@@ -207,7 +207,7 @@
   const tenure = s(o.tenure ?? (o.seed % 2 === 0 ? 3 : 10));
   let crashOnAck = 0;
   const loseOnAck: ControlNodeProcess[] = [];
-  let traffic = createTraffic(d, o.seed, swing === undefined ? steadyMix : swingMix(swing));
+  let traffic = createTraffic(d, o.seed, swing === undefined ? steadyMix : oscillatingMix(swing));
   let over = false;
   let swings = 0;
   const span = s(o.span);
@@ -478,7 +478,7 @@
   // The requesters: each asks a router of its zone that answers the door.
   function ask(): void {
     if (over) return;
-    const a: Ask = traffic.next(e.now() / 1e6);
+    const a: TestRequest = traffic.next(e.now() / 1e6);
     if (o.plain === true || r() > 0.1) return askOne(a);
     // Some come twice under one key, at two routers, close together.
     const twin = { ...a, id: `${a.id}-again` };
@@ -487,7 +487,7 @@
     askOne(a, key);
     e.at(e.now() + s(r() < 0.5 ? 0.002 * r() : 3 * r()), () => askOne(twin, key));
   }
-  function askOne(a: Ask, key?: string): void {
+  function askOne(a: TestRequest, key?: string): void {
     const zone = Math.floor(r() * d.zones);
     const near = routers.map((x, i) => ({ x, i })).filter(({ x, i }) => i % d.zones === zone && x.proc.alive);
     const far = routers.map((x, i) => ({ x, i })).filter(({ x }) => x.proc.alive);
@@ -525,7 +525,7 @@
       if (out) return;
       out = true;
       p.deaths.delete(died);
-      Object.assign(q, { end: e.now(), ended, ran, retryAfter, verdict: judge(a.prompt, a.maxTokens, text) });
+      Object.assign(q, { end: e.now(), ended, ran, retryAfter, verdict: classifyAnswer(a.prompt, a.maxTokens, text) });
     }
     function died(): void {
       end('broken');
@@ -602,7 +602,7 @@
     const incarnation = at.proc.incarnation;
     async function go(): Promise<void> {
       const b = base ?? (await at!.core!.readDesired()).version;
-      const t = templates(d, (k) => k.worth + tag / 1000).templates;
+      const t = buildDesiredState(d, (k) => k.worth + tag / 1000).templates;
       c.base = b;
       const state = sound
         ? { templates: o.approval === undefined ? t : t.map((x) => ({ ...x, approval: o.approval })) }
@@ -808,7 +808,7 @@
         e.at(end, () => net.slow(w!.proc.machine, 0));
         return;
       case 'lapse':
-        for (const x of workers.all) if (x.proc.alive) x.core.lapse();
+        for (const x of workers.all) if (x.proc.alive) x.core.expireHandles();
         return;
       case 'mass-kill': {
         const ns = [...routers, ...agents].filter(() => r() < 0.5);
@@ -903,7 +903,7 @@
       case 'swing':
         swing = 8;
         swings += 1;
-        traffic = createTraffic(d, o.seed + 1_000_000 * swings, swingMix(8));
+        traffic = createTraffic(d, o.seed + 1_000_000 * swings, oscillatingMix(8));
         return;
     }
   }
--- a/packages/simulator/src/sim-workers.ts
+++ b/packages/simulator/src/sim-workers.ts
@@ -6,7 +6,13 @@
 import type { WorkerStateEntry } from '@tansypost/inner-protocol';
 import type { DecodeResult, HandleParams, PrefillResult, WorkerJob, WorkerPort } from '@tansypost/request-router';
 import type { FetchedReport } from '@tansypost/router-agent';
-import { createWorkerCore, workerDefaults, type Handle, type Part, type WorkerCore } from '@tansypost/worker-stand-in';
+import {
+  createWorkerCore,
+  workerDefaults,
+  type KvHandle,
+  type WorkerStage,
+  type WorkerCore,
+} from '@tansypost/worker-stand-in';
 import type { Engine } from './engine.js';
 import type { History } from './history.js';
 import type { Network } from './network.js';
@@ -27,7 +33,7 @@
   readonly orderFor: (
     p: Proc,
     incarnation: number,
-  ) => (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined>;
+  ) => (m: WorkerStateEntry, epoch: number, part: WorkerStage | '') => Promise<boolean | undefined>;
   readonly start: (w: SimWorker) => void;
   readonly kill: (w: SimWorker) => void;
 }
@@ -186,7 +192,7 @@
           e.at(e.now() + 1000, () => off?.());
         });
         if (signal.aborted) return done({ tag: 'unknown', why: 'aborted' });
-        const hd: Handle = {
+        const hd: KvHandle = {
           id: hp.remote_block_ids[0] ?? '',
           worker: hp.remote_engine_id,
           incarnation: hp.incarnation,
@@ -200,7 +206,7 @@
           (w) => {
             if (m.incarnation !== w.incarnation)
               return back(p, incarnation, w, () => done({ tag: 'notStarted', why: 'other_incarnation' }));
-            const no = w.core.admit(job, hd);
+            const no = w.core.admitDecode(job, hd);
             if (no !== undefined)
               return back(p, incarnation, w, () =>
                 done(no.startsWith('memory') ? { tag: 'lapsed', why: no } : { tag: 'notStarted', why: no }),
@@ -236,7 +242,7 @@
                 off = w.core.decode(job, hd, {
                   chunk: (t) => piece(() => void chunk(t)),
                   end: (finish) => piece(() => done({ tag: 'done', finish })),
-                  broke: () => piece(() => done({ tag: 'unknown', why: 'broke off' })),
+                  abort: () => piece(() => done({ tag: 'unknown', why: 'broke off' })),
                 });
               }),
             );
@@ -248,14 +254,14 @@
     return { prefill, decode };
   }
 
-  function takeFrom(w: SimWorker, hd: Handle, done: (why: string | undefined, of?: string) => void): void {
+  function takeFrom(w: SimWorker, hd: KvHandle, done: (why: string | undefined, of?: string) => void): void {
     const from = all.find((x) => x.name === hd.worker)!;
     const l = from === w ? 0 : net.latency(w.proc.machine, from.proc.machine);
     if (net.blocked(w.proc.machine, from.proc.machine) || !from.proc.alive || from.dark || from.proc.frozen)
       return e.at(e.now() + 2_000_000, () => done('memory_lapsed'));
     e.at(e.now() + l, () => {
       if (!from.proc.alive) return done('memory_lapsed');
-      const why = from.core.take(hd);
+      const why = from.core.consumeHandle(hd);
       e.at(e.now() + l, () => done(why, hd.request));
     });
   }
@@ -281,7 +287,7 @@
   function orderFor(
     p: Proc,
     incarnation: number,
-  ): (m: WorkerStateEntry, epoch: number, part: Part | '') => Promise<boolean | undefined> {
+  ): (m: WorkerStateEntry, epoch: number, part: WorkerStage | '') => Promise<boolean | undefined> {
     return function order(m, epoch, part) {
       return new Promise((ok) => {
         e.at(e.now() + 1_500_000, () => into(p, incarnation, () => ok(undefined)));
@@ -289,7 +295,7 @@
           p,
           m,
           (w) => {
-            const obeyed = w.core.order(epoch, part);
+            const obeyed = w.core.setStage(epoch, part);
             h.orders.push({ at: e.now(), worker: `${w.name}/${w.incarnation}`, epoch, part, obeyed, by: p.name });
             back(p, incarnation, w, () => ok(obeyed));
           },
--- a/packages/simulator/src/verdicts.ts
+++ b/packages/simulator/src/verdicts.ts
@@ -51,7 +51,7 @@
     ...(swing ? { swing: 60 } : {}),
   }).run();
   const strata = [...new Set(h.requests.map((q) => `${q.tenant}/${q.kind}`))];
-  const answer = new Map(d.kinds.map((k) => [k.kind, k.answer]));
+  const answer = new Map(d.kinds.map((k) => [k.kind, k.answerTokens]));
   return h.requests
     .filter((q) => q.at > 20e6 && q.end !== undefined)
     .map((q) => {
--- a/programs/fleet-runner/src/control-scenario.ts
+++ b/programs/fleet-runner/src/control-scenario.ts
@@ -15,21 +15,21 @@
   type ControlBreach,
   type ControlHistory,
 } from '@tansypost/simulator';
-import { coldStorage, templates, type Deployment } from '@tansypost/requester-stand-in';
+import { coldStorage, buildDesiredState, type Deployment } from '@tansypost/requester-stand-in';
 import { createFleet, type Fleet } from './fleet.js';
 import type { PlanOptions } from './plan.js';
 
 export interface ControlScenarioOptions extends PlanOptions {
-  readonly say: (s: string) => void;
+  readonly log: (s: string) => void;
 }
 
 export interface ControlVerdict {
   readonly breaches: readonly ControlBreach[];
-  readonly orders: number;
-  readonly taken: number;
+  readonly writes: number;
+  readonly acknowledged: number;
   readonly reads: number;
   /** What was measured, for the reader. */
-  readonly figures: readonly string[];
+  readonly measurements: readonly string[];
 }
 
 interface Order {
@@ -55,7 +55,7 @@
 
 /** A state that differs from all others of a run by the worth of its first kind. */
 function stateOf(mark: number): unknown {
-  return templates(deployment, (k) => k.worth + mark);
+  return buildDesiredState(deployment, (k) => k.worth + mark);
 }
 
 /** The text by which the judges tell states apart. */
@@ -183,7 +183,7 @@
   async function mustVote(node: string, what: string): Promise<void> {
     const { http } = fleet.member(node);
     try {
-      const took = await fleet.until(
+      const took = await fleet.waitUntil(
         `${node} votes`,
         async () => (await fleet.get(http, '/vitals')) !== undefined,
         voteWithin / 1000,
@@ -202,19 +202,19 @@
     const node = `keeper${slot}`;
     const beside = `agent${slot}`;
     const others = agents.filter((a) => a !== beside);
-    o.say(`${kind} ${node}`);
+    o.log(`${kind} ${node}`);
     const state = { over: false };
-    await fleet.fault({ at: 0, do: kind, who: node });
+    await fleet.injectFault({ at: 0, do: kind, who: node });
     const both = [operate([beside], () => state.over), operate(others, () => state.over)];
     await sleep(cutLength);
-    await fleet.fault({ at: 0, do: kind === 'freeze' ? 'wake' : 'rejoin', who: node });
+    await fleet.injectFault({ at: 0, do: kind === 'freeze' ? 'wake' : 'rejoin', who: node });
     state.over = true;
     await Promise.all(both);
     await mustTake(`after ${kind} of ${node}`, [beside]);
   }
 
   async function playRaces(): Promise<void> {
-    o.say('races');
+    o.log('races');
     for (const rivals of [2, copies]) {
       const base = (await operators.get('agent0')) ?? 0;
       const orders = Array.from({ length: rivals }, () => operators.newOrder(base));
@@ -231,22 +231,22 @@
   }
 
   async function playLosses(): Promise<void> {
-    o.say('a disk lost, then another machine');
-    await fleet.fault({ at: 0, do: 'empty', who: 'keeper0' });
+    o.log('a disk lost, then another machine');
+    await fleet.injectFault({ at: 0, do: 'empty', who: 'keeper0' });
     await mustVote('keeper0', 'after its disk was lost');
-    await fleet.fault({ at: 0, do: 'kill', who: 'keeper1' });
+    await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper1' });
     await mustTake('with keeper1 killed after keeper0 had copied', ['agent2']);
-    await fleet.fault({ at: 0, do: 'restart', who: 'keeper1' });
+    await fleet.injectFault({ at: 0, do: 'restart', who: 'keeper1' });
     await mustVote('keeper1', 'after its restart');
   }
 
   async function playChanges(): Promise<void> {
-    o.say('changes while keeper2 is away');
-    await fleet.fault({ at: 0, do: 'kill', who: 'keeper2' });
+    o.log('changes while keeper2 is away');
+    await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper2' });
     for (let i = 0; i < changesWhileAway; i += 1) await mustTakeQuietly(i);
-    await fleet.fault({ at: 0, do: 'restart', who: 'keeper2' });
+    await fleet.injectFault({ at: 0, do: 'restart', who: 'keeper2' });
     await mustVote('keeper2', `after ${changesWhileAway} changes`);
-    await fleet.fault({ at: 0, do: 'kill', who: 'keeper0' });
+    await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper0' });
     await mustTake('with keeper0 killed after keeper2 had come back', ['agent2']);
     await operators.get('agent2');
   }
@@ -256,8 +256,8 @@
   }
 
   try {
-    await fleet.serve();
-    o.say('the fleet serves');
+    await fleet.startAndWait();
+    o.log('the fleet serves');
     await operators.noteInitial('agent1');
     await mustTake('at first', agents);
     await playCut('isolate', 0);
@@ -273,10 +273,10 @@
   const orders = history.calls.filter((c) => c.kind === 'put');
   return {
     breaches: [...breaches, ...judges.flatMap((judge) => judge(history))],
-    orders: orders.length,
-    taken: orders.filter((c) => c.code === 200).length,
+    writes: orders.length,
+    acknowledged: orders.filter((c) => c.code === 200).length,
     reads: history.calls.length - orders.length,
-    figures,
+    measurements: figures,
   };
 }
 
--- a/programs/fleet-runner/src/fleet.ts
+++ b/programs/fleet-runner/src/fleet.ts
@@ -2,24 +2,26 @@
 import { readFileSync, existsSync } from 'node:fs';
 import { request } from 'undici';
 import type { Deployment } from '@tansypost/requester-stand-in';
-import { templates } from '@tansypost/requester-stand-in';
-import { planFleet, type Member, type Plan, type PlanOptions } from './plan.js';
+import { buildDesiredState } from '@tansypost/requester-stand-in';
+import { planFleet, type FleetMember, type FleetPlan, type PlanOptions } from './plan.js';
 import { createProcesses, type Processes } from './processes.js';
 import { createRelays } from './relay.js';
 import type { Fault } from './schedule.js';
 
 export interface Fleet {
-  readonly plan: Plan;
+  readonly plan: FleetPlan;
   readonly processes: Processes;
-  readonly member: (name: string) => Member;
-  readonly routers: () => string[];
+  readonly member: (name: string) => FleetMember;
+  readonly reachableRouters: () => string[];
   readonly get: <T>(at: string, path: string) => Promise<T | undefined>;
   readonly post: (at: string, path: string, body: unknown) => Promise<{ status: number; body: unknown } | undefined>;
-  readonly until: (what: string, f: () => Promise<boolean>, seconds?: number) => Promise<number>;
-  readonly serve: () => Promise<void>;
-  readonly submit: (worth: number) => Promise<{ answer: string; version?: number; change?: string; ms: number }>;
-  readonly fault: (f: Fault) => Promise<void>;
-  readonly runs: () => Map<string, { prefill: number; decode: number }>;
+  readonly waitUntil: (what: string, f: () => Promise<boolean>, seconds?: number) => Promise<number>;
+  readonly startAndWait: () => Promise<void>;
+  readonly submitDesiredState: (
+    worth: number,
+  ) => Promise<{ answer: string; version?: number; change?: string; ms: number }>;
+  readonly injectFault: (f: Fault) => Promise<void>;
+  readonly executionCounts: () => Map<string, { prefill: number; decode: number }>;
   readonly stop: () => Promise<void>;
 }
 
@@ -30,7 +32,7 @@
   const incarnations = new Map<string, number>();
   const down = new Set<string>();
 
-  function member(name: string): Member {
+  function member(name: string): FleetMember {
     return plan.members.find((m) => m.name === name)!;
   }
   async function get<T>(at: string, path: string): Promise<T | undefined> {
@@ -64,21 +66,21 @@
       await new Promise((ok) => setTimeout(ok, 100));
     }
   }
-  function of(program: string): Member[] {
+  function of(program: string): FleetMember[] {
     return plan.members.filter((m) => m.program === program);
   }
-  function liveAgent(): Member {
-    return of('router-agent').find((m) => ps.alive(m.name) && !down.has(m.name))!;
+  function liveAgent(): FleetMember {
+    return of('router-agent').find((m) => ps.isRunning(m.name) && !down.has(m.name))!;
   }
   async function platform(name: string, state: string): Promise<void> {
     const m = member(name);
-    const agents = of('router-agent').filter((x) => ps.alive(x.name) && !down.has(x.name));
+    const agents = of('router-agent').filter((x) => ps.isRunning(x.name) && !down.has(x.name));
     for (let n = 0; n < 20; n += 1) {
       const r = await post(agents[n % agents.length]!.http, '/platform/workers', {
         worker: name,
         incarnation: incarnations.get(name) ?? 1,
         state,
-        address: m.relay!.shown,
+        address: m.relay!.advertised,
       });
       if (r?.status === 200) return;
     }
@@ -86,7 +88,7 @@
 
   async function serve(): Promise<void> {
     for (const m of plan.members)
-      if (m.relay !== undefined) await relays.add(m.relay.shown, m.relay.real, m.relay.inner);
+      if (m.relay !== undefined) await relays.add(m.relay.advertised, m.relay.target, m.relay.isInternalLink);
     for (const m of plan.members) ps.start(m);
     await until('the core votes', async () =>
       (await Promise.all(of('control-node').map((k) => get(k.http, '/vitals')))).every((v) => v !== undefined),
@@ -119,7 +121,10 @@
     const from = performance.now();
     const a = liveAgent().http;
     const now = await get<{ version: number }>(a, '/desired-state');
-    const r = await post(a, '/desired-state', { base: now?.version ?? 0, state: templates(d, (k) => k.worth + worth) });
+    const r = await post(a, '/desired-state', {
+      base: now?.version ?? 0,
+      state: buildDesiredState(d, (k) => k.worth + worth),
+    });
     const b = (r?.body ?? { answer: 'agent out of reach' }) as { answer: string; version?: number; change?: string };
     return { ...b, ms: performance.now() - from };
   }
@@ -142,14 +147,14 @@
         return;
       case 'drain':
         ps.signal(m.name, 'SIGTERM');
-        await ps.ended(m.name);
+        await ps.waitForExit(m.name);
         restart(m);
         return;
       case 'restart':
       case 'empty':
         ps.signal(m.name, 'SIGKILL');
-        await ps.ended(m.name);
-        if (f.do === 'empty') ps.empty(m);
+        await ps.waitForExit(m.name);
+        if (f.do === 'empty') ps.deleteData(m);
         restart(m);
         if (m.program === 'worker-stand-in') await platform(m.name, 'ready');
         return;
@@ -164,27 +169,30 @@
           40,
         );
         ps.signal(m.name, 'SIGTERM');
-        await ps.ended(m.name);
+        await ps.waitForExit(m.name);
         restart(m);
         await until(`${m.name} is back`, async () => (await get(m.http, '/report')) !== undefined, 20);
         await platform(m.name, 'ready');
         return;
       case 'isolate': {
         const ip = m.ip;
-        relays.cut(ip, (from, to) => (from !== undefined && from.startsWith(`${ip}:`)) !== to.startsWith(`${ip}:`));
+        relays.block(ip, (from, to) => (from !== undefined && from.startsWith(`${ip}:`)) !== to.startsWith(`${ip}:`));
         return;
       }
       case 'one-way':
-        relays.cut(m.ip, (from, to) => from !== undefined && from.startsWith(`${m.ip}:`) && !to.startsWith(`${m.ip}:`));
+        relays.block(
+          m.ip,
+          (from, to) => from !== undefined && from.startsWith(`${m.ip}:`) && !to.startsWith(`${m.ip}:`),
+        );
         return;
       case 'rejoin':
         relays.heal(m.ip);
         return;
       case 'slow':
-        relays.slow(m.relay!.shown, 150);
+        relays.setDelay(m.relay!.advertised, 150);
         return;
       case 'fast':
-        relays.slow(m.relay!.shown, 0);
+        relays.setDelay(m.relay!.advertised, 0);
         return;
       case 'dark':
         await post(m.http, '/fault', { dark: true });
@@ -200,7 +208,7 @@
     }
   }
 
-  function restart(m: Member): void {
+  function restart(m: FleetMember): void {
     if (m.program === 'worker-stand-in') {
       const n = (incarnations.get(m.name) ?? 1) + 1;
       incarnations.set(m.name, n);
@@ -212,7 +220,7 @@
   function runs(): Map<string, { prefill: number; decode: number }> {
     const out = new Map<string, { prefill: number; decode: number }>();
     for (const w of of('worker-stand-in')) {
-      const f = w.boot['runsFile'] as string;
+      const f = w.settings['runsFile'] as string;
       if (!existsSync(f)) continue;
       for (const l of readFileSync(f, 'utf8').split('\n')) {
         const [q, what] = l.split(' ') as [string, 'prefill' | 'decode' | undefined];
@@ -231,16 +239,16 @@
     member,
     get,
     post,
-    until,
-    serve,
-    submit,
-    fault,
-    runs,
+    waitUntil: until,
+    startAndWait: serve,
+    submitDesiredState: submit,
+    injectFault: fault,
+    executionCounts: runs,
     stop: async () => {
       await ps.stopAll();
       await relays.close();
     },
-    routers: () =>
+    reachableRouters: () =>
       of('request-router')
         .filter((m) => !down.has(m.name))
         .map((m) => m.http),
--- a/programs/fleet-runner/src/main.ts
+++ b/programs/fleet-runner/src/main.ts
@@ -8,7 +8,7 @@
 import { runControlScenario, scenarioFolder } from './control-scenario.js';
 import { planFleet } from './plan.js';
 import { runFleet } from './run.js';
-import { readSchedule } from './schedule.js';
+import { parseFaultSchedule } from './schedule.js';
 
 class Run extends Command {
   static override paths = [Command.Default];
@@ -44,9 +44,9 @@
       logLevel: 3,
       ...(this.trainEvery === undefined ? {} : { trainEvery: Number(this.trainEvery) }),
     };
-    let faults: ReturnType<typeof readSchedule> = E.right([]);
+    let faults: ReturnType<typeof parseFaultSchedule> = E.right([]);
     if (this.faults !== undefined)
-      faults = readSchedule(
+      faults = parseFaultSchedule(
         readFileSync(this.faults, 'utf8'),
         planFleet(d, plan).members.map((m) => m.name),
       );
@@ -64,9 +64,9 @@
       seconds: Math.min(600, Number(this.secondsFor)),
       rate: Math.min(200, Number(this.rate ?? d.rate)),
       seed: Number(this.seed),
-      swing: this.swing === undefined ? undefined : Number(this.swing),
+      mixPeriodSeconds: this.swing === undefined ? undefined : Number(this.swing),
       faults: faults.right,
-      say,
+      log: say,
     });
     writeFileSync(join(folder, 'report.json'), JSON.stringify(r, null, 2));
     this.context.stdout.write(`${JSON.stringify(r, null, 2)}\n`);
@@ -92,12 +92,12 @@
       folder: resolve(this.folder ?? scenarioFolder()),
       logLevel: 3,
       feedTenureMs: shortTenure,
-      say: (s) => void stderr.write(`${s}\n`),
+      log: (s) => void stderr.write(`${s}\n`),
     });
-    for (const figure of verdict.figures) stdout.write(`${figure}\n`);
+    for (const figure of verdict.measurements) stdout.write(`${figure}\n`);
     for (const b of verdict.breaches) stdout.write(`breach, ${b.check}: ${b.what}\n`);
     stdout.write(
-      `${verdict.orders} orders, ${verdict.taken} taken, ${verdict.reads} reads, ${verdict.breaches.length} breaches ` +
+      `${verdict.writes} orders, ${verdict.acknowledged} taken, ${verdict.reads} reads, ${verdict.breaches.length} breaches ` +
         `in ${Math.round((performance.now() - from) / 1000)} s: ${verdict.breaches.length === 0 ? 'sound' : 'BROKEN'}\n`,
     );
     return verdict.breaches.length === 0 ? 0 : 1;
--- a/programs/fleet-runner/src/plan.ts
+++ b/programs/fleet-runner/src/plan.ts
@@ -6,20 +6,21 @@
 import type { Deployment } from '@tansypost/requester-stand-in';
 
 export type Program = 'control-node' | 'router-agent' | 'request-router' | 'worker-stand-in';
-export interface Member {
+export interface FleetMember {
   readonly name: string;
   readonly program: Program;
   readonly machine: string;
   readonly zone: string;
   readonly ip: string;
   readonly http: string;
-  readonly boot: Record<string, unknown>;
-  readonly data: string | undefined;
-  readonly relay: { readonly shown: string; readonly real: string; readonly inner: boolean } | undefined;
+  readonly settings: Record<string, unknown>;
+  readonly dataFolder: string | undefined;
+  readonly relay:
+    { readonly advertised: string; readonly target: string; readonly isInternalLink: boolean } | undefined;
 }
-export interface Plan {
+export interface FleetPlan {
   readonly deployment: Deployment;
-  readonly members: readonly Member[];
+  readonly members: readonly FleetMember[];
   readonly seeds: readonly string[];
 }
 
@@ -33,8 +34,8 @@
 
 const paces = [14_000, 9000, 6000, 12_000];
 
-export function planFleet(d: Deployment, o: PlanOptions): Plan {
-  const members: Member[] = [];
+export function planFleet(d: Deployment, o: PlanOptions): FleetPlan {
+  const members: FleetMember[] = [];
   const ms = Array.from({ length: d.machines }, (_, i) => ({
     name: `m${i}`,
     zone: `z${i % d.zones}`,
@@ -54,9 +55,9 @@
         zone: m.zone,
         ip: m.ip,
         http: `${m.ip}:8002`,
-        data,
-        relay: { shown: `${m.ip}:7102`, real: `${m.ip}:7002`, inner: true },
-        boot: {
+        dataFolder: data,
+        relay: { advertised: `${m.ip}:7102`, target: `${m.ip}:7002`, isInternalLink: true },
+        settings: {
           ...common,
           ...tenure,
           member: `keeper${i}`,
@@ -78,9 +79,9 @@
       zone: m.zone,
       ip: m.ip,
       http: `${m.ip}:8000`,
-      data,
-      relay: { shown: `${m.ip}:7100`, real: `${m.ip}:7000`, inner: true },
-      boot: {
+      dataFolder: data,
+      relay: { advertised: `${m.ip}:7100`, target: `${m.ip}:7000`, isInternalLink: true },
+      settings: {
         ...common,
         ...tenure,
         member: `agent${i}`,
@@ -102,9 +103,9 @@
       zone: m.zone,
       ip: m.ip,
       http: `${m.ip}:8001`,
-      data: undefined,
+      dataFolder: undefined,
       relay: undefined,
-      boot: {
+      settings: {
         ...tenure,
         logLevel: o.logLevel,
         member: `router${i}`,
@@ -124,9 +125,9 @@
       zone: `z${i % d.zones}`,
       ip,
       http: `${ip}:9000`,
-      data: undefined,
-      relay: { shown: `${ip}:9100`, real: `${ip}:9000`, inner: false },
-      boot: {
+      dataFolder: undefined,
+      relay: { advertised: `${ip}:9100`, target: `${ip}:9000`, isInternalLink: false },
+      settings: {
         member: `worker${i}`,
         listen: `${ip}:9000`,
         advertise: `${ip}:9100`,
--- a/programs/fleet-runner/src/processes.ts
+++ b/programs/fleet-runner/src/processes.ts
@@ -3,15 +3,15 @@
 import { closeSync, mkdirSync, openSync, rmSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import { dirname, join } from 'node:path';
-import type { Member, Plan } from './plan.js';
+import type { FleetMember, FleetPlan } from './plan.js';
 
 export interface Processes {
-  readonly start: (m: Member, over?: Record<string, unknown>) => void;
+  readonly start: (m: FleetMember, over?: Record<string, unknown>) => void;
   readonly signal: (name: string, s: NodeJS.Signals) => void;
-  readonly ended: (name: string) => Promise<number | null>;
-  readonly alive: (name: string) => boolean;
-  readonly empty: (m: Member) => void;
-  readonly boot: (m: Member) => Record<string, unknown>;
+  readonly waitForExit: (name: string) => Promise<number | null>;
+  readonly isRunning: (name: string) => boolean;
+  readonly deleteData: (m: FleetMember) => void;
+  readonly settingsOf: (m: FleetMember) => Record<string, unknown>;
   readonly stopAll: () => Promise<void>;
 }
 const need = createRequire(import.meta.url);
@@ -20,15 +20,15 @@
   return join(dirname(need.resolve(`@tansypost/${p}/package.json`)), 'dist', 'main.js');
 }
 
-export function createProcesses(_plan: Plan, folder: string): Processes {
+export function createProcesses(_plan: FleetPlan, folder: string): Processes {
   const running = new Map<string, { child: ChildProcess; end: Promise<number | null> }>();
   const boots = new Map<string, Record<string, unknown>>();
   mkdirSync(folder, { recursive: true });
 
-  function boot(m: Member): Record<string, unknown> {
-    return boots.get(m.name) ?? m.boot;
+  function boot(m: FleetMember): Record<string, unknown> {
+    return boots.get(m.name) ?? m.settings;
   }
-  function start(m: Member, over?: Record<string, unknown>): void {
+  function start(m: FleetMember, over?: Record<string, unknown>): void {
     const b = { ...boot(m), ...over };
     boots.set(m.name, b);
     const file = join(folder, `${m.name}.boot.json`);
@@ -64,11 +64,11 @@
     start,
     signal,
     stopAll,
-    boot,
-    ended: (n) => running.get(n)?.end ?? Promise.resolve(0),
-    alive: (n) => running.has(n),
-    empty: (m) => {
-      if (m.data !== undefined) rmSync(m.data, { recursive: true, force: true });
+    settingsOf: boot,
+    waitForExit: (n) => running.get(n)?.end ?? Promise.resolve(0),
+    isRunning: (n) => running.has(n),
+    deleteData: (m) => {
+      if (m.dataFolder !== undefined) rmSync(m.dataFolder, { recursive: true, force: true });
     },
   };
 }
--- a/programs/fleet-runner/src/relay.ts
+++ b/programs/fleet-runner/src/relay.ts
@@ -8,9 +8,9 @@
 
 export interface Relays {
   readonly add: (shown: string, real: string, inner: boolean) => Promise<void>;
-  readonly cut: (name: string, f: (from: string | undefined, to: string) => boolean) => void;
+  readonly block: (name: string, f: (from: string | undefined, to: string) => boolean) => void;
   readonly heal: (name: string) => void;
-  readonly slow: (shown: string, ms: number) => void;
+  readonly setDelay: (shown: string, ms: number) => void;
   readonly close: () => Promise<void>;
 }
 interface Pipe {
@@ -86,12 +86,12 @@
 
   return {
     add,
-    cut: (n, f) => cuts.set(n, f),
+    block: (n, f) => cuts.set(n, f),
     heal: (n) => {
       cuts.delete(n);
       for (const p of [...pipes]) if (p.stuck) end(p);
     },
-    slow: (shown, ms) => {
+    setDelay: (shown, ms) => {
       if (ms > 0) delays.set(shown, ms);
       else delays.delete(shown);
     },
--- a/programs/fleet-runner/src/run.ts
+++ b/programs/fleet-runner/src/run.ts
@@ -2,13 +2,13 @@
 import { Agent } from 'undici';
 import {
   createTraffic,
-  drive,
+  runLoad,
   steadyMix,
-  summarise,
-  swingMix,
+  summarizeTraffic,
+  oscillatingMix,
   type Deployment,
   type Outcome,
-  type Summary,
+  type TrafficSummary,
 } from '@tansypost/requester-stand-in';
 import { createFleet, type Fleet } from './fleet.js';
 import type { PlanOptions } from './plan.js';
@@ -19,12 +19,12 @@
   readonly seconds: number;
   readonly rate: number;
   readonly seed: number;
-  readonly swing: number | undefined;
+  readonly mixPeriodSeconds: number | undefined;
   readonly faults: readonly Fault[];
-  readonly say: (s: string) => void;
-  readonly during?: (f: Fleet) => Promise<void>;
+  readonly log: (s: string) => void;
+  readonly whileRunning?: (f: Fleet) => Promise<void>;
 }
-export interface FaultSeen {
+export interface FaultRecord {
   readonly at: number;
   readonly fault: string;
   readonly backAfterMs: number | undefined;
@@ -32,11 +32,11 @@
 export interface RunReport {
   readonly deployment: string;
   readonly seed: number;
-  readonly served: Summary;
+  readonly served: TrafficSummary;
   readonly ranTwice: readonly string[];
   readonly ranAfterRefusal: readonly string[];
   readonly extraOverTen: number;
-  readonly faults: readonly FaultSeen[];
+  readonly faults: readonly FaultRecord[];
   readonly submissions: readonly { answer: string; version?: number; ms: number }[];
   readonly readBack: { version: number; whole: boolean };
   readonly placement: Record<string, number>;
@@ -77,13 +77,13 @@
   const f = createFleet(o.deployment, o);
   const agent = new Agent({ connections: 512, pipelining: 1 });
   const submissions: { answer: string; version?: number; ms: number }[] = [];
-  const seen: FaultSeen[] = [];
+  const seen: FaultRecord[] = [];
   let rate = o.rate;
   let over = false;
   try {
-    o.say(`starting ${f.plan.members.length} processes`);
-    await f.serve();
-    o.say('the fleet serves');
+    o.log(`starting ${f.plan.members.length} processes`);
+    await f.startAndWait();
+    o.log('the fleet serves');
     const outcomes: Outcome[] = [];
     const last = new Map<string, number>();
     const sum = { first: 0, extra: 0 };
@@ -100,51 +100,55 @@
         const wait = from + x.at * 1000 - performance.now();
         if (wait > 0) await new Promise((ok) => setTimeout(ok, wait));
         if (over) return;
-        o.say(`${x.at} s: ${x.do} ${x.who ?? ''}`);
+        o.log(`${x.at} s: ${x.do} ${x.who ?? ''}`);
         const at = performance.now();
         if (x.do === 'crowd') rate = o.rate * 2;
         else if (x.do === 'calm') rate = o.rate;
         else if (x.do === 'submit')
-          void f.submit(1 + submissions.length).then((s) => {
+          void f.submitDesiredState(1 + submissions.length).then((s) => {
             submissions.push(s);
           });
-        else void f.fault(x).catch((e: unknown) => o.say(String(e)));
+        else void f.injectFault(x).catch((e: unknown) => o.log(String(e)));
         seen.push({ at: at - from, fault: `${x.do} ${x.who ?? ''}`.trim(), backAfterMs: undefined });
       }
     })();
-    const traffic = createTraffic(o.deployment, o.seed, o.swing === undefined ? steadyMix : swingMix(o.swing));
+    const traffic = createTraffic(
+      o.deployment,
+      o.seed,
+      o.mixPeriodSeconds === undefined ? steadyMix : oscillatingMix(o.mixPeriodSeconds),
+    );
     await Promise.all([
-      drive({
+      runLoad({
         traffic,
         rate: () => rate,
         seconds: o.seconds,
         seed: o.seed,
-        routers: f.routers,
+        routers: f.reachableRouters,
         agent,
-        ended: (x) => outcomes.push(x),
+        onOutcome: (x) => outcomes.push(x),
       }),
-      o.during?.(f),
+      o.whileRunning?.(f),
     ]);
     over = true;
     await Promise.all([poll, faults]);
     const back = await readBack(f);
-    const runs = f.runs();
-    const bad = outcomes.filter((x) => !x.ask.repeatable);
+    const runs = f.executionCounts();
+    const bad = outcomes.filter((x) => !x.request.repeatable);
     const ranTwice = bad
       .filter((x) => {
-        const r = runs.get(x.ask.id);
+        const r = runs.get(x.request.id);
         return r !== undefined && (r.prefill > 1 || r.decode > 1);
       })
-      .map((x) => x.ask.id);
+      .map((x) => x.request.id);
     const ranAfterRefusal = outcomes
-      .filter((x) => x.ended === 'refused' && runs.has(x.ask.id))
-      .map((x) => `${x.ask.id} ${x.kind}`);
+      .filter((x) => x.ended === 'refused' && runs.has(x.request.id))
+      .map((x) => `${x.request.id} ${x.kind}`);
     const placement: Record<string, number> = {};
     for (const r of f.plan.members.filter((m) => m.program === 'request-router')) {
       const x = await f.get<{ placement: Record<string, number> }>(r.http, '/figures');
       for (const [k, n] of Object.entries(x?.placement ?? {})) placement[k] = (placement[k] ?? 0) + n;
     }
-    const a = f.plan.members.find((m) => m.program === 'router-agent' && f.processes.alive(m.name))!;
+    const a = f.plan.members.find((m) => m.program === 'router-agent' && f.processes.isRunning(m.name))!;
     const rec = await f.get<{
       live?: { version: unknown };
       running?: { id: string };
@@ -153,7 +157,7 @@
     return {
       deployment: o.deployment.name,
       seed: o.seed,
-      served: summarise(outcomes),
+      served: summarizeTraffic(outcomes),
       ranTwice,
       ranAfterRefusal,
       extraOverTen: worstRatio(series),
@@ -196,7 +200,7 @@
 }
 
 async function readBack(f: Fleet): Promise<{ version: number; whole: boolean }> {
-  for (const a of f.plan.members.filter((m) => m.program === 'router-agent' && f.processes.alive(m.name))) {
+  for (const a of f.plan.members.filter((m) => m.program === 'router-agent' && f.processes.isRunning(m.name))) {
     const r = await f.get<{ version: number; state: { templates: unknown[] } | null }>(a.http, '/desired-state');
     if (r !== undefined)
       return { version: r.version, whole: r.state?.templates.length === f.plan.deployment.tenants.length };
--- a/programs/fleet-runner/src/schedule.ts
+++ b/programs/fleet-runner/src/schedule.ts
@@ -34,7 +34,7 @@
 }
 const lone = new Set<FaultKind>(['submit', 'crowd', 'calm']);
 
-export function readSchedule(text: string, members: readonly string[]): E.Either<Error, readonly Fault[]> {
+export function parseFaultSchedule(text: string, members: readonly string[]): E.Either<Error, readonly Fault[]> {
   const out: Fault[] = [];
   const lines = text.split('\n');
   for (let i = 0; i < lines.length; i += 1) {
@@ -63,7 +63,7 @@
   const { it, expect } = import.meta.vitest;
   it('refuses an unknown kind or member with its line', () => {
     const ok = '# a night\n{"at":2,"do":"kill","who":"router0"}\n{"at":1,"do":"submit"}';
-    const r = readSchedule(ok, ['router0']);
+    const r = parseFaultSchedule(ok, ['router0']);
     expect(E.isRight(r) && r.right.map((f) => f.do)).toEqual(['submit', 'kill']);
     for (const [bad, line] of [
       ['{"at":1,"do":"burn","who":"router0"}', 'line 1: unknown kind'],
@@ -71,7 +71,7 @@
       ['{', 'line 1: not JSON'],
       ['{"do":"submit"}', 'line 1: at'],
     ] as const) {
-      const x = readSchedule(bad, ['router0']);
+      const x = parseFaultSchedule(bad, ['router0']);
       expect(E.isLeft(x) && x.left.message).toContain(line);
     }
   });
--- a/programs/fleet-runner/src/soak/index.ts
+++ b/programs/fleet-runner/src/soak/index.ts
@@ -1,7 +1,7 @@
-export * from './soak-dialect.js';
+export * from './soak-adapter.js';
 export * from './soak-run.js';
 export * from './soak-schedule.js';
 export * from './soak-verdict.js';
 export type { SoakOutcome } from './soak-client.js';
-export type { SoakExit, SoakLife } from './soak-machines.js';
-export type { SoakRun } from './soak-workers.js';
+export type { SoakExit, SoakLifetime } from './soak-machines.js';
+export type { SoakExecution } from './soak-workers.js';
--- a/programs/fleet-runner/src/soak/soak-dialect.ts
+++ b/programs/fleet-runner/src/soak/soak-adapter.ts
@@ -12,11 +12,11 @@
 }
 
 /** What the settings of a machine depend on. */
-export interface SoakSurroundings {
+export interface SoakSettingsContext {
   /** The machines that its settings name as seeds. */
   readonly seeds: readonly SoakMachine[];
   /** Whether this is the first start of the whole fleet. */
-  readonly first: boolean;
+  readonly isFirstStart: boolean;
   /** Where the list of workers is answered, an IP number. */
   readonly platformIp: string;
   readonly dataFolder: string;
@@ -31,13 +31,13 @@
   readonly body: string;
 }
 
-export interface SoakDialect {
+export interface SoakAdapter {
   /** The time between SIGTERM and the end by force that the settings state, in milliseconds. */
   readonly graceMs: number;
   readonly ports: { readonly list: number; readonly worker: number };
   readonly command: (machine: SoakMachine) => { readonly file: string; readonly args: readonly string[] };
   readonly environment: (settingsFile: string) => Readonly<Record<string, string>>;
-  readonly settings: (machine: SoakMachine, surroundings: SoakSurroundings) => string;
+  readonly settings: (machine: SoakMachine, surroundings: SoakSettingsContext) => string;
   readonly readiness: SoakCall;
   /** A request of a client; `revision` names the configuration whose route it takes. */
   readonly request: (id: string, revision: number) => SoakCall;
@@ -45,11 +45,11 @@
   readonly change: (revision: number, base: number) => SoakCall;
   readonly read: SoakCall;
   readonly revisionOf: (configuration: string) => number;
-  readonly listOfWorkers: (ips: readonly string[]) => string;
-  readonly loadOfWorker: string;
+  readonly workerListBody: (ips: readonly string[]) => string;
+  readonly workerLoadBody: string;
   /** The id of a request as a worker sees it; undefined where the call is no request. */
-  readonly idOf: (headers: IncomingHttpHeaders) => string | undefined;
-  readonly workerHead: (id: string) => OutgoingHttpHeaders;
+  readonly requestIdOf: (headers: IncomingHttpHeaders) => string | undefined;
+  readonly workerHeaders: (id: string) => OutgoingHttpHeaders;
   /** The pieces of a worker's answer. */
-  readonly pieces: readonly string[];
+  readonly chunks: readonly string[];
 }
--- a/programs/fleet-runner/src/soak/soak-client.ts
+++ b/programs/fleet-runner/src/soak/soak-client.ts
@@ -1,6 +1,6 @@
 /** Clients of a soak. Each keeps one connection and goes on using it for as long as the process lets it. */
 import http from 'node:http';
-import type { SoakCall } from './soak-dialect.js';
+import type { SoakCall } from './soak-adapter.js';
 
 /** What became of one request. Times are those of `performance.now()`. */
 export interface SoakOutcome {
@@ -11,7 +11,7 @@
   /** `unsent`: no connection came up; `cut`: the connection ended without a whole answer. */
   readonly ended: 'whole' | 'failed' | 'refused' | 'cut' | 'unsent';
   readonly status: number;
-  readonly keptConnection: boolean;
+  readonly reusedConnection: boolean;
 }
 
 /** The answer to one call; `complete` is false where the connection ended in the middle. */
@@ -58,21 +58,21 @@
 /** Statuses that promise that a request has not run and never will. */
 const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-function endOf({ answer, connected }: Exchange, wholeBody: string): SoakOutcome['ended'] {
+function endOf({ answer, connected }: Exchange, expectedBody: string): SoakOutcome['ended'] {
   if (answer === undefined) return connected ? 'cut' : 'unsent';
   if (!answer.complete) return 'cut';
-  if (answer.status === 200) return answer.body === wholeBody ? 'whole' : 'cut';
+  if (answer.status === 200) return answer.body === expectedBody ? 'whole' : 'cut';
   return promises.has(answer.status) ? 'refused' : 'failed';
 }
 
 export interface SoakClientOptions {
   readonly machine: string;
   readonly ip: string;
-  readonly wholeBody: string;
-  readonly request: () => { readonly id: string; readonly call: SoakCall };
-  readonly isOver: () => boolean;
+  readonly expectedBody: string;
+  readonly nextRequest: () => { readonly id: string; readonly call: SoakCall };
+  readonly isFinished: () => boolean;
   readonly random: () => number;
-  readonly outcome: (outcome: SoakOutcome) => void;
+  readonly onOutcome: (outcome: SoakOutcome) => void;
 }
 
 const longestRestMs = 1500;
@@ -81,18 +81,18 @@
 /** Sends requests to one machine, one after the other, until `isOver`; half of them after the connection has rested. */
 export async function runSoakClient(options: SoakClientOptions): Promise<void> {
   const agent = new http.Agent({ keepAlive: true, maxSockets: 1 });
-  while (!options.isOver()) {
-    const { id, call } = options.request();
+  while (!options.isFinished()) {
+    const { id, call } = options.nextRequest();
     const sentAt = performance.now();
     const result = await exchange(options.ip, call, agent);
-    options.outcome({
+    options.onOutcome({
       id,
       machine: options.machine,
       sentAt,
       endedAt: performance.now(),
-      ended: endOf(result, options.wholeBody),
+      ended: endOf(result, options.expectedBody),
       status: result.answer?.status ?? 0,
-      keptConnection: result.reused,
+      reusedConnection: result.reused,
     });
     const rest = options.random() < restShare ? longestRestMs * options.random() : 20;
     await new Promise((rested) => setTimeout(rested, rest));
--- a/programs/fleet-runner/src/soak/soak-command.ts
+++ b/programs/fleet-runner/src/soak/soak-command.ts
@@ -2,7 +2,7 @@
 import { availableParallelism, totalmem } from 'node:os';
 import { join, resolve } from 'node:path';
 import { Builtins, Cli, Command, Option, type CommandClass } from 'clipanion';
-import type { SoakDialect } from './soak-dialect.js';
+import type { SoakAdapter } from './soak-adapter.js';
 import { runSoak, type SoakReport } from './soak-run.js';
 
 /** What one process is reckoned to need, in bytes; a soak stays under half of the machine's memory. */
@@ -22,15 +22,24 @@
 }
 
 function lineOf(report: SoakReport): string {
-  const { seed, machines, starts, acknowledged, onKeptConnections, longestStopMs, requests, breaches } = report;
+  const {
+    seed,
+    machines,
+    starts,
+    acknowledged,
+    onReusedConnections: onKeptConnections,
+    maxObservedStopMs: longestStopMs,
+    requests,
+    violations: breaches,
+  } = report;
   const ends = Object.entries(requests).map(([how, count]) => `${how} ${count}`);
   const verdict = breaches.length === 0 ? 'sound' : `BROKEN (${breaches.length})`;
   const facts = `${machines} machines, ${starts} starts, ${acknowledged} changes, longest stop ${longestStopMs} ms`;
-  const lines = breaches.slice(0, mostBreachesShown).map(({ rule, what }) => `  ${rule}: ${what}\n`);
+  const lines = breaches.slice(0, mostBreachesShown).map(({ rule, detail: what }) => `  ${rule}: ${what}\n`);
   return `seed ${seed}: ${verdict}; ${facts}; ${ends.join(', ')}; ${onKeptConnections} on kept connections\n${lines.join('')}`;
 }
 
-function soakCommand(dialect: SoakDialect): CommandClass {
+function soakCommand(dialect: SoakAdapter): CommandClass {
   return class Soak extends Command {
     static override paths = [Command.Default];
     static override usage = Command.Usage({
@@ -73,10 +82,10 @@
       let broken = 0;
       async function playSeeds(): Promise<void> {
         for (let seed = queue.shift(); seed !== undefined; seed = queue.shift()) {
-          const shape = { seed, routers, controls, shared: seed % 2 === 0, span: seconds * 1000 };
+          const shape = { seed, routers, controls, sharesRouters: seed % 2 === 0, durationMs: seconds * 1000 };
           const octet = firstOctet + (process.pid % octets);
-          const report = await runSoak({ dialect, ...shape, folder: join(folder, `${seed}`), octet });
-          if (report.breaches.length > 0) broken += 1;
+          const report = await runSoak({ adapter: dialect, ...shape, folder: join(folder, `${seed}`), octet });
+          if (report.violations.length > 0) broken += 1;
           stdout.write(lineOf(report));
         }
       }
@@ -88,7 +97,7 @@
 }
 
 /** Runs the soak's command line for a program under test. */
-export async function runSoakCli(dialect: SoakDialect, args: readonly string[]): Promise<number> {
+export async function runSoakCli(dialect: SoakAdapter, args: readonly string[]): Promise<number> {
   const cli = new Cli({ binaryLabel: 'soak', binaryName: 'soak', binaryVersion: '0.1.0' });
   cli.register(Builtins.HelpCommand);
   cli.register(soakCommand(dialect));
--- a/programs/fleet-runner/src/soak/soak-machines.ts
+++ b/programs/fleet-runner/src/soak/soak-machines.ts
@@ -2,7 +2,7 @@
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync, renameSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import type { SoakDialect, SoakMachine } from './soak-dialect.js';
+import type { SoakAdapter, SoakMachine } from './soak-adapter.js';
 
 /** One end of a process. */
 export interface SoakExit {
@@ -10,24 +10,24 @@
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
   /** What it had been asked: nothing, to stop, or to be killed. */
-  readonly asked: 'nothing' | 'stop' | 'kill';
+  readonly requested: 'nothing' | 'stop' | 'kill';
   /** From the first SIGTERM to the end, in milliseconds. */
-  readonly tookMs: number;
-  readonly life: SoakLife;
+  readonly stopDurationMs: number;
+  readonly lifetime: SoakLifetime;
 }
 
 /** The times, by `performance.now()`, between which a process ran, and when it was killed or told to stop. */
-export interface SoakLife {
+export interface SoakLifetime {
   readonly machine: string;
-  readonly from: number;
-  to: number;
-  stopAt: number;
-  killAt: number;
+  readonly startedAt: number;
+  endedAt: number;
+  stopSignalAt: number;
+  killSignalAt: number;
 }
 
 export interface SoakMachines {
   readonly all: readonly SoakMachine[];
-  readonly lives: readonly SoakLife[];
+  readonly lifetimes: readonly SoakLifetime[];
   readonly exits: readonly SoakExit[];
   readonly isUp: (machine: SoakMachine) => boolean;
   /** Starts the machine; from now on a process of it that ends is started again after a short pause. */
@@ -38,19 +38,19 @@
   /** When the process that runs now has ended. */
   readonly ended: (machine: SoakMachine) => Promise<void>;
   /** From now on the settings of all machines name these seeds; running processes may read them again. */
-  readonly reseed: (seeds: readonly SoakMachine[]) => void;
+  readonly setSeeds: (seeds: readonly SoakMachine[]) => void;
   /** Tells all to stop, and starts none again; done when all have ended, or were killed after `longestMs`. */
-  readonly endAll: (longestMs: number) => Promise<void>;
+  readonly stopAll: (longestMs: number) => Promise<void>;
 }
 
 interface Running {
   readonly child: ChildProcess;
-  readonly life: SoakLife;
+  readonly lifetime: SoakLifetime;
   readonly end: Promise<void>;
 }
 
 export interface SoakMachinesOptions {
-  readonly dialect: SoakDialect;
+  readonly adapter: SoakAdapter;
   readonly machines: readonly SoakMachine[];
   readonly seeds: readonly SoakMachine[];
   readonly platformIp: string;
@@ -64,10 +64,10 @@
 
 /** Makes the machines of one soak; none runs yet. */
 export function createSoakMachines(options: SoakMachinesOptions): SoakMachines {
-  const { dialect, machines: all, folder } = options;
+  const { adapter: dialect, machines: all, folder } = options;
   const running = new Map<string, Running>();
   const started = new Set<string>();
-  const lives: SoakLife[] = [];
+  const lives: SoakLifetime[] = [];
   const exits: SoakExit[] = [];
   let { seeds } = options;
   let ending = false;
@@ -80,7 +80,7 @@
   function writeSettings(machine: SoakMachine): void {
     const dataFolder = join(folder, `${machine.name}.data`);
     const first = !started.has(machine.name);
-    const text = dialect.settings(machine, { seeds, first, platformIp: options.platformIp, dataFolder });
+    const text = dialect.settings(machine, { seeds, isFirstStart: first, platformIp: options.platformIp, dataFolder });
     const file = settingsFile(machine);
     writeFileSync(`${file}.new`, text);
     renameSync(`${file}.new`, file);
@@ -94,30 +94,30 @@
     const env = { PATH: process.env['PATH'], ...dialect.environment(settingsFile(machine)) };
     const child = spawn(file, args, { stdio: ['ignore', log, log], env });
     closeSync(log);
-    const life: SoakLife = {
+    const life: SoakLifetime = {
       machine: machine.name,
-      from: performance.now(),
-      to: Infinity,
-      stopAt: Infinity,
-      killAt: Infinity,
+      startedAt: performance.now(),
+      endedAt: Infinity,
+      stopSignalAt: Infinity,
+      killSignalAt: Infinity,
     };
     lives.push(life);
     const end = new Promise<void>((done) => {
       child.once('exit', (code, signal) => {
-        life.to = performance.now();
+        life.endedAt = performance.now();
         running.delete(machine.name);
         exits.push(exitOf(life, code, signal));
         if (!ending) setTimeout(startAgain, leastPauseMs + pauseSpreadMs * options.random(), machine);
         done();
       });
     });
-    running.set(machine.name, { child, life, end });
+    running.set(machine.name, { child, lifetime: life, end });
   }
 
-  function exitOf(life: SoakLife, code: number | null, signal: NodeJS.Signals | null): SoakExit {
-    const asked = life.killAt < Infinity ? 'kill' : life.stopAt < Infinity ? 'stop' : 'nothing';
-    const tookMs = asked === 'stop' ? life.to - life.stopAt : 0;
-    return { machine: life.machine, code, signal, asked, tookMs, life };
+  function exitOf(life: SoakLifetime, code: number | null, signal: NodeJS.Signals | null): SoakExit {
+    const asked = life.killSignalAt < Infinity ? 'kill' : life.stopSignalAt < Infinity ? 'stop' : 'nothing';
+    const tookMs = asked === 'stop' ? life.endedAt - life.stopSignalAt : 0;
+    return { machine: life.machine, code, signal, requested: asked, stopDurationMs: tookMs, lifetime: life };
   }
 
   function startAgain(machine: SoakMachine): void {
@@ -127,14 +127,14 @@
   function stop(machine: SoakMachine): void {
     const present = running.get(machine.name);
     if (present === undefined) return;
-    present.life.stopAt = Math.min(present.life.stopAt, performance.now());
+    present.lifetime.stopSignalAt = Math.min(present.lifetime.stopSignalAt, performance.now());
     present.child.kill('SIGTERM');
   }
 
   function kill(machine: SoakMachine): void {
     const present = running.get(machine.name);
     if (present === undefined) return;
-    present.life.killAt = performance.now();
+    present.lifetime.killSignalAt = performance.now();
     present.child.kill('SIGKILL');
   }
 
@@ -154,7 +154,7 @@
 
   return {
     all,
-    lives,
+    lifetimes: lives,
     exits,
     isUp: (machine) => running.has(machine.name),
     start,
@@ -162,7 +162,7 @@
     reload: (machine) => void running.get(machine.name)?.child.kill('SIGHUP'),
     kill,
     ended: (machine) => running.get(machine.name)?.end ?? Promise.resolve(),
-    reseed,
-    endAll,
+    setSeeds: reseed,
+    stopAll: endAll,
   };
 }
--- a/programs/fleet-runner/src/soak/soak-operator.ts
+++ b/programs/fleet-runner/src/soak/soak-operator.ts
@@ -1,16 +1,16 @@
 /** The operator of a soak: sends changes one after the other, each until its outcome is clear, and reads back. */
 import { exchange, type SoakAnswer } from './soak-client.js';
-import type { SoakCall, SoakDialect, SoakMachine } from './soak-dialect.js';
+import type { SoakCall, SoakAdapter, SoakMachine } from './soak-adapter.js';
 
 export interface SoakOperator {
   /** Orders one more change; it is sent after those that were ordered before. */
-  readonly order: () => void;
+  readonly submitChange: () => void;
   /** When all that was ordered is acknowledged or given up. */
-  readonly settled: () => Promise<void>;
+  readonly whenSettled: () => Promise<void>;
   /** The newest revision that was acknowledged. */
   readonly acknowledged: () => number;
   /** Changes that got no clear answer in their time. */
-  readonly unclear: () => number;
+  readonly unresolved: () => number;
   /** The revision that is read back, asked again until one comes or the time is over. */
   readonly read: () => Promise<number | undefined>;
 }
@@ -19,7 +19,7 @@
 const pauseMs = 200;
 
 /** Makes the operator; it calls the machines in turn. */
-export function createSoakOperator(dialect: SoakDialect, machines: readonly SoakMachine[]): SoakOperator {
+export function createSoakOperator(dialect: SoakAdapter, machines: readonly SoakMachine[]): SoakOperator {
   let [revision, acknowledged, unclear, turn] = [0, 0, 0, 0];
   let queue: Promise<void> = Promise.resolve();
 
@@ -56,12 +56,12 @@
   }
 
   return {
-    order: () => {
+    submitChange: () => {
       queue = queue.then(change);
     },
-    settled: () => queue,
+    whenSettled: () => queue,
     acknowledged: () => acknowledged,
-    unclear: () => unclear,
+    unresolved: () => unclear,
     read,
   };
 }
--- a/programs/fleet-runner/src/soak/soak-run.ts
+++ b/programs/fleet-runner/src/soak/soak-run.ts
@@ -5,23 +5,23 @@
 import { mkdirSync } from 'node:fs';
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { exchange, runSoakClient, type SoakOutcome } from './soak-client.js';
-import type { SoakDialect, SoakMachine } from './soak-dialect.js';
+import type { SoakAdapter, SoakMachine } from './soak-adapter.js';
 import { createSoakMachines, type SoakMachines } from './soak-machines.js';
 import { createSoakOperator, type SoakOperator } from './soak-operator.js';
 import { drawSoakSchedule, type SoakStep } from './soak-schedule.js';
-import { judgeSoak, type SoakBreach } from './soak-verdict.js';
+import { judgeSoak, type SoakViolation } from './soak-verdict.js';
 import { startSoakWorkers } from './soak-workers.js';
 
 export interface SoakOptions {
-  readonly dialect: SoakDialect;
+  readonly adapter: SoakAdapter;
   readonly seed: number;
   readonly routers: number;
   /** Machines that hold control state. */
   readonly controls: number;
   /** Whether these run routers as well. */
-  readonly shared: boolean;
+  readonly sharesRouters: boolean;
   /** How long troubles come, in milliseconds. */
-  readonly span: number;
+  readonly durationMs: number;
   readonly folder: string;
   /** The second number of the loopback addresses. */
   readonly octet: number;
@@ -30,13 +30,13 @@
 export interface SoakReport {
   readonly seed: number;
   readonly machines: number;
-  readonly breaches: readonly SoakBreach[];
+  readonly violations: readonly SoakViolation[];
   readonly requests: Readonly<Record<SoakOutcome['ended'], number>>;
   /** Requests that were sent on a connection that had served before. */
-  readonly onKeptConnections: number;
+  readonly onReusedConnections: number;
   readonly starts: number;
   readonly acknowledged: number;
-  readonly longestStopMs: number;
+  readonly maxObservedStopMs: number;
 }
 
 const clientsPerRouter = 3;
@@ -56,7 +56,7 @@
 
 function machinesOf(o: SoakOptions, ip: (n: number) => string): SoakMachine[] {
   const controls = Array.from({ length: o.controls }, (_, n): SoakMachine => {
-    return { name: `control-${n}`, role: o.shared ? 'both' : 'control', ip: ip(1 + n) };
+    return { name: `control-${n}`, role: o.sharesRouters ? 'both' : 'control', ip: ip(1 + n) };
   });
   const routers = Array.from({ length: o.routers }, (_, n): SoakMachine => {
     return { name: `router-${n}`, role: 'router', ip: ip(1 + o.controls + n) };
@@ -87,9 +87,9 @@
     case 'kill-all':
       return machines.all.forEach(machines.kill);
     case 'change':
-      return operator.order();
+      return operator.submitChange();
     case 'seeds':
-      return machines.reseed(seedsFor(step.who, machines.all));
+      return machines.setSeeds(seedsFor(step.who, machines.all));
   }
 }
 
@@ -105,7 +105,7 @@
 
 /** Plays one soak and judges it. */
 export async function runSoak(o: SoakOptions): Promise<SoakReport> {
-  const { dialect } = o;
+  const { adapter: dialect } = o;
   const random = createSeededRandom(o.seed);
   function ip(n: number): string {
     return addressOf(o, n);
@@ -114,15 +114,15 @@
   const holders = all.slice(0, o.controls);
   const routers = all.filter((machine) => machine.role !== 'control');
   const outcomes: SoakOutcome[] = [];
-  const breaches: SoakBreach[] = [];
+  const breaches: SoakViolation[] = [];
   let requests = 0;
   let over = false;
 
   mkdirSync(o.folder, { recursive: true });
   const platformIp = ip(platformNumber);
-  const workers = await startSoakWorkers({ dialect, ips: workerNumbers.map(ip), platformIp, random });
+  const workers = await startSoakWorkers({ adapter: dialect, ips: workerNumbers.map(ip), platformIp, random });
   const machines = createSoakMachines({
-    dialect,
+    adapter: dialect,
     machines: all,
     seeds: holders.slice(0, seedsOfMachine),
     platformIp,
@@ -131,7 +131,7 @@
   });
   const operator = createSoakOperator(dialect, holders);
 
-  function requestOn(revision: number): { id: string; call: ReturnType<SoakDialect['request']> } {
+  function requestOn(revision: number): { id: string; call: ReturnType<SoakAdapter['request']> } {
     requests += 1;
     const id = `soak-${o.seed}-${requests}`;
     return { id, call: dialect.request(id, revision) };
@@ -152,18 +152,18 @@
         runSoakClient({
           machine: machine.name,
           ip: machine.ip,
-          wholeBody: dialect.pieces.join(''),
-          request: () => requestOn(1),
-          isOver: () => over,
+          expectedBody: dialect.chunks.join(''),
+          nextRequest: () => requestOn(1),
+          isFinished: () => over,
           random,
-          outcome: (outcome) => outcomes.push(outcome),
+          onOutcome: (outcome) => outcomes.push(outcome),
         }),
       ),
     );
   }
   async function playSchedule(): Promise<void> {
     const begun = performance.now();
-    for (const step of drawSoakSchedule({ seed: o.seed, span: o.span, machines: all.length })) {
+    for (const step of drawSoakSchedule({ seed: o.seed, durationMs: o.durationMs, machines: all.length })) {
       const wait = begun + step.at - performance.now();
       if (wait > 0) await new Promise((due) => setTimeout(due, wait));
       apply(step, machines, operator);
@@ -172,35 +172,48 @@
   async function judgeCalm(): Promise<void> {
     const back = await Promise.all(routers.map((machine) => holdsWithin(recoveryMs, () => serves(machine))));
     const late = routers.filter((_, n) => back[n] !== true).map((machine) => machine.name);
-    if (late.length > 0) breaches.push({ rule: 'not back', what: `${late.join(', ')} after ${recoveryMs} ms of calm` });
+    if (late.length > 0)
+      breaches.push({ rule: 'not back', detail: `${late.join(', ')} after ${recoveryMs} ms of calm` });
     const read = await operator.read();
     if (read === undefined || read < operator.acknowledged())
       breaches.push({
         rule: 'changes',
-        what: `${read ?? 'nothing'} read back, ${operator.acknowledged()} acknowledged`,
+        detail: `${read ?? 'nothing'} read back, ${operator.acknowledged()} acknowledged`,
+      });
+    if (operator.unresolved() > 0)
+      breaches.push({
+        rule: 'changes',
+        detail: `${operator.unresolved()} without a clear answer that they were taken`,
       });
-    if (operator.unclear() > 0)
-      breaches.push({ rule: 'changes', what: `${operator.unclear()} without a clear answer that they were taken` });
   }
 
   try {
     for (const machine of all) machines.start(machine);
-    operator.order();
-    await operator.settled();
-    if (!(await holdsWithin(recoveryMs, allReady))) breaches.push({ rule: 'not back', what: 'not ready at first' });
+    operator.submitChange();
+    await operator.whenSettled();
+    if (!(await holdsWithin(recoveryMs, allReady))) breaches.push({ rule: 'not back', detail: 'not ready at first' });
     const clients = startClients();
     await playSchedule();
-    await operator.settled();
+    await operator.whenSettled();
     await judgeCalm();
     over = true;
     await Promise.all(clients);
   } finally {
     over = true;
-    await machines.endAll(longestStopMs);
+    await machines.stopAll(longestStopMs);
     workers.close();
   }
-  const { lives, exits } = machines;
-  breaches.push(...judgeSoak({ outcomes, runs: workers.runs, lives, exits, longestStopMs, graceMs: dialect.graceMs }));
+  const { lifetimes: lives, exits } = machines;
+  breaches.push(
+    ...judgeSoak({
+      outcomes,
+      executions: workers.executions,
+      lifetimes: lives,
+      exits,
+      maxStopMs: longestStopMs,
+      graceMs: dialect.graceMs,
+    }),
+  );
   return reportOf(o.seed, all.length, outcomes, machines, operator, breaches);
 }
 
@@ -208,20 +221,20 @@
   seed: number,
   machines: number,
   outcomes: readonly SoakOutcome[],
-  { lives, exits }: SoakMachines,
+  { lifetimes: lives, exits }: SoakMachines,
   operator: SoakOperator,
-  breaches: readonly SoakBreach[],
+  breaches: readonly SoakViolation[],
 ): SoakReport {
   const requests = { whole: 0, failed: 0, refused: 0, cut: 0, unsent: 0 };
   for (const { ended } of outcomes) requests[ended] += 1;
   return {
     seed,
     machines,
-    breaches,
+    violations: breaches,
     requests,
-    onKeptConnections: outcomes.filter((outcome) => outcome.keptConnection).length,
+    onReusedConnections: outcomes.filter((outcome) => outcome.reusedConnection).length,
     starts: lives.length,
     acknowledged: operator.acknowledged(),
-    longestStopMs: Math.round(Math.max(0, ...exits.map((exit) => exit.tookMs))),
+    maxObservedStopMs: Math.round(Math.max(0, ...exits.map((exit) => exit.stopDurationMs))),
   };
 }
--- a/programs/fleet-runner/src/soak/soak-schedule.ts
+++ b/programs/fleet-runner/src/soak/soak-schedule.ts
@@ -18,7 +18,7 @@
 export interface SoakScheduleOptions {
   readonly seed: number;
   /** How long troubles come, in milliseconds. */
-  readonly span: number;
+  readonly durationMs: number;
   /** How many machines there are; a series may go round all of them. */
   readonly machines: number;
 }
@@ -33,8 +33,8 @@
 
   function series(length: number, step: (at: number) => SoakStep): void {
     const gap = seriesShortestGap + seriesGapSpread * random();
-    const from = 0.7 * options.span * random();
-    for (let n = 0; n < length && from + n * gap < options.span; n += 1) steps.push(step(from + n * gap));
+    const from = 0.7 * options.durationMs * random();
+    for (let n = 0; n < length && from + n * gap < options.durationMs; n += 1) steps.push(step(from + n * gap));
   }
   function some(most: number): number {
     return 1 + Math.floor(most * random());
@@ -47,6 +47,6 @@
   series(some(20), (at) => ({ at, do: 'change' }));
   if (random() < 0.6) series(some(2), (at) => ({ at, do: 'seeds', who: random() }));
   if (random() < 0.5) series(some(3), (at) => ({ at, do: 'kill', who: random() }));
-  if (random() < 0.5) steps.push({ at: options.span, do: 'kill-all' });
+  if (random() < 0.5) steps.push({ at: options.durationMs, do: 'kill-all' });
   return steps.sort((a, b) => a.at - b.at);
 }
--- a/programs/fleet-runner/src/soak/soak-workers.ts
+++ b/programs/fleet-runner/src/soak/soak-workers.ts
@@ -1,21 +1,21 @@
 /** The workers of a soak and the list of them, played in the soak's own process on loopback. */
 import http from 'node:http';
-import type { SoakDialect } from './soak-dialect.js';
+import type { SoakAdapter } from './soak-adapter.js';
 
 /** What workers did for one request. */
-export interface SoakRun {
-  times: number;
+export interface SoakExecution {
+  count: number;
   /** When a worker had written its whole answer, by `performance.now()`. */
   finishedAt: number;
 }
 
 export interface SoakWorkers {
-  readonly runs: ReadonlyMap<string, SoakRun>;
+  readonly executions: ReadonlyMap<string, SoakExecution>;
   readonly close: () => void;
 }
 
 export interface SoakWorkersOptions {
-  readonly dialect: SoakDialect;
+  readonly adapter: SoakAdapter;
   readonly ips: readonly string[];
   readonly platformIp: string;
   readonly random: () => number;
@@ -28,25 +28,25 @@
 
 /** Starts the workers and the list; all listen when the promise is kept. */
 export async function startSoakWorkers(options: SoakWorkersOptions): Promise<SoakWorkers> {
-  const { dialect, random } = options;
-  const runs = new Map<string, SoakRun>();
+  const { adapter: dialect, random } = options;
+  const runs = new Map<string, SoakExecution>();
 
   function work(request: http.IncomingMessage, answer: http.ServerResponse): void {
-    const id = dialect.idOf(request.headers);
+    const id = dialect.requestIdOf(request.headers);
     request.resume();
-    if (id === undefined) return void answer.end(dialect.loadOfWorker);
+    if (id === undefined) return void answer.end(dialect.workerLoadBody);
     request.on('end', () => {
-      const run = runs.get(id) ?? { times: 0, finishedAt: Infinity };
-      run.times += 1;
+      const run = runs.get(id) ?? { count: 0, finishedAt: Infinity };
+      run.count += 1;
       runs.set(id, run);
-      answer.writeHead(200, dialect.workerHead(id));
+      answer.writeHead(200, dialect.workerHeaders(id));
       answer.on('finish', () => (run.finishedAt = performance.now()));
       writePieces(answer, random() < longShare ? longPieceMs : shortPieceMs);
     });
   }
 
   function writePieces(answer: http.ServerResponse, longestPause: number): void {
-    const [first, ...others] = dialect.pieces;
+    const [first, ...others] = dialect.chunks;
     answer.write(first);
     function next(): void {
       const piece = others.shift();
@@ -60,14 +60,14 @@
   const servers = [
     ...options.ips.map((ip) => listen(http.createServer(work), dialect.ports.worker, ip)),
     listen(
-      http.createServer((_request, answer) => void answer.end(dialect.listOfWorkers(options.ips))),
+      http.createServer((_request, answer) => void answer.end(dialect.workerListBody(options.ips))),
       dialect.ports.list,
       options.platformIp,
     ),
   ];
   const listening = await Promise.all(servers);
   return {
-    runs,
+    executions: runs,
     close: () => {
       for (const server of listening) {
         server.closeAllConnections();
--- a/programs/fleet-runner/src/soak/soak.test.ts
+++ b/programs/fleet-runner/src/soak/soak.test.ts
@@ -1,7 +1,20 @@
 import { expect, it } from 'vitest';
-import { drawSoakSchedule, judgeSoak, type SoakExit, type SoakLife, type SoakOutcome, type SoakRun } from './index.js';
+import {
+  drawSoakSchedule,
+  judgeSoak,
+  type SoakExit,
+  type SoakLifetime,
+  type SoakOutcome,
+  type SoakExecution,
+} from './index.js';
 
-const life: SoakLife = { machine: 'router-0', from: 0, to: 20_000, stopAt: 10_000, killAt: Infinity };
+const life: SoakLifetime = {
+  machine: 'router-0',
+  startedAt: 0,
+  endedAt: 20_000,
+  stopSignalAt: 10_000,
+  killSignalAt: Infinity,
+};
 const outcome: SoakOutcome = {
   id: 'request',
   machine: 'router-0',
@@ -9,26 +22,33 @@
   endedAt: 12_000,
   ended: 'whole',
   status: 200,
-  keptConnection: true,
+  reusedConnection: true,
+};
+const end: SoakExit = {
+  machine: 'router-0',
+  code: 0,
+  signal: null,
+  requested: 'stop',
+  stopDurationMs: 4000,
+  lifetime: life,
 };
-const end: SoakExit = { machine: 'router-0', code: 0, signal: null, asked: 'stop', tookMs: 4000, life };
 
-const neverRun: Partial<SoakRun> = { times: 0 };
+const neverRun: Partial<SoakExecution> = { count: 0 };
 
 function judge(
   over: Partial<SoakOutcome>,
-  run: Partial<SoakRun> = {},
+  run: Partial<SoakExecution> = {},
   exit: Partial<SoakExit> = {},
-  lives: readonly SoakLife[] = [life],
+  lives: readonly SoakLifetime[] = [life],
 ): string[] {
-  const ran = { times: 1, finishedAt: 11_500, ...run };
-  const runs = new Map(run === neverRun ? [] : [['request', ran]]);
-  const history = { outcomes: [{ ...outcome, ...over }], runs, lives, exits: [{ ...end, ...exit }] };
-  return judgeSoak({ ...history, longestStopMs: 6000, graceMs: 6000 }).map(({ rule }) => rule);
+  const ran = { count: 1, finishedAt: 11_500, ...run };
+  const executions = new Map(run === neverRun ? [] : [['request', ran]]);
+  const history = { outcomes: [{ ...outcome, ...over }], executions, lifetimes: lives, exits: [{ ...end, ...exit }] };
+  return judgeSoak({ ...history, maxStopMs: 6000, graceMs: 6000 }).map(({ rule }) => rule);
 }
 
 it('draws the same schedule from the same seed, in order, and series that overlap', () => {
-  const shape = { span: 10_000, machines: 8 };
+  const shape = { durationMs: 10_000, machines: 8 };
   for (let seed = 1; seed <= 20; seed += 1) {
     const steps = drawSoakSchedule({ seed, ...shape });
     expect(drawSoakSchedule({ seed, ...shape })).toEqual(steps);
@@ -50,8 +70,8 @@
 it('calls a request lost that reached a worker and was cut, unless its process was killed meanwhile', () => {
   expect(judge({ ended: 'cut' })).toEqual(['lost']);
   expect(judge({ ended: 'cut' }, neverRun)).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killAt: 11_500 }])).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killAt: 13_000 }])).toEqual(['lost']);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killSignalAt: 11_500 }])).toEqual([]);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killSignalAt: 13_000 }])).toEqual(['lost']);
 });
 
 it('lets a router cut off a worker that outlasts the grace period, but not one that was done, or was asked late', () => {
@@ -63,14 +83,14 @@
 });
 
 it('finds what ran twice, and what ran though it was refused', () => {
-  expect(judge({}, { times: 2 })).toEqual(['twice']);
+  expect(judge({}, { count: 2 })).toEqual(['twice']);
   expect(judge({ ended: 'refused', status: 503 })).toEqual(['refused though run']);
 });
 
 it('finds processes that end by themselves, by a signal that they should have taken, or late', () => {
-  expect(judge({}, undefined, { asked: 'nothing', code: 1 })).toEqual(['ended by itself']);
+  expect(judge({}, undefined, { requested: 'nothing', code: 1 })).toEqual(['ended by itself']);
   expect(judge({}, undefined, { code: null, signal: 'SIGTERM' })).toEqual(['ended by itself']);
   expect(judge({ sentAt: 30_000 }, undefined, { code: null, signal: 'SIGTERM' })).toEqual([]);
-  expect(judge({}, undefined, { asked: 'kill', code: null, signal: 'SIGKILL' })).toEqual([]);
-  expect(judge({}, undefined, { tookMs: 6001 })).toEqual(['ended late']);
+  expect(judge({}, undefined, { requested: 'kill', code: null, signal: 'SIGKILL' })).toEqual([]);
+  expect(judge({}, undefined, { stopDurationMs: 6001 })).toEqual(['ended late']);
 });
--- a/programs/requester-stand-in/src/drive.ts
+++ b/programs/requester-stand-in/src/drive.ts
@@ -4,21 +4,21 @@
  */
 import type { Agent } from 'undici';
 import { createSeededRandom } from '@tansypost/inner-protocol';
-import { callOnce, type Outcome } from './requester.js';
-import type { Traffic } from './traffic.js';
+import { sendRequest, type Outcome } from './requester.js';
+import type { TrafficSource } from './traffic.js';
 
-export interface DriveOptions {
-  readonly traffic: Traffic;
+export interface LoadOptions {
+  readonly traffic: TrafficSource;
   readonly rate: number | ((at: number) => number);
   readonly seconds: number;
   readonly seed: number;
   readonly routers: () => readonly string[];
   readonly agent: Agent;
-  readonly until?: () => boolean;
-  readonly ended?: (o: Outcome) => void;
+  readonly shouldStop?: () => boolean;
+  readonly onOutcome?: (o: Outcome) => void;
 }
 
-export async function drive(o: DriveOptions): Promise<Outcome[]> {
+export async function runLoad(o: LoadOptions): Promise<Outcome[]> {
   const r = createSeededRandom(o.seed ^ 0x5bd1e995);
   const out: Outcome[] = [];
   const open = new Set<Promise<void>>();
@@ -30,15 +30,15 @@
     const well = rs.filter((x) => (resting.get(x) ?? 0) < performance.now());
     const from2 = well.length > 0 ? well : rs;
     const router = from2[Math.floor(r() * from2.length)]!;
-    const x = await callOnce(router, o.traffic.next(at), o.agent);
+    const x = await sendRequest(router, o.traffic.next(at), o.agent);
     if (x.ended === 'unreachable') resting.set(router, performance.now() + 2000);
     out.push(x);
-    o.ended?.(x);
+    o.onOutcome?.(x);
   }
   let due = 0;
   for (;;) {
     const at = (performance.now() - from) / 1000;
-    if (at > o.seconds || o.until?.() === true) break;
+    if (at > o.seconds || o.shouldStop?.() === true) break;
     while (due <= at) {
       const p: Promise<void> = one().finally(() => open.delete(p));
       open.add(p);
--- a/programs/requester-stand-in/src/main.ts
+++ b/programs/requester-stand-in/src/main.ts
@@ -3,8 +3,8 @@
 // judges every answer.
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { Agent } from 'undici';
-import { drive } from './drive.js';
-import { summarise } from './report.js';
+import { runLoad } from './drive.js';
+import { summarizeTraffic } from './report.js';
 import { createTraffic, deployments } from './traffic.js';
 
 class Run extends Command {
@@ -27,7 +27,7 @@
       return 2;
     }
     const agent = new Agent({ connections: 256, pipelining: 1 });
-    const os = await drive({
+    const os = await runLoad({
       traffic: createTraffic(d, Number(this.seed)),
       rate: Math.min(200, Number(this.rate ?? d.rate)),
       seconds: Math.min(600, Number(this.secondsFor)),
@@ -36,7 +36,7 @@
       agent,
     });
     await agent.destroy();
-    const s = summarise(os);
+    const s = summarizeTraffic(os);
     this.context.stdout.write(`${JSON.stringify(s, null, 2)}\n`);
     return s.wrong > 0 ? 1 : 0;
   }
--- a/programs/requester-stand-in/src/report.ts
+++ b/programs/requester-stand-in/src/report.ts
@@ -7,7 +7,7 @@
   return s[Math.min(s.length - 1, Math.floor(q * s.length))]!;
 }
 
-export interface Summary {
+export interface TrafficSummary {
   readonly requests: number;
   readonly whole: number;
   readonly availability: number;
@@ -18,14 +18,14 @@
   };
 }
 
-export function summarise(os: readonly Outcome[]): Summary {
+export function summarizeTraffic(os: readonly Outcome[]): TrafficSummary {
   const ends: Record<string, number> = {};
   for (const o of os) {
     const k = o.ended === 'whole' ? 'whole' : `${o.ended}: ${o.kind}`;
     ends[k] = (ends[k] ?? 0) + 1;
   }
   const whole = os.filter((o) => o.ended === 'whole');
-  const kinds = [...new Set(os.map((o) => o.ask.kind))].sort();
+  const kinds = [...new Set(os.map((o) => o.request.kind))].sort();
   return {
     requests: os.length,
     whole: whole.length,
@@ -34,7 +34,7 @@
     ends,
     ttft: Object.fromEntries(
       kinds.map((k) => {
-        const ts = whole.filter((o) => o.ask.kind === k).map((o) => o.ttftMs);
+        const ts = whole.filter((o) => o.request.kind === k).map((o) => o.ttftMs);
         const mean = ts.reduce((a, b) => a + b, 0) / Math.max(1, ts.length);
         return [
           k,
--- a/programs/requester-stand-in/src/requester.ts
+++ b/programs/requester-stand-in/src/requester.ts
@@ -1,14 +1,14 @@
 /** One request over HTTP, judged token by token against the answer that its prompt must have. */
 import { Agent, request } from 'undici';
-import { judge } from '@tansypost/worker-stand-in';
-import type { Ask } from './traffic.js';
+import { classifyAnswer } from '@tansypost/worker-stand-in';
+import type { TestRequest } from './traffic.js';
 
-export type Ended = 'whole' | 'refused' | 'given up' | 'cut, and said so' | 'unreachable' | 'WRONG';
+export type OutcomeClass = 'whole' | 'refused' | 'given up' | 'cut, and said so' | 'unreachable' | 'WRONG';
 export interface Outcome {
-  readonly ask: Ask;
+  readonly request: TestRequest;
   readonly router: string;
   readonly at: number;
-  readonly ended: Ended;
+  readonly ended: OutcomeClass;
   readonly kind: string;
   readonly ttftMs: number;
   readonly totalMs: number;
@@ -19,13 +19,13 @@
   return performance.now();
 }
 
-export async function callOnce(router: string, a: Ask, agent: Agent): Promise<Outcome> {
+export async function sendRequest(router: string, a: TestRequest, agent: Agent): Promise<Outcome> {
   const from = now();
   let first = 0;
   let text = '';
-  function over(ended: Ended, kind: string, retryAfter = false): Outcome {
+  function over(ended: OutcomeClass, kind: string, retryAfter = false): Outcome {
     return {
-      ask: a,
+      request: a,
       router,
       at: from,
       ended,
@@ -62,12 +62,12 @@
         const e = held.slice(0, i);
         held = held.slice(i + 2);
         if (e.startsWith('event: error')) {
-          const v = judge(a.prompt, a.maxTokens, text);
+          const v = classifyAnswer(a.prompt, a.maxTokens, text);
           const f = JSON.parse(e.slice(e.indexOf('data: ') + 6)) as { error: { kind: string } };
           return v === 'foreign' || v === 'overlong' ? over('WRONG', v) : over('cut, and said so', f.error.kind);
         }
         if (e === 'data: [DONE]') {
-          const v = judge(a.prompt, a.maxTokens, text);
+          const v = classifyAnswer(a.prompt, a.maxTokens, text);
           return v === 'whole' ? over('whole', 'whole') : over('WRONG', v);
         }
         const t = (JSON.parse(e.slice(6)) as { choices: { text: string }[] }).choices[0]!.text;
@@ -76,11 +76,11 @@
       }
     }
     return over(
-      judge(a.prompt, a.maxTokens, text) === 'foreign' ? 'WRONG' : 'unreachable',
+      classifyAnswer(a.prompt, a.maxTokens, text) === 'foreign' ? 'WRONG' : 'unreachable',
       'stream ended without a word',
     );
   } catch (e) {
-    const v = text === '' ? 'cut' : judge(a.prompt, a.maxTokens, text);
+    const v = text === '' ? 'cut' : classifyAnswer(a.prompt, a.maxTokens, text);
     return over(v === 'foreign' ? 'WRONG' : 'unreachable', (e as { code?: string }).code ?? String(e));
   }
 }
--- a/programs/requester-stand-in/src/traffic.ts
+++ b/programs/requester-stand-in/src/traffic.ts
@@ -5,11 +5,11 @@
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { DesiredState } from '@tansypost/desired-state';
 
-export interface KindShape {
+export interface RequestKind {
   readonly kind: string;
-  readonly often: number;
-  readonly prompt: readonly [number, number];
-  readonly answer: number;
+  readonly weight: number;
+  readonly promptTokens: readonly [number, number];
+  readonly answerTokens: number;
   readonly worth: number;
   readonly patienceMs: number;
   readonly repeatable: boolean;
@@ -21,7 +21,7 @@
   readonly workers: number;
   readonly rate: number;
   readonly tenants: readonly string[];
-  readonly kinds: readonly KindShape[];
+  readonly kinds: readonly RequestKind[];
 }
 
 export const ferry: Deployment = {
@@ -34,15 +34,31 @@
   kinds: [
     {
       kind: 'manifest_review',
-      often: 0.15,
-      prompt: [1000, 2400],
-      answer: 120,
+      weight: 0.15,
+      promptTokens: [1000, 2400],
+      answerTokens: 120,
       worth: 5,
       patienceMs: 20_000,
       repeatable: true,
     },
-    { kind: 'fare_quote', often: 0.6, prompt: [200, 450], answer: 32, worth: 3, patienceMs: 8000, repeatable: true },
-    { kind: 'seat_hold', often: 0.25, prompt: [100, 200], answer: 4, worth: 8, patienceMs: 5000, repeatable: false },
+    {
+      kind: 'fare_quote',
+      weight: 0.6,
+      promptTokens: [200, 450],
+      answerTokens: 32,
+      worth: 3,
+      patienceMs: 8000,
+      repeatable: true,
+    },
+    {
+      kind: 'seat_hold',
+      weight: 0.25,
+      promptTokens: [100, 200],
+      answerTokens: 4,
+      worth: 8,
+      patienceMs: 5000,
+      repeatable: false,
+    },
   ],
 };
 export const coldStorage: Deployment = {
@@ -55,20 +71,36 @@
   kinds: [
     {
       kind: 'spoilage_claim',
-      often: 0.15,
-      prompt: [1200, 2600],
-      answer: 160,
+      weight: 0.15,
+      promptTokens: [1200, 2600],
+      answerTokens: 160,
       worth: 5,
       patienceMs: 25_000,
       repeatable: false,
     },
-    { kind: 'bay_answer', often: 0.6, prompt: [200, 450], answer: 36, worth: 3, patienceMs: 8000, repeatable: true },
-    { kind: 'alarm_mark', often: 0.25, prompt: [80, 180], answer: 2, worth: 9, patienceMs: 4000, repeatable: true },
+    {
+      kind: 'bay_answer',
+      weight: 0.6,
+      promptTokens: [200, 450],
+      answerTokens: 36,
+      worth: 3,
+      patienceMs: 8000,
+      repeatable: true,
+    },
+    {
+      kind: 'alarm_mark',
+      weight: 0.25,
+      promptTokens: [80, 180],
+      answerTokens: 2,
+      worth: 9,
+      patienceMs: 4000,
+      repeatable: true,
+    },
   ],
 };
 export const deployments: { readonly [k: string]: Deployment } = { ferry, 'cold-storage': coldStorage };
 
-export interface Ask {
+export interface TestRequest {
   readonly id: string;
   readonly tenant: string;
   readonly kind: string;
@@ -79,14 +111,14 @@
   readonly worth: number;
 }
 
-export function templates(d: Deployment, worthOf: (k: KindShape) => number = (k) => k.worth): DesiredState {
+export function buildDesiredState(d: Deployment, worthOf: (k: RequestKind) => number = (k) => k.worth): DesiredState {
   return {
     templates: d.tenants.map((tenant) => ({
       tenant,
       kinds: Object.fromEntries(
         d.kinds.map((k) => [
           k.kind,
-          { worth: worthOf(k), patienceMs: k.patienceMs, share: Math.round(k.often * 10), repeatable: k.repeatable },
+          { worth: worthOf(k), patienceMs: k.patienceMs, share: Math.round(k.weight * 10), repeatable: k.repeatable },
         ]),
       ),
     })),
@@ -102,23 +134,23 @@
   return s;
 }
 
-export type Mix = (k: KindShape, at: number) => number;
-export function steadyMix(k: KindShape): number {
-  return k.often;
+export type TrafficMix = (k: RequestKind, at: number) => number;
+export function steadyMix(k: RequestKind): number {
+  return k.weight;
 }
 // Swings between long prompts and long answers with the period given in seconds.
-export function swingMix(period: number): Mix {
+export function oscillatingMix(period: number): TrafficMix {
   return function mix(k, at) {
     const long = 1 + 0.9 * Math.sin((2 * Math.PI * at) / period);
-    return k.often * (k.prompt[1] > 1000 ? long : 2 - long);
+    return k.weight * (k.promptTokens[1] > 1000 ? long : 2 - long);
   };
 }
 
-export interface Traffic {
-  readonly next: (at: number) => Ask;
+export interface TrafficSource {
+  readonly next: (at: number) => TestRequest;
 }
 
-export function createTraffic(d: Deployment, seed: number, mix: Mix = steadyMix): Traffic {
+export function createTraffic(d: Deployment, seed: number, mix: TrafficMix = steadyMix): TrafficSource {
   const r = createSeededRandom(seed);
   const shared = new Map<string, string>();
   let n = 0;
@@ -130,7 +162,7 @@
     }
     return s;
   }
-  function next(at: number): Ask {
+  function next(at: number): TestRequest {
     n += 1;
     const ws = d.kinds.map((k) => mix(k, at));
     let u = r() * ws.reduce((a, b) => a + b, 0);
@@ -141,17 +173,17 @@
     }
     const k = d.kinds[i]!;
     const tenant = d.tenants[Math.floor(r() * d.tenants.length)]!;
-    const size = Math.round(k.prompt[0] + r() * (k.prompt[1] - k.prompt[0]));
+    const size = Math.round(k.promptTokens[0] + r() * (k.promptTokens[1] - k.promptTokens[0]));
     const group = Math.floor(r() ** 2 * 24);
-    const opening = part(`${d.name}/${tenant}/${k.kind}`, Math.round(k.prompt[0] * 0.35));
-    const file = part(`${d.name}/${k.kind}/${group}`, Math.round(k.prompt[0] * 0.4));
-    const own = words(r, Math.max(8, size - Math.round(k.prompt[0] * 0.75)));
+    const opening = part(`${d.name}/${tenant}/${k.kind}`, Math.round(k.promptTokens[0] * 0.35));
+    const file = part(`${d.name}/${k.kind}/${group}`, Math.round(k.promptTokens[0] * 0.4));
+    const own = words(r, Math.max(8, size - Math.round(k.promptTokens[0] * 0.75)));
     return {
       id: `${d.name}-${seed}-${n}`,
       tenant,
       kind: k.kind,
       prompt: `${opening}${file}${own}${n}`,
-      maxTokens: k.answer,
+      maxTokens: k.answerTokens,
       repeatable: k.repeatable,
       patienceMs: k.patienceMs,
       worth: k.worth,
--- a/programs/worker-stand-in/src/answer.ts
+++ b/programs/worker-stand-in/src/answer.ts
@@ -19,8 +19,8 @@
   return s;
 }
 
-export type Verdict = 'whole' | 'cut' | 'foreign' | 'overlong';
-export function judge(prompt: string, maxTokens: number, got: string): Verdict {
+export type AnswerVerdict = 'whole' | 'cut' | 'foreign' | 'overlong';
+export function classifyAnswer(prompt: string, maxTokens: number, got: string): AnswerVerdict {
   const d = promptDigest(prompt);
   const want = answerText(d, 0, answerLength(d, maxTokens));
   if (got === want) return 'whole';
@@ -34,11 +34,11 @@
     const [p, q] = ['first prompt', 'second prompt'];
     const d = promptDigest(p);
     const n = answerLength(d, 40);
-    expect(judge(p, 40, answerText(d, 0, n))).toBe('whole');
-    expect(judge(p, 40, answerText(d, 0, n - 1))).toBe('cut');
-    expect(judge(p, 40, answerText(promptDigest(q), 0, n))).toBe('foreign');
-    expect(judge(p, 40, answerText(d, 0, 5) + answerText(promptDigest(q), 5, n))).toBe('foreign');
-    expect(judge(p, 40, answerText(d, 0, 5) + answerText(d, 4, n))).toBe('foreign');
-    expect(judge(p, 40, answerText(d, 0, n) + answerToken(d, n))).toBe('overlong');
+    expect(classifyAnswer(p, 40, answerText(d, 0, n))).toBe('whole');
+    expect(classifyAnswer(p, 40, answerText(d, 0, n - 1))).toBe('cut');
+    expect(classifyAnswer(p, 40, answerText(promptDigest(q), 0, n))).toBe('foreign');
+    expect(classifyAnswer(p, 40, answerText(d, 0, 5) + answerText(promptDigest(q), 5, n))).toBe('foreign');
+    expect(classifyAnswer(p, 40, answerText(d, 0, 5) + answerText(d, 4, n))).toBe('foreign');
+    expect(classifyAnswer(p, 40, answerText(d, 0, n) + answerToken(d, n))).toBe('overlong');
   });
 }
--- a/programs/worker-stand-in/src/main.ts
+++ b/programs/worker-stand-in/src/main.ts
@@ -8,7 +8,7 @@
 import { request } from 'undici';
 import { runProgram } from '@tansypost/boot';
 import { startTimer, monotonicNow, splitAddress } from '@tansypost/inner-protocol';
-import { createWorkerCore, workerDefaults, type Handle, type Part } from './worker-core.js';
+import { createWorkerCore, workerDefaults, type KvHandle, type WorkerStage } from './worker-core.js';
 
 const Addr = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
 const Boot = Type.Object(
@@ -108,14 +108,14 @@
             },
           });
         }
-        const h: Handle = {
+        const h: KvHandle = {
           id: kv.remote_block_ids?.[0] ?? '',
           worker: kv.remote_engine_id ?? '',
           incarnation: kv.incarnation ?? 0,
           request: kv.request_id ?? '',
           digest: kv.prompt_digest ?? '',
         };
-        const no = core.admit(job, h);
+        const no = core.admitDecode(job, h);
         if (no !== undefined) return a.code(no === 'memory_foreign' ? 409 : 503).send(not(no));
         const taken = await takeFrom(`${kv.remote_host}:${kv.remote_port}`, h);
         if (taken !== undefined) return a.code(409).send(not(taken));
@@ -133,15 +133,15 @@
             a.raw.end(
               `data: ${JSON.stringify({ id, object: 'text_completion', choices: [{ index: 0, text: '', finish_reason: finish }] })}\n\ndata: [DONE]\n\n`,
             ),
-          broke: () => a.raw.destroy(),
+          abort: () => a.raw.destroy(),
         });
         a.raw.on('close', off);
         return undefined;
       },
     );
 
-    async function takeFrom(at: string, h: Handle): Promise<string | undefined> {
-      if (at === (advertise ?? listen)) return core.take(h);
+    async function takeFrom(at: string, h: KvHandle): Promise<string | undefined> {
+      if (at === (advertise ?? listen)) return core.consumeHandle(h);
       try {
         const r = await request(`http://${at}/kv/take`, {
           method: 'POST',
@@ -157,19 +157,19 @@
       }
     }
 
-    app.post<{ Body: Handle }>('/kv/take', async (q, a) => {
-      const why = core.take(q.body);
+    app.post<{ Body: KvHandle }>('/kv/take', async (q, a) => {
+      const why = core.consumeHandle(q.body);
       return a.code(why === undefined ? 200 : 409).send(why === undefined ? {} : { why });
     });
     app.get('/report', async () => core.report());
-    app.post<{ Body: { epoch: number; part?: Part | '' } }>('/part', async (q, a) => {
-      const ok = core.order(q.body.epoch, q.body.part ?? '');
+    app.post<{ Body: { epoch: number; part?: WorkerStage | '' } }>('/part', async (q, a) => {
+      const ok = core.setStage(q.body.epoch, q.body.part ?? '');
       return a.code(ok ? 200 : 409).send({ fence: core.report().fence, part: core.part() });
     });
     app.post<{ Body: { dark?: boolean; lapse?: boolean } & typeof core.faults }>('/fault', async (q) => {
       const { dark: d, lapse, ...f } = q.body;
       if (d !== undefined) dark = d;
-      if (lapse === true) core.lapse();
+      if (lapse === true) core.expireHandles();
       Object.assign(core.faults, f);
       return {};
     });
--- a/programs/worker-stand-in/src/worker-core.ts
+++ b/programs/worker-stand-in/src/worker-core.ts
@@ -7,7 +7,7 @@
 import { micros, type World } from '@tansypost/inner-protocol';
 import { answerLength, answerText, promptDigest } from './answer.js';
 
-export type Part = 'prefill' | 'decode' | 'both';
+export type WorkerStage = 'prefill' | 'decode' | 'both';
 export interface WorkerOptions {
   readonly worker: string;
   readonly incarnation: number;
@@ -30,56 +30,56 @@
   reportLagUs: 300_000,
 };
 
-export interface Faults {
+export interface WorkerFaults {
   nonsense?: boolean;
   breakAfter?: number;
   slow?: number;
   badReport?: boolean;
 }
-export interface Handle {
+export interface KvHandle {
   readonly id: string;
   readonly worker: string;
   readonly incarnation: number;
   readonly request: string;
   readonly digest: string;
 }
-export interface Job {
+export interface CompletionJob {
   readonly request: string;
   readonly prompt: string;
   readonly maxTokens: number;
 }
-export type PrefillAnswer =
-  | { readonly tag: 'done'; readonly handle: Handle; readonly cached: number }
+export type PrefillOutcome =
+  | { readonly tag: 'done'; readonly handle: KvHandle; readonly cached: number }
   | { readonly tag: 'refused'; readonly why: string };
 export interface DecodeSink {
   readonly chunk: (text: string, tokens: number) => void;
   readonly end: (finish: string) => void;
-  readonly broke: () => void;
+  readonly abort: () => void;
 }
 export interface WorkerReport {
   readonly queued: number;
   readonly active: number;
   readonly kv_used: number;
-  readonly part: Part;
+  readonly part: WorkerStage;
   readonly incarnation: number;
   readonly fence: number;
 }
 export interface WorkerCore {
-  readonly prefill: (j: Job, done: (a: PrefillAnswer) => void) => () => void;
-  readonly admit: (j: Job, h: Handle) => string | undefined;
-  readonly decode: (j: Job, h: Handle, sink: DecodeSink) => () => void;
-  readonly take: (h: Handle) => string | undefined;
+  readonly prefill: (j: CompletionJob, done: (a: PrefillOutcome) => void) => () => void;
+  readonly admitDecode: (j: CompletionJob, h: KvHandle) => string | undefined;
+  readonly decode: (j: CompletionJob, h: KvHandle, sink: DecodeSink) => () => void;
+  readonly consumeHandle: (h: KvHandle) => string | undefined;
   readonly report: () => WorkerReport;
-  readonly order: (epoch: number, part: Part | '') => boolean;
-  readonly lapse: () => void;
-  readonly faults: Faults;
+  readonly setStage: (epoch: number, part: WorkerStage | '') => boolean;
+  readonly expireHandles: () => void;
+  readonly faults: WorkerFaults;
   readonly runs: () => ReadonlyMap<string, { prefill: number; decode: number }>;
-  readonly part: () => Part;
+  readonly part: () => WorkerStage;
   readonly idle: () => { active: number; queued: number };
 }
 
 interface Active {
-  readonly job: Job;
+  readonly job: CompletionJob;
   readonly digest: string;
   readonly length: number;
   at: number;
@@ -91,13 +91,13 @@
 const chunkTokens = 4;
 
 export function createWorkerCore(w: Pick<World, 'now' | 'after' | 'log'>, o: WorkerOptions): WorkerCore {
-  const held = new Map<string, { h: Handle; tokens: number; cancel: () => void }>();
+  const held = new Map<string, { h: KvHandle; tokens: number; cancel: () => void }>();
   const cache = new Map<string, number>();
   const runs = new Map<string, { prefill: number; decode: number }>();
-  const queue: { job: Job; done: (a: PrefillAnswer) => void; off: boolean }[] = [];
+  const queue: { job: CompletionJob; done: (a: PrefillOutcome) => void; off: boolean }[] = [];
   const active = new Set<Active>();
-  const faults: Faults = {};
-  let part: Part = 'both';
+  const faults: WorkerFaults = {};
+  let part: WorkerStage = 'both';
   let fence = 0;
   let busy = false;
   let ticking = false;
@@ -142,7 +142,7 @@
     return hit;
   }
 
-  function prefill(job: Job, done: (a: PrefillAnswer) => void): () => void {
+  function prefill(job: CompletionJob, done: (a: PrefillOutcome) => void): () => void {
     const item = { job, done, off: false };
     if (part === 'decode') done({ tag: 'refused', why: 'wrong_part' });
     else if (queue.length >= o.queueLimit) done({ tag: 'refused', why: 'queue_full' });
@@ -171,7 +171,7 @@
     w.after(micros(us * (faults.slow ?? 1) * (1 + active.size / (4 * o.slots))), () => {
       busy = false;
       handles += 1;
-      const h: Handle = {
+      const h: KvHandle = {
         id: `${o.worker}-${o.incarnation}-${handles}`,
         worker: o.worker,
         incarnation: o.incarnation,
@@ -186,7 +186,7 @@
   }
 
   // The reading end's check, made by the worker that holds the memory; a handle is good for one reading.
-  function take(h: Handle): string | undefined {
+  function take(h: KvHandle): string | undefined {
     const x = held.get(h.id);
     if (x === undefined || h.incarnation !== o.incarnation) return 'memory_lapsed';
     if (x.h.request !== h.request || x.h.digest !== h.digest) return 'memory_foreign';
@@ -195,7 +195,7 @@
     return undefined;
   }
 
-  function admit(j: Job, h: Handle): string | undefined {
+  function admit(j: CompletionJob, h: KvHandle): string | undefined {
     if (part === 'prefill') return 'wrong_part';
     if (h.request !== j.request || h.digest !== promptDigest(j.prompt)) return 'memory_foreign';
     if (active.size >= o.slots) return 'queue_full';
@@ -203,7 +203,7 @@
     return undefined;
   }
 
-  function decode(job: Job, h: Handle, sink: DecodeSink): () => void {
+  function decode(job: CompletionJob, h: KvHandle, sink: DecodeSink): () => void {
     run(job.request, 'decode');
     const a: Active = {
       job,
@@ -236,7 +236,7 @@
     const to = Math.min(a.length, a.at + chunkTokens);
     if (faults.breakAfter !== undefined && to >= faults.breakAfter) {
       active.delete(a);
-      return a.sink.broke();
+      return a.sink.abort();
     }
     a.sink.chunk(answerText(a.digest, a.at, to), to - a.at);
     a.at = to;
@@ -266,7 +266,7 @@
     };
   }
 
-  function order(epoch: number, p: Part | ''): boolean {
+  function order(epoch: number, p: WorkerStage | ''): boolean {
     if (epoch < fence) {
       w.log(6002, { epoch, fence });
       return false;
@@ -286,12 +286,12 @@
 
   return {
     prefill,
-    admit,
+    admitDecode: admit,
     decode,
-    take,
+    consumeHandle: take,
     report,
-    order,
-    lapse,
+    setStage: order,
+    expireHandles: lapse,
     faults,
     runs: () => runs,
     part: () => part,
@@ -306,12 +306,12 @@
       { now: () => micros(0), after: () => () => undefined, log: () => undefined },
       { ...workerDefaults, worker: 'w', incarnation: 1 },
     );
-    expect(c.order(5, 'decode')).toBe(true);
-    expect(c.order(4, 'prefill')).toBe(false);
+    expect(c.setStage(5, 'decode')).toBe(true);
+    expect(c.setStage(4, 'prefill')).toBe(false);
     expect(c.part()).toBe('decode');
-    expect(c.order(6, '')).toBe(true);
-    expect(c.order(5, 'prefill')).toBe(false);
-    expect(c.order(6, 'prefill')).toBe(true);
+    expect(c.setStage(6, '')).toBe(true);
+    expect(c.setStage(5, 'prefill')).toBe(false);
+    expect(c.setStage(6, 'prefill')).toBe(true);
   });
   it('gives held memory only to the request, prompt and incarnation it was made for, and once', () => {
     const later: (() => void)[] = [];
@@ -326,16 +326,16 @@
       },
       { ...workerDefaults, worker: 'w', incarnation: 3 },
     );
-    let h: Handle | undefined;
+    let h: KvHandle | undefined;
     c.prefill({ request: 'r1', prompt: 'a b c', maxTokens: 4 }, (a) => {
       if (a.tag === 'done') h = a.handle;
     });
     later[0]!();
-    expect(c.take({ ...h!, request: 'r2' })).toBe('memory_foreign');
-    expect(c.take({ ...h!, digest: promptDigest('a b d') })).toBe('memory_foreign');
-    expect(c.take({ ...h!, incarnation: 2 })).toBe('memory_lapsed');
-    expect(c.take(h!)).toBeUndefined();
-    expect(c.take(h!)).toBe('memory_lapsed');
-    expect(c.admit({ request: 'r2', prompt: 'a b c', maxTokens: 4 }, h!)).toBe('memory_foreign');
+    expect(c.consumeHandle({ ...h!, request: 'r2' })).toBe('memory_foreign');
+    expect(c.consumeHandle({ ...h!, digest: promptDigest('a b d') })).toBe('memory_foreign');
+    expect(c.consumeHandle({ ...h!, incarnation: 2 })).toBe('memory_lapsed');
+    expect(c.consumeHandle(h!)).toBeUndefined();
+    expect(c.consumeHandle(h!)).toBe('memory_lapsed');
+    expect(c.admitDecode({ request: 'r2', prompt: 'a b c', maxTokens: 4 }, h!)).toBe('memory_foreign');
   });
 }
--- a/tests/smoke.test.ts
+++ b/tests/smoke.test.ts
@@ -13,8 +13,8 @@
 import {
   coldStorage,
   createTraffic,
-  callOnce,
-  drive,
+  sendRequest,
+  runLoad,
   type Deployment,
   type Outcome,
 } from '../programs/requester-stand-in/src/index.js';
@@ -56,22 +56,22 @@
   }
   async function traffic(seed: number, n: number): Promise<Outcome[]> {
     let left = n;
-    return drive({
+    return runLoad({
       traffic: createTraffic(small, seed),
       rate: 25,
       seconds: 120,
       seed,
-      routers: f.routers,
+      routers: f.reachableRouters,
       agent,
-      until: () => (left -= 1) < 0,
+      shouldStop: () => (left -= 1) < 0,
     });
   }
   try {
-    await f.serve();
+    await f.startAndWait();
 
     const first = await traffic(11, 60);
     expect(first.filter((o) => o.ended === 'WRONG')).toEqual([]);
-    for (const k of small.kinds) expect(first.some((o) => o.ask.kind === k.kind && o.ended === 'whole')).toBe(true);
+    for (const k of small.kinds) expect(first.some((o) => o.request.kind === k.kind && o.ended === 'whole')).toBe(true);
 
     const ok = { model: 'm', prompt: 'one two three', max_tokens: 4 };
     expect((await post(ok)).status).toBe(200);
@@ -146,15 +146,15 @@
 
     const during = traffic(12, 120);
     f.processes.signal('router3', 'SIGKILL');
-    await f.fault({ at: 0, do: 'empty', who: 'keeper1' });
-    await f.fault({ at: 0, do: 'restart', who: 'router3' });
+    await f.injectFault({ at: 0, do: 'empty', who: 'keeper1' });
+    await f.injectFault({ at: 0, do: 'restart', who: 'router3' });
     const second = await during;
     expect(second.filter((o) => o.ended === 'WRONG')).toEqual([]);
-    await f.until(
+    await f.waitUntil(
       'the emptied keeper votes again',
       async () => (await f.get<{ ok: boolean }>(f.member('keeper1').http, '/vitals'))?.ok === true,
     );
-    await f.until(
+    await f.waitUntil(
       'the restarted router serves',
       async () => (await f.get(f.member('router3').http, '/vitals')) !== undefined,
     );
@@ -166,35 +166,36 @@
       await f.post(f.member(w).http, '/fault', { nonsense: false, badReport: false });
     expect(odd.filter((o) => o.ended === 'WRONG')).toEqual([]);
     const counted = await Promise.all(
-      f.routers().map((r) => f.get<{ workers: { failures: number }[] }>(r, '/figures')),
+      f.reachableRouters().map((r) => f.get<{ workers: { failures: number }[] }>(r, '/figures')),
     );
     expect(counted.some((c) => c?.workers.some((w) => w.failures > 0))).toBe(true);
 
     const planned = traffic(14, 150);
-    await f.fault({ at: 0, do: 'drain', who: 'router2' });
-    await f.fault({ at: 0, do: 'release', who: 'worker2' });
+    await f.injectFault({ at: 0, do: 'drain', who: 'router2' });
+    await f.injectFault({ at: 0, do: 'release', who: 'worker2' });
     const third = await planned;
     expect(
       third.filter((o) => ['WRONG', 'cut, and said so'].includes(o.ended)).map((o) => `${o.ended} ${o.kind}`),
     ).toEqual([]);
 
-    const changed = await f.submit(1);
+    const changed = await f.submitDesiredState(1);
     expect(changed.answer).toBe('acknowledged');
-    for (const r of f.routers())
+    for (const r of f.reachableRouters())
       expect((await f.get<{ version: number }>(r, '/desired-state'))!.version).toBe(changed.version);
     const t = createTraffic(small, 13).next(0);
-    await f.until(
+    await f.waitUntil(
       'the restarted router answers',
       async () =>
-        (await callOnce(f.member('router3').http, { ...t, id: `${t.id}-${Math.random()}` }, agent)).ended === 'whole',
+        (await sendRequest(f.member('router3').http, { ...t, id: `${t.id}-${Math.random()}` }, agent)).ended ===
+        'whole',
     );
 
-    const runs = f.runs();
-    const once = [...first, ...second, ...third].filter((o) => !o.ask.repeatable);
-    expect(once.filter((o) => (runs.get(o.ask.id)?.prefill ?? 0) > 1 || (runs.get(o.ask.id)?.decode ?? 0) > 1)).toEqual(
-      [],
-    );
-    expect([...first, ...second].filter((o) => o.ended === 'refused' && runs.has(o.ask.id))).toEqual([]);
+    const runs = f.executionCounts();
+    const once = [...first, ...second, ...third].filter((o) => !o.request.repeatable);
+    expect(
+      once.filter((o) => (runs.get(o.request.id)?.prefill ?? 0) > 1 || (runs.get(o.request.id)?.decode ?? 0) > 1),
+    ).toEqual([]);
+    expect([...first, ...second].filter((o) => o.ended === 'refused' && runs.has(o.request.id))).toEqual([]);
     const traced = await new Promise<string>((okk) => {
       execFile(
         process.execPath,
--- a/tests/soak.test.ts
+++ b/tests/soak.test.ts
@@ -18,18 +18,18 @@
     const folder = mkdtempSync(join(tmpdir(), 'soak-'));
     const octet = 200 + (process.pid % 50);
     const report = await runSoak({
-      dialect: platformDialect,
+      adapter: platformDialect,
       seed,
       routers: 4,
       controls: 3,
-      shared,
-      span: 8000,
+      sharesRouters: shared,
+      durationMs: 8000,
       folder,
       octet,
     });
-    expect(report.breaches).toEqual([]);
+    expect(report.violations).toEqual([]);
     expect(report.requests.whole).toBeGreaterThan(50);
-    expect(report.onKeptConnections).toBeGreaterThan(20);
+    expect(report.onReusedConnections).toBeGreaterThan(20);
     rmSync(folder, { recursive: true });
   },
 );
