--- a/programs/tansypost/src/call.ts
+++ b/programs/tansypost/src/call.ts
@@ -1,31 +1,32 @@
 /**
- * One call to an agent and what its answer means for the exit code: 0 done, 2 bad input, 3 refused, 4 lost the
- * race or superseded, 5 outcome unknown or agent out of reach.
+ * One HTTP call to a daemon, and the exit code that its response status maps to: 0 success, 2 invalid input,
+ * 3 rejected or not found, 4 version conflict or superseded, 5 outcome unknown or daemon unreachable.
  */
 import { request } from 'undici';
 
-export interface Called {
+/** A response; status 0 stands for a call that got no valid response. */
+export interface CallResult {
   readonly status: number;
   readonly body: unknown;
 }
 
-export async function call(agent: string, method: 'GET' | 'POST', path: string, body?: unknown): Promise<Called> {
+export async function call(agent: string, method: 'GET' | 'POST', path: string, body?: unknown): Promise<CallResult> {
   try {
-    const r = await request(`http://${agent}${path}`, {
+    const response = await request(`http://${agent}${path}`, {
       method,
       headersTimeout: 40_000,
       bodyTimeout: 40_000,
       ...(body === undefined ? {} : { headers: { 'content-type': 'application/json' }, body: JSON.stringify(body) }),
     });
-    const text = await r.body.text();
-    return { status: r.statusCode, body: text === '' ? null : (JSON.parse(text) as unknown) };
-  } catch (e) {
+    const text = await response.body.text();
+    return { status: response.statusCode, body: text === '' ? null : (JSON.parse(text) as unknown) };
+  } catch (error) {
     return {
       status: 0,
       body: {
         error: {
           kind: 'unreachable',
-          message: e instanceof Error ? e.message : String(e),
+          message: error instanceof Error ? error.message : String(error),
           remedy: `Name a running agent with --agent; ${agent} did not answer.`,
         },
       },
