--- a/programs/change-tracer/src/main.ts
+++ b/programs/change-tracer/src/main.ts
@@ -1,45 +1,45 @@
 #!/usr/bin/env node
-/** The change-tracer: prints how one change of the desired state went through every daemon, with times. */
+/** Prints a timeline of how one version of the desired state spread through all daemons. */
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { request } from 'undici';
 import { traceOnce, type Trace } from './trace.js';
 
-const askAgainMs = 200;
+const pollIntervalMs = 200;
 
 class TraceCommand extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: 'Follow one version of the desired state through every daemon, with times.',
+    description: 'Print when each daemon received and applied one version of the desired state.',
     details:
-      'Name every agent with --agent and every keeper with --keeper. Without --version the version in force is followed. Ends with 0 when all have applied it, 1 when some have not by the time given.',
+      'Name every agent with --agent and every control node with --keeper. Without --of the current version is traced. The exit code is 0 when all routers have applied it, 1 when some have not within --wait.',
   });
-  agents = Option.Array('--agent', { required: true, description: 'HTTP address of an agent; give it once for each' });
-  keepers = Option.Array('--keeper', [], { description: 'HTTP address of a keeper; give it once for each' });
-  version = Option.String('--of', { description: 'the version to follow' });
-  wait = Option.String('--wait', '10', { description: 'seconds to wait for all' });
+  agents = Option.Array('--agent', { required: true, description: 'HTTP address of an agent; repeatable' });
+  controlNodes = Option.Array('--keeper', [], { description: 'HTTP address of a control node; repeatable' });
+  version = Option.String('--of', { description: 'the version to trace' });
+  wait = Option.String('--wait', '10', { description: 'seconds to wait until all routers have applied it' });
   async execute(): Promise<number> {
-    const version = this.version === undefined ? await versionInForce(this.agents[0]!) : Number(this.version);
-    const until = Date.now() + Number(this.wait) * 1000;
-    let trace = await traceOnce(this.agents, this.keepers, version);
-    while (trace.missing.length > 0 && Date.now() < until) {
-      await new Promise((ok) => setTimeout(ok, askAgainMs));
-      trace = await traceOnce(this.agents, this.keepers, version);
+    const version = this.version === undefined ? await currentVersion(this.agents[0]!) : Number(this.version);
+    const deadline = Date.now() + Number(this.wait) * 1000;
+    let trace = await traceOnce(this.agents, this.controlNodes, version);
+    while (trace.missing.length > 0 && Date.now() < deadline) {
+      await new Promise((resolve) => setTimeout(resolve, pollIntervalMs));
+      trace = await traceOnce(this.agents, this.controlNodes, version);
     }
-    this.context.stdout.write(linesOf(trace).join(''));
+    this.context.stdout.write(formatTrace(trace).join(''));
     return trace.missing.length === 0 ? 0 : 1;
   }
 }
 
-async function versionInForce(agent: string): Promise<number> {
-  const answer = await request(`http://${agent}/desired-state`);
-  return ((await answer.body.json()) as { version: number }).version;
+async function currentVersion(agent: string): Promise<number> {
+  const response = await request(`http://${agent}/desired-state`);
+  return ((await response.body.json()) as { version: number }).version;
 }
 
-function linesOf({ version, seen, missing }: Trace): string[] {
-  const first = seen[0]?.at ?? 0;
+function formatTrace({ version, events, missing }: Trace): string[] {
+  const first = events[0]?.at ?? 0;
   return [
     `version ${version}\n`,
-    ...seen.map(
+    ...events.map(
       ({ at, who, what }) => `+${((at - first) / 1000).toFixed(1).padStart(9)} ms  ${who.padEnd(22)} ${what}\n`,
     ),
     ...missing.map((agent) => `not applied   ${agent}\n`),
