--- a/programs/fleet-runner/src/fleet.ts
+++ b/programs/fleet-runner/src/fleet.ts
@@ -1,4 +1,4 @@
-/** A running fleet: starts it, waits on conditions until it serves, brings faults about, and stops it. */
+/** A fleet of real processes: starts it, waits until it is ready, injects faults, and stops it. */
 import { readFileSync, existsSync } from 'node:fs';
 import { request } from 'undici';
 import type { Deployment } from '@tansypost/requester-stand-in';
@@ -25,232 +25,254 @@
   readonly stop: () => Promise<void>;
 }
 
-export function createFleet(d: Deployment, o: PlanOptions): Fleet {
-  const plan = planFleet(d, o);
-  const ps = createProcesses(plan, o.folder);
+export function createFleet(deployment: Deployment, options: PlanOptions): Fleet {
+  const plan = planFleet(deployment, options);
+  const processes = createProcesses(plan, options.folder);
   const relays = createRelays();
   const incarnations = new Map<string, number>();
-  const down = new Set<string>();
+  const unreachable = new Set<string>();
 
   function member(name: string): FleetMember {
-    return plan.members.find((m) => m.name === name)!;
+    return plan.members.find((candidate) => candidate.name === name)!;
   }
-  async function get<T>(at: string, path: string): Promise<T | undefined> {
+  async function get<T>(address: string, path: string): Promise<T | undefined> {
     try {
-      const r = await request(`http://${at}${path}`, { headersTimeout: 1500, bodyTimeout: 1500 });
-      const t = (await r.body.json()) as T;
-      return r.statusCode === 200 ? t : undefined;
+      const response = await request(`http://${address}${path}`, { headersTimeout: 1500, bodyTimeout: 1500 });
+      const body = (await response.body.json()) as T;
+      return response.statusCode === 200 ? body : undefined;
     } catch {
       return undefined;
     }
   }
-  async function post(at: string, path: string, body: unknown): Promise<{ status: number; body: unknown } | undefined> {
+  async function post(
+    address: string,
+    path: string,
+    body: unknown,
+  ): Promise<{ status: number; body: unknown } | undefined> {
     try {
-      const r = await request(`http://${at}${path}`, {
+      const response = await request(`http://${address}${path}`, {
         method: 'POST',
         headers: { 'content-type': 'application/json' },
         body: JSON.stringify(body),
         headersTimeout: 40_000,
       });
-      return { status: r.statusCode, body: await r.body.json() };
+      return { status: response.statusCode, body: await response.body.json() };
     } catch {
       return undefined;
     }
   }
-  async function until(what: string, f: () => Promise<boolean>, seconds = 60): Promise<number> {
-    const from = performance.now();
+  async function waitUntil(what: string, condition: () => Promise<boolean>, seconds = 60): Promise<number> {
+    const startedAt = performance.now();
     for (;;) {
-      if (await f()) return performance.now() - from;
-      if (performance.now() - from > seconds * 1000)
-        throw new Error(`waited ${seconds} s in vain until ${what}; see the logs in ${o.folder}`);
-      await new Promise((ok) => setTimeout(ok, 100));
+      if (await condition()) return performance.now() - startedAt;
+      if (performance.now() - startedAt > seconds * 1000)
+        throw new Error(`timed out after ${seconds} s waiting until ${what}; see the logs in ${options.folder}`);
+      await new Promise((resolve) => setTimeout(resolve, 100));
     }
   }
-  function of(program: string): FleetMember[] {
-    return plan.members.filter((m) => m.program === program);
+  function membersOf(program: string): FleetMember[] {
+    return plan.members.filter((candidate) => candidate.program === program);
   }
   function liveAgent(): FleetMember {
-    return of('router-agent').find((m) => ps.isRunning(m.name) && !down.has(m.name))!;
+    return membersOf('router-agent').find((agent) => processes.isRunning(agent.name) && !unreachable.has(agent.name))!;
   }
-  async function platform(name: string, state: string): Promise<void> {
-    const m = member(name);
-    const agents = of('router-agent').filter((x) => ps.isRunning(x.name) && !down.has(x.name));
-    for (let n = 0; n < 20; n += 1) {
-      const r = await post(agents[n % agents.length]!.http, '/platform/workers', {
+  async function reportWorkerState(name: string, state: string): Promise<void> {
+    const worker = member(name);
+    const agents = membersOf('router-agent').filter(
+      (agent) => processes.isRunning(agent.name) && !unreachable.has(agent.name),
+    );
+    for (let attempt = 0; attempt < 20; attempt += 1) {
+      const response = await post(agents[attempt % agents.length]!.http, '/platform/workers', {
         worker: name,
         incarnation: incarnations.get(name) ?? 1,
         state,
-        address: m.relay!.advertised,
+        address: worker.relay!.advertised,
       });
-      if (r?.status === 200) return;
+      if (response?.status === 200) return;
     }
   }
 
-  async function serve(): Promise<void> {
-    for (const m of plan.members)
-      if (m.relay !== undefined) await relays.add(m.relay.advertised, m.relay.target, m.relay.isInternalLink);
-    for (const m of plan.members) ps.start(m);
-    await until('the core votes', async () =>
-      (await Promise.all(of('control-node').map((k) => get(k.http, '/vitals')))).every((v) => v !== undefined),
+  async function startAndWait(): Promise<void> {
+    for (const planned of plan.members)
+      if (planned.relay !== undefined)
+        await relays.open(planned.relay.advertised, planned.relay.target, planned.relay.isInternalLink);
+    for (const planned of plan.members) processes.start(planned);
+    await waitUntil('the control nodes are ready', async () =>
+      (await Promise.all(membersOf('control-node').map((node) => get(node.http, '/vitals')))).every(
+        (health) => health !== undefined,
+      ),
     );
-    await until('agents know each other', async () =>
-      (await Promise.all(of('router-agent').map((a) => get<unknown[]>(a.http, '/members')))).every(
-        (v) => (v?.length ?? 0) >= d.machines - 1,
+    await waitUntil('the agents have discovered each other', async () =>
+      (await Promise.all(membersOf('router-agent').map((agent) => get<unknown[]>(agent.http, '/members')))).every(
+        (known) => (known?.length ?? 0) >= deployment.machines - 1,
       ),
     );
-    await until('workers answer', async () =>
-      (await Promise.all(of('worker-stand-in').map((w) => get(w.http, '/report')))).every((v) => v !== undefined),
+    await waitUntil('the workers respond', async () =>
+      (await Promise.all(membersOf('worker-stand-in').map((worker) => get(worker.http, '/report')))).every(
+        (report) => report !== undefined,
+      ),
     );
-    await Promise.all(of('worker-stand-in').map((w) => platform(w.name, 'ready')));
-    const s = await submit(0);
-    if (s.answer !== 'acknowledged') throw new Error(`the first desired state was answered with ${s.answer}`);
-    await until('every router serves and knows the workers', async () =>
+    await Promise.all(membersOf('worker-stand-in').map((worker) => reportWorkerState(worker.name, 'ready')));
+    const result = await submitDesiredState(0);
+    if (result.answer !== 'acknowledged')
+      throw new Error(`the first desired state was not acknowledged: ${result.answer}`);
+    await waitUntil('every router has the desired state and knows the workers', async () =>
       (
         await Promise.all(
-          of('request-router').map(async (r) => {
-            const v = await get<{ desiredVersion: number }>(r.http, '/vitals');
-            const f = await get<{ workers: unknown[] }>(r.http, '/figures');
-            return v !== undefined && v.desiredVersion >= 1 && f?.workers.length === d.workers;
+          membersOf('request-router').map(async (router) => {
+            const health = await get<{ desiredVersion: number }>(router.http, '/vitals');
+            const metrics = await get<{ workers: unknown[] }>(router.http, '/figures');
+            return health !== undefined && health.desiredVersion >= 1 && metrics?.workers.length === deployment.workers;
           }),
         )
-      ).every((x) => x),
+      ).every((isReady) => isReady),
     );
   }
 
-  async function submit(worth: number): Promise<{ answer: string; version?: number; change?: string; ms: number }> {
-    const from = performance.now();
-    const a = liveAgent().http;
-    const now = await get<{ version: number }>(a, '/desired-state');
-    const r = await post(a, '/desired-state', {
-      base: now?.version ?? 0,
-      state: buildDesiredState(d, (k) => k.worth + worth),
+  async function submitDesiredState(
+    priorityOffset: number,
+  ): Promise<{ answer: string; version?: number; change?: string; ms: number }> {
+    const startedAt = performance.now();
+    const agent = liveAgent().http;
+    const current = await get<{ version: number }>(agent, '/desired-state');
+    const response = await post(agent, '/desired-state', {
+      base: current?.version ?? 0,
+      state: buildDesiredState(deployment, (kind) => kind.worth + priorityOffset),
     });
-    const b = (r?.body ?? { answer: 'agent out of reach' }) as { answer: string; version?: number; change?: string };
-    return { ...b, ms: performance.now() - from };
+    const body = (response?.body ?? { answer: 'agent unreachable' }) as {
+      answer: string;
+      version?: number;
+      change?: string;
+    };
+    return { ...body, ms: performance.now() - startedAt };
   }
 
-  async function fault(f: Fault): Promise<void> {
-    const m = f.who === undefined ? undefined : member(f.who);
-    if (m === undefined) return;
-    switch (f.do) {
+  async function injectFault(fault: Fault): Promise<void> {
+    const target = fault.who === undefined ? undefined : member(fault.who);
+    if (target === undefined) return;
+    switch (fault.do) {
       case 'kill':
-        down.add(m.name);
-        ps.signal(m.name, 'SIGKILL');
+        unreachable.add(target.name);
+        processes.signal(target.name, 'SIGKILL');
         return;
       case 'freeze':
-        down.add(m.name);
-        ps.signal(m.name, 'SIGSTOP');
+        unreachable.add(target.name);
+        processes.signal(target.name, 'SIGSTOP');
         return;
       case 'wake':
-        ps.signal(m.name, 'SIGCONT');
-        down.delete(m.name);
+        processes.signal(target.name, 'SIGCONT');
+        unreachable.delete(target.name);
         return;
       case 'drain':
-        ps.signal(m.name, 'SIGTERM');
-        await ps.waitForExit(m.name);
-        restart(m);
+        processes.signal(target.name, 'SIGTERM');
+        await processes.waitForExit(target.name);
+        restart(target);
         return;
       case 'restart':
       case 'empty':
-        ps.signal(m.name, 'SIGKILL');
-        await ps.waitForExit(m.name);
-        if (f.do === 'empty') ps.deleteData(m);
-        restart(m);
-        if (m.program === 'worker-stand-in') await platform(m.name, 'ready');
+        processes.signal(target.name, 'SIGKILL');
+        await processes.waitForExit(target.name);
+        if (fault.do === 'empty') processes.deleteData(target);
+        restart(target);
+        if (target.program === 'worker-stand-in') await reportWorkerState(target.name, 'ready');
         return;
       case 'leave':
-        await platform(m.name, 'leaving');
+        await reportWorkerState(target.name, 'leaving');
         return;
       case 'release':
-        await platform(m.name, 'leaving');
-        await until(
-          `${m.name} is idle`,
-          async () => (await get<{ active: number; queued: number }>(m.http, '/idle'))?.active === 0,
+        await reportWorkerState(target.name, 'leaving');
+        await waitUntil(
+          `${target.name} is idle`,
+          async () => (await get<{ active: number; queued: number }>(target.http, '/idle'))?.active === 0,
           40,
         );
-        ps.signal(m.name, 'SIGTERM');
-        await ps.waitForExit(m.name);
-        restart(m);
-        await until(`${m.name} is back`, async () => (await get(m.http, '/report')) !== undefined, 20);
-        await platform(m.name, 'ready');
+        processes.signal(target.name, 'SIGTERM');
+        await processes.waitForExit(target.name);
+        restart(target);
+        await waitUntil(
+          `${target.name} has restarted`,
+          async () => (await get(target.http, '/report')) !== undefined,
+          20,
+        );
+        await reportWorkerState(target.name, 'ready');
         return;
       case 'isolate': {
-        const ip = m.ip;
+        const ip = target.ip;
         relays.block(ip, (from, to) => (from !== undefined && from.startsWith(`${ip}:`)) !== to.startsWith(`${ip}:`));
         return;
       }
       case 'one-way':
         relays.block(
-          m.ip,
-          (from, to) => from !== undefined && from.startsWith(`${m.ip}:`) && !to.startsWith(`${m.ip}:`),
+          target.ip,
+          (from, to) => from !== undefined && from.startsWith(`${target.ip}:`) && !to.startsWith(`${target.ip}:`),
         );
         return;
       case 'rejoin':
-        relays.heal(m.ip);
+        relays.heal(target.ip);
         return;
       case 'slow':
-        relays.setDelay(m.relay!.advertised, 150);
+        relays.setDelay(target.relay!.advertised, 150);
         return;
       case 'fast':
-        relays.setDelay(m.relay!.advertised, 0);
+        relays.setDelay(target.relay!.advertised, 0);
         return;
       case 'dark':
-        await post(m.http, '/fault', { dark: true });
+        await post(target.http, '/fault', { dark: true });
         return;
       case 'light':
-        await post(m.http, '/fault', { dark: false });
+        await post(target.http, '/fault', { dark: false });
         return;
       case 'lapse':
-        await post(m.http, '/fault', { lapse: true });
+        await post(target.http, '/fault', { lapse: true });
         return;
       default:
         return;
     }
   }
 
-  function restart(m: FleetMember): void {
-    if (m.program === 'worker-stand-in') {
-      const n = (incarnations.get(m.name) ?? 1) + 1;
-      incarnations.set(m.name, n);
-      ps.start(m, { incarnation: n });
-    } else ps.start(m);
-    down.delete(m.name);
+  function restart(target: FleetMember): void {
+    if (target.program === 'worker-stand-in') {
+      const incarnation = (incarnations.get(target.name) ?? 1) + 1;
+      incarnations.set(target.name, incarnation);
+      processes.start(target, { incarnation: incarnation });
+    } else processes.start(target);
+    unreachable.delete(target.name);
   }
 
-  function runs(): Map<string, { prefill: number; decode: number }> {
-    const out = new Map<string, { prefill: number; decode: number }>();
-    for (const w of of('worker-stand-in')) {
-      const f = w.settings['runsFile'] as string;
-      if (!existsSync(f)) continue;
-      for (const l of readFileSync(f, 'utf8').split('\n')) {
-        const [q, what] = l.split(' ') as [string, 'prefill' | 'decode' | undefined];
-        if (what === undefined) continue;
-        const r = out.get(q) ?? { prefill: 0, decode: 0 };
-        r[what] += 1;
-        out.set(q, r);
+  function executionCounts(): Map<string, { prefill: number; decode: number }> {
+    const counts = new Map<string, { prefill: number; decode: number }>();
+    for (const worker of membersOf('worker-stand-in')) {
+      const file = worker.settings['runsFile'] as string;
+      if (!existsSync(file)) continue;
+      for (const line of readFileSync(file, 'utf8').split('\n')) {
+        const [requestId, stage] = line.split(' ') as [string, 'prefill' | 'decode' | undefined];
+        if (stage === undefined) continue;
+        const count = counts.get(requestId) ?? { prefill: 0, decode: 0 };
+        count[stage] += 1;
+        counts.set(requestId, count);
       }
     }
-    return out;
+    return counts;
   }
 
   return {
     plan,
-    processes: ps,
+    processes: processes,
     member,
     get,
     post,
-    waitUntil: until,
-    startAndWait: serve,
-    submitDesiredState: submit,
-    injectFault: fault,
-    executionCounts: runs,
+    waitUntil: waitUntil,
+    startAndWait: startAndWait,
+    submitDesiredState: submitDesiredState,
+    injectFault: injectFault,
+    executionCounts: executionCounts,
     stop: async () => {
-      await ps.stopAll();
+      await processes.stopAll();
       await relays.close();
     },
     reachableRouters: () =>
-      of('request-router')
-        .filter((m) => !down.has(m.name))
-        .map((m) => m.http),
+      membersOf('request-router')
+        .filter((router) => !unreachable.has(router.name))
+        .map((router) => router.http),
   };
 }
--- a/programs/fleet-runner/src/plan.ts
+++ b/programs/fleet-runner/src/plan.ts
@@ -1,7 +1,7 @@
 /**
- * The plan of a fleet on one machine: every member of it has a loopback address of its own and a boot file;
- * keepers, agents and workers are reached through a relay of the run. The
- * first three machines are core. Each machine has a router and an agent, core machines a keeper as well.
+ * The layout of a fleet on one host: every simulated machine has its own loopback address and every process its own
+ * settings file. Control nodes, agents and workers are reached through a relay, so that their links can be disturbed.
+ * Each machine runs a router and an agent; the first three run a control node as well.
  */
 import type { Deployment } from '@tansypost/requester-stand-in';
 
@@ -32,111 +32,111 @@
   readonly feedTenureMs?: number;
 }
 
-const paces = [14_000, 9000, 6000, 12_000];
+const prefillRates = [14_000, 9000, 6000, 12_000];
 
-export function planFleet(d: Deployment, o: PlanOptions): FleetPlan {
+export function planFleet(deployment: Deployment, options: PlanOptions): FleetPlan {
   const members: FleetMember[] = [];
-  const ms = Array.from({ length: d.machines }, (_, i) => ({
-    name: `m${i}`,
-    zone: `z${i % d.zones}`,
-    ip: `127.${o.octet}.${(i % d.zones) + 1}.${i + 1}`,
+  const machines = Array.from({ length: deployment.machines }, (_, index) => ({
+    name: `m${index}`,
+    zone: `z${index % deployment.zones}`,
+    ip: `127.${options.octet}.${(index % deployment.zones) + 1}.${index + 1}`,
   }));
-  const core = ms.slice(0, 3).map((m) => `${m.ip}:7102`);
-  const seeds = ms.slice(0, 3).map((m) => `${m.ip}:7100`);
-  const common = { seeds, logLevel: o.logLevel };
-  const tenure = o.feedTenureMs === undefined ? {} : { feedTenureMs: o.feedTenureMs };
-  ms.forEach((m, i) => {
-    if (i < 3) {
-      const data = `${o.folder}/data/keeper${i}`;
+  const controlAddresses = machines.slice(0, 3).map((machine) => `${machine.ip}:7102`);
+  const seeds = machines.slice(0, 3).map((machine) => `${machine.ip}:7100`);
+  const common = { seeds, logLevel: options.logLevel };
+  const leaseSettings = options.feedTenureMs === undefined ? {} : { feedTenureMs: options.feedTenureMs };
+  machines.forEach((machine, index) => {
+    if (index < 3) {
+      const data = `${options.folder}/data/keeper${index}`;
       members.push({
-        name: `keeper${i}`,
+        name: `keeper${index}`,
         program: 'control-node',
-        machine: m.name,
-        zone: m.zone,
-        ip: m.ip,
-        http: `${m.ip}:8002`,
+        machine: machine.name,
+        zone: machine.zone,
+        ip: machine.ip,
+        http: `${machine.ip}:8002`,
         dataFolder: data,
-        relay: { advertised: `${m.ip}:7102`, target: `${m.ip}:7002`, isInternalLink: true },
+        relay: { advertised: `${machine.ip}:7102`, target: `${machine.ip}:7002`, isInternalLink: true },
         settings: {
           ...common,
-          ...tenure,
-          member: `keeper${i}`,
-          zone: m.zone,
-          listen: `${m.ip}:7002`,
-          advertise: `${m.ip}:7102`,
-          slot: i,
-          core,
+          ...leaseSettings,
+          member: `keeper${index}`,
+          zone: machine.zone,
+          listen: `${machine.ip}:7002`,
+          advertise: `${machine.ip}:7102`,
+          slot: index,
+          core: controlAddresses,
           data,
-          http: `${m.ip}:8002`,
+          http: `${machine.ip}:8002`,
         },
       });
     }
-    const data = `${o.folder}/data/agent${i}`;
+    const data = `${options.folder}/data/agent${index}`;
     members.push({
-      name: `agent${i}`,
+      name: `agent${index}`,
       program: 'router-agent',
-      machine: m.name,
-      zone: m.zone,
-      ip: m.ip,
-      http: `${m.ip}:8000`,
+      machine: machine.name,
+      zone: machine.zone,
+      ip: machine.ip,
+      http: `${machine.ip}:8000`,
       dataFolder: data,
-      relay: { advertised: `${m.ip}:7100`, target: `${m.ip}:7000`, isInternalLink: true },
+      relay: { advertised: `${machine.ip}:7100`, target: `${machine.ip}:7000`, isInternalLink: true },
       settings: {
         ...common,
-        ...tenure,
-        member: `agent${i}`,
-        zone: m.zone,
-        listen: `${m.ip}:7000`,
-        advertise: `${m.ip}:7100`,
+        ...leaseSettings,
+        member: `agent${index}`,
+        zone: machine.zone,
+        listen: `${machine.ip}:7000`,
+        advertise: `${machine.ip}:7100`,
         data,
-        http: `${m.ip}:8000`,
-        router: `${m.ip}:7001`,
-        routerHttp: `${m.ip}:8001`,
-        slot: i,
-        ...(o.trainEvery === undefined ? {} : { trainEvery: o.trainEvery }),
+        http: `${machine.ip}:8000`,
+        router: `${machine.ip}:7001`,
+        routerHttp: `${machine.ip}:8001`,
+        slot: index,
+        ...(options.trainEvery === undefined ? {} : { trainEvery: options.trainEvery }),
       },
     });
     members.push({
-      name: `router${i}`,
+      name: `router${index}`,
       program: 'request-router',
-      machine: m.name,
-      zone: m.zone,
-      ip: m.ip,
-      http: `${m.ip}:8001`,
+      machine: machine.name,
+      zone: machine.zone,
+      ip: machine.ip,
+      http: `${machine.ip}:8001`,
       dataFolder: undefined,
       relay: undefined,
       settings: {
-        ...tenure,
-        logLevel: o.logLevel,
-        member: `router${i}`,
-        zone: m.zone,
-        listen: `${m.ip}:7001`,
-        agent: `${m.ip}:7000`,
-        http: `${m.ip}:8001`,
+        ...leaseSettings,
+        logLevel: options.logLevel,
+        member: `router${index}`,
+        zone: machine.zone,
+        listen: `${machine.ip}:7001`,
+        agent: `${machine.ip}:7000`,
+        http: `${machine.ip}:8001`,
       },
     });
   });
-  for (let i = 0; i < d.workers; i += 1) {
-    const ip = `127.${o.octet}.9.${i + 1}`;
+  for (let index = 0; index < deployment.workers; index += 1) {
+    const ip = `127.${options.octet}.9.${index + 1}`;
     members.push({
-      name: `worker${i}`,
+      name: `worker${index}`,
       program: 'worker-stand-in',
-      machine: `w${i}`,
-      zone: `z${i % d.zones}`,
+      machine: `w${index}`,
+      zone: `z${index % deployment.zones}`,
       ip,
       http: `${ip}:9000`,
       dataFolder: undefined,
       relay: { advertised: `${ip}:9100`, target: `${ip}:9000`, isInternalLink: false },
       settings: {
-        member: `worker${i}`,
+        member: `worker${index}`,
         listen: `${ip}:9000`,
         advertise: `${ip}:9100`,
         incarnation: 1,
-        prefillPace: paces[i % paces.length],
-        logLevel: o.logLevel,
-        runsFile: `${o.folder}/runs-worker${i}.txt`,
+        prefillPace: prefillRates[index % prefillRates.length],
+        logLevel: options.logLevel,
+        runsFile: `${options.folder}/runs-worker${index}.txt`,
       },
     });
   }
-  return { deployment: d, members, seeds };
+  return { deployment, members, seeds };
 }
--- a/programs/fleet-runner/src/relay.ts
+++ b/programs/fleet-runner/src/relay.ts
@@ -1,107 +1,115 @@
 /**
- * Loopback relays between the members of a run, so that links can be cut and slowed without touching the machine.
- * An inner link's first frame tells who opened it; HTTP to a worker is known only by whom it reaches. A cut
- * link is held as it is: nothing passes, and it is broken when the cut heals, as after a long loss.
+ * TCP relays on loopback between the members of a fleet, so that links can be partitioned and delayed without changing
+ * the host's network. The first frame of an internal link names the side that opened it; of an HTTP connection to a worker
+ * only the destination is known. A connection that carries data during a partition stalls: its data is dropped, and it
+ * is closed when the partition heals, as after a long packet loss.
  */
 import net from 'node:net';
 import { splitAddress } from '@tansypost/inner-protocol';
 
 export interface Relays {
-  readonly add: (shown: string, real: string, inner: boolean) => Promise<void>;
-  readonly block: (name: string, f: (from: string | undefined, to: string) => boolean) => void;
+  readonly open: (advertised: string, target: string, isInternalLink: boolean) => Promise<void>;
+  readonly block: (name: string, isBlocked: (from: string | undefined, to: string) => boolean) => void;
   readonly heal: (name: string) => void;
-  readonly setDelay: (shown: string, ms: number) => void;
+  readonly setDelay: (address: string, delayMs: number) => void;
   readonly close: () => Promise<void>;
 }
-interface Pipe {
+interface Connection {
   readonly to: string;
   from: string | undefined;
-  stuck: boolean;
+  isStalled: boolean;
   readonly sockets: net.Socket[];
 }
 
 export function createRelays(): Relays {
-  const cuts = new Map<string, (from: string | undefined, to: string) => boolean>();
-  const delays = new Map<string, number>();
-  const pipes = new Set<Pipe>();
+  const blockRules = new Map<string, (from: string | undefined, to: string) => boolean>();
+  const delaysMs = new Map<string, number>();
+  const connections = new Set<Connection>();
   const servers: net.Server[] = [];
 
-  function blocked(p: Pipe): boolean {
-    return [...cuts.values()].some((f) => f(p.from, p.to));
+  function isBlocked(connection: Connection): boolean {
+    return [...blockRules.values()].some((rule) => rule(connection.from, connection.to));
   }
-  function end(p: Pipe): void {
-    pipes.delete(p);
-    for (const s of p.sockets) s.destroy();
+  function close(connection: Connection): void {
+    connections.delete(connection);
+    for (const socket of connection.sockets) socket.destroy();
   }
-  function pass(p: Pipe, c: Buffer, out: net.Socket): void {
-    if (p.stuck || blocked(p)) {
-      p.stuck = true;
+  function forward(connection: Connection, chunk: Buffer, destination: net.Socket): void {
+    if (connection.isStalled || isBlocked(connection)) {
+      connection.isStalled = true;
       return;
     }
-    const ms = delays.get(p.to) ?? 0;
-    if (ms === 0) out.write(c);
+    const delayMs = delaysMs.get(connection.to) ?? 0;
+    if (delayMs === 0) destination.write(chunk);
     else
       setTimeout(() => {
-        if (!out.destroyed) out.write(c);
-      }, ms);
+        if (!destination.destroyed) destination.write(chunk);
+      }, delayMs);
   }
 
-  async function add(shown: string, real: string, inner: boolean): Promise<void> {
-    const server = net.createServer((a) => {
-      const b = net.connect({ ...splitAddress(real), noDelay: true });
-      const p: Pipe = { to: shown, from: undefined, stuck: false, sockets: [a, b] };
-      let head: Buffer | undefined = inner ? Buffer.alloc(0) : undefined;
-      pipes.add(p);
-      a.setNoDelay(true);
-      for (const s of p.sockets) {
-        s.on('error', () => end(p));
-        s.on('close', () => {
-          const wait = delays.get(p.to) ?? 0;
-          setTimeout(() => end(p), wait + 20);
+  async function open(advertised: string, target: string, isInternalLink: boolean): Promise<void> {
+    const server = net.createServer((source) => {
+      const destination = net.connect({ ...splitAddress(target), noDelay: true });
+      const connection: Connection = {
+        to: advertised,
+        from: undefined,
+        isStalled: false,
+        sockets: [source, destination],
+      };
+      let pendingFrame: Buffer | undefined = isInternalLink ? Buffer.alloc(0) : undefined;
+      connections.add(connection);
+      source.setNoDelay(true);
+      for (const socket of connection.sockets) {
+        socket.on('error', () => close(connection));
+        socket.on('close', () => {
+          const delayMs = delaysMs.get(connection.to) ?? 0;
+          setTimeout(() => close(connection), delayMs + 20);
         });
       }
-      a.on('data', (c: Buffer) => {
-        if (head !== undefined) {
-          head = Buffer.concat([head, c]);
-          if (head.length < 4 || head.length < 4 + head.readUInt32BE(0)) return;
+      source.on('data', (chunk: Buffer) => {
+        if (pendingFrame !== undefined) {
+          pendingFrame = Buffer.concat([pendingFrame, chunk]);
+          if (pendingFrame.length < 4 || pendingFrame.length < 4 + pendingFrame.readUInt32BE(0)) return;
           try {
-            p.from = (JSON.parse(head.subarray(4, 4 + head.readUInt32BE(0)).toString()) as { from: string }).from;
+            connection.from = (
+              JSON.parse(pendingFrame.subarray(4, 4 + pendingFrame.readUInt32BE(0)).toString()) as { from: string }
+            ).from;
           } catch {
-            p.from = undefined;
+            connection.from = undefined;
           }
-          const all = head;
-          head = undefined;
-          return pass(p, all, b);
+          const firstFrame = pendingFrame;
+          pendingFrame = undefined;
+          return forward(connection, firstFrame, destination);
         }
-        pass(p, c, b);
+        forward(connection, chunk, destination);
       });
-      b.on('data', (c: Buffer) => pass(p, c, a));
+      destination.on('data', (chunk: Buffer) => forward(connection, chunk, source));
     });
     servers.push(server);
-    await new Promise<void>((ok, no) => {
-      server.once('error', no);
-      server.listen(splitAddress(shown), ok);
+    await new Promise<void>((resolve, reject) => {
+      server.once('error', reject);
+      server.listen(splitAddress(advertised), resolve);
     });
   }
 
   return {
-    add,
-    block: (n, f) => cuts.set(n, f),
-    heal: (n) => {
-      cuts.delete(n);
-      for (const p of [...pipes]) if (p.stuck) end(p);
+    open,
+    block: (name, isBlocked) => blockRules.set(name, isBlocked),
+    heal: (name) => {
+      blockRules.delete(name);
+      for (const connection of [...connections]) if (connection.isStalled) close(connection);
     },
-    setDelay: (shown, ms) => {
-      if (ms > 0) delays.set(shown, ms);
-      else delays.delete(shown);
+    setDelay: (address, delayMs) => {
+      if (delayMs > 0) delaysMs.set(address, delayMs);
+      else delaysMs.delete(address);
     },
     close: async () => {
-      for (const p of [...pipes]) end(p);
+      for (const connection of [...connections]) close(connection);
       await Promise.all(
         servers.map(
-          (s) =>
-            new Promise<void>((ok) => {
-              s.close(() => ok());
+          (server) =>
+            new Promise<void>((resolve) => {
+              server.close(() => resolve());
             }),
         ),
       );
--- a/programs/fleet-runner/src/run.ts
+++ b/programs/fleet-runner/src/run.ts
@@ -1,4 +1,4 @@
-/** One whole run: fleet, traffic, faults, checks, and the report of what was served. */
+/** Runs a fleet under load and a fault schedule, checks the outcomes, and reports what was served. */
 import { Agent } from 'undici';
 import {
   createTraffic,
@@ -44,166 +44,192 @@
   readonly live: unknown;
 }
 
-interface Totals {
+// First attempts and extra attempts (retries and health probes) of the whole fleet up to `at`.
+interface AttemptTotals {
   readonly at: number;
   first: number;
   extra: number;
 }
 
-async function totals(f: Fleet, last: Map<string, number>, sum: { first: number; extra: number }): Promise<Totals> {
-  function add(k: string, v: number, to: 'first' | 'extra'): void {
-    const had = last.get(k) ?? 0;
-    sum[to] += v >= had ? v - had : v;
-    last.set(k, v);
+// Adds the counters' increase since the last sample; a counter that fell belongs to a restarted process.
+async function sampleTotals(
+  fleet: Fleet,
+  previous: Map<string, number>,
+  accumulated: { first: number; extra: number },
+): Promise<AttemptTotals> {
+  function add(key: string, value: number, counter: 'first' | 'extra'): void {
+    const before = previous.get(key) ?? 0;
+    accumulated[counter] += value >= before ? value - before : value;
+    previous.set(key, value);
   }
   await Promise.all(
-    f.plan.members.map(async (m) => {
-      if (m.program === 'request-router') {
-        const x = await f.get<{ first: number; extra: number }>(m.http, '/figures');
-        if (x !== undefined) {
-          add(`${m.name}f`, x.first, 'first');
-          add(`${m.name}e`, x.extra, 'extra');
+    fleet.plan.members.map(async (member) => {
+      if (member.program === 'request-router') {
+        const metrics = await fleet.get<{ first: number; extra: number }>(member.http, '/figures');
+        if (metrics !== undefined) {
+          add(`${member.name}f`, metrics.first, 'first');
+          add(`${member.name}e`, metrics.extra, 'extra');
         }
-      } else if (m.program === 'router-agent') {
-        const x = await f.get<{ probes: number }>(m.http, '/vitals');
-        if (x !== undefined) add(m.name, x.probes, 'extra');
+      } else if (member.program === 'router-agent') {
+        const health = await fleet.get<{ probes: number }>(member.http, '/vitals');
+        if (health !== undefined) add(member.name, health.probes, 'extra');
       }
     }),
   );
-  return { at: performance.now(), ...sum };
+  return { at: performance.now(), ...accumulated };
 }
 
-export async function runFleet(o: RunOptions): Promise<RunReport> {
-  const f = createFleet(o.deployment, o);
+export async function runFleet(options: RunOptions): Promise<RunReport> {
+  const fleet = createFleet(options.deployment, options);
   const agent = new Agent({ connections: 512, pipelining: 1 });
   const submissions: { answer: string; version?: number; ms: number }[] = [];
-  const seen: FaultRecord[] = [];
-  let rate = o.rate;
-  let over = false;
+  const injected: FaultRecord[] = [];
+  let rate = options.rate;
+  let isFinished = false;
   try {
-    o.log(`starting ${f.plan.members.length} processes`);
-    await f.startAndWait();
-    o.log('the fleet serves');
+    options.log(`starting ${fleet.plan.members.length} processes`);
+    await fleet.startAndWait();
+    options.log('the fleet is ready');
     const outcomes: Outcome[] = [];
-    const last = new Map<string, number>();
-    const sum = { first: 0, extra: 0 };
-    const series: Totals[] = [];
-    const poll = (async () => {
-      while (!over) {
-        series.push(await totals(f, last, sum));
-        await new Promise((ok) => setTimeout(ok, 1000));
+    const previous = new Map<string, number>();
+    const accumulated = { first: 0, extra: 0 };
+    const samples: AttemptTotals[] = [];
+    const sampling = (async () => {
+      while (!isFinished) {
+        samples.push(await sampleTotals(fleet, previous, accumulated));
+        await new Promise((resolve) => setTimeout(resolve, 1000));
       }
     })();
-    const from = performance.now();
-    const faults = (async () => {
-      for (const x of o.faults) {
-        const wait = from + x.at * 1000 - performance.now();
-        if (wait > 0) await new Promise((ok) => setTimeout(ok, wait));
-        if (over) return;
-        o.log(`${x.at} s: ${x.do} ${x.who ?? ''}`);
-        const at = performance.now();
-        if (x.do === 'crowd') rate = o.rate * 2;
-        else if (x.do === 'calm') rate = o.rate;
-        else if (x.do === 'submit')
-          void f.submitDesiredState(1 + submissions.length).then((s) => {
-            submissions.push(s);
+    const startedAt = performance.now();
+    const injecting = (async () => {
+      for (const fault of options.faults) {
+        const delayMs = startedAt + fault.at * 1000 - performance.now();
+        if (delayMs > 0) await new Promise((resolve) => setTimeout(resolve, delayMs));
+        if (isFinished) return;
+        options.log(`${fault.at} s: ${fault.do} ${fault.who ?? ''}`);
+        const injectedAt = performance.now();
+        if (fault.do === 'crowd') rate = options.rate * 2;
+        else if (fault.do === 'calm') rate = options.rate;
+        else if (fault.do === 'submit')
+          void fleet.submitDesiredState(1 + submissions.length).then((submission) => {
+            submissions.push(submission);
           });
-        else void f.injectFault(x).catch((e: unknown) => o.log(String(e)));
-        seen.push({ at: at - from, fault: `${x.do} ${x.who ?? ''}`.trim(), backAfterMs: undefined });
+        else void fleet.injectFault(fault).catch((error: unknown) => options.log(String(error)));
+        injected.push({
+          at: injectedAt - startedAt,
+          fault: `${fault.do} ${fault.who ?? ''}`.trim(),
+          backAfterMs: undefined,
+        });
       }
     })();
     const traffic = createTraffic(
-      o.deployment,
-      o.seed,
-      o.mixPeriodSeconds === undefined ? steadyMix : oscillatingMix(o.mixPeriodSeconds),
+      options.deployment,
+      options.seed,
+      options.mixPeriodSeconds === undefined ? steadyMix : oscillatingMix(options.mixPeriodSeconds),
     );
     await Promise.all([
       runLoad({
         traffic,
         rate: () => rate,
-        seconds: o.seconds,
-        seed: o.seed,
-        routers: f.reachableRouters,
+        seconds: options.seconds,
+        seed: options.seed,
+        routers: fleet.reachableRouters,
         agent,
-        onOutcome: (x) => outcomes.push(x),
+        onOutcome: (outcome) => outcomes.push(outcome),
       }),
-      o.whileRunning?.(f),
+      options.whileRunning?.(fleet),
     ]);
-    over = true;
-    await Promise.all([poll, faults]);
-    const back = await readBack(f);
-    const runs = f.executionCounts();
-    const bad = outcomes.filter((x) => !x.request.repeatable);
-    const ranTwice = bad
-      .filter((x) => {
-        const r = runs.get(x.request.id);
-        return r !== undefined && (r.prefill > 1 || r.decode > 1);
+    isFinished = true;
+    await Promise.all([sampling, injecting]);
+    const readBackResult = await readDesiredState(fleet);
+    const executions = fleet.executionCounts();
+    const nonRepeatable = outcomes.filter((outcome) => !outcome.request.repeatable);
+    const ranTwice = nonRepeatable
+      .filter((outcome) => {
+        const counts = executions.get(outcome.request.id);
+        return counts !== undefined && (counts.prefill > 1 || counts.decode > 1);
       })
-      .map((x) => x.request.id);
+      .map((outcome) => outcome.request.id);
     const ranAfterRefusal = outcomes
-      .filter((x) => x.ended === 'refused' && runs.has(x.request.id))
-      .map((x) => `${x.request.id} ${x.kind}`);
+      .filter((outcome) => outcome.ended === 'refused' && executions.has(outcome.request.id))
+      .map((outcome) => `${outcome.request.id} ${outcome.kind}`);
     const placement: Record<string, number> = {};
-    for (const r of f.plan.members.filter((m) => m.program === 'request-router')) {
-      const x = await f.get<{ placement: Record<string, number> }>(r.http, '/figures');
-      for (const [k, n] of Object.entries(x?.placement ?? {})) placement[k] = (placement[k] ?? 0) + n;
+    for (const router of fleet.plan.members.filter((member) => member.program === 'request-router')) {
+      const metrics = await fleet.get<{ placement: Record<string, number> }>(router.http, '/figures');
+      for (const [policy, count] of Object.entries(metrics?.placement ?? {}))
+        placement[policy] = (placement[policy] ?? 0) + count;
     }
-    const a = f.plan.members.find((m) => m.program === 'router-agent' && f.processes.isRunning(m.name))!;
-    const rec = await f.get<{
+    const liveAgent = fleet.plan.members.find(
+      (member) => member.program === 'router-agent' && fleet.processes.isRunning(member.name),
+    )!;
+    const record = await fleet.get<{
       live?: { version: unknown };
       running?: { id: string };
       ended: { id: string; outcome?: string; measured?: { why: string } }[];
-    }>(a.http, '/rehearsals');
+    }>(liveAgent.http, '/rehearsals');
     return {
-      deployment: o.deployment.name,
-      seed: o.seed,
+      deployment: options.deployment.name,
+      seed: options.seed,
       served: summarizeTraffic(outcomes),
       ranTwice,
       ranAfterRefusal,
-      extraOverTen: worstRatio(series),
-      faults: seen.map((x, i) => ({
-        ...x,
-        at: Math.round(x.at),
-        backAfterMs: backAfter(outcomes, from + x.at, from + (seen[i + 1]?.at ?? Infinity)),
+      extraOverTen: maxExtraRatio(samples),
+      faults: injected.map((entry, index) => ({
+        ...entry,
+        at: Math.round(entry.at),
+        backAfterMs: recoveryTimeMs(outcomes, startedAt + entry.at, startedAt + (injected[index + 1]?.at ?? Infinity)),
       })),
       submissions,
-      readBack: back,
+      readBack: readBackResult,
       placement,
       rehearsals: [
-        ...(rec?.running === undefined ? [] : [{ id: rec.running.id, outcome: 'running' }]),
-        ...(rec?.ended ?? []).map((e) => ({ id: e.id, outcome: e.outcome, why: e.measured?.why })),
+        ...(record?.running === undefined ? [] : [{ id: record.running.id, outcome: 'running' }]),
+        ...(record?.ended ?? []).map((entry) => ({ id: entry.id, outcome: entry.outcome, why: entry.measured?.why })),
       ],
-      live: rec?.live?.version ?? null,
+      live: record?.live?.version ?? null,
     };
   } finally {
-    over = true;
+    isFinished = true;
     await agent.destroy();
-    await f.stop();
+    await fleet.stop();
   }
 }
 
-// The last moment after a fault, before the next one and within half a minute, at which a request was begun that
-// then failed.
-function backAfter(os: readonly Outcome[], at: number, next: number): number | undefined {
-  const bad = os.filter((o) => o.at >= at && o.at < Math.min(next, at + 30_000) && o.ended !== 'whole');
-  return bad.length === 0 ? 0 : Math.round(Math.max(...bad.map((o) => o.at)) - at);
+// Milliseconds from a fault to the start of the last request that failed, up to the next fault and 30 s at most; 0 if none
+// failed.
+function recoveryTimeMs(outcomes: readonly Outcome[], injectedAt: number, nextFaultAt: number): number | undefined {
+  const failed = outcomes.filter(
+    (outcome) =>
+      outcome.at >= injectedAt && outcome.at < Math.min(nextFaultAt, injectedAt + 30_000) && outcome.ended !== 'whole',
+  );
+  return failed.length === 0 ? 0 : Math.round(Math.max(...failed.map((outcome) => outcome.at)) - injectedAt);
 }
 
-function worstRatio(ts: readonly Totals[]): number {
-  let worst = 0;
-  for (const t of ts) {
-    const past = [...ts].reverse().find((x) => x.at <= t.at - 10_000);
-    if (past === undefined || t.first - past.first < 50) continue;
-    worst = Math.max(worst, (t.extra - past.extra) / (t.first - past.first));
+// The highest ratio of extra attempts to first attempts over any 10 s with at least 50 first attempts.
+function maxExtraRatio(samples: readonly AttemptTotals[]): number {
+  let maxRatio = 0;
+  for (const sample of samples) {
+    const earlierSample = [...samples].reverse().find((earlier) => earlier.at <= sample.at - 10_000);
+    if (earlierSample === undefined || sample.first - earlierSample.first < 50) continue;
+    maxRatio = Math.max(maxRatio, (sample.extra - earlierSample.extra) / (sample.first - earlierSample.first));
   }
-  return Math.round(worst * 1000) / 1000;
+  return Math.round(maxRatio * 1000) / 1000;
 }
 
-async function readBack(f: Fleet): Promise<{ version: number; whole: boolean }> {
-  for (const a of f.plan.members.filter((m) => m.program === 'router-agent' && f.processes.isRunning(m.name))) {
-    const r = await f.get<{ version: number; state: { templates: unknown[] } | null }>(a.http, '/desired-state');
-    if (r !== undefined)
-      return { version: r.version, whole: r.state?.templates.length === f.plan.deployment.tenants.length };
+// Reads the desired state from the first running agent that responds.
+async function readDesiredState(fleet: Fleet): Promise<{ version: number; whole: boolean }> {
+  for (const agent of fleet.plan.members.filter(
+    (member) => member.program === 'router-agent' && fleet.processes.isRunning(member.name),
+  )) {
+    const current = await fleet.get<{ version: number; state: { templates: unknown[] } | null }>(
+      agent.http,
+      '/desired-state',
+    );
+    if (current !== undefined)
+      return {
+        version: current.version,
+        whole: current.state?.templates.length === fleet.plan.deployment.tenants.length,
+      };
   }
   return { version: 0, whole: false };
 }
--- a/programs/fleet-runner/src/schedule.ts
+++ b/programs/fleet-runner/src/schedule.ts
@@ -1,6 +1,6 @@
 /**
- * A fault schedule: a JSON line for each fault, with the second it happens at, what it is, and whom it hits. A
- * line that names an unknown kind or member is refused with its number before anything starts.
+ * Parses a fault schedule: one JSON object per line with the second at which the fault is injected (`at`), its kind (`do`)
+ * and the affected member (`who`). An unknown kind or member is rejected with its line number before anything starts.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { BadScheduleError } from '@tansypost/inner-protocol';
@@ -32,47 +32,49 @@
   readonly do: FaultKind;
   readonly who?: string;
 }
-const lone = new Set<FaultKind>(['submit', 'crowd', 'calm']);
+const kindsWithoutMember = new Set<FaultKind>(['submit', 'crowd', 'calm']);
 
 export function parseFaultSchedule(text: string, members: readonly string[]): E.Either<Error, readonly Fault[]> {
-  const out: Fault[] = [];
+  const schedule: Fault[] = [];
   const lines = text.split('\n');
-  for (let i = 0; i < lines.length; i += 1) {
-    const l = lines[i]!.trim();
-    if (l === '' || l.startsWith('#')) continue;
-    let f: Partial<Fault>;
+  for (let index = 0; index < lines.length; index += 1) {
+    const line = lines[index]!.trim();
+    if (line === '' || line.startsWith('#')) continue;
+    let fault: Partial<Fault>;
     try {
-      f = JSON.parse(l) as Partial<Fault>;
+      fault = JSON.parse(line) as Partial<Fault>;
     } catch {
-      return E.left(new BadScheduleError(`line ${i + 1}: not JSON; write {"at":5,"do":"kill","who":"router1"}`));
+      return E.left(new BadScheduleError(`line ${index + 1}: not JSON; write {"at":5,"do":"kill","who":"router1"}`));
     }
-    if (typeof f.at !== 'number' || f.at < 0)
-      return E.left(new BadScheduleError(`line ${i + 1}: at must be a second from 0`));
-    if (!faultKinds.includes(f.do as FaultKind))
+    if (typeof fault.at !== 'number' || fault.at < 0)
+      return E.left(new BadScheduleError(`line ${index + 1}: at must be a number of seconds, 0 or above`));
+    if (!faultKinds.includes(fault.do as FaultKind))
       return E.left(
-        new BadScheduleError(`line ${i + 1}: unknown kind ${String(f.do)}; use one of ${faultKinds.join(', ')}`),
+        new BadScheduleError(
+          `line ${index + 1}: unknown kind ${String(fault.do)}; use one of ${faultKinds.join(', ')}`,
+        ),
       );
-    if (!lone.has(f.do as FaultKind) && !members.includes(f.who ?? ''))
-      return E.left(new BadScheduleError(`line ${i + 1}: unknown member ${String(f.who)}`));
-    out.push(f as Fault);
+    if (!kindsWithoutMember.has(fault.do as FaultKind) && !members.includes(fault.who ?? ''))
+      return E.left(new BadScheduleError(`line ${index + 1}: unknown member ${String(fault.who)}`));
+    schedule.push(fault as Fault);
   }
-  return E.right(out.sort((a, b) => a.at - b.at));
+  return E.right(schedule.sort((left, right) => left.at - right.at));
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('refuses an unknown kind or member with its line', () => {
-    const ok = '# a night\n{"at":2,"do":"kill","who":"router0"}\n{"at":1,"do":"submit"}';
-    const r = parseFaultSchedule(ok, ['router0']);
-    expect(E.isRight(r) && r.right.map((f) => f.do)).toEqual(['submit', 'kill']);
-    for (const [bad, line] of [
+  it('rejects an unknown kind or member with its line number', () => {
+    const ok = '# a comment\n{"at":2,"do":"kill","who":"router0"}\n{"at":1,"do":"submit"}';
+    const parsed = parseFaultSchedule(ok, ['router0']);
+    expect(E.isRight(parsed) && parsed.right.map((fault) => fault.do)).toEqual(['submit', 'kill']);
+    for (const [text, message] of [
       ['{"at":1,"do":"burn","who":"router0"}', 'line 1: unknown kind'],
       ['\n{"at":1,"do":"kill","who":"router9"}', 'line 2: unknown member'],
       ['{', 'line 1: not JSON'],
       ['{"do":"submit"}', 'line 1: at'],
     ] as const) {
-      const x = parseFaultSchedule(bad, ['router0']);
-      expect(E.isLeft(x) && x.left.message).toContain(line);
+      const rejected = parseFaultSchedule(text, ['router0']);
+      expect(E.isLeft(rejected) && rejected.left.message).toContain(message);
     }
   });
 }
