--- a/programs/fleet-runner/src/control-scenario.ts
+++ b/programs/fleet-runner/src/control-scenario.ts
@@ -1,6 +1,7 @@
 /**
- * Points 1 to 4 of the control side in small, on real processes: control nodes are cut off, frozen, killed and emptied
- * while operators order and read through agents. The verdict is that of the judges of the simulator.
+ * Runs partitions, concurrent writes, a lost disk and a catch-up after an outage against real processes: control nodes
+ * are partitioned, frozen, killed and wiped while operators write and read the desired state through agents. The history
+ * of calls is checked with the simulator's invariants.
  */
 import { join } from 'node:path';
 import { request } from 'undici';
@@ -23,49 +24,49 @@
   readonly log: (s: string) => void;
 }
 
-export interface ControlVerdict {
-  readonly breaches: readonly ControlBreach[];
+export interface ControlScenarioReport {
+  readonly violations: readonly ControlBreach[];
   readonly writes: number;
   readonly acknowledged: number;
   readonly reads: number;
-  /** What was measured, for the reader. */
+  /** Measured times, one line of text each. */
   readonly measurements: readonly string[];
 }
 
-interface Order {
+interface WriteRequest {
   readonly change: string;
   readonly base: number;
   readonly mark: number;
 }
 
 const deployment: Deployment = { ...coldStorage, zones: 3, machines: 4, workers: 3 };
-const callPatience = 6000;
-const cutLength = 4000;
-const orderWithin = 15_000;
-const voteWithin = 15_000;
-const pause = 100;
-const changesWhileAway = 10;
-const copies = 8;
+const callTimeoutMs = 6000;
+const partitionMs = 4000;
+const writeTimeoutMs = 15_000;
+const recoveryTimeoutMs = 15_000;
+const retryDelayMs = 100;
+const writesDuringOutage = 10;
+const duplicateCount = 8;
 const microsPerMs = 1000;
-const judges = [oneOrderPerBase, takenStaysTaken, refusedNeverInForce, properOrdersNotRefused, readsAreCurrent];
+const checks = [oneOrderPerBase, takenStaysTaken, refusedNeverInForce, properOrdersNotRefused, readsAreCurrent];
 
 function sleep(ms: number): Promise<void> {
-  return new Promise((ok) => setTimeout(ok, ms));
+  return new Promise((resolve) => setTimeout(resolve, ms));
 }
 
-/** A state that differs from all others of a run by the worth of its first kind. */
-function stateOf(mark: number): unknown {
-  return buildDesiredState(deployment, (k) => k.worth + mark);
+/** A desired state that is unique in its run: the mark is added to the priority (`worth`) of every kind. */
+function createState(mark: number): unknown {
+  return buildDesiredState(deployment, (kind) => kind.worth + mark);
 }
 
-/** The text by which the judges tell states apart. */
-function textOf(state: unknown): string {
+/** The text by which the checks distinguish states. */
+function fingerprintState(state: unknown): string {
   return JSON.stringify((state as { templates: unknown[] }).templates[0]);
 }
 
-/** The operators of a run: they note every call and answer in the history. */
+/** The operators of a run; every call and response is recorded in the history. */
 class Operators {
-  private marks = 0;
+  private lastMark = 0;
   readonly history: ControlHistory = createControlHistory();
 
   constructor(private readonly fleet: Fleet) {}
@@ -78,35 +79,35 @@
     return performance.now() * microsPerMs;
   }
 
-  newOrder(base: number): Order {
-    this.marks += 1;
-    return { change: `order-${this.marks}`, base, mark: this.marks };
+  createWrite(base: number): WriteRequest {
+    this.lastMark += 1;
+    return { change: `order-${this.lastMark}`, base, mark: this.lastMark };
   }
 
-  /** Notes the state that is in force before the first order as an order that was taken. */
+  /** Records the state that is current before the first write as an acknowledged write. */
   async noteInitial(agent: string): Promise<void> {
     const sentAt = this.now();
-    const revision = await this.get(agent);
+    const revision = await this.read(agent);
     const found = this.history.calls.at(-1)?.found;
     if (revision === undefined || found === undefined) return;
-    const taken = { kind: 'put', node: agent, sentAt, answeredAt: sentAt, code: 200, nodeRan: true } as const;
-    this.history.calls.unshift({ ...taken, text: found.text, revision, base: revision - 1 });
+    const acknowledged = { kind: 'put', node: agent, sentAt, answeredAt: sentAt, code: 200, nodeRan: true } as const;
+    this.history.calls.unshift({ ...acknowledged, text: found.text, revision, base: revision - 1 });
   }
 
-  /** Sends an order once; gives the answer's status, undefined where none came. */
-  async put(agent: string, order: Order): Promise<number | undefined> {
-    const state = stateOf(order.mark);
+  /** Sends a write once. Returns the response's status, or undefined without a response. */
+  async write(agent: string, write: WriteRequest): Promise<number | undefined> {
+    const state = createState(write.mark);
     const call: ConfigCall = {
       kind: 'put',
       node: agent,
       sentAt: this.now(),
-      text: textOf(state),
-      revision: order.base + 1,
-      base: order.base,
+      text: fingerprintState(state),
+      revision: write.base + 1,
+      base: write.base,
       nodeRan: true,
     };
     this.history.calls.push(call);
-    const body = JSON.stringify({ base: order.base, change: order.change, state });
+    const body = JSON.stringify({ base: write.base, change: write.change, state });
     const answer = await this.call(agent, 'POST', body);
     if (answer === undefined) return undefined;
     call.answeredAt = this.now();
@@ -114,8 +115,8 @@
     return answer.code;
   }
 
-  /** Reads once; gives the version, undefined where it was not given. */
-  async get(agent: string): Promise<number | undefined> {
+  /** Reads once. Returns the version, or undefined if none was returned. */
+  async read(agent: string): Promise<number | undefined> {
     const call: ConfigCall = { kind: 'get', node: agent, sentAt: this.now(), nodeRan: true };
     this.history.calls.push(call);
     const answer = await this.call(agent, 'GET');
@@ -124,7 +125,7 @@
     call.code = answer.code;
     const { version, state } = answer.body as { version?: number; state?: unknown };
     if (answer.code !== 200 || version === undefined) return undefined;
-    call.found = { revision: version, text: textOf(state) };
+    call.found = { revision: version, text: fingerprintState(state) };
     return version;
   }
 
@@ -134,153 +135,168 @@
     body?: string,
   ): Promise<{ code: number; body: unknown } | undefined> {
     try {
-      const r = await request(`http://${this.http(agent)}/desired-state`, {
+      const response = await request(`http://${this.http(agent)}/desired-state`, {
         method,
-        headersTimeout: callPatience,
-        bodyTimeout: callPatience,
+        headersTimeout: callTimeoutMs,
+        bodyTimeout: callTimeoutMs,
         ...(body === undefined ? {} : { body, headers: { 'content-type': 'application/json' } }),
       });
-      return { code: r.statusCode, body: await r.body.json() };
+      return { code: response.statusCode, body: await response.body.json() };
     } catch {
       return undefined;
     }
   }
 
-  /** Reads a base and sends an order on it until the answer is clear; gives whether it was taken in time. */
-  async change(agents: readonly string[], within = orderWithin): Promise<boolean> {
-    const until = performance.now() + within;
-    let order: Order | undefined;
-    for (let n = 0; performance.now() < until; n += 1) {
-      const agent = agents[n % agents.length]!;
-      if (order === undefined) {
-        const base = await this.get(agent);
-        if (base !== undefined) order = this.newOrder(base);
+  /**
+   * Reads the current version, then sends one write based on it until its outcome is known; after a rejection it starts
+   * over. Returns whether a write was acknowledged within the time-out.
+   */
+  async writeUntilKnown(agents: readonly string[], timeoutMs = writeTimeoutMs): Promise<boolean> {
+    const deadline = performance.now() + timeoutMs;
+    let write: WriteRequest | undefined;
+    for (let attempt = 0; performance.now() < deadline; attempt += 1) {
+      const agent = agents[attempt % agents.length]!;
+      if (write === undefined) {
+        const base = await this.read(agent);
+        if (base !== undefined) write = this.createWrite(base);
       } else {
-        const code = await this.put(agent, order);
+        const code = await this.write(agent, write);
         if (code === 200) return true;
-        if (code !== undefined && code < 500) order = undefined;
+        if (code !== undefined && code < 500) write = undefined;
       }
-      await sleep(pause);
+      await sleep(retryDelayMs);
     }
     return false;
   }
 }
 
-/** Plays the scenario on a fleet of its own and stops it again. */
-export async function runControlScenario(o: ControlScenarioOptions): Promise<ControlVerdict> {
-  const fleet = createFleet(deployment, o);
+/** Runs the scenario on a fleet of its own and stops the fleet. */
+export async function runControlScenario(options: ControlScenarioOptions): Promise<ControlScenarioReport> {
+  const fleet = createFleet(deployment, options);
   const operators = new Operators(fleet);
-  const breaches: ControlBreach[] = [];
-  const figures: string[] = [];
+  const violations: ControlBreach[] = [];
+  const measurements: string[] = [];
   const agents = ['agent0', 'agent1', 'agent2'];
 
-  async function mustTake(what: string, by: readonly string[]): Promise<void> {
-    const from = performance.now();
-    if (await operators.change(by))
-      figures.push(`${what}: an order was taken after ${Math.round(performance.now() - from)} ms`);
-    else breaches.push({ check: 'majorityTakesOrders', what: `${what}: no order taken in ${orderWithin} ms` });
+  /** Requires that a write is acknowledged in time, and records how long it took. */
+  async function expectWrite(phase: string, through: readonly string[]): Promise<void> {
+    const startedAt = performance.now();
+    if (await operators.writeUntilKnown(through))
+      measurements.push(`${phase}: a write was acknowledged after ${Math.round(performance.now() - startedAt)} ms`);
+    else
+      violations.push({
+        check: 'majorityTakesOrders',
+        what: `${phase}: no write acknowledged within ${writeTimeoutMs} ms`,
+      });
   }
-  async function mustVote(node: string, what: string): Promise<void> {
+  /** Requires that the control node is ready in time, and records how long it took. */
+  async function expectReady(node: string, phase: string): Promise<void> {
     const { http } = fleet.member(node);
     try {
-      const took = await fleet.waitUntil(
-        `${node} votes`,
+      const elapsedMs = await fleet.waitUntil(
+        `${node} is ready`,
         async () => (await fleet.get(http, '/vitals')) !== undefined,
-        voteWithin / 1000,
+        recoveryTimeoutMs / 1000,
       );
-      figures.push(`${what}: ${node} votes after ${Math.round(took)} ms`);
+      measurements.push(`${phase}: ${node} was ready after ${Math.round(elapsedMs)} ms`);
     } catch {
-      breaches.push({ check: 'votesAgain', what: `${what}: ${node} does not vote within ${voteWithin} ms` });
+      violations.push({ check: 'votesAgain', what: `${phase}: ${node} was not ready within ${recoveryTimeoutMs} ms` });
     }
   }
-  /** Orders and reads through some agents until told to stop. */
-  async function operate(by: readonly string[], over: () => boolean): Promise<void> {
-    while (!over()) await operators.change(by, cutLength);
+  /** Writes and reads through the given agents until `isFinished`. */
+  async function writeAndRead(through: readonly string[], isFinished: () => boolean): Promise<void> {
+    while (!isFinished()) await operators.writeUntilKnown(through, partitionMs);
   }
 
-  async function playCut(kind: 'isolate' | 'one-way' | 'freeze', slot: number): Promise<void> {
-    const node = `keeper${slot}`;
-    const beside = `agent${slot}`;
-    const others = agents.filter((a) => a !== beside);
-    o.log(`${kind} ${node}`);
-    const state = { over: false };
-    await fleet.injectFault({ at: 0, do: kind, who: node });
-    const both = [operate([beside], () => state.over), operate(others, () => state.over)];
-    await sleep(cutLength);
-    await fleet.injectFault({ at: 0, do: kind === 'freeze' ? 'wake' : 'rejoin', who: node });
-    state.over = true;
-    await Promise.all(both);
-    await mustTake(`after ${kind} of ${node}`, [beside]);
+  async function runPartition(kind: 'isolate' | 'one-way' | 'freeze', index: number): Promise<void> {
+    const controlNode = `keeper${index}`;
+    const localAgent = `agent${index}`;
+    const otherAgents = agents.filter((agent) => agent !== localAgent);
+    options.log(`${kind} ${controlNode}`);
+    const state = { isFinished: false };
+    await fleet.injectFault({ at: 0, do: kind, who: controlNode });
+    const writers = [
+      writeAndRead([localAgent], () => state.isFinished),
+      writeAndRead(otherAgents, () => state.isFinished),
+    ];
+    await sleep(partitionMs);
+    await fleet.injectFault({ at: 0, do: kind === 'freeze' ? 'wake' : 'rejoin', who: controlNode });
+    state.isFinished = true;
+    await Promise.all(writers);
+    await expectWrite(`after ${kind} of ${controlNode}`, [localAgent]);
   }
 
-  async function playRaces(): Promise<void> {
-    o.log('races');
-    for (const rivals of [2, copies]) {
-      const base = (await operators.get('agent0')) ?? 0;
-      const orders = Array.from({ length: rivals }, () => operators.newOrder(base));
-      const codes = await Promise.all(orders.map((x, i) => operators.put(agents[i % agents.length]!, x)));
-      if (codes.filter((c) => c === 200).length !== 1)
-        breaches.push({
+  async function runConcurrentWrites(): Promise<void> {
+    options.log('races');
+    for (const writerCount of [2, duplicateCount]) {
+      const base = (await operators.read('agent0')) ?? 0;
+      const writes = Array.from({ length: writerCount }, () => operators.createWrite(base));
+      const codes = await Promise.all(
+        writes.map((write, index) => operators.write(agents[index % agents.length]!, write)),
+      );
+      if (codes.filter((code) => code === 200).length !== 1)
+        violations.push({
           check: 'oneOfARaceIsTaken',
-          what: `${rivals} orders on ${base} were answered ${codes.join()}`,
+          what: `${writerCount} writes based on version ${base} got the statuses ${codes.join()}`,
         });
-      const winner = orders[codes.indexOf(200)];
+      const winner = writes[codes.indexOf(200)];
       if (winner === undefined) continue;
-      for (let i = 0; i < copies; i += 1) await operators.put(agents[i % agents.length]!, winner);
+      for (let index = 0; index < duplicateCount; index += 1)
+        await operators.write(agents[index % agents.length]!, winner);
     }
   }
 
-  async function playLosses(): Promise<void> {
-    o.log('a disk lost, then another machine');
+  async function runDiskLoss(): Promise<void> {
+    options.log('one control node loses its disk, then another one is killed');
     await fleet.injectFault({ at: 0, do: 'empty', who: 'keeper0' });
-    await mustVote('keeper0', 'after its disk was lost');
+    await expectReady('keeper0', 'after its disk was lost');
     await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper1' });
-    await mustTake('with keeper1 killed after keeper0 had copied', ['agent2']);
+    await expectWrite('with keeper1 killed after keeper0 had caught up', ['agent2']);
     await fleet.injectFault({ at: 0, do: 'restart', who: 'keeper1' });
-    await mustVote('keeper1', 'after its restart');
+    await expectReady('keeper1', 'after its restart');
   }
 
-  async function playChanges(): Promise<void> {
-    o.log('changes while keeper2 is away');
+  async function runCatchUp(): Promise<void> {
+    options.log('writes while keeper2 is down');
     await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper2' });
-    for (let i = 0; i < changesWhileAway; i += 1) await mustTakeQuietly(i);
+    for (let index = 0; index < writesDuringOutage; index += 1) await expectWriteDuringOutage(index);
     await fleet.injectFault({ at: 0, do: 'restart', who: 'keeper2' });
-    await mustVote('keeper2', `after ${changesWhileAway} changes`);
+    await expectReady('keeper2', `after missing ${writesDuringOutage} writes`);
     await fleet.injectFault({ at: 0, do: 'kill', who: 'keeper0' });
-    await mustTake('with keeper0 killed after keeper2 had come back', ['agent2']);
-    await operators.get('agent2');
+    await expectWrite('with keeper0 killed after keeper2 had caught up', ['agent2']);
+    await operators.read('agent2');
   }
-  async function mustTakeQuietly(n: number): Promise<void> {
-    if (!(await operators.change(agents)))
-      breaches.push({ check: 'majorityTakesOrders', what: `change ${n} with keeper2 away was not taken` });
+  async function expectWriteDuringOutage(index: number): Promise<void> {
+    if (!(await operators.writeUntilKnown(agents)))
+      violations.push({ check: 'majorityTakesOrders', what: `write ${index} with keeper2 down was not acknowledged` });
   }
 
   try {
     await fleet.startAndWait();
-    o.log('the fleet serves');
+    options.log('the fleet is ready');
     await operators.noteInitial('agent1');
-    await mustTake('at first', agents);
-    await playCut('isolate', 0);
-    await playCut('one-way', 1);
-    await playCut('freeze', 2);
-    await playRaces();
-    await playLosses();
-    await playChanges();
+    await expectWrite('before any fault', agents);
+    await runPartition('isolate', 0);
+    await runPartition('one-way', 1);
+    await runPartition('freeze', 2);
+    await runConcurrentWrites();
+    await runDiskLoss();
+    await runCatchUp();
   } finally {
     await fleet.stop();
   }
   const { history } = operators;
-  const orders = history.calls.filter((c) => c.kind === 'put');
+  const writes = history.calls.filter((call) => call.kind === 'put');
   return {
-    breaches: [...breaches, ...judges.flatMap((judge) => judge(history))],
-    writes: orders.length,
-    acknowledged: orders.filter((c) => c.code === 200).length,
-    reads: history.calls.length - orders.length,
-    measurements: figures,
+    violations: [...violations, ...checks.flatMap((check) => check(history))],
+    writes: writes.length,
+    acknowledged: writes.filter((call) => call.code === 200).length,
+    reads: history.calls.length - writes.length,
+    measurements,
   };
 }
 
-/** Where the logs and data of a scenario go. */
+/** The default folder for a scenario's logs and data. */
 export function scenarioFolder(): string {
   return join('runs', `control-${process.pid}`);
 }
--- a/programs/fleet-runner/src/main.ts
+++ b/programs/fleet-runner/src/main.ts
@@ -102,12 +102,12 @@
       log: (message) => void stderr.write(`${message}\n`),
     });
     for (const measurement of verdict.measurements) stdout.write(`${measurement}\n`);
-    for (const violation of verdict.breaches) stdout.write(`violation, ${violation.check}: ${violation.what}\n`);
+    for (const violation of verdict.violations) stdout.write(`violation, ${violation.check}: ${violation.what}\n`);
     stdout.write(
-      `${verdict.writes} writes, ${verdict.acknowledged} acknowledged, ${verdict.reads} reads, ${verdict.breaches.length} violations ` +
-        `in ${Math.round((performance.now() - startedAt) / 1000)} s: ${verdict.breaches.length === 0 ? 'sound' : 'BROKEN'}\n`,
+      `${verdict.writes} writes, ${verdict.acknowledged} acknowledged, ${verdict.reads} reads, ${verdict.violations.length} violations ` +
+        `in ${Math.round((performance.now() - startedAt) / 1000)} s: ${verdict.violations.length === 0 ? 'sound' : 'BROKEN'}\n`,
     );
-    return verdict.breaches.length === 0 ? 0 : 1;
+    return verdict.violations.length === 0 ? 0 : 1;
   }
 }
 // An acknowledgement waits until the leases of partitioned routers expire, so the scenario uses a short lease.
--- a/programs/fleet-runner/src/soak/soak-adapter.ts
+++ b/programs/fleet-runner/src/soak/soak-adapter.ts
@@ -1,23 +1,23 @@
-/** What the soak must be told of a program under test: how it is started, spoken to and answered. It decides nothing. */
+/** Adapts the soak test to a program under test: how it is started, configured and called, and what its workers answer. */
 import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http';
 
-/** `router` serves requests, `control` holds control state, `both` does both in one process. */
+/** `router` serves requests, `control` stores control state, `both` does both in one process. */
 export type SoakRole = 'router' | 'control' | 'both';
 
-/** One machine of a soak: a process at an address of its own on loopback. */
+/** One machine of a soak test: a process with its own loopback address. */
 export interface SoakMachine {
   readonly name: string;
   readonly role: SoakRole;
   readonly ip: string;
 }
 
-/** What the settings of a machine depend on. */
+/** The context that the settings of a machine depend on. */
 export interface SoakSettingsContext {
   /** The machines that its settings name as seeds. */
   readonly seeds: readonly SoakMachine[];
   /** Whether this is the first start of the whole fleet. */
   readonly isFirstStart: boolean;
-  /** Where the list of workers is answered, an IP number. */
+  /** The IP address that serves the list of workers. */
   readonly platformIp: string;
   readonly dataFolder: string;
 }
@@ -32,24 +32,24 @@
 }
 
 export interface SoakAdapter {
-  /** The time between SIGTERM and the end by force that the settings state, in milliseconds. */
+  /** The configured time from SIGTERM until the process ends its open requests by force, in milliseconds. */
   readonly graceMs: number;
   readonly ports: { readonly list: number; readonly worker: number };
   readonly command: (machine: SoakMachine) => { readonly file: string; readonly args: readonly string[] };
   readonly environment: (settingsFile: string) => Readonly<Record<string, string>>;
-  readonly settings: (machine: SoakMachine, surroundings: SoakSettingsContext) => string;
+  readonly settings: (machine: SoakMachine, context: SoakSettingsContext) => string;
   readonly readiness: SoakCall;
-  /** A request of a client; `revision` names the configuration whose route it takes. */
+  /** A client's request; `revision` is that of the configuration whose route it uses. */
   readonly request: (id: string, revision: number) => SoakCall;
-  /** The order to take the configuration of this revision, made on top of `base` (0 for the first). */
+  /** The call that submits the configuration of this revision, based on revision `base` (0 for the first). */
   readonly change: (revision: number, base: number) => SoakCall;
   readonly read: SoakCall;
   readonly revisionOf: (configuration: string) => number;
   readonly workerListBody: (ips: readonly string[]) => string;
   readonly workerLoadBody: string;
-  /** The id of a request as a worker sees it; undefined where the call is no request. */
+  /** The id of a request as a worker receives it; undefined if the call is not a client's request. */
   readonly requestIdOf: (headers: IncomingHttpHeaders) => string | undefined;
   readonly workerHeaders: (id: string) => OutgoingHttpHeaders;
-  /** The pieces of a worker's answer. */
+  /** The chunks of a worker's response. */
   readonly chunks: readonly string[];
 }
--- a/programs/fleet-runner/src/soak/soak-machines.ts
+++ b/programs/fleet-runner/src/soak/soak-machines.ts
@@ -1,22 +1,22 @@
-/** The processes of a soak: started, signalled and ended by their own ids; their settings, logs and data are files. */
+/** The processes of a soak test: started and signalled by process id, with files for their settings, logs and data. */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, openSync, renameSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import type { SoakAdapter, SoakMachine } from './soak-adapter.js';
 
-/** One end of a process. */
+/** The exit of one process. */
 export interface SoakExit {
   readonly machine: string;
   readonly code: number | null;
   readonly signal: NodeJS.Signals | null;
-  /** What it had been asked: nothing, to stop, or to be killed. */
+  /** The signal that was sent to it before: none, SIGTERM, or SIGKILL. */
   readonly requested: 'nothing' | 'stop' | 'kill';
-  /** From the first SIGTERM to the end, in milliseconds. */
+  /** From the first SIGTERM to the exit, in milliseconds. */
   readonly stopDurationMs: number;
   readonly lifetime: SoakLifetime;
 }
 
-/** The times, by `performance.now()`, between which a process ran, and when it was killed or told to stop. */
+/** When a process started, exited, and got its first SIGTERM and its SIGKILL, by `performance.now()`. */
 export interface SoakLifetime {
   readonly machine: string;
   readonly startedAt: number;
@@ -30,23 +30,23 @@
   readonly lifetimes: readonly SoakLifetime[];
   readonly exits: readonly SoakExit[];
   readonly isUp: (machine: SoakMachine) => boolean;
-  /** Starts the machine; from now on a process of it that ends is started again after a short pause. */
+  /** Starts the machine's process; whenever it exits from now on, it is restarted after a short delay. */
   readonly start: (machine: SoakMachine) => void;
   readonly stop: (machine: SoakMachine) => void;
   readonly reload: (machine: SoakMachine) => void;
   readonly kill: (machine: SoakMachine) => void;
-  /** When the process that runs now has ended. */
+  /** Resolves when the current process has exited. */
   readonly ended: (machine: SoakMachine) => Promise<void>;
-  /** From now on the settings of all machines name these seeds; running processes may read them again. */
+  /** Writes these seeds into the settings of all machines; running processes may reload them. */
   readonly setSeeds: (seeds: readonly SoakMachine[]) => void;
-  /** Tells all to stop, and starts none again; done when all have ended, or were killed after `longestMs`. */
-  readonly stopAll: (longestMs: number) => Promise<void>;
+  /** Stops all processes without restarting them, and kills those that still run after `maxStopMs`. */
+  readonly stopAll: (maxStopMs: number) => Promise<void>;
 }
 
-interface Running {
+interface RunningProcess {
   readonly child: ChildProcess;
   readonly lifetime: SoakLifetime;
-  readonly end: Promise<void>;
+  readonly exited: Promise<void>;
 }
 
 export interface SoakMachinesOptions {
@@ -58,70 +58,70 @@
   readonly random: () => number;
 }
 
-/** A process that has ended is started again after so long. */
-const leastPauseMs = 100;
-const pauseSpreadMs = 500;
+/** Minimum delay before a process that has exited is restarted. */
+const minRestartDelayMs = 100;
+const restartJitterMs = 500;
 
-/** Makes the machines of one soak; none runs yet. */
+/** Creates the machines of one soak test; no process runs yet. */
 export function createSoakMachines(options: SoakMachinesOptions): SoakMachines {
-  const { adapter: dialect, machines: all, folder } = options;
-  const running = new Map<string, Running>();
+  const { adapter, machines: all, folder } = options;
+  const running = new Map<string, RunningProcess>();
   const started = new Set<string>();
-  const lives: SoakLifetime[] = [];
+  const lifetimes: SoakLifetime[] = [];
   const exits: SoakExit[] = [];
   let { seeds } = options;
-  let ending = false;
+  let isStopping = false;
 
   function settingsFile(machine: SoakMachine): string {
     return join(folder, `${machine.name}.toml`);
   }
 
-  /** The file is replaced whole, as a process may read it at any time. */
+  /** Replaces the file atomically, as a process may read it at any time. */
   function writeSettings(machine: SoakMachine): void {
     const dataFolder = join(folder, `${machine.name}.data`);
-    const first = !started.has(machine.name);
-    const text = dialect.settings(machine, { seeds, isFirstStart: first, platformIp: options.platformIp, dataFolder });
+    const isFirstStart = !started.has(machine.name);
+    const settings = adapter.settings(machine, { seeds, isFirstStart, platformIp: options.platformIp, dataFolder });
     const file = settingsFile(machine);
-    writeFileSync(`${file}.new`, text);
+    writeFileSync(`${file}.new`, settings);
     renameSync(`${file}.new`, file);
   }
 
   function start(machine: SoakMachine): void {
     writeSettings(machine);
     started.add(machine.name);
-    const { file, args } = dialect.command(machine);
+    const { file, args } = adapter.command(machine);
     const log = openSync(join(folder, `${machine.name}.log`), 'a');
-    const env = { PATH: process.env['PATH'], ...dialect.environment(settingsFile(machine)) };
+    const env = { PATH: process.env['PATH'], ...adapter.environment(settingsFile(machine)) };
     const child = spawn(file, args, { stdio: ['ignore', log, log], env });
     closeSync(log);
-    const life: SoakLifetime = {
+    const lifetime: SoakLifetime = {
       machine: machine.name,
       startedAt: performance.now(),
       endedAt: Infinity,
       stopSignalAt: Infinity,
       killSignalAt: Infinity,
     };
-    lives.push(life);
-    const end = new Promise<void>((done) => {
+    lifetimes.push(lifetime);
+    const exited = new Promise<void>((resolve) => {
       child.once('exit', (code, signal) => {
-        life.endedAt = performance.now();
+        lifetime.endedAt = performance.now();
         running.delete(machine.name);
-        exits.push(exitOf(life, code, signal));
-        if (!ending) setTimeout(startAgain, leastPauseMs + pauseSpreadMs * options.random(), machine);
-        done();
+        exits.push(createExit(lifetime, code, signal));
+        if (!isStopping) setTimeout(restart, minRestartDelayMs + restartJitterMs * options.random(), machine);
+        resolve();
       });
     });
-    running.set(machine.name, { child, lifetime: life, end });
+    running.set(machine.name, { child, lifetime, exited });
   }
 
-  function exitOf(life: SoakLifetime, code: number | null, signal: NodeJS.Signals | null): SoakExit {
-    const asked = life.killSignalAt < Infinity ? 'kill' : life.stopSignalAt < Infinity ? 'stop' : 'nothing';
-    const tookMs = asked === 'stop' ? life.endedAt - life.stopSignalAt : 0;
-    return { machine: life.machine, code, signal, requested: asked, stopDurationMs: tookMs, lifetime: life };
+  function createExit(lifetime: SoakLifetime, code: number | null, signal: NodeJS.Signals | null): SoakExit {
+    const requested = lifetime.killSignalAt < Infinity ? 'kill' : lifetime.stopSignalAt < Infinity ? 'stop' : 'nothing';
+    const stopDurationMs = requested === 'stop' ? lifetime.endedAt - lifetime.stopSignalAt : 0;
+    return { machine: lifetime.machine, code, signal, requested, stopDurationMs, lifetime };
   }
 
-  function startAgain(machine: SoakMachine): void {
-    if (!ending && !running.has(machine.name)) start(machine);
+  function restart(machine: SoakMachine): void {
+    if (!isStopping && !running.has(machine.name)) start(machine);
   }
 
   function stop(machine: SoakMachine): void {
@@ -138,31 +138,31 @@
     present.child.kill('SIGKILL');
   }
 
-  function reseed(changed: readonly SoakMachine[]): void {
-    seeds = changed;
+  function setSeeds(newSeeds: readonly SoakMachine[]): void {
+    seeds = newSeeds;
     for (const machine of all) writeSettings(machine);
   }
 
-  async function endAll(longestMs: number): Promise<void> {
-    ending = true;
-    const ends = [...running.values()].map((each) => each.end);
+  async function stopAll(maxStopMs: number): Promise<void> {
+    isStopping = true;
+    const pendingExits = [...running.values()].map((entry) => entry.exited);
     for (const machine of all) stop(machine);
-    const late = setTimeout(() => all.forEach(kill), longestMs);
-    await Promise.all(ends);
-    clearTimeout(late);
+    const killTimer = setTimeout(() => all.forEach(kill), maxStopMs);
+    await Promise.all(pendingExits);
+    clearTimeout(killTimer);
   }
 
   return {
     all,
-    lifetimes: lives,
+    lifetimes,
     exits,
     isUp: (machine) => running.has(machine.name),
     start,
     stop,
     reload: (machine) => void running.get(machine.name)?.child.kill('SIGHUP'),
     kill,
-    ended: (machine) => running.get(machine.name)?.end ?? Promise.resolve(),
-    setSeeds: reseed,
-    stopAll: endAll,
+    ended: (machine) => running.get(machine.name)?.exited ?? Promise.resolve(),
+    setSeeds,
+    stopAll,
   };
 }
--- a/programs/fleet-runner/src/soak/soak-operator.ts
+++ b/programs/fleet-runner/src/soak/soak-operator.ts
@@ -1,67 +1,67 @@
-/** The operator of a soak: sends changes one after the other, each until its outcome is clear, and reads back. */
+/** The operator of a soak test: submits configuration changes one at a time, each until its outcome is known, and reads back. */
 import { exchange, type SoakAnswer } from './soak-client.js';
 import type { SoakCall, SoakAdapter, SoakMachine } from './soak-adapter.js';
 
 export interface SoakOperator {
-  /** Orders one more change; it is sent after those that were ordered before. */
+  /** Queues one more change; it is sent after those queued before. */
   readonly submitChange: () => void;
-  /** When all that was ordered is acknowledged or given up. */
+  /** Resolves when every queued change is acknowledged or has timed out. */
   readonly whenSettled: () => Promise<void>;
   /** The newest revision that was acknowledged. */
   readonly acknowledged: () => number;
-  /** Changes that got no clear answer in their time. */
+  /** The number of changes that were not acknowledged within the time-out. */
   readonly unresolved: () => number;
-  /** The revision that is read back, asked again until one comes or the time is over. */
+  /** Reads the current revision, with retries until the time-out. */
   readonly read: () => Promise<number | undefined>;
 }
 
-const changePatienceMs = 60_000;
-const pauseMs = 200;
+const changeTimeoutMs = 60_000;
+const retryDelayMs = 200;
 
-/** Makes the operator; it calls the machines in turn. */
-export function createSoakOperator(dialect: SoakAdapter, machines: readonly SoakMachine[]): SoakOperator {
-  let [revision, acknowledged, unclear, turn] = [0, 0, 0, 0];
+/** Creates the operator; it calls the machines round-robin. */
+export function createSoakOperator(adapter: SoakAdapter, machines: readonly SoakMachine[]): SoakOperator {
+  let [revision, acknowledged, unresolved, calls] = [0, 0, 0, 0];
   let queue: Promise<void> = Promise.resolve();
 
   async function callNext(call: SoakCall): Promise<SoakAnswer | undefined> {
-    turn += 1;
-    const { answer } = await exchange(machines[turn % machines.length]!.ip, call);
+    calls += 1;
+    const { answer } = await exchange(machines[calls % machines.length]!.ip, call);
     return answer?.complete === true ? answer : undefined;
   }
 
-  /** Calls one machine after the other until `isClear`, or until the patience is over. */
-  async function callUntil(call: SoakCall, isClear: (status: number) => boolean): Promise<SoakAnswer | undefined> {
-    const giveUpAt = performance.now() + changePatienceMs;
-    while (performance.now() < giveUpAt) {
+  /** Calls the machines round-robin until a response has a definite status, or until the time-out. */
+  async function callUntil(call: SoakCall, isDefinite: (status: number) => boolean): Promise<SoakAnswer | undefined> {
+    const deadline = performance.now() + changeTimeoutMs;
+    while (performance.now() < deadline) {
       const answer = await callNext(call);
-      if (answer !== undefined && isClear(answer.status)) return answer;
-      await new Promise((again) => setTimeout(again, pauseMs));
+      if (answer !== undefined && isDefinite(answer.status)) return answer;
+      await new Promise((resolve) => setTimeout(resolve, retryDelayMs));
     }
     return undefined;
   }
 
-  async function change(): Promise<void> {
+  async function sendChange(): Promise<void> {
     revision += 1;
     const answer = await callUntil(
-      dialect.change(revision, acknowledged),
+      adapter.change(revision, acknowledged),
       (status) => status === 200 || status === 412,
     );
     if (answer?.status === 200) acknowledged = revision;
-    else unclear += 1;
+    else unresolved += 1;
   }
 
   async function read(): Promise<number | undefined> {
-    const answer = await callUntil(dialect.read, (status) => status === 200);
-    return answer === undefined ? undefined : dialect.revisionOf(answer.body);
+    const answer = await callUntil(adapter.read, (status) => status === 200);
+    return answer === undefined ? undefined : adapter.revisionOf(answer.body);
   }
 
   return {
     submitChange: () => {
-      queue = queue.then(change);
+      queue = queue.then(sendChange);
     },
     whenSettled: () => queue,
     acknowledged: () => acknowledged,
-    unresolved: () => unclear,
+    unresolved: () => unresolved,
     read,
   };
 }
--- a/programs/fleet-runner/src/soak/soak-run.ts
+++ b/programs/fleet-runner/src/soak/soak-run.ts
@@ -1,6 +1,6 @@
 /**
- * One soak: a fleet of real processes on loopback under series of signals, restarts and changes that overlap, while
- * clients go on using their open connections; then calm, in which all must be served again.
+ * One soak test: a fleet of real processes on loopback under overlapping bursts of signals, restarts and configuration
+ * changes, while clients keep using their open connections; then a period without faults, in which all must recover.
  */
 import { mkdirSync } from 'node:fs';
 import { createSeededRandom } from '@tansypost/inner-protocol';
@@ -16,14 +16,14 @@
   readonly adapter: SoakAdapter;
   readonly seed: number;
   readonly routers: number;
-  /** Machines that hold control state. */
-  readonly controls: number;
-  /** Whether these run routers as well. */
+  /** The number of machines that store control state. */
+  readonly controlMachines: number;
+  /** Whether these machines run routers as well. */
   readonly sharesRouters: boolean;
-  /** How long troubles come, in milliseconds. */
+  /** How long faults are injected, in milliseconds. */
   readonly durationMs: number;
   readonly folder: string;
-  /** The second number of the loopback addresses. */
+  /** The second octet of the loopback addresses. */
   readonly octet: number;
 }
 
@@ -32,7 +32,7 @@
   readonly machines: number;
   readonly violations: readonly SoakViolation[];
   readonly requests: Readonly<Record<SoakOutcome['ended'], number>>;
-  /** Requests that were sent on a connection that had served before. */
+  /** The number of requests that were sent on a reused connection. */
   readonly onReusedConnections: number;
   readonly starts: number;
   readonly acknowledged: number;
@@ -40,42 +40,45 @@
 }
 
 const clientsPerRouter = 3;
-const seedsOfMachine = 3;
-/** Loopback numbers of what the soak plays itself. */
-const platformNumber = 250;
-const workerNumbers = [251, 252];
-/** How long a process may take from SIGTERM to its end; its own bound is 6 s. */
-const longestStopMs = 15_000;
-/** How long the fleet may take to serve again. */
-const recoveryMs = 60_000;
-const lookEveryMs = 100;
+const seedsPerMachine = 3;
+/** Last octets of the addresses of the platform and the workers, which the soak test simulates. */
+const platformHostNumber = 250;
+const workerHostNumbers = [251, 252];
+/** The maximum time from SIGTERM to the exit of a process; its own grace period is 6 s. */
+const maxStopMs = 15_000;
+/** The maximum time until the fleet serves again. */
+const recoveryTimeoutMs = 60_000;
+const pollIntervalMs = 100;
 
-function addressOf(o: SoakOptions, n: number): string {
-  return `127.${o.octet}.${1 + (o.seed % 250)}.${n}`;
+function addressOf(options: SoakOptions, hostNumber: number): string {
+  return `127.${options.octet}.${1 + (options.seed % 250)}.${hostNumber}`;
 }
 
-function machinesOf(o: SoakOptions, ip: (n: number) => string): SoakMachine[] {
-  const controls = Array.from({ length: o.controls }, (_, n): SoakMachine => {
-    return { name: `control-${n}`, role: o.sharesRouters ? 'both' : 'control', ip: ip(1 + n) };
+function createMachineList(options: SoakOptions, ip: (hostNumber: number) => string): SoakMachine[] {
+  const controls = Array.from({ length: options.controlMachines }, (_, index): SoakMachine => {
+    return { name: `control-${index}`, role: options.sharesRouters ? 'both' : 'control', ip: ip(1 + index) };
   });
-  const routers = Array.from({ length: o.routers }, (_, n): SoakMachine => {
-    return { name: `router-${n}`, role: 'router', ip: ip(1 + o.controls + n) };
+  const routers = Array.from({ length: options.routers }, (_, index): SoakMachine => {
+    return { name: `router-${index}`, role: 'router', ip: ip(1 + options.controlMachines + index) };
   });
   return [...controls, ...routers];
 }
 
-function pick<T>(from: readonly T[], share: number): T {
-  return from[Math.min(from.length - 1, Math.floor(share * from.length))]!;
+function pick<T>(candidates: readonly T[], position: number): T {
+  return candidates[Math.min(candidates.length - 1, Math.floor(position * candidates.length))]!;
 }
 
-/** Half of the draws take machines that hold no control state. */
-function seedsFor(who: number, all: readonly SoakMachine[]): SoakMachine[] {
-  const from = who < 0.5 ? all.filter((machine) => machine.role === 'router') : all;
-  const first = Math.floor(who * from.length);
-  return Array.from({ length: Math.min(seedsOfMachine, from.length) }, (_, n) => from[(first + n) % from.length]!);
+/** Half of the draws choose only machines that store no control state. */
+function drawSeeds(position: number, all: readonly SoakMachine[]): SoakMachine[] {
+  const candidates = position < 0.5 ? all.filter((machine) => machine.role === 'router') : all;
+  const firstIndex = Math.floor(position * candidates.length);
+  return Array.from(
+    { length: Math.min(seedsPerMachine, candidates.length) },
+    (_, index) => candidates[(firstIndex + index) % candidates.length]!,
+  );
 }
 
-function apply(step: SoakStep, machines: SoakMachines, operator: SoakOperator): void {
+function applyStep(step: SoakStep, machines: SoakMachines, operator: SoakOperator): void {
   switch (step.do) {
     case 'stop':
     case 'stop-again':
@@ -89,58 +92,58 @@
     case 'change':
       return operator.submitChange();
     case 'seeds':
-      return machines.setSeeds(seedsFor(step.who, machines.all));
+      return machines.setSeeds(drawSeeds(step.who, machines.all));
   }
 }
 
-/** Asks again until it holds, or until the time is over. */
-async function holdsWithin(limitMs: number, holds: () => Promise<boolean>): Promise<boolean> {
-  const until = performance.now() + limitMs;
-  while (!(await holds())) {
-    if (performance.now() > until) return false;
-    await new Promise((again) => setTimeout(again, lookEveryMs));
+/** Polls until the condition holds; false after the time-out. */
+async function becomesTrueWithin(timeoutMs: number, condition: () => Promise<boolean>): Promise<boolean> {
+  const deadline = performance.now() + timeoutMs;
+  while (!(await condition())) {
+    if (performance.now() > deadline) return false;
+    await new Promise((resolve) => setTimeout(resolve, pollIntervalMs));
   }
   return true;
 }
 
-/** Plays one soak and judges it. */
-export async function runSoak(o: SoakOptions): Promise<SoakReport> {
-  const { adapter: dialect } = o;
-  const random = createSeededRandom(o.seed);
-  function ip(n: number): string {
-    return addressOf(o, n);
+/** Runs one soak test and checks its history. */
+export async function runSoak(options: SoakOptions): Promise<SoakReport> {
+  const { adapter } = options;
+  const random = createSeededRandom(options.seed);
+  function ip(hostNumber: number): string {
+    return addressOf(options, hostNumber);
   }
-  const all = machinesOf(o, ip);
-  const holders = all.slice(0, o.controls);
-  const routers = all.filter((machine) => machine.role !== 'control');
+  const allMachines = createMachineList(options, ip);
+  const controlNodes = allMachines.slice(0, options.controlMachines);
+  const routers = allMachines.filter((machine) => machine.role !== 'control');
   const outcomes: SoakOutcome[] = [];
-  const breaches: SoakViolation[] = [];
+  const violations: SoakViolation[] = [];
   let requests = 0;
-  let over = false;
+  let isFinished = false;
 
-  mkdirSync(o.folder, { recursive: true });
-  const platformIp = ip(platformNumber);
-  const workers = await startSoakWorkers({ adapter: dialect, ips: workerNumbers.map(ip), platformIp, random });
+  mkdirSync(options.folder, { recursive: true });
+  const platformIp = ip(platformHostNumber);
+  const workers = await startSoakWorkers({ adapter, ips: workerHostNumbers.map(ip), platformIp, random });
   const machines = createSoakMachines({
-    adapter: dialect,
-    machines: all,
-    seeds: holders.slice(0, seedsOfMachine),
+    adapter,
+    machines: allMachines,
+    seeds: controlNodes.slice(0, seedsPerMachine),
     platformIp,
-    folder: o.folder,
+    folder: options.folder,
     random,
   });
-  const operator = createSoakOperator(dialect, holders);
+  const operator = createSoakOperator(adapter, controlNodes);
 
   function requestOn(revision: number): { id: string; call: ReturnType<SoakAdapter['request']> } {
     requests += 1;
-    const id = `soak-${o.seed}-${requests}`;
-    return { id, call: dialect.request(id, revision) };
+    const id = `soak-${options.seed}-${requests}`;
+    return { id, call: adapter.request(id, revision) };
   }
   async function isReady(machine: SoakMachine): Promise<boolean> {
-    return (await exchange(machine.ip, dialect.readiness)).answer?.status === 200;
+    return (await exchange(machine.ip, adapter.readiness)).answer?.status === 200;
   }
   async function allReady(): Promise<boolean> {
-    return (await Promise.all(routers.map(isReady))).every((ready) => ready);
+    return (await Promise.all(routers.map(isReady))).every((isMachineReady) => isMachineReady);
   }
   async function serves(machine: SoakMachine): Promise<boolean> {
     const { answer } = await exchange(machine.ip, requestOn(operator.acknowledged()).call);
@@ -152,88 +155,98 @@
         runSoakClient({
           machine: machine.name,
           ip: machine.ip,
-          expectedBody: dialect.chunks.join(''),
+          expectedBody: adapter.chunks.join(''),
           nextRequest: () => requestOn(1),
-          isFinished: () => over,
+          isFinished: () => isFinished,
           random,
           onOutcome: (outcome) => outcomes.push(outcome),
         }),
       ),
     );
   }
-  async function playSchedule(): Promise<void> {
-    const begun = performance.now();
-    for (const step of drawSoakSchedule({ seed: o.seed, durationMs: o.durationMs, machines: all.length })) {
-      const wait = begun + step.at - performance.now();
-      if (wait > 0) await new Promise((due) => setTimeout(due, wait));
-      apply(step, machines, operator);
+  async function runSchedule(): Promise<void> {
+    const startedAt = performance.now();
+    for (const step of drawSoakSchedule({
+      seed: options.seed,
+      durationMs: options.durationMs,
+      machines: allMachines.length,
+    })) {
+      const delayMs = startedAt + step.at - performance.now();
+      if (delayMs > 0) await new Promise((resolve) => setTimeout(resolve, delayMs));
+      applyStep(step, machines, operator);
     }
   }
-  async function judgeCalm(): Promise<void> {
-    const back = await Promise.all(routers.map((machine) => holdsWithin(recoveryMs, () => serves(machine))));
-    const late = routers.filter((_, n) => back[n] !== true).map((machine) => machine.name);
-    if (late.length > 0)
-      breaches.push({ rule: 'not back', detail: `${late.join(', ')} after ${recoveryMs} ms of calm` });
-    const read = await operator.read();
-    if (read === undefined || read < operator.acknowledged())
-      breaches.push({
+  async function checkRecovery(): Promise<void> {
+    const hasRecovered = await Promise.all(
+      routers.map((machine) => becomesTrueWithin(recoveryTimeoutMs, () => serves(machine))),
+    );
+    const unrecovered = routers.filter((_, index) => hasRecovered[index] !== true).map((machine) => machine.name);
+    if (unrecovered.length > 0)
+      violations.push({
+        rule: 'not back',
+        detail: `${unrecovered.join(', ')} after ${recoveryTimeoutMs} ms without faults`,
+      });
+    const revision = await operator.read();
+    if (revision === undefined || revision < operator.acknowledged())
+      violations.push({
         rule: 'changes',
-        detail: `${read ?? 'nothing'} read back, ${operator.acknowledged()} acknowledged`,
+        detail: `${revision ?? 'nothing'} read back, ${operator.acknowledged()} acknowledged`,
       });
     if (operator.unresolved() > 0)
-      breaches.push({
+      violations.push({
         rule: 'changes',
-        detail: `${operator.unresolved()} without a clear answer that they were taken`,
+        detail: `${operator.unresolved()} not acknowledged in time`,
       });
   }
 
   try {
-    for (const machine of all) machines.start(machine);
+    for (const machine of allMachines) machines.start(machine);
     operator.submitChange();
     await operator.whenSettled();
-    if (!(await holdsWithin(recoveryMs, allReady))) breaches.push({ rule: 'not back', detail: 'not ready at first' });
+    if (!(await becomesTrueWithin(recoveryTimeoutMs, allReady)))
+      violations.push({ rule: 'not back', detail: 'not ready after the first start' });
     const clients = startClients();
-    await playSchedule();
+    await runSchedule();
     await operator.whenSettled();
-    await judgeCalm();
-    over = true;
+    await checkRecovery();
+    isFinished = true;
     await Promise.all(clients);
   } finally {
-    over = true;
-    await machines.stopAll(longestStopMs);
+    isFinished = true;
+    await machines.stopAll(maxStopMs);
     workers.close();
   }
-  const { lifetimes: lives, exits } = machines;
-  breaches.push(
+  const { lifetimes, exits } = machines;
+  violations.push(
     ...judgeSoak({
       outcomes,
       executions: workers.executions,
-      lifetimes: lives,
+      lifetimes,
       exits,
-      maxStopMs: longestStopMs,
-      graceMs: dialect.graceMs,
+      maxStopMs,
+      graceMs: adapter.graceMs,
     }),
   );
-  return reportOf(o.seed, all.length, outcomes, machines, operator, breaches);
+  return createReport(options.seed, allMachines.length, outcomes, machines, operator, violations);
 }
 
-function reportOf(
+function createReport(
   seed: number,
   machines: number,
   outcomes: readonly SoakOutcome[],
-  { lifetimes: lives, exits }: SoakMachines,
+  { lifetimes, exits }: SoakMachines,
   operator: SoakOperator,
-  breaches: readonly SoakViolation[],
+  violations: readonly SoakViolation[],
 ): SoakReport {
   const requests = { whole: 0, failed: 0, refused: 0, cut: 0, unsent: 0 };
   for (const { ended } of outcomes) requests[ended] += 1;
   return {
     seed,
     machines,
-    violations: breaches,
+    violations,
     requests,
     onReusedConnections: outcomes.filter((outcome) => outcome.reusedConnection).length,
-    starts: lives.length,
+    starts: lifetimes.length,
     acknowledged: operator.acknowledged(),
     maxObservedStopMs: Math.round(Math.max(0, ...exits.map((exit) => exit.stopDurationMs))),
   };
--- a/programs/fleet-runner/src/soak/soak-verdict.ts
+++ b/programs/fleet-runner/src/soak/soak-verdict.ts
@@ -1,4 +1,4 @@
-/** What must hold in a soak, judged by what clients, workers and the operator have seen and how processes ended. */
+/** The invariants of a soak test, checked on the outcomes at clients, the executions at workers and the process exits. */
 import type { SoakOutcome } from './soak-client.js';
 import type { SoakExit, SoakLifetime } from './soak-machines.js';
 import type { SoakExecution } from './soak-workers.js';
@@ -6,7 +6,7 @@
 export type SoakRule =
   'lost' | 'twice' | 'refused though run' | 'ended by itself' | 'ended late' | 'not back' | 'changes';
 
-/** A rule that was broken, and how. */
+/** A violated rule, with details. */
 export interface SoakViolation {
   readonly rule: SoakRule;
   readonly detail: string;
@@ -17,108 +17,117 @@
   readonly executions: ReadonlyMap<string, SoakExecution>;
   readonly lifetimes: readonly SoakLifetime[];
   readonly exits: readonly SoakExit[];
-  /** How long a process may take to end after its signal, in milliseconds. */
+  /** The maximum time from SIGTERM to the exit of a process, in milliseconds. */
   readonly maxStopMs: number;
-  /** How long after its signal a process is asked to end answers that have begun, in milliseconds. */
+  /** The configured grace period after SIGTERM for responses that have started, in milliseconds. */
   readonly graceMs: number;
 }
 
-/** Judges requests and ends of processes. */
+/** Checks requests and process exits. */
 export function judgeSoak(history: SoakHistory): SoakViolation[] {
-  return [...lostRequests(history), ...wrongRuns(history), ...wrongEnds(history)];
+  return [...lostRequests(history), ...wrongExecutions(history), ...wrongExits(history)];
 }
 
-/** Of the grace period: a worker that is still at work then may be cut off. */
-const mayCutAfter = 5 / 6;
-/** A request that is sent so long after the signal should not have been taken if it cannot be kept, in milliseconds. */
-const mayBeTakenForMs = 3000;
+/** The share of the grace period after which a worker that is still busy may be cut off. */
+const cutGraceShare = 5 / 6;
+/** How long after SIGTERM a request may be accepted that is cut off later; afterwards it should have been rejected. */
+const acceptMs = 3000;
 
 /**
- * A request that has reached a worker is answered whole, or by a failure, by a router that was not killed meanwhile. A
- * request that crosses the close of its connection has reached no worker. A router that has to end may cut off a worker
- * that is still at work near the end of the grace period, on a request that was sent soon after the signal.
+ * A request that reached a worker must get a complete response or an error, unless its router was killed meanwhile. A
+ * request that crosses the close of its connection has not reached a worker. A router that has to exit may cut off a
+ * worker that is still busy near the end of the grace period, if the request was sent soon after SIGTERM.
  */
-function lostRequests({ outcomes, executions: runs, lifetimes: lives, graceMs }: SoakHistory): SoakViolation[] {
-  const cut = outcomes.filter((outcome) => outcome.ended === 'cut' && runs.has(outcome.id));
-  return cut
-    .filter((outcome) => !wasKilled(outcome, lives))
-    .filter((outcome) => !outlastedGrace(outcome, runs.get(outcome.id)!, lifeOf(outcome, lives), graceMs))
+function lostRequests({ outcomes, executions, lifetimes, graceMs }: SoakHistory): SoakViolation[] {
+  const cutOutcomes = outcomes.filter((outcome) => outcome.ended === 'cut' && executions.has(outcome.id));
+  return cutOutcomes
+    .filter((outcome) => !wasKilled(outcome, lifetimes))
+    .filter(
+      (outcome) => !outlastedGrace(outcome, executions.get(outcome.id)!, findLifetime(outcome, lifetimes), graceMs),
+    )
     .map((outcome) => {
-      const times = sinceSignal(outcome, runs.get(outcome.id)!, lifeOf(outcome, lives));
-      return { rule: 'lost', detail: `${describe(outcome)}, ${times}` };
+      const timeline = describeTimeline(outcome, executions.get(outcome.id)!, findLifetime(outcome, lifetimes));
+      return { rule: 'lost', detail: `${describe(outcome)}, ${timeline}` };
     });
 }
 
-function lifeOf({ machine, sentAt }: SoakOutcome, lives: readonly SoakLifetime[]): SoakLifetime | undefined {
-  return lives.find((life) => life.machine === machine && life.startedAt <= sentAt && life.endedAt >= sentAt);
+function findLifetime({ machine, sentAt }: SoakOutcome, lifetimes: readonly SoakLifetime[]): SoakLifetime | undefined {
+  return lifetimes.find(
+    (lifetime) => lifetime.machine === machine && lifetime.startedAt <= sentAt && lifetime.endedAt >= sentAt,
+  );
 }
 
 function outlastedGrace(
   { sentAt }: SoakOutcome,
   { finishedAt }: SoakExecution,
-  life: SoakLifetime | undefined,
+  lifetime: SoakLifetime | undefined,
   graceMs: number,
 ): boolean {
-  if (life === undefined || life.stopSignalAt === Infinity) return false;
-  return finishedAt > life.stopSignalAt + mayCutAfter * graceMs && sentAt <= life.stopSignalAt + mayBeTakenForMs;
+  if (lifetime === undefined || lifetime.stopSignalAt === Infinity) return false;
+  return finishedAt > lifetime.stopSignalAt + cutGraceShare * graceMs && sentAt <= lifetime.stopSignalAt + acceptMs;
 }
 
-function wasKilled(outcome: SoakOutcome, lives: readonly SoakLifetime[]): boolean {
-  return lives.some(
-    (life) =>
-      life.machine === outcome.machine && life.killSignalAt >= outcome.sentAt && life.killSignalAt <= outcome.endedAt,
+function wasKilled(outcome: SoakOutcome, lifetimes: readonly SoakLifetime[]): boolean {
+  return lifetimes.some(
+    (lifetime) =>
+      lifetime.machine === outcome.machine &&
+      lifetime.killSignalAt >= outcome.sentAt &&
+      lifetime.killSignalAt <= outcome.endedAt,
   );
 }
 
 function describe(outcome: SoakOutcome): string {
-  const connection = outcome.reusedConnection ? 'a kept' : 'a new';
-  return `${outcome.id} at ${outcome.machine} on ${connection} connection ended with ${outcome.status}, ${outcome.ended}`;
+  const connection = outcome.reusedConnection ? 'a reused' : 'a new';
+  return `${outcome.id} at ${outcome.machine} on ${connection} connection ended with status ${outcome.status}, ${outcome.ended}`;
 }
 
-function sinceSignal(outcome: SoakOutcome, run: SoakExecution, life: SoakLifetime | undefined): string {
-  if (life === undefined || life.stopSignalAt === Infinity) return 'no signal to its process';
-  const { stopSignalAt: stopAt } = life;
-  function after(time: number): string {
-    return time === Infinity ? 'never' : `${Math.round(time - stopAt)} ms`;
+function describeTimeline(outcome: SoakOutcome, execution: SoakExecution, lifetime: SoakLifetime | undefined): string {
+  if (lifetime === undefined || lifetime.stopSignalAt === Infinity) return 'its process got no signal';
+  const { stopSignalAt } = lifetime;
+  function sinceStopSignal(time: number): string {
+    return time === Infinity ? 'never' : `${Math.round(time - stopSignalAt)} ms`;
   }
-  const times = `sent ${after(outcome.sentAt)}, cut ${after(outcome.endedAt)}, its worker done ${after(run.finishedAt)}`;
-  return `${times} after SIGTERM`;
+  const timeline = `sent ${sinceStopSignal(outcome.sentAt)}, cut ${sinceStopSignal(outcome.endedAt)}, worker finished ${sinceStopSignal(execution.finishedAt)}`;
+  return `${timeline} after SIGTERM`;
 }
 
-function wrongRuns({ outcomes, executions: runs }: SoakHistory): SoakViolation[] {
-  const twice = [...runs].filter(([, { count: times }]) => times > 1);
-  const refused = outcomes.filter((outcome) => outcome.ended === 'refused' && runs.has(outcome.id));
+function wrongExecutions({ outcomes, executions }: SoakHistory): SoakViolation[] {
+  const executedTwice = [...executions].filter(([, { count }]) => count > 1);
+  const executedThoughRefused = outcomes.filter((outcome) => outcome.ended === 'refused' && executions.has(outcome.id));
   return [
-    ...twice.map(([id, { count: times }]): SoakViolation => ({ rule: 'twice', detail: `${id} ran ${times} times` })),
-    ...refused.map((outcome): SoakViolation => ({ rule: 'refused though run', detail: describe(outcome) })),
+    ...executedTwice.map(([id, { count }]): SoakViolation => ({ rule: 'twice', detail: `${id} ran ${count} times` })),
+    ...executedThoughRefused.map((outcome): SoakViolation => ({
+      rule: 'refused though run',
+      detail: describe(outcome),
+    })),
   ];
 }
 
-/** No program can take a signal in the first moments of its process; one that has served nothing yet may end by it. */
-function endedWhileStarting({ signal, lifetime: life }: SoakExit, outcomes: readonly SoakOutcome[]): boolean {
+/** A process cannot handle signals before its handlers are installed; one that has served nothing yet may exit by the signal. */
+function endedWhileStarting({ signal, lifetime }: SoakExit, outcomes: readonly SoakOutcome[]): boolean {
   const served = outcomes.some(
     (outcome) =>
-      outcome.machine === life.machine &&
+      outcome.machine === lifetime.machine &&
       outcome.status === 200 &&
-      outcome.sentAt >= life.startedAt &&
-      outcome.sentAt <= life.endedAt,
+      outcome.sentAt >= lifetime.startedAt &&
+      outcome.sentAt <= lifetime.endedAt,
   );
   return (signal === 'SIGTERM' || signal === 'SIGHUP') && !served;
 }
 
-function wrongEnds({ exits, outcomes, maxStopMs: longestStopMs }: SoakHistory): SoakViolation[] {
-  const own = exits.filter(
+function wrongExits({ exits, outcomes, maxStopMs }: SoakHistory): SoakViolation[] {
+  const unexpectedExits = exits.filter(
     (exit) => exit.requested !== 'kill' && exit.code !== 0 && !endedWhileStarting(exit, outcomes),
   );
-  const late = exits.filter(({ stopDurationMs: tookMs }) => tookMs > longestStopMs);
+  const lateExits = exits.filter(({ stopDurationMs }) => stopDurationMs > maxStopMs);
   return [
-    ...own.map((exit): SoakViolation => ({
+    ...unexpectedExits.map((exit): SoakViolation => ({
       rule: 'ended by itself',
-      detail: `${exit.machine} with ${exit.code ?? exit.signal}, asked: ${exit.requested}`,
+      detail: `${exit.machine} exited with ${exit.code ?? exit.signal}, requested: ${exit.requested}`,
     })),
-    ...late.map((exit): SoakViolation => ({
+    ...lateExits.map((exit): SoakViolation => ({
       rule: 'ended late',
-      detail: `${exit.machine} ${Math.round(exit.stopDurationMs)} ms after SIGTERM`,
+      detail: `${exit.machine} exited ${Math.round(exit.stopDurationMs)} ms after SIGTERM`,
     })),
   ];
 }
--- a/programs/fleet-runner/src/soak/soak-workers.ts
+++ b/programs/fleet-runner/src/soak/soak-workers.ts
@@ -1,11 +1,11 @@
-/** The workers of a soak and the list of them, played in the soak's own process on loopback. */
+/** Simulated workers and the worker list of the platform, served on loopback by the soak test's own process. */
 import http from 'node:http';
 import type { SoakAdapter } from './soak-adapter.js';
 
-/** What workers did for one request. */
+/** The executions of one request on the workers. */
 export interface SoakExecution {
   count: number;
-  /** When a worker had written its whole answer, by `performance.now()`. */
+  /** When a worker had written its complete response, by `performance.now()`. */
   finishedAt: number;
 }
 
@@ -21,53 +21,53 @@
   readonly random: () => number;
 }
 
-/** Most answers are short; some last longer than a router has after its signal without taking requests. */
-const shortPieceMs = 60;
-const longPieceMs = 900;
-const longShare = 0.2;
+/** Most responses are short; some last longer than a router that got SIGTERM keeps running without accepting requests. */
+const shortChunkGapMs = 60;
+const longChunkGapMs = 900;
+const longAnswerShare = 0.2;
 
-/** Starts the workers and the list; all listen when the promise is kept. */
+/** Starts the workers and the worker list; resolves when all of them listen. */
 export async function startSoakWorkers(options: SoakWorkersOptions): Promise<SoakWorkers> {
-  const { adapter: dialect, random } = options;
-  const runs = new Map<string, SoakExecution>();
+  const { adapter, random } = options;
+  const executions = new Map<string, SoakExecution>();
 
-  function work(request: http.IncomingMessage, answer: http.ServerResponse): void {
-    const id = dialect.requestIdOf(request.headers);
+  function handleRequest(request: http.IncomingMessage, response: http.ServerResponse): void {
+    const id = adapter.requestIdOf(request.headers);
     request.resume();
-    if (id === undefined) return void answer.end(dialect.workerLoadBody);
+    if (id === undefined) return void response.end(adapter.workerLoadBody);
     request.on('end', () => {
-      const run = runs.get(id) ?? { count: 0, finishedAt: Infinity };
-      run.count += 1;
-      runs.set(id, run);
-      answer.writeHead(200, dialect.workerHeaders(id));
-      answer.on('finish', () => (run.finishedAt = performance.now()));
-      writePieces(answer, random() < longShare ? longPieceMs : shortPieceMs);
+      const execution = executions.get(id) ?? { count: 0, finishedAt: Infinity };
+      execution.count += 1;
+      executions.set(id, execution);
+      response.writeHead(200, adapter.workerHeaders(id));
+      response.on('finish', () => (execution.finishedAt = performance.now()));
+      writeChunks(response, random() < longAnswerShare ? longChunkGapMs : shortChunkGapMs);
     });
   }
 
-  function writePieces(answer: http.ServerResponse, longestPause: number): void {
-    const [first, ...others] = dialect.chunks;
-    answer.write(first);
-    function next(): void {
-      const piece = others.shift();
-      if (piece === undefined) return void answer.end();
-      answer.write(piece);
-      setTimeout(next, longestPause * random());
+  function writeChunks(response: http.ServerResponse, maxChunkGapMs: number): void {
+    const [first, ...remaining] = adapter.chunks;
+    response.write(first);
+    function writeNext(): void {
+      const chunk = remaining.shift();
+      if (chunk === undefined) return void response.end();
+      response.write(chunk);
+      setTimeout(writeNext, maxChunkGapMs * random());
     }
-    setTimeout(next, longestPause * random());
+    setTimeout(writeNext, maxChunkGapMs * random());
   }
 
   const servers = [
-    ...options.ips.map((ip) => listen(http.createServer(work), dialect.ports.worker, ip)),
+    ...options.ips.map((ip) => listen(http.createServer(handleRequest), adapter.ports.worker, ip)),
     listen(
-      http.createServer((_request, answer) => void answer.end(dialect.workerListBody(options.ips))),
-      dialect.ports.list,
+      http.createServer((_request, response) => void response.end(adapter.workerListBody(options.ips))),
+      adapter.ports.list,
       options.platformIp,
     ),
   ];
   const listening = await Promise.all(servers);
   return {
-    executions: runs,
+    executions,
     close: () => {
       for (const server of listening) {
         server.closeAllConnections();
@@ -78,8 +78,8 @@
 }
 
 function listen(server: http.Server, port: number, ip: string): Promise<http.Server> {
-  return new Promise((done, failed) => {
-    server.once('error', failed);
-    server.listen(port, ip, () => done(server));
+  return new Promise((resolve, reject) => {
+    server.once('error', reject);
+    server.listen(port, ip, () => resolve(server));
   });
 }
--- a/programs/fleet-runner/src/soak/soak.test.ts
+++ b/programs/fleet-runner/src/soak/soak.test.ts
@@ -8,7 +8,7 @@
   type SoakExecution,
 } from './index.js';
 
-const life: SoakLifetime = {
+const lifetime: SoakLifetime = {
   machine: 'router-0',
   startedAt: 0,
   endedAt: 20_000,
@@ -24,57 +24,62 @@
   status: 200,
   reusedConnection: true,
 };
-const end: SoakExit = {
+const exit: SoakExit = {
   machine: 'router-0',
   code: 0,
   signal: null,
   requested: 'stop',
   stopDurationMs: 4000,
-  lifetime: life,
+  lifetime,
 };
 
-const neverRun: Partial<SoakExecution> = { count: 0 };
+const neverExecuted: Partial<SoakExecution> = { count: 0 };
 
 function judge(
-  over: Partial<SoakOutcome>,
-  run: Partial<SoakExecution> = {},
-  exit: Partial<SoakExit> = {},
-  lives: readonly SoakLifetime[] = [life],
+  outcomeOverrides: Partial<SoakOutcome>,
+  executionOverrides: Partial<SoakExecution> = {},
+  exitOverrides: Partial<SoakExit> = {},
+  lifetimes: readonly SoakLifetime[] = [lifetime],
 ): string[] {
-  const ran = { count: 1, finishedAt: 11_500, ...run };
-  const executions = new Map(run === neverRun ? [] : [['request', ran]]);
-  const history = { outcomes: [{ ...outcome, ...over }], executions, lifetimes: lives, exits: [{ ...end, ...exit }] };
+  const execution = { count: 1, finishedAt: 11_500, ...executionOverrides };
+  const executions = new Map(executionOverrides === neverExecuted ? [] : [['request', execution]]);
+  const history = {
+    outcomes: [{ ...outcome, ...outcomeOverrides }],
+    executions,
+    lifetimes,
+    exits: [{ ...exit, ...exitOverrides }],
+  };
   return judgeSoak({ ...history, maxStopMs: 6000, graceMs: 6000 }).map(({ rule }) => rule);
 }
 
-it('draws the same schedule from the same seed, in order, and series that overlap', () => {
-  const shape = { durationMs: 10_000, machines: 8 };
+it('draws the same ordered schedule from the same seed, with all kinds of steps', () => {
+  const scheduleOptions = { durationMs: 10_000, machines: 8 };
   for (let seed = 1; seed <= 20; seed += 1) {
-    const steps = drawSoakSchedule({ seed, ...shape });
-    expect(drawSoakSchedule({ seed, ...shape })).toEqual(steps);
+    const steps = drawSoakSchedule({ seed, ...scheduleOptions });
+    expect(drawSoakSchedule({ seed, ...scheduleOptions })).toEqual(steps);
     expect(steps.map(({ at }) => at)).toEqual(steps.map(({ at }) => at).sort((a, b) => a - b));
     expect(new Set(steps.map((step) => step.do)).size).toBeGreaterThan(3);
   }
   const kinds = new Set(
-    Array.from({ length: 20 }, (_, seed) => drawSoakSchedule({ seed, ...shape }))
+    Array.from({ length: 20 }, (_, seed) => drawSoakSchedule({ seed, ...scheduleOptions }))
       .flat()
-      .map((s) => s.do),
+      .map((step) => step.do),
   );
   expect([...kinds].sort()).toEqual(['change', 'kill', 'kill-all', 'reload', 'seeds', 'stop', 'stop-again']);
 });
 
-it('finds nothing where all was answered and ended in order', () => {
+it('finds no violation when all requests are answered and all processes exit as requested', () => {
   expect(judge({})).toEqual([]);
 });
 
-it('calls a request lost that reached a worker and was cut, unless its process was killed meanwhile', () => {
+it('reports a request as lost that reached a worker and was cut, unless its process was killed meanwhile', () => {
   expect(judge({ ended: 'cut' })).toEqual(['lost']);
-  expect(judge({ ended: 'cut' }, neverRun)).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killSignalAt: 11_500 }])).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killSignalAt: 13_000 }])).toEqual(['lost']);
+  expect(judge({ ended: 'cut' }, neverExecuted)).toEqual([]);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...lifetime, killSignalAt: 11_500 }])).toEqual([]);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...lifetime, killSignalAt: 13_000 }])).toEqual(['lost']);
 });
 
-it('lets a router cut off a worker that outlasts the grace period, but not one that was done, or was asked late', () => {
+it('allows cutting off a worker that outlasts the grace period, but not one that had finished or a request sent late', () => {
   const late = { sentAt: 10_500, endedAt: 15_800, ended: 'cut' } as const;
   expect(judge(late, { finishedAt: Infinity })).toEqual([]);
   expect(judge(late, { finishedAt: 15_100 })).toEqual([]);
@@ -82,12 +87,12 @@
   expect(judge({ ...late, sentAt: 13_100 }, { finishedAt: Infinity })).toEqual(['lost']);
 });
 
-it('finds what ran twice, and what ran though it was refused', () => {
+it('reports requests that were executed twice or although they were rejected', () => {
   expect(judge({}, { count: 2 })).toEqual(['twice']);
   expect(judge({ ended: 'refused', status: 503 })).toEqual(['refused though run']);
 });
 
-it('finds processes that end by themselves, by a signal that they should have taken, or late', () => {
+it('reports processes that exit unrequested, by an unhandled signal, or late', () => {
   expect(judge({}, undefined, { requested: 'nothing', code: 1 })).toEqual(['ended by itself']);
   expect(judge({}, undefined, { code: null, signal: 'SIGTERM' })).toEqual(['ended by itself']);
   expect(judge({ sentAt: 30_000 }, undefined, { code: null, signal: 'SIGTERM' })).toEqual([]);
--- a/tests/soak.test.ts
+++ b/tests/soak.test.ts
@@ -21,7 +21,7 @@
       adapter: platformDialect,
       seed,
       routers: 4,
-      controls: 3,
+      controlMachines: 3,
       sharesRouters: shared,
       durationMs: 8000,
       folder,
