--- a/programs/requester-stand-in/src/drive.ts
+++ b/programs/requester-stand-in/src/drive.ts
@@ -1,6 +1,6 @@
 /**
- * Drives traffic at a mean rate with random gaps, bounded in rate and time, and waits for every outcome. The
- * deployment's requesters ask a router of their own zone; one that cannot be reached is left alone for a while.
+ * Open-loop load generator: sends requests as a Poisson process with the given mean rate for a bounded time, and waits for
+ * all outcomes. Each request goes to a random router; a router that could not be reached is avoided for 2 s.
  */
 import type { Agent } from 'undici';
 import { createSeededRandom } from '@tansypost/inner-protocol';
@@ -18,35 +18,36 @@
   readonly onOutcome?: (o: Outcome) => void;
 }
 
-export async function runLoad(o: LoadOptions): Promise<Outcome[]> {
-  const r = createSeededRandom(o.seed ^ 0x5bd1e995);
-  const out: Outcome[] = [];
-  const open = new Set<Promise<void>>();
-  const resting = new Map<string, number>();
-  const from = performance.now();
-  async function one(): Promise<void> {
-    const at = (performance.now() - from) / 1000;
-    const rs = o.routers();
-    const well = rs.filter((x) => (resting.get(x) ?? 0) < performance.now());
-    const from2 = well.length > 0 ? well : rs;
-    const router = from2[Math.floor(r() * from2.length)]!;
-    const x = await sendRequest(router, o.traffic.next(at), o.agent);
-    if (x.ended === 'unreachable') resting.set(router, performance.now() + 2000);
-    out.push(x);
-    o.onOutcome?.(x);
+export async function runLoad(options: LoadOptions): Promise<Outcome[]> {
+  const random = createSeededRandom(options.seed ^ 0x5bd1e995);
+  const outcomes: Outcome[] = [];
+  const pending = new Set<Promise<void>>();
+  const avoidedUntil = new Map<string, number>();
+  const startedAt = performance.now();
+  // Sends one request and records its outcome; without a reachable router it tries any.
+  async function sendNext(): Promise<void> {
+    const at = (performance.now() - startedAt) / 1000;
+    const routers = options.routers();
+    const reachable = routers.filter((router) => (avoidedUntil.get(router) ?? 0) < performance.now());
+    const candidates = reachable.length > 0 ? reachable : routers;
+    const router = candidates[Math.floor(random() * candidates.length)]!;
+    const outcome = await sendRequest(router, options.traffic.next(at), options.agent);
+    if (outcome.ended === 'unreachable') avoidedUntil.set(router, performance.now() + 2000);
+    outcomes.push(outcome);
+    options.onOutcome?.(outcome);
   }
-  let due = 0;
+  let nextSendAt = 0;
   for (;;) {
-    const at = (performance.now() - from) / 1000;
-    if (at > o.seconds || o.shouldStop?.() === true) break;
-    while (due <= at) {
-      const p: Promise<void> = one().finally(() => open.delete(p));
-      open.add(p);
-      const rate = typeof o.rate === 'number' ? o.rate : o.rate(due);
-      due += -Math.log(1 - r()) / Math.max(0.1, rate);
+    const at = (performance.now() - startedAt) / 1000;
+    if (at > options.seconds || options.shouldStop?.() === true) break;
+    while (nextSendAt <= at) {
+      const request: Promise<void> = sendNext().finally(() => pending.delete(request));
+      pending.add(request);
+      const rate = typeof options.rate === 'number' ? options.rate : options.rate(nextSendAt);
+      nextSendAt += -Math.log(1 - random()) / Math.max(0.1, rate);
     }
-    await new Promise((ok) => setTimeout(ok, Math.max(1, Math.min(20, (due - at) * 1000))));
+    await new Promise((resolve) => setTimeout(resolve, Math.max(1, Math.min(20, (nextSendAt - at) * 1000))));
   }
-  await Promise.all(open);
-  return out;
+  await Promise.all(pending);
+  return outcomes;
 }
--- a/programs/requester-stand-in/src/main.ts
+++ b/programs/requester-stand-in/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
-// The requester stand-in: sends the traffic of a deployment to routers on this machine for a bounded time, and
-// judges every answer.
+// Load generator: sends the traffic of a deployment to routers on this host for a bounded time, and checks every
+// response.
 import { Builtins, Cli, Command, Option } from 'clipanion';
 import { Agent } from 'undici';
 import { runLoad } from './drive.js';
@@ -10,35 +10,38 @@
 class Run extends Command {
   static override paths = [Command.Default];
   static override usage = Command.Usage({
-    description: "Send a deployment's traffic to routers and judge every answer. Ends with 1 if any answer was wrong.",
+    description:
+      'Send the traffic of a deployment to routers and check every response. The exit code is 1 if any response was wrong.',
   });
   routers = Option.Array('--router', {
     required: true,
-    description: 'HTTP address of a router on loopback; give it once for each',
+    description: 'HTTP address of a router on loopback; repeatable',
   });
-  shape = Option.String('--deployment', 'ferry', { description: Object.keys(deployments).join(' or ') });
-  secondsFor = Option.String('--seconds', '10');
-  rate = Option.String('--rate', { description: "requests a second; the deployment's own without it" });
+  deploymentName = Option.String('--deployment', 'ferry', { description: Object.keys(deployments).join(' or ') });
+  duration = Option.String('--seconds', '10');
+  rate = Option.String('--rate', { description: 'requests per second; default: the rate of the deployment' });
   seed = Option.String('--seed', '1');
   async execute(): Promise<number> {
-    const d = deployments[this.shape];
-    if (d === undefined || this.routers.some((r) => !r.startsWith('127.'))) {
-      this.context.stderr.write('requester-stand-in: name a known --deployment and loopback routers only\n');
+    const deployment = deployments[this.deploymentName];
+    if (deployment === undefined || this.routers.some((router) => !router.startsWith('127.'))) {
+      this.context.stderr.write(
+        'requester-stand-in: --deployment must be known and every --router a loopback address\n',
+      );
       return 2;
     }
     const agent = new Agent({ connections: 256, pipelining: 1 });
-    const os = await runLoad({
-      traffic: createTraffic(d, Number(this.seed)),
-      rate: Math.min(200, Number(this.rate ?? d.rate)),
-      seconds: Math.min(600, Number(this.secondsFor)),
+    const outcomes = await runLoad({
+      traffic: createTraffic(deployment, Number(this.seed)),
+      rate: Math.min(200, Number(this.rate ?? deployment.rate)),
+      seconds: Math.min(600, Number(this.duration)),
       seed: Number(this.seed),
       routers: () => this.routers,
       agent,
     });
     await agent.destroy();
-    const s = summarizeTraffic(os);
-    this.context.stdout.write(`${JSON.stringify(s, null, 2)}\n`);
-    return s.wrong > 0 ? 1 : 0;
+    const summary = summarizeTraffic(outcomes);
+    this.context.stdout.write(`${JSON.stringify(summary, null, 2)}\n`);
+    return summary.wrong > 0 ? 1 : 0;
   }
 }
 const cli = new Cli({ binaryLabel: 'requester-stand-in', binaryName: 'requester-stand-in', binaryVersion: '0.1.0' });
--- a/programs/requester-stand-in/src/report.ts
+++ b/programs/requester-stand-in/src/report.ts
@@ -1,10 +1,10 @@
-/** Sums up outcomes: what was served, what was turned away and how, and TTFT by kind. */
+/** Summarizes outcomes: requests served, counts of every other outcome, and TTFT by kind of request. */
 import type { Outcome } from './requester.js';
 
-export function quantile(xs: readonly number[], q: number): number {
-  if (xs.length === 0) return 0;
-  const s = [...xs].sort((a, b) => a - b);
-  return s[Math.min(s.length - 1, Math.floor(q * s.length))]!;
+export function quantile(values: readonly number[], quantileRank: number): number {
+  if (values.length === 0) return 0;
+  const sorted = [...values].sort((left, right) => left - right);
+  return sorted[Math.min(sorted.length - 1, Math.floor(quantileRank * sorted.length))]!;
 }
 
 export interface TrafficSummary {
@@ -12,36 +12,36 @@
   readonly whole: number;
   readonly availability: number;
   readonly wrong: number;
-  readonly ends: { readonly [k: string]: number };
+  readonly ends: { readonly [outcome: string]: number };
   readonly ttft: {
     readonly [kind: string]: { readonly n: number; readonly p50: number; readonly p99: number; readonly mean: number };
   };
 }
 
-export function summarizeTraffic(os: readonly Outcome[]): TrafficSummary {
+export function summarizeTraffic(outcomes: readonly Outcome[]): TrafficSummary {
   const ends: Record<string, number> = {};
-  for (const o of os) {
-    const k = o.ended === 'whole' ? 'whole' : `${o.ended}: ${o.kind}`;
-    ends[k] = (ends[k] ?? 0) + 1;
+  for (const outcome of outcomes) {
+    const label = outcome.ended === 'whole' ? 'whole' : `${outcome.ended}: ${outcome.kind}`;
+    ends[label] = (ends[label] ?? 0) + 1;
   }
-  const whole = os.filter((o) => o.ended === 'whole');
-  const kinds = [...new Set(os.map((o) => o.request.kind))].sort();
+  const whole = outcomes.filter((outcome) => outcome.ended === 'whole');
+  const kinds = [...new Set(outcomes.map((outcome) => outcome.request.kind))].sort();
   return {
-    requests: os.length,
+    requests: outcomes.length,
     whole: whole.length,
-    availability: os.length === 0 ? 0 : whole.length / os.length,
-    wrong: os.filter((o) => o.ended === 'WRONG').length,
+    availability: outcomes.length === 0 ? 0 : whole.length / outcomes.length,
+    wrong: outcomes.filter((outcome) => outcome.ended === 'WRONG').length,
     ends,
     ttft: Object.fromEntries(
-      kinds.map((k) => {
-        const ts = whole.filter((o) => o.request.kind === k).map((o) => o.ttftMs);
-        const mean = ts.reduce((a, b) => a + b, 0) / Math.max(1, ts.length);
+      kinds.map((kind) => {
+        const ttfts = whole.filter((outcome) => outcome.request.kind === kind).map((outcome) => outcome.ttftMs);
+        const mean = ttfts.reduce((sum, value) => sum + value, 0) / Math.max(1, ttfts.length);
         return [
-          k,
+          kind,
           {
-            n: ts.length,
-            p50: Math.round(quantile(ts, 0.5)),
-            p99: Math.round(quantile(ts, 0.99)),
+            n: ttfts.length,
+            p50: Math.round(quantile(ttfts, 0.5)),
+            p99: Math.round(quantile(ttfts, 0.99)),
             mean: Math.round(mean),
           },
         ];
--- a/programs/requester-stand-in/src/requester.ts
+++ b/programs/requester-stand-in/src/requester.ts
@@ -1,8 +1,12 @@
-/** One request over HTTP, judged token by token against the answer that its prompt must have. */
+/** Sends one request over HTTP and checks the response token by token against the expected answer to its prompt. */
 import { Agent, request } from 'undici';
 import { classifyAnswer } from '@tansypost/worker-stand-in';
 import type { TestRequest } from './traffic.js';
 
+/**
+ * `refused`: rejected without execution; `given up`: failed, and may have been executed; `cut, and said so`: the stream
+ * ended with an error event; `unreachable`: no connection, or it broke; `WRONG`: tokens that do not belong to the answer.
+ */
 export type OutcomeClass = 'whole' | 'refused' | 'given up' | 'cut, and said so' | 'unreachable' | 'WRONG';
 export interface Outcome {
   readonly request: TestRequest;
@@ -19,68 +23,82 @@
   return performance.now();
 }
 
-export async function sendRequest(router: string, a: TestRequest, agent: Agent): Promise<Outcome> {
-  const from = now();
-  let first = 0;
+export async function sendRequest(router: string, testRequest: TestRequest, agent: Agent): Promise<Outcome> {
+  const startedAt = now();
+  let firstTokenAt = 0;
   let text = '';
-  function over(ended: OutcomeClass, kind: string, retryAfter = false): Outcome {
+  function createOutcome(ended: OutcomeClass, kind: string, retryAfter = false): Outcome {
     return {
-      request: a,
+      request: testRequest,
       router,
-      at: from,
+      at: startedAt,
       ended,
       kind,
-      ttftMs: first === 0 ? 0 : first - from,
-      totalMs: now() - from,
+      ttftMs: firstTokenAt === 0 ? 0 : firstTokenAt - startedAt,
+      totalMs: now() - startedAt,
       retryAfter,
     };
   }
   try {
-    const r = await request(`http://${router}/v1/completions`, {
+    const response = await request(`http://${router}/v1/completions`, {
       method: 'POST',
       dispatcher: agent,
       headers: {
         'content-type': 'application/json',
-        'x-request-id': a.id,
-        'x-tansypost-tenant': a.tenant,
-        'x-tansypost-kind': a.kind,
+        'x-request-id': testRequest.id,
+        'x-tansypost-tenant': testRequest.tenant,
+        'x-tansypost-kind': testRequest.kind,
       },
-      body: JSON.stringify({ model: 'stand-in', prompt: a.prompt, max_tokens: a.maxTokens, stream: true }),
-      headersTimeout: a.patienceMs + 15_000,
-      bodyTimeout: a.patienceMs + 15_000,
+      body: JSON.stringify({
+        model: 'stand-in',
+        prompt: testRequest.prompt,
+        max_tokens: testRequest.maxTokens,
+        stream: true,
+      }),
+      headersTimeout: testRequest.patienceMs + 15_000,
+      bodyTimeout: testRequest.patienceMs + 15_000,
     });
-    if (r.statusCode !== 200) {
-      const b = (await r.body.json()) as { error?: { kind?: string; ran?: string } };
-      const kind = b.error?.kind ?? `status ${r.statusCode}`;
-      return over(b.error?.ran === 'no' ? 'refused' : 'given up', kind, r.headers['retry-after'] !== undefined);
+    if (response.statusCode !== 200) {
+      const body = (await response.body.json()) as { error?: { kind?: string; ran?: string } };
+      const kind = body.error?.kind ?? `status ${response.statusCode}`;
+      return createOutcome(
+        body.error?.ran === 'no' ? 'refused' : 'given up',
+        kind,
+        response.headers['retry-after'] !== undefined,
+      );
     }
-    let held = '';
-    const d = new TextDecoder();
-    for await (const c of r.body) {
-      held += d.decode(c as Buffer, { stream: true });
-      for (let i = held.indexOf('\n\n'); i >= 0; i = held.indexOf('\n\n')) {
-        const e = held.slice(0, i);
-        held = held.slice(i + 2);
-        if (e.startsWith('event: error')) {
-          const v = classifyAnswer(a.prompt, a.maxTokens, text);
-          const f = JSON.parse(e.slice(e.indexOf('data: ') + 6)) as { error: { kind: string } };
-          return v === 'foreign' || v === 'overlong' ? over('WRONG', v) : over('cut, and said so', f.error.kind);
+    let buffer = '';
+    const decoder = new TextDecoder();
+    for await (const chunk of response.body) {
+      buffer += decoder.decode(chunk as Buffer, { stream: true });
+      for (let end = buffer.indexOf('\n\n'); end >= 0; end = buffer.indexOf('\n\n')) {
+        const event = buffer.slice(0, end);
+        buffer = buffer.slice(end + 2);
+        if (event.startsWith('event: error')) {
+          const verdict = classifyAnswer(testRequest.prompt, testRequest.maxTokens, text);
+          const failure = JSON.parse(event.slice(event.indexOf('data: ') + 6)) as { error: { kind: string } };
+          return verdict === 'foreign' || verdict === 'overlong'
+            ? createOutcome('WRONG', verdict)
+            : createOutcome('cut, and said so', failure.error.kind);
         }
-        if (e === 'data: [DONE]') {
-          const v = classifyAnswer(a.prompt, a.maxTokens, text);
-          return v === 'whole' ? over('whole', 'whole') : over('WRONG', v);
+        if (event === 'data: [DONE]') {
+          const verdict = classifyAnswer(testRequest.prompt, testRequest.maxTokens, text);
+          return verdict === 'whole' ? createOutcome('whole', 'whole') : createOutcome('WRONG', verdict);
         }
-        const t = (JSON.parse(e.slice(6)) as { choices: { text: string }[] }).choices[0]!.text;
-        if (t !== '' && first === 0) first = now();
-        text += t;
+        const token = (JSON.parse(event.slice(6)) as { choices: { text: string }[] }).choices[0]!.text;
+        if (token !== '' && firstTokenAt === 0) firstTokenAt = now();
+        text += token;
       }
     }
-    return over(
-      classifyAnswer(a.prompt, a.maxTokens, text) === 'foreign' ? 'WRONG' : 'unreachable',
+    return createOutcome(
+      classifyAnswer(testRequest.prompt, testRequest.maxTokens, text) === 'foreign' ? 'WRONG' : 'unreachable',
       'stream ended without a word',
     );
-  } catch (e) {
-    const v = text === '' ? 'cut' : classifyAnswer(a.prompt, a.maxTokens, text);
-    return over(v === 'foreign' ? 'WRONG' : 'unreachable', (e as { code?: string }).code ?? String(e));
+  } catch (error) {
+    const verdict = text === '' ? 'cut' : classifyAnswer(testRequest.prompt, testRequest.maxTokens, text);
+    return createOutcome(
+      verdict === 'foreign' ? 'WRONG' : 'unreachable',
+      (error as { code?: string }).code ?? String(error),
+    );
   }
 }
--- a/programs/requester-stand-in/src/traffic.ts
+++ b/programs/requester-stand-in/src/traffic.ts
@@ -1,10 +1,11 @@
 /**
- * The traffic of the two deployments: tenants, kinds, prompts whose opening parts are shared by many others, and
- * the mix between them. All from a seed, so that a run can be had again.
+ * The synthetic traffic of the example deployments: tenants, kinds of requests and their mix, and prompts that share their
+ * prefixes. It depends on the seed alone, so that a run can be repeated.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { DesiredState } from '@tansypost/desired-state';
 
+/** A kind of request; `weight` is its share of the traffic, `promptTokens` the minimum and maximum length. */
 export interface RequestKind {
   readonly kind: string;
   readonly weight: number;
@@ -98,7 +99,7 @@
     },
   ],
 };
-export const deployments: { readonly [k: string]: Deployment } = { ferry, 'cold-storage': coldStorage };
+export const deployments: { readonly [name: string]: Deployment } = { ferry, 'cold-storage': coldStorage };
 
 export interface TestRequest {
   readonly id: string;
@@ -111,38 +112,48 @@
   readonly worth: number;
 }
 
-export function buildDesiredState(d: Deployment, worthOf: (k: RequestKind) => number = (k) => k.worth): DesiredState {
+/** The desired state with one template per tenant; `priorityOf` gives the `worth` of a kind. */
+export function buildDesiredState(
+  deployment: Deployment,
+  priorityOf: (kind: RequestKind) => number = (kind) => kind.worth,
+): DesiredState {
   return {
-    templates: d.tenants.map((tenant) => ({
+    templates: deployment.tenants.map((tenant) => ({
       tenant,
       kinds: Object.fromEntries(
-        d.kinds.map((k) => [
-          k.kind,
-          { worth: worthOf(k), patienceMs: k.patienceMs, share: Math.round(k.weight * 10), repeatable: k.repeatable },
+        deployment.kinds.map((kind) => [
+          kind.kind,
+          {
+            worth: priorityOf(kind),
+            patienceMs: kind.patienceMs,
+            share: Math.round(kind.weight * 10),
+            repeatable: kind.repeatable,
+          },
         ]),
       ),
     })),
   };
 }
 
-function words(r: () => number, n: number): string {
-  let s = '';
-  for (let i = 0; i < n; i += 1)
-    s += `${Math.floor(r() * 60466176)
+function words(random: () => number, count: number): string {
+  let text = '';
+  for (let index = 0; index < count; index += 1)
+    text += `${Math.floor(random() * 60466176)
       .toString(36)
       .padStart(5, '0')} `;
-  return s;
+  return text;
 }
 
-export type TrafficMix = (k: RequestKind, at: number) => number;
-export function steadyMix(k: RequestKind): number {
-  return k.weight;
+/** The relative weight of a kind at a time, in seconds from the start. */
+export type TrafficMix = (kind: RequestKind, at: number) => number;
+export function steadyMix(kind: RequestKind): number {
+  return kind.weight;
 }
-// Swings between long prompts and long answers with the period given in seconds.
-export function oscillatingMix(period: number): TrafficMix {
-  return function mix(k, at) {
-    const long = 1 + 0.9 * Math.sin((2 * Math.PI * at) / period);
-    return k.weight * (k.promptTokens[1] > 1000 ? long : 2 - long);
+// Oscillates between mostly long and mostly short prompts.
+export function oscillatingMix(periodSeconds: number): TrafficMix {
+  return function mix(kind, at) {
+    const longPromptFactor = 1 + 0.9 * Math.sin((2 * Math.PI * at) / periodSeconds);
+    return kind.weight * (kind.promptTokens[1] > 1000 ? longPromptFactor : 2 - longPromptFactor);
   };
 }
 
@@ -150,43 +161,49 @@
   readonly next: (at: number) => TestRequest;
 }
 
-export function createTraffic(d: Deployment, seed: number, mix: TrafficMix = steadyMix): TrafficSource {
-  const r = createSeededRandom(seed);
-  const shared = new Map<string, string>();
-  let n = 0;
-  function part(name: string, size: number): string {
-    let s = shared.get(name);
-    if (s === undefined) {
-      s = words(createSeededRandom([...name].reduce((a, c) => (Math.imul(a, 31) + c.charCodeAt(0)) | 0, 7)), size);
-      shared.set(name, s);
+export function createTraffic(deployment: Deployment, seed: number, mix: TrafficMix = steadyMix): TrafficSource {
+  const random = createSeededRandom(seed);
+  const sharedParts = new Map<string, string>();
+  let requestCount = 0;
+  // The same words for the same name, so that prompts share them.
+  function sharedPart(name: string, wordCount: number): string {
+    let text = sharedParts.get(name);
+    if (text === undefined) {
+      text = words(
+        createSeededRandom(
+          [...name].reduce((hash, character) => (Math.imul(hash, 31) + character.charCodeAt(0)) | 0, 7),
+        ),
+        wordCount,
+      );
+      sharedParts.set(name, text);
     }
-    return s;
+    return text;
   }
   function next(at: number): TestRequest {
-    n += 1;
-    const ws = d.kinds.map((k) => mix(k, at));
-    let u = r() * ws.reduce((a, b) => a + b, 0);
-    let i = 0;
-    while (i < ws.length - 1 && u >= ws[i]!) {
-      u -= ws[i]!;
-      i += 1;
+    requestCount += 1;
+    const weights = deployment.kinds.map((kind) => mix(kind, at));
+    let remaining = random() * weights.reduce((sum, weight) => sum + weight, 0);
+    let index = 0;
+    while (index < weights.length - 1 && remaining >= weights[index]!) {
+      remaining -= weights[index]!;
+      index += 1;
     }
-    const k = d.kinds[i]!;
-    const tenant = d.tenants[Math.floor(r() * d.tenants.length)]!;
-    const size = Math.round(k.promptTokens[0] + r() * (k.promptTokens[1] - k.promptTokens[0]));
-    const group = Math.floor(r() ** 2 * 24);
-    const opening = part(`${d.name}/${tenant}/${k.kind}`, Math.round(k.promptTokens[0] * 0.35));
-    const file = part(`${d.name}/${k.kind}/${group}`, Math.round(k.promptTokens[0] * 0.4));
-    const own = words(r, Math.max(8, size - Math.round(k.promptTokens[0] * 0.75)));
+    const kind = deployment.kinds[index]!;
+    const tenant = deployment.tenants[Math.floor(random() * deployment.tenants.length)]!;
+    const wordCount = Math.round(kind.promptTokens[0] + random() * (kind.promptTokens[1] - kind.promptTokens[0]));
+    const group = Math.floor(random() ** 2 * 24);
+    const prefix = sharedPart(`${deployment.name}/${tenant}/${kind.kind}`, Math.round(kind.promptTokens[0] * 0.35));
+    const document = sharedPart(`${deployment.name}/${kind.kind}/${group}`, Math.round(kind.promptTokens[0] * 0.4));
+    const uniquePart = words(random, Math.max(8, wordCount - Math.round(kind.promptTokens[0] * 0.75)));
     return {
-      id: `${d.name}-${seed}-${n}`,
+      id: `${deployment.name}-${seed}-${requestCount}`,
       tenant,
-      kind: k.kind,
-      prompt: `${opening}${file}${own}${n}`,
-      maxTokens: k.answerTokens,
-      repeatable: k.repeatable,
-      patienceMs: k.patienceMs,
-      worth: k.worth,
+      kind: kind.kind,
+      prompt: `${prefix}${document}${uniquePart}${requestCount}`,
+      maxTokens: kind.answerTokens,
+      repeatable: kind.repeatable,
+      patienceMs: kind.patienceMs,
+      worth: kind.worth,
     };
   }
   return { next };
--- a/programs/worker-stand-in/src/answer.ts
+++ b/programs/worker-stand-in/src/answer.ts
@@ -1,44 +1,51 @@
 /**
- * The answers of the stand-in, derived from the prompt alone, so that whoever asked can tell every
- * token of its own answer from any other: a foreign, stitched or falsely complete one is found out.
+ * The answers of the simulated worker. They are derived from the prompt alone, so that a client can verify every token and
+ * detect an answer that belongs to another prompt, is spliced from several, or is incomplete but marked as complete.
  */
 import { digest, hash32 } from '@tansypost/inner-protocol';
 
 export function promptDigest(prompt: string): string {
   return digest(prompt).slice(0, 32);
 }
-export function answerLength(dig: string, maxTokens: number): number {
-  return Math.max(1, maxTokens - (hash32(`${dig}#`) % Math.max(1, Math.floor(maxTokens / 4))));
+export function answerLength(promptHash: string, maxTokens: number): number {
+  return Math.max(1, maxTokens - (hash32(`${promptHash}#`) % Math.max(1, Math.floor(maxTokens / 4))));
 }
-export function answerToken(dig: string, i: number): string {
-  return ` t${hash32(`${dig}:${i}`).toString(36)}`;
+export function answerToken(promptHash: string, index: number): string {
+  return ` t${hash32(`${promptHash}:${index}`).toString(36)}`;
 }
-export function answerText(dig: string, from: number, to: number): string {
-  let s = '';
-  for (let i = from; i < to; i += 1) s += answerToken(dig, i);
-  return s;
+export function answerText(promptHash: string, from: number, to: number): string {
+  let text = '';
+  for (let index = from; index < to; index += 1) text += answerToken(promptHash, index);
+  return text;
 }
 
+/** `cut`: a true prefix of the answer; `foreign`: tokens that do not belong to it; `overlong`: tokens after its end. */
 export type AnswerVerdict = 'whole' | 'cut' | 'foreign' | 'overlong';
-export function classifyAnswer(prompt: string, maxTokens: number, got: string): AnswerVerdict {
-  const d = promptDigest(prompt);
-  const want = answerText(d, 0, answerLength(d, maxTokens));
-  if (got === want) return 'whole';
-  if (want.startsWith(got)) return 'cut';
-  return got.startsWith(want) ? 'overlong' : 'foreign';
+export function classifyAnswer(prompt: string, maxTokens: number, received: string): AnswerVerdict {
+  const promptHash = promptDigest(prompt);
+  const expected = answerText(promptHash, 0, answerLength(promptHash, maxTokens));
+  if (received === expected) return 'whole';
+  if (expected.startsWith(received)) return 'cut';
+  return received.startsWith(expected) ? 'overlong' : 'foreign';
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('tells a whole answer from a cut, a foreign, a stitched and an overlong one', () => {
-    const [p, q] = ['first prompt', 'second prompt'];
-    const d = promptDigest(p);
-    const n = answerLength(d, 40);
-    expect(classifyAnswer(p, 40, answerText(d, 0, n))).toBe('whole');
-    expect(classifyAnswer(p, 40, answerText(d, 0, n - 1))).toBe('cut');
-    expect(classifyAnswer(p, 40, answerText(promptDigest(q), 0, n))).toBe('foreign');
-    expect(classifyAnswer(p, 40, answerText(d, 0, 5) + answerText(promptDigest(q), 5, n))).toBe('foreign');
-    expect(classifyAnswer(p, 40, answerText(d, 0, 5) + answerText(d, 4, n))).toBe('foreign');
-    expect(classifyAnswer(p, 40, answerText(d, 0, n) + answerToken(d, n))).toBe('overlong');
+  it('distinguishes complete, cut, foreign, spliced and overlong answers', () => {
+    const [prompt, otherPrompt] = ['first prompt', 'second prompt'];
+    const promptHash = promptDigest(prompt);
+    const length = answerLength(promptHash, 40);
+    expect(classifyAnswer(prompt, 40, answerText(promptHash, 0, length))).toBe('whole');
+    expect(classifyAnswer(prompt, 40, answerText(promptHash, 0, length - 1))).toBe('cut');
+    expect(classifyAnswer(prompt, 40, answerText(promptDigest(otherPrompt), 0, length))).toBe('foreign');
+    expect(
+      classifyAnswer(prompt, 40, answerText(promptHash, 0, 5) + answerText(promptDigest(otherPrompt), 5, length)),
+    ).toBe('foreign');
+    expect(classifyAnswer(prompt, 40, answerText(promptHash, 0, 5) + answerText(promptHash, 4, length))).toBe(
+      'foreign',
+    );
+    expect(classifyAnswer(prompt, 40, answerText(promptHash, 0, length) + answerToken(promptHash, length))).toBe(
+      'overlong',
+    );
   });
 }
--- a/programs/worker-stand-in/src/main.ts
+++ b/programs/worker-stand-in/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
-// The worker stand-in as a process: HTTP/1.1 in front of the worker core, with the hand-over that vLLM's
-// kv_transfer_params describe. A decode worker reads the memory from the prefill worker it is
-// named, and both check the handle.
+// The simulated worker as a process: an HTTP/1.1 API for the worker core, with the KV transfer of vLLM's
+// kv_transfer_params. A decode worker fetches the KV cache from the prefill worker named there, and both validate the
+// handle.
 import { appendFileSync } from 'node:fs';
 import { Type } from '@sinclair/typebox';
 import fastify from 'fastify';
@@ -10,12 +10,12 @@
 import { startTimer, monotonicNow, splitAddress } from '@tansypost/inner-protocol';
 import { createWorkerCore, workerDefaults, type KvHandle, type WorkerStage } from './worker-core.js';
 
-const Addr = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
-const Boot = Type.Object(
+const addressSchema = Type.String({ pattern: '^\\d{1,3}(\\.\\d{1,3}){3}:\\d{1,5}$' });
+const settingsSchema = Type.Object(
   {
     member: Type.String({ minLength: 1 }),
-    listen: Addr,
-    advertise: Type.Optional(Addr),
+    listen: addressSchema,
+    advertise: Type.Optional(addressSchema),
     incarnation: Type.Integer({ minimum: 1 }),
     prefillPace: Type.Optional(Type.Number({ exclusiveMinimum: 0 })),
     stepUs: Type.Optional(Type.Number({ exclusiveMinimum: 0 })),
@@ -27,7 +27,7 @@
   { additionalProperties: false },
 );
 
-interface Body {
+interface CompletionRequestBody {
   readonly prompt: string;
   readonly max_tokens: number;
   readonly kv_transfer_params?: {
@@ -45,11 +45,11 @@
 
 await runProgram({
   name: 'worker-stand-in',
-  about: 'A stand-in for a model worker with split prefill and decode.',
-  schema: Boot,
-  flags: Object.keys(Boot.properties),
-  start: async (b, log) => {
-    const { logLevel: _l, advertise, listen, member, incarnation, runsFile, ...rest } = b;
+  about: 'A simulated inference worker with separate prefill and decode stages.',
+  schema: settingsSchema,
+  flags: Object.keys(settingsSchema.properties),
+  start: async (settings, log) => {
+    const { logLevel: _l, advertise, listen, member, incarnation, runsFile, ...rest } = settings;
     const core = createWorkerCore(
       { now: monotonicNow, after: startTimer, log },
       {
@@ -57,120 +57,124 @@
         ...rest,
         worker: member,
         incarnation,
-        onRun: (q, what) => {
-          if (runsFile !== undefined) appendFileSync(runsFile, `${q} ${what}\n`);
+        onRun: (requestId, stage) => {
+          if (runsFile !== undefined) appendFileSync(runsFile, `${requestId} ${stage}\n`);
         },
       },
     );
     const { host, port } = splitAddress(listen);
-    const shown = splitAddress(advertise ?? listen);
+    const advertised = splitAddress(advertise ?? listen);
     const app = fastify({ bodyLimit: 8 * 1024 * 1024, forceCloseConnections: true });
-    let dark = false;
+    let isUnresponsive = false;
 
-    function not(why: string): object {
-      return { error: { kind: why, started: false } };
+    function notStartedError(kind: string): object {
+      return { error: { kind, started: false } };
     }
-    app.addHook('onRequest', async (q) => {
-      if (dark && !q.url.startsWith('/fault')) await new Promise(() => undefined);
+    app.addHook('onRequest', async (incoming) => {
+      if (isUnresponsive && !incoming.url.startsWith('/fault')) await new Promise(() => undefined);
     });
 
-    app.post<{ Body: Body; Headers: { 'x-request-id'?: string; 'x-worker-incarnation'?: string } }>(
+    app.post<{ Body: CompletionRequestBody; Headers: { 'x-request-id'?: string; 'x-worker-incarnation'?: string } }>(
       '/v1/completions',
-      async (q, a) => {
-        const id = q.headers['x-request-id'] ?? '';
-        const want = Number(q.headers['x-worker-incarnation'] ?? incarnation);
-        if (want !== incarnation) return a.code(503).send(not('other_incarnation'));
-        const job = { request: id, prompt: q.body.prompt, maxTokens: q.body.max_tokens };
-        const kv = q.body.kv_transfer_params ?? {};
-        if (kv.do_remote_decode === true) {
-          const got = await new Promise<Parameters<Parameters<typeof core.prefill>[1]>[0]>((ok) => {
-            const off = core.prefill(job, ok);
-            a.raw.on('close', () => {
-              if (!a.raw.writableEnded) off();
+      async (incoming, reply) => {
+        const id = incoming.headers['x-request-id'] ?? '';
+        const expectedIncarnation = Number(incoming.headers['x-worker-incarnation'] ?? incarnation);
+        if (expectedIncarnation !== incarnation) return reply.code(503).send(notStartedError('other_incarnation'));
+        const job = { request: id, prompt: incoming.body.prompt, maxTokens: incoming.body.max_tokens };
+        const kvTransferParams = incoming.body.kv_transfer_params ?? {};
+        if (kvTransferParams.do_remote_decode === true) {
+          const outcome = await new Promise<Parameters<Parameters<typeof core.prefill>[1]>[0]>((resolve) => {
+            const cancel = core.prefill(job, resolve);
+            reply.raw.on('close', () => {
+              if (!reply.raw.writableEnded) cancel();
             });
           });
-          if (got.tag === 'refused') return a.code(503).send(not(got.why));
-          const h = got.handle;
-          return a.send({
+          if (outcome.tag === 'refused') return reply.code(503).send(notStartedError(outcome.why));
+          const handle = outcome.handle;
+          return reply.send({
             id,
             object: 'text_completion',
             choices: [{ index: 0, text: '', finish_reason: 'length' }],
-            usage: { prompt_tokens_details: { cached_tokens: got.cached } },
+            usage: { prompt_tokens_details: { cached_tokens: outcome.cached } },
             kv_transfer_params: {
               do_remote_prefill: true,
-              remote_engine_id: h.worker,
-              remote_block_ids: [h.id],
-              remote_host: shown.host,
-              remote_port: shown.port,
-              request_id: h.request,
-              prompt_digest: h.digest,
-              incarnation: h.incarnation,
+              remote_engine_id: handle.worker,
+              remote_block_ids: [handle.id],
+              remote_host: advertised.host,
+              remote_port: advertised.port,
+              request_id: handle.request,
+              prompt_digest: handle.digest,
+              incarnation: handle.incarnation,
             },
           });
         }
-        const h: KvHandle = {
-          id: kv.remote_block_ids?.[0] ?? '',
-          worker: kv.remote_engine_id ?? '',
-          incarnation: kv.incarnation ?? 0,
-          request: kv.request_id ?? '',
-          digest: kv.prompt_digest ?? '',
+        const handle: KvHandle = {
+          id: kvTransferParams.remote_block_ids?.[0] ?? '',
+          worker: kvTransferParams.remote_engine_id ?? '',
+          incarnation: kvTransferParams.incarnation ?? 0,
+          request: kvTransferParams.request_id ?? '',
+          digest: kvTransferParams.prompt_digest ?? '',
         };
-        const no = core.admitDecode(job, h);
-        if (no !== undefined) return a.code(no === 'memory_foreign' ? 409 : 503).send(not(no));
-        const taken = await takeFrom(`${kv.remote_host}:${kv.remote_port}`, h);
-        if (taken !== undefined) return a.code(409).send(not(taken));
-        a.hijack();
-        a.raw.writeHead(200, { 'content-type': 'text/event-stream' });
-        a.raw.on('error', () => undefined);
-        const off = core.decode(job, h, {
+        const rejection = core.admitDecode(job, handle);
+        if (rejection !== undefined)
+          return reply.code(rejection === 'memory_foreign' ? 409 : 503).send(notStartedError(rejection));
+        const kvError = await consumeRemoteHandle(
+          `${kvTransferParams.remote_host}:${kvTransferParams.remote_port}`,
+          handle,
+        );
+        if (kvError !== undefined) return reply.code(409).send(notStartedError(kvError));
+        reply.hijack();
+        reply.raw.writeHead(200, { 'content-type': 'text/event-stream' });
+        reply.raw.on('error', () => undefined);
+        const cancel = core.decode(job, handle, {
           chunk: (text) =>
-            a.raw.write(
+            reply.raw.write(
               core.faults.nonsense === true
                 ? 'garbage\n\n'
                 : `data: ${JSON.stringify({ id, object: 'text_completion', choices: [{ index: 0, text, finish_reason: null }] })}\n\n`,
             ),
           end: (finish) =>
-            a.raw.end(
+            reply.raw.end(
               `data: ${JSON.stringify({ id, object: 'text_completion', choices: [{ index: 0, text: '', finish_reason: finish }] })}\n\ndata: [DONE]\n\n`,
             ),
-          abort: () => a.raw.destroy(),
+          abort: () => reply.raw.destroy(),
         });
-        a.raw.on('close', off);
+        reply.raw.on('close', cancel);
         return undefined;
       },
     );
 
-    async function takeFrom(at: string, h: KvHandle): Promise<string | undefined> {
-      if (at === (advertise ?? listen)) return core.consumeHandle(h);
+    async function consumeRemoteHandle(address: string, handle: KvHandle): Promise<string | undefined> {
+      if (address === (advertise ?? listen)) return core.consumeHandle(handle);
       try {
-        const r = await request(`http://${at}/kv/take`, {
+        const response = await request(`http://${address}/kv/take`, {
           method: 'POST',
           headers: { 'content-type': 'application/json' },
-          body: JSON.stringify(h),
+          body: JSON.stringify(handle),
           headersTimeout: 2000,
           bodyTimeout: 2000,
         });
-        const x = (await r.body.json()) as { why?: string };
-        return r.statusCode === 200 ? undefined : (x.why ?? 'memory_lapsed');
+        const body = (await response.body.json()) as { why?: string };
+        return response.statusCode === 200 ? undefined : (body.why ?? 'memory_lapsed');
       } catch {
         return 'memory_lapsed';
       }
     }
 
-    app.post<{ Body: KvHandle }>('/kv/take', async (q, a) => {
-      const why = core.consumeHandle(q.body);
-      return a.code(why === undefined ? 200 : 409).send(why === undefined ? {} : { why });
+    app.post<{ Body: KvHandle }>('/kv/take', async (incoming, reply) => {
+      const rejection = core.consumeHandle(incoming.body);
+      return reply.code(rejection === undefined ? 200 : 409).send(rejection === undefined ? {} : { why: rejection });
     });
     app.get('/report', async () => core.report());
-    app.post<{ Body: { epoch: number; part?: WorkerStage | '' } }>('/part', async (q, a) => {
-      const ok = core.setStage(q.body.epoch, q.body.part ?? '');
-      return a.code(ok ? 200 : 409).send({ fence: core.report().fence, part: core.part() });
+    app.post<{ Body: { epoch: number; part?: WorkerStage | '' } }>('/part', async (incoming, reply) => {
+      const isAccepted = core.setStage(incoming.body.epoch, incoming.body.part ?? '');
+      return reply.code(isAccepted ? 200 : 409).send({ fence: core.report().fence, part: core.part() });
     });
-    app.post<{ Body: { dark?: boolean; lapse?: boolean } & typeof core.faults }>('/fault', async (q) => {
-      const { dark: d, lapse, ...f } = q.body;
-      if (d !== undefined) dark = d;
+    app.post<{ Body: { dark?: boolean; lapse?: boolean } & typeof core.faults }>('/fault', async (incoming) => {
+      const { dark: setUnresponsive, lapse, ...faults } = incoming.body;
+      if (setUnresponsive !== undefined) isUnresponsive = setUnresponsive;
       if (lapse === true) core.expireHandles();
-      Object.assign(core.faults, f);
+      Object.assign(core.faults, faults);
       return {};
     });
     app.get('/idle', async () => core.idle());
--- a/programs/worker-stand-in/src/worker-core.ts
+++ b/programs/worker-stand-in/src/worker-core.ts
@@ -1,13 +1,15 @@
 /**
- * A worker as the fleet sees it, in virtual or real time: a prefill queue worked one prompt after the
- * other at a pace of its own, a prefix cache, a decode batch whose steps lengthen as it fills, KV memory
- * that runs out, held memory that lapses, reports that are a little old, and a part that only an order
- * under a high enough epoch changes. Fault switches make it dark, slow, talk nonsense or break off.
+ * A simulated inference worker, in virtual or real time: a FIFO prefill queue with a configured throughput, a prefix cache,
+ * a decode batch whose steps take longer as it fills, limited KV cache, KV handles that expire, load reports with a lag,
+ * and a stage that is changed only by orders whose epoch is not older than the last one. Fault switches make it slow, send
+ * malformed events, break off responses or send invalid load reports.
  */
 import { micros, type World } from '@tansypost/inner-protocol';
 import { answerLength, answerText, promptDigest } from './answer.js';
 
+/** The stage that a worker serves; `both` accepts prefill and decode. */
 export type WorkerStage = 'prefill' | 'decode' | 'both';
+/** `prefillPace` is in tokens per second, `stepUs` the time per decoded token of an empty batch, `holdUs` a handle's expiry. */
 export interface WorkerOptions {
   readonly worker: string;
   readonly incarnation: number;
@@ -30,12 +32,14 @@
   reportLagUs: 300_000,
 };
 
+/** Injected faults: malformed events, the token count after which responses break off, a slowdown factor, invalid reports. */
 export interface WorkerFaults {
   nonsense?: boolean;
   breakAfter?: number;
   slow?: number;
   badReport?: boolean;
 }
+/** Refers to the KV cache of one prefilled prompt; it is valid for one request, prompt and incarnation of the worker. */
 export interface KvHandle {
   readonly id: string;
   readonly worker: string;
@@ -64,13 +68,17 @@
   readonly incarnation: number;
   readonly fence: number;
 }
+/**
+ * `admitDecode` and `consumeHandle` return why they reject, or undefined. `prefill` and `decode` return a function that
+ * cancels the work. `runs` counts the executions of each request.
+ */
 export interface WorkerCore {
-  readonly prefill: (j: CompletionJob, done: (a: PrefillOutcome) => void) => () => void;
-  readonly admitDecode: (j: CompletionJob, h: KvHandle) => string | undefined;
-  readonly decode: (j: CompletionJob, h: KvHandle, sink: DecodeSink) => () => void;
-  readonly consumeHandle: (h: KvHandle) => string | undefined;
+  readonly prefill: (job: CompletionJob, done: (outcome: PrefillOutcome) => void) => () => void;
+  readonly admitDecode: (job: CompletionJob, handle: KvHandle) => string | undefined;
+  readonly decode: (job: CompletionJob, handle: KvHandle, sink: DecodeSink) => () => void;
+  readonly consumeHandle: (handle: KvHandle) => string | undefined;
   readonly report: () => WorkerReport;
-  readonly setStage: (epoch: number, part: WorkerStage | '') => boolean;
+  readonly setStage: (epoch: number, newStage: WorkerStage | '') => boolean;
   readonly expireHandles: () => void;
   readonly faults: WorkerFaults;
   readonly runs: () => ReadonlyMap<string, { prefill: number; decode: number }>;
@@ -78,264 +86,265 @@
   readonly idle: () => { active: number; queued: number };
 }
 
-interface Active {
+interface ActiveDecode {
   readonly job: CompletionJob;
   readonly digest: string;
-  readonly length: number;
-  at: number;
+  readonly answerTokens: number;
+  emittedTokens: number;
   readonly sink: DecodeSink;
-  readonly tokens: number;
-  readonly began: number;
+  readonly promptTokens: number;
+  readonly startedAt: number;
 }
-const blockWords = 16;
+const blockTokens = 16;
 const chunkTokens = 4;
 
-export function createWorkerCore(w: Pick<World, 'now' | 'after' | 'log'>, o: WorkerOptions): WorkerCore {
-  const held = new Map<string, { h: KvHandle; tokens: number; cancel: () => void }>();
-  const cache = new Map<string, number>();
-  const runs = new Map<string, { prefill: number; decode: number }>();
-  const queue: { job: CompletionJob; done: (a: PrefillOutcome) => void; off: boolean }[] = [];
-  const active = new Set<Active>();
+export function createWorkerCore(world: Pick<World, 'now' | 'after' | 'log'>, options: WorkerOptions): WorkerCore {
+  const heldHandles = new Map<string, { handle: KvHandle; tokens: number; cancel: () => void }>();
+  const prefixCache = new Map<string, number>();
+  const executions = new Map<string, { prefill: number; decode: number }>();
+  const queue: { job: CompletionJob; done: (outcome: PrefillOutcome) => void; cancelled: boolean }[] = [];
+  const active = new Set<ActiveDecode>();
   const faults: WorkerFaults = {};
-  let part: WorkerStage = 'both';
+  let stage: WorkerStage = 'both';
   let fence = 0;
   let busy = false;
-  let ticking = false;
-  let handles = 0;
-  let told: { at: number; r: WorkerReport }[] = [];
+  let stepScheduled = false;
+  let handleCount = 0;
+  let reports: { at: number; report: WorkerReport }[] = [];
 
-  function words(p: string): string[] {
-    return p.match(/\S+\s*/g) ?? [];
+  function words(prompt: string): string[] {
+    return prompt.match(/\S+\s*/g) ?? [];
   }
-  function kvLive(): number {
-    let n = 0;
-    for (const h of held.values()) n += h.tokens;
-    for (const a of active) n += a.tokens + a.at;
-    return n;
+  function kvTokensInUse(): number {
+    let tokens = 0;
+    for (const entry of heldHandles.values()) tokens += entry.tokens;
+    for (const decoding of active) tokens += decoding.promptTokens + decoding.emittedTokens;
+    return tokens;
   }
-  function run(request: string, what: 'prefill' | 'decode'): void {
-    const r = runs.get(request) ?? { prefill: 0, decode: 0 };
-    r[what] += 1;
-    runs.set(request, r);
-    o.onRun?.(request, what);
+  function countExecution(request: string, step: 'prefill' | 'decode'): void {
+    const counts = executions.get(request) ?? { prefill: 0, decode: 0 };
+    counts[step] += 1;
+    executions.set(request, counts);
+    options.onRun?.(request, step);
   }
 
-  // Walks the prompt's blocks through the prefix cache; what is not there is computed and kept.
-  function cached(ws: readonly string[]): number {
-    let hit = 0;
-    let prefix = 0;
-    let on = true;
-    for (let i = 0; i + blockWords <= ws.length; i += blockWords) {
-      const b = ws.slice(i, i + blockWords).join('');
-      for (let k = 0; k < b.length; k += 1) prefix = (Math.imul(prefix, 31) + b.charCodeAt(k)) | 0;
-      const k = `${i}.${prefix}`;
-      on = on && cache.has(k);
-      if (on) hit += blockWords;
-      cache.delete(k);
-      cache.set(k, blockWords);
+  // Looks up the prompt's blocks in the prefix cache and inserts the missing ones. Returns the number of cached tokens.
+  function lookUpPrefix(tokens: readonly string[]): number {
+    let hitTokens = 0;
+    let prefixHash = 0;
+    let isHit = true;
+    for (let offset = 0; offset + blockTokens <= tokens.length; offset += blockTokens) {
+      const block = tokens.slice(offset, offset + blockTokens).join('');
+      for (let index = 0; index < block.length; index += 1)
+        prefixHash = (Math.imul(prefixHash, 31) + block.charCodeAt(index)) | 0;
+      const key = `${offset}.${prefixHash}`;
+      isHit = isHit && prefixCache.has(key);
+      if (isHit) hitTokens += blockTokens;
+      prefixCache.delete(key);
+      prefixCache.set(key, blockTokens);
     }
-    const room = Math.max(0, (o.kvTokens - kvLive()) / blockWords);
-    for (const k of cache.keys()) {
-      if (cache.size <= room) break;
-      cache.delete(k);
+    const maxBlocks = Math.max(0, (options.kvTokens - kvTokensInUse()) / blockTokens);
+    for (const key of prefixCache.keys()) {
+      if (prefixCache.size <= maxBlocks) break;
+      prefixCache.delete(key);
     }
-    return hit;
+    return hitTokens;
   }
 
-  function prefill(job: CompletionJob, done: (a: PrefillOutcome) => void): () => void {
-    const item = { job, done, off: false };
-    if (part === 'decode') done({ tag: 'refused', why: 'wrong_part' });
-    else if (queue.length >= o.queueLimit) done({ tag: 'refused', why: 'queue_full' });
+  function prefill(job: CompletionJob, done: (outcome: PrefillOutcome) => void): () => void {
+    const item = { job, done, cancelled: false };
+    if (stage === 'decode') done({ tag: 'refused', why: 'wrong_part' });
+    else if (queue.length >= options.queueLimit) done({ tag: 'refused', why: 'queue_full' });
     else {
       queue.push(item);
-      next();
+      startNextPrefill();
     }
-    return function off() {
-      item.off = true;
-      const i = queue.indexOf(item);
-      if (i >= 0) queue.splice(i, 1);
+    return function cancel() {
+      item.cancelled = true;
+      const index = queue.indexOf(item);
+      if (index >= 0) queue.splice(index, 1);
     };
   }
 
-  function next(): void {
+  function startNextPrefill(): void {
     if (busy) return;
-    let item = queue.shift();
-    while (item !== undefined && item.off) item = queue.shift();
-    if (item === undefined) return;
+    let nextItem = queue.shift();
+    while (nextItem !== undefined && nextItem.cancelled) nextItem = queue.shift();
+    if (nextItem === undefined) return;
     busy = true;
-    const { job, done } = item;
-    run(job.request, 'prefill');
-    const ws = words(job.prompt);
-    const hit = cached(ws);
-    const us = 3000 + ((ws.length - hit) * 1e6) / o.prefillPace;
-    w.after(micros(us * (faults.slow ?? 1) * (1 + active.size / (4 * o.slots))), () => {
+    const { job, done } = nextItem;
+    countExecution(job.request, 'prefill');
+    const tokens = words(job.prompt);
+    const hitTokens = lookUpPrefix(tokens);
+    const durationUs = 3000 + ((tokens.length - hitTokens) * 1e6) / options.prefillPace;
+    world.after(micros(durationUs * (faults.slow ?? 1) * (1 + active.size / (4 * options.slots))), () => {
       busy = false;
-      handles += 1;
-      const h: KvHandle = {
-        id: `${o.worker}-${o.incarnation}-${handles}`,
-        worker: o.worker,
-        incarnation: o.incarnation,
+      handleCount += 1;
+      const handle: KvHandle = {
+        id: `${options.worker}-${options.incarnation}-${handleCount}`,
+        worker: options.worker,
+        incarnation: options.incarnation,
         request: job.request,
         digest: promptDigest(job.prompt),
       };
-      const cancel = w.after(micros(o.holdUs), () => held.delete(h.id));
-      held.set(h.id, { h, tokens: ws.length, cancel });
-      done({ tag: 'done', handle: h, cached: hit });
-      next();
+      const cancel = world.after(micros(options.holdUs), () => heldHandles.delete(handle.id));
+      heldHandles.set(handle.id, { handle, tokens: tokens.length, cancel });
+      done({ tag: 'done', handle, cached: hitTokens });
+      startNextPrefill();
     });
   }
 
-  // The reading end's check, made by the worker that holds the memory; a handle is good for one reading.
-  function take(h: KvHandle): string | undefined {
-    const x = held.get(h.id);
-    if (x === undefined || h.incarnation !== o.incarnation) return 'memory_lapsed';
-    if (x.h.request !== h.request || x.h.digest !== h.digest) return 'memory_foreign';
-    x.cancel();
-    held.delete(h.id);
+  // Called for the decode worker on the worker that holds the KV cache. A handle can be consumed once.
+  function consumeHandle(handle: KvHandle): string | undefined {
+    const entry = heldHandles.get(handle.id);
+    if (entry === undefined || handle.incarnation !== options.incarnation) return 'memory_lapsed';
+    if (entry.handle.request !== handle.request || entry.handle.digest !== handle.digest) return 'memory_foreign';
+    entry.cancel();
+    heldHandles.delete(handle.id);
     return undefined;
   }
 
-  function admit(j: CompletionJob, h: KvHandle): string | undefined {
-    if (part === 'prefill') return 'wrong_part';
-    if (h.request !== j.request || h.digest !== promptDigest(j.prompt)) return 'memory_foreign';
-    if (active.size >= o.slots) return 'queue_full';
-    if (kvLive() > o.kvTokens) return 'kv_full';
+  function admitDecode(job: CompletionJob, handle: KvHandle): string | undefined {
+    if (stage === 'prefill') return 'wrong_part';
+    if (handle.request !== job.request || handle.digest !== promptDigest(job.prompt)) return 'memory_foreign';
+    if (active.size >= options.slots) return 'queue_full';
+    if (kvTokensInUse() > options.kvTokens) return 'kv_full';
     return undefined;
   }
 
-  function decode(job: CompletionJob, h: KvHandle, sink: DecodeSink): () => void {
-    run(job.request, 'decode');
-    const a: Active = {
+  function decode(job: CompletionJob, handle: KvHandle, sink: DecodeSink): () => void {
+    countExecution(job.request, 'decode');
+    const decoding: ActiveDecode = {
       job,
-      digest: h.digest,
-      length: answerLength(h.digest, job.maxTokens),
-      at: 0,
+      digest: handle.digest,
+      answerTokens: answerLength(handle.digest, job.maxTokens),
+      emittedTokens: 0,
       sink,
-      tokens: words(job.prompt).length,
-      began: w.now(),
+      promptTokens: words(job.prompt).length,
+      startedAt: world.now(),
     };
-    active.add(a);
-    tick();
-    return function off() {
-      active.delete(a);
+    active.add(decoding);
+    scheduleStep();
+    return function cancel() {
+      active.delete(decoding);
     };
   }
 
-  function tick(): void {
-    if (ticking || active.size === 0) return;
-    ticking = true;
-    const us = o.stepUs * chunkTokens * (faults.slow ?? 1) * (1 + active.size / o.slots);
-    w.after(micros(us), () => {
-      ticking = false;
-      for (const a of [...active]) step(a);
-      tick();
+  function scheduleStep(): void {
+    if (stepScheduled || active.size === 0) return;
+    stepScheduled = true;
+    const stepUs = options.stepUs * chunkTokens * (faults.slow ?? 1) * (1 + active.size / options.slots);
+    world.after(micros(stepUs), () => {
+      stepScheduled = false;
+      for (const decoding of [...active]) step(decoding);
+      scheduleStep();
     });
   }
 
-  function step(a: Active): void {
-    const to = Math.min(a.length, a.at + chunkTokens);
-    if (faults.breakAfter !== undefined && to >= faults.breakAfter) {
-      active.delete(a);
-      return a.sink.abort();
+  function step(decoding: ActiveDecode): void {
+    const end = Math.min(decoding.answerTokens, decoding.emittedTokens + chunkTokens);
+    if (faults.breakAfter !== undefined && end >= faults.breakAfter) {
+      active.delete(decoding);
+      return decoding.sink.abort();
     }
-    a.sink.chunk(answerText(a.digest, a.at, to), to - a.at);
-    a.at = to;
-    if (a.at < a.length) return;
-    active.delete(a);
-    a.sink.end(a.length === a.job.maxTokens ? 'length' : 'stop');
+    decoding.sink.chunk(answerText(decoding.digest, decoding.emittedTokens, end), end - decoding.emittedTokens);
+    decoding.emittedTokens = end;
+    if (decoding.emittedTokens < decoding.answerTokens) return;
+    active.delete(decoding);
+    decoding.sink.end(decoding.answerTokens === decoding.job.maxTokens ? 'length' : 'stop');
   }
 
-  // Reports are as old as the lag: what is told is what was so that long ago.
-  function report(): WorkerReport {
-    const now = w.now();
-    told.push({ at: now, r: fresh() });
-    const due = told.filter((t) => t.at <= now - o.reportLagUs);
-    const r = due.at(-1)?.r ?? told[0]!.r;
-    told = told.filter((t) => t.at > now - 2 * o.reportLagUs - 1_000_000);
-    if (faults.badReport === true) return { ...r, queued: -5, kv_used: 7 };
-    return r;
+  // Returns the newest report that is at least `reportLagUs` old, or the oldest one known.
+  function createReport(): WorkerReport {
+    const now = world.now();
+    reports.push({ at: now, report: currentReport() });
+    const visible = reports.filter((entry) => entry.at <= now - options.reportLagUs);
+    const reported = visible.at(-1)?.report ?? reports[0]!.report;
+    reports = reports.filter((entry) => entry.at > now - 2 * options.reportLagUs - 1_000_000);
+    if (faults.badReport === true) return { ...reported, queued: -5, kv_used: 7 };
+    return reported;
   }
-  function fresh(): WorkerReport {
+  function currentReport(): WorkerReport {
     return {
       queued: queue.length,
       active: active.size + (busy ? 1 : 0),
-      kv_used: Math.min(1, kvLive() / o.kvTokens),
-      part,
-      incarnation: o.incarnation,
+      kv_used: Math.min(1, kvTokensInUse() / options.kvTokens),
+      part: stage,
+      incarnation: options.incarnation,
       fence,
     };
   }
 
-  function order(epoch: number, p: WorkerStage | ''): boolean {
+  function setStage(epoch: number, newStage: WorkerStage | ''): boolean {
     if (epoch < fence) {
-      w.log(6002, { epoch, fence });
+      world.log(6002, { epoch, fence });
       return false;
     }
     fence = epoch;
-    if (p !== '' && p !== part) {
-      part = p;
-      w.log(6001, { part, epoch });
+    if (newStage !== '' && newStage !== stage) {
+      stage = newStage;
+      world.log(6001, { part: stage, epoch });
     }
     return true;
   }
 
-  function lapse(): void {
-    for (const x of held.values()) x.cancel();
-    held.clear();
+  function expireHandles(): void {
+    for (const entry of heldHandles.values()) entry.cancel();
+    heldHandles.clear();
   }
 
   return {
     prefill,
-    admitDecode: admit,
+    admitDecode,
     decode,
-    consumeHandle: take,
-    report,
-    setStage: order,
-    expireHandles: lapse,
+    consumeHandle,
+    report: createReport,
+    setStage,
+    expireHandles,
     faults,
-    runs: () => runs,
-    part: () => part,
-    idle: () => ({ active: active.size + (busy ? 1 : 0) + held.size, queued: queue.length }),
+    runs: () => executions,
+    part: () => stage,
+    idle: () => ({ active: active.size + (busy ? 1 : 0) + heldHandles.size, queued: queue.length }),
   };
 }
 
 if (import.meta.vitest) {
   const { it, expect } = import.meta.vitest;
-  it('refuses an order of an older epoch and obeys one of the same or a newer', () => {
-    const c = createWorkerCore(
+  it('rejects a stage order of an older epoch and applies one of the same or a newer epoch', () => {
+    const core = createWorkerCore(
       { now: () => micros(0), after: () => () => undefined, log: () => undefined },
       { ...workerDefaults, worker: 'w', incarnation: 1 },
     );
-    expect(c.setStage(5, 'decode')).toBe(true);
-    expect(c.setStage(4, 'prefill')).toBe(false);
-    expect(c.part()).toBe('decode');
-    expect(c.setStage(6, '')).toBe(true);
-    expect(c.setStage(5, 'prefill')).toBe(false);
-    expect(c.setStage(6, 'prefill')).toBe(true);
+    expect(core.setStage(5, 'decode')).toBe(true);
+    expect(core.setStage(4, 'prefill')).toBe(false);
+    expect(core.part()).toBe('decode');
+    expect(core.setStage(6, '')).toBe(true);
+    expect(core.setStage(5, 'prefill')).toBe(false);
+    expect(core.setStage(6, 'prefill')).toBe(true);
   });
-  it('gives held memory only to the request, prompt and incarnation it was made for, and once', () => {
-    const later: (() => void)[] = [];
-    const c = createWorkerCore(
+  it('accepts a KV handle once, for the request, prompt and incarnation that it was created for', () => {
+    const timers: (() => void)[] = [];
+    const core = createWorkerCore(
       {
         now: () => micros(0),
-        after: (_, f) => {
-          later.push(f);
+        after: (_, callback) => {
+          timers.push(callback);
           return () => undefined;
         },
         log: () => undefined,
       },
       { ...workerDefaults, worker: 'w', incarnation: 3 },
     );
-    let h: KvHandle | undefined;
-    c.prefill({ request: 'r1', prompt: 'a b c', maxTokens: 4 }, (a) => {
-      if (a.tag === 'done') h = a.handle;
+    let handle: KvHandle | undefined;
+    core.prefill({ request: 'r1', prompt: 'a b c', maxTokens: 4 }, (outcome) => {
+      if (outcome.tag === 'done') handle = outcome.handle;
     });
-    later[0]!();
-    expect(c.consumeHandle({ ...h!, request: 'r2' })).toBe('memory_foreign');
-    expect(c.consumeHandle({ ...h!, digest: promptDigest('a b d') })).toBe('memory_foreign');
-    expect(c.consumeHandle({ ...h!, incarnation: 2 })).toBe('memory_lapsed');
-    expect(c.consumeHandle(h!)).toBeUndefined();
-    expect(c.consumeHandle(h!)).toBe('memory_lapsed');
-    expect(c.admitDecode({ request: 'r2', prompt: 'a b c', maxTokens: 4 }, h!)).toBe('memory_foreign');
+    timers[0]!();
+    expect(core.consumeHandle({ ...handle!, request: 'r2' })).toBe('memory_foreign');
+    expect(core.consumeHandle({ ...handle!, digest: promptDigest('a b d') })).toBe('memory_foreign');
+    expect(core.consumeHandle({ ...handle!, incarnation: 2 })).toBe('memory_lapsed');
+    expect(core.consumeHandle(handle!)).toBeUndefined();
+    expect(core.consumeHandle(handle!)).toBe('memory_lapsed');
+    expect(core.admitDecode({ request: 'r2', prompt: 'a b c', maxTokens: 4 }, handle!)).toBe('memory_foreign');
   });
 }
