--- a/programs/fleet-runner/src/control-scenario.ts
+++ b/programs/fleet-runner/src/control-scenario.ts
@@ -21,7 +21,7 @@
 import type { PlanOptions } from './plan.js';
 
 export interface ControlScenarioOptions extends PlanOptions {
-  readonly log: (s: string) => void;
+  readonly log: (message: string) => void;
 }
 
 export interface ControlScenarioReport {
--- a/programs/fleet-runner/src/fleet.ts
+++ b/programs/fleet-runner/src/fleet.ts
@@ -8,23 +8,29 @@
 import { createRelays } from './relay.js';
 import type { Fault } from './schedule.js';
 
+/** `waitUntil` returns the milliseconds it waited; `executionCounts` counts prefills and decodes by request id. */
 export interface Fleet {
   readonly plan: FleetPlan;
   readonly processes: Processes;
   readonly member: (name: string) => FleetMember;
   readonly reachableRouters: () => string[];
-  readonly get: <T>(at: string, path: string) => Promise<T | undefined>;
-  readonly post: (at: string, path: string, body: unknown) => Promise<{ status: number; body: unknown } | undefined>;
-  readonly waitUntil: (what: string, f: () => Promise<boolean>, seconds?: number) => Promise<number>;
+  readonly get: <T>(address: string, path: string) => Promise<T | undefined>;
+  readonly post: (
+    address: string,
+    path: string,
+    body: unknown,
+  ) => Promise<{ status: number; body: unknown } | undefined>;
+  readonly waitUntil: (what: string, condition: () => Promise<boolean>, seconds?: number) => Promise<number>;
   readonly startAndWait: () => Promise<void>;
   readonly submitDesiredState: (
-    worth: number,
+    priorityOffset: number,
   ) => Promise<{ answer: string; version?: number; change?: string; ms: number }>;
-  readonly injectFault: (f: Fault) => Promise<void>;
+  readonly injectFault: (fault: Fault) => Promise<void>;
   readonly executionCounts: () => Map<string, { prefill: number; decode: number }>;
   readonly stop: () => Promise<void>;
 }
 
+/** Plans the fleet; no process runs before `startAndWait`. */
 export function createFleet(deployment: Deployment, options: PlanOptions): Fleet {
   const plan = planFleet(deployment, options);
   const processes = createProcesses(plan, options.folder);
--- a/programs/fleet-runner/src/plan.ts
+++ b/programs/fleet-runner/src/plan.ts
@@ -6,6 +6,7 @@
 import type { Deployment } from '@tansypost/requester-stand-in';
 
 export type Program = 'control-node' | 'router-agent' | 'request-router' | 'worker-stand-in';
+/** One process of the fleet. */
 export interface FleetMember {
   readonly name: string;
   readonly program: Program;
@@ -32,8 +33,10 @@
   readonly feedTenureMs?: number;
 }
 
+// Prefill throughput of the workers in tokens per second, assigned round-robin, so that workers differ.
 const prefillRates = [14_000, 9000, 6000, 12_000];
 
+/** Assigns names, zones, addresses and settings to all processes. */
 export function planFleet(deployment: Deployment, options: PlanOptions): FleetPlan {
   const members: FleetMember[] = [];
   const machines = Array.from({ length: deployment.machines }, (_, index) => ({
--- a/programs/fleet-runner/src/processes.ts
+++ b/programs/fleet-runner/src/processes.ts
@@ -16,6 +16,7 @@
 }
 const require = createRequire(import.meta.url);
 
+/** The path of a program's compiled entry point. */
 export function programFile(program: string): string {
   return join(dirname(require.resolve(`@tansypost/${program}/package.json`)), 'dist', 'main.js');
 }
--- a/programs/fleet-runner/src/relay.ts
+++ b/programs/fleet-runner/src/relay.ts
@@ -7,6 +7,7 @@
 import net from 'node:net';
 import { splitAddress } from '@tansypost/inner-protocol';
 
+/** `block` adds a named rule; `heal` removes it and closes the connections that stalled. */
 export interface Relays {
   readonly open: (advertised: string, target: string, isInternalLink: boolean) => Promise<void>;
   readonly block: (name: string, isBlocked: (from: string | undefined, to: string) => boolean) => void;
--- a/programs/fleet-runner/src/run.ts
+++ b/programs/fleet-runner/src/run.ts
@@ -21,14 +21,16 @@
   readonly seed: number;
   readonly mixPeriodSeconds: number | undefined;
   readonly faults: readonly Fault[];
-  readonly log: (s: string) => void;
-  readonly whileRunning?: (f: Fleet) => Promise<void>;
+  readonly log: (message: string) => void;
+  readonly whileRunning?: (fleet: Fleet) => Promise<void>;
 }
+/** An injected fault; times are in milliseconds from the start of the traffic and from the fault. */
 export interface FaultRecord {
   readonly at: number;
   readonly fault: string;
   readonly backAfterMs: number | undefined;
 }
+/** Printed as JSON. `ranTwice` lists non-repeatable requests executed twice, `ranAfterRefusal` rejected ones that were executed. */
 export interface RunReport {
   readonly deployment: string;
   readonly seed: number;
@@ -79,6 +81,7 @@
   return { at: performance.now(), ...accumulated };
 }
 
+/** Runs one fleet from start to stop and returns its report. */
 export async function runFleet(options: RunOptions): Promise<RunReport> {
   const fleet = createFleet(options.deployment, options);
   const agent = new Agent({ connections: 512, pipelining: 1 });
--- a/programs/fleet-runner/src/schedule.ts
+++ b/programs/fleet-runner/src/schedule.ts
@@ -5,6 +5,12 @@
 import * as E from 'fp-ts/lib/Either.js';
 import { BadScheduleError } from '@tansypost/inner-protocol';
 
+/**
+ * `drain` and `release` restart a member gracefully, `release` after its worker left the list and went idle; `empty` also
+ * deletes its data; `dark` and `light` make a worker unresponsive and responsive; `lapse` expires its KV handles; `crowd`
+ * doubles the request rate until `calm`; `submit` submits a changed desired state; `isolate` and `one-way` partition a
+ * machine until `rejoin`; `slow` delays a member's link until `fast`.
+ */
 export const faultKinds = [
   'kill',
   'freeze',
@@ -27,6 +33,7 @@
   'fast',
 ] as const;
 export type FaultKind = (typeof faultKinds)[number];
+/** `at` is in seconds from the start of the traffic, `do` the kind, `who` the member. */
 export interface Fault {
   readonly at: number;
   readonly do: FaultKind;
@@ -34,6 +41,7 @@
 }
 const kindsWithoutMember = new Set<FaultKind>(['submit', 'crowd', 'calm']);
 
+/** The faults in order of time. `members` are the names that `who` may have. */
 export function parseFaultSchedule(text: string, members: readonly string[]): E.Either<Error, readonly Fault[]> {
   const schedule: Fault[] = [];
   const lines = text.split('\n');
--- a/programs/requester-stand-in/src/drive.ts
+++ b/programs/requester-stand-in/src/drive.ts
@@ -15,7 +15,7 @@
   readonly routers: () => readonly string[];
   readonly agent: Agent;
   readonly shouldStop?: () => boolean;
-  readonly onOutcome?: (o: Outcome) => void;
+  readonly onOutcome?: (outcome: Outcome) => void;
 }
 
 export async function runLoad(options: LoadOptions): Promise<Outcome[]> {
--- a/programs/requester-stand-in/src/requester.ts
+++ b/programs/requester-stand-in/src/requester.ts
@@ -8,6 +8,7 @@
  * ended with an error event; `unreachable`: no connection, or it broke; `WRONG`: tokens that do not belong to the answer.
  */
 export type OutcomeClass = 'whole' | 'refused' | 'given up' | 'cut, and said so' | 'unreachable' | 'WRONG';
+/** The result of one request; `kind` is the error's kind or the reason. */
 export interface Outcome {
   readonly request: TestRequest;
   readonly router: string;
--- a/tests/smoke.test.ts
+++ b/tests/smoke.test.ts
@@ -138,7 +138,7 @@
     expect(reused).toMatchObject({ status: 422, body: { answer: 'refused', faults: [{ at: '/change' }] } });
     expect(await cli(['rehearsals', ...at])).toMatchObject({
       code: 0,
-      out: expect.stringMatching(/No model is live[^]*Parts: /),
+      out: expect.stringMatching(/No model is live[^]*Worker stages: /),
     });
     expect(JSON.parse((await cli(['rehearsals', '--json', ...at])).out)).toHaveProperty('parts');
     expect((await cli(['desired', 'submit', join(folder, 'none.json'), ...at])).code).toBe(2);
