--- a/tests/soak.test.ts
+++ b/tests/soak.test.ts
@@ -7,7 +7,7 @@
 import { join } from 'node:path';
 import { expect, it } from 'vitest';
 import { runSoak } from '../programs/fleet-runner/src/index.js';
-import { platformDialect } from '../platform/dist/soak-dialect.js';
+import { platformSoakAdapter } from '../platform/dist/soak-adapter.js';
 
 it.each([
   [5, false],
@@ -18,7 +18,7 @@
     const folder = mkdtempSync(join(tmpdir(), 'soak-'));
     const octet = 200 + (process.pid % 50);
     const report = await runSoak({
-      adapter: platformDialect,
+      adapter: platformSoakAdapter,
       seed,
       routers: 4,
       controlMachines: 3,
