--- a/programs/fleet-runner/src/soak/soak.test.ts
+++ b/programs/fleet-runner/src/soak/soak.test.ts
@@ -1,7 +1,20 @@
 import { expect, it } from 'vitest';
-import { drawSoakSchedule, judgeSoak, type SoakExit, type SoakLife, type SoakOutcome, type SoakRun } from './index.js';
+import {
+  drawSoakSchedule,
+  judgeSoak,
+  type SoakExit,
+  type SoakLifetime,
+  type SoakOutcome,
+  type SoakExecution,
+} from './index.js';
 
-const life: SoakLife = { machine: 'router-0', from: 0, to: 20_000, stopAt: 10_000, killAt: Infinity };
+const lifetime: SoakLifetime = {
+  machine: 'router-0',
+  startedAt: 0,
+  endedAt: 20_000,
+  stopSignalAt: 10_000,
+  killSignalAt: Infinity,
+};
 const outcome: SoakOutcome = {
   id: 'request',
   machine: 'router-0',
@@ -9,52 +22,64 @@
   endedAt: 12_000,
   ended: 'whole',
   status: 200,
-  keptConnection: true,
+  reusedConnection: true,
+};
+const exit: SoakExit = {
+  machine: 'router-0',
+  code: 0,
+  signal: null,
+  requested: 'stop',
+  stopDurationMs: 4000,
+  lifetime,
 };
-const end: SoakExit = { machine: 'router-0', code: 0, signal: null, asked: 'stop', tookMs: 4000, life };
 
-const neverRun: Partial<SoakRun> = { times: 0 };
+const neverExecuted: Partial<SoakExecution> = { count: 0 };
 
 function judge(
-  over: Partial<SoakOutcome>,
-  run: Partial<SoakRun> = {},
-  exit: Partial<SoakExit> = {},
-  lives: readonly SoakLife[] = [life],
+  outcomeOverrides: Partial<SoakOutcome>,
+  executionOverrides: Partial<SoakExecution> = {},
+  exitOverrides: Partial<SoakExit> = {},
+  lifetimes: readonly SoakLifetime[] = [lifetime],
 ): string[] {
-  const ran = { times: 1, finishedAt: 11_500, ...run };
-  const runs = new Map(run === neverRun ? [] : [['request', ran]]);
-  const history = { outcomes: [{ ...outcome, ...over }], runs, lives, exits: [{ ...end, ...exit }] };
-  return judgeSoak({ ...history, longestStopMs: 6000, graceMs: 6000 }).map(({ rule }) => rule);
+  const execution = { count: 1, finishedAt: 11_500, ...executionOverrides };
+  const executions = new Map(executionOverrides === neverExecuted ? [] : [['request', execution]]);
+  const history = {
+    outcomes: [{ ...outcome, ...outcomeOverrides }],
+    executions,
+    lifetimes,
+    exits: [{ ...exit, ...exitOverrides }],
+  };
+  return judgeSoak({ ...history, maxStopMs: 6000, graceMs: 6000 }).map(({ rule }) => rule);
 }
 
-it('draws the same schedule from the same seed, in order, and series that overlap', () => {
-  const shape = { span: 10_000, machines: 8 };
+it('draws the same ordered schedule from the same seed, with all kinds of steps', () => {
+  const scheduleOptions = { durationMs: 10_000, machines: 8 };
   for (let seed = 1; seed <= 20; seed += 1) {
-    const steps = drawSoakSchedule({ seed, ...shape });
-    expect(drawSoakSchedule({ seed, ...shape })).toEqual(steps);
+    const steps = drawSoakSchedule({ seed, ...scheduleOptions });
+    expect(drawSoakSchedule({ seed, ...scheduleOptions })).toEqual(steps);
     expect(steps.map(({ at }) => at)).toEqual(steps.map(({ at }) => at).sort((a, b) => a - b));
     expect(new Set(steps.map((step) => step.do)).size).toBeGreaterThan(3);
   }
   const kinds = new Set(
-    Array.from({ length: 20 }, (_, seed) => drawSoakSchedule({ seed, ...shape }))
+    Array.from({ length: 20 }, (_, seed) => drawSoakSchedule({ seed, ...scheduleOptions }))
       .flat()
-      .map((s) => s.do),
+      .map((step) => step.do),
   );
   expect([...kinds].sort()).toEqual(['change', 'kill', 'kill-all', 'reload', 'seeds', 'stop', 'stop-again']);
 });
 
-it('finds nothing where all was answered and ended in order', () => {
+it('finds no violation when all requests are answered and all processes exit as requested', () => {
   expect(judge({})).toEqual([]);
 });
 
-it('calls a request lost that reached a worker and was cut, unless its process was killed meanwhile', () => {
+it('reports a request as lost that reached a worker and was cut, unless its process was killed meanwhile', () => {
   expect(judge({ ended: 'cut' })).toEqual(['lost']);
-  expect(judge({ ended: 'cut' }, neverRun)).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killAt: 11_500 }])).toEqual([]);
-  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...life, killAt: 13_000 }])).toEqual(['lost']);
+  expect(judge({ ended: 'cut' }, neverExecuted)).toEqual([]);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...lifetime, killSignalAt: 11_500 }])).toEqual([]);
+  expect(judge({ ended: 'cut' }, undefined, {}, [{ ...lifetime, killSignalAt: 13_000 }])).toEqual(['lost']);
 });
 
-it('lets a router cut off a worker that outlasts the grace period, but not one that was done, or was asked late', () => {
+it('allows cutting off a worker that outlasts the grace period, but not one that had finished or a request sent late', () => {
   const late = { sentAt: 10_500, endedAt: 15_800, ended: 'cut' } as const;
   expect(judge(late, { finishedAt: Infinity })).toEqual([]);
   expect(judge(late, { finishedAt: 15_100 })).toEqual([]);
@@ -62,15 +87,15 @@
   expect(judge({ ...late, sentAt: 13_100 }, { finishedAt: Infinity })).toEqual(['lost']);
 });
 
-it('finds what ran twice, and what ran though it was refused', () => {
-  expect(judge({}, { times: 2 })).toEqual(['twice']);
+it('reports requests that were executed twice or although they were rejected', () => {
+  expect(judge({}, { count: 2 })).toEqual(['twice']);
   expect(judge({ ended: 'refused', status: 503 })).toEqual(['refused though run']);
 });
 
-it('finds processes that end by themselves, by a signal that they should have taken, or late', () => {
-  expect(judge({}, undefined, { asked: 'nothing', code: 1 })).toEqual(['ended by itself']);
+it('reports processes that exit unrequested, by an unhandled signal, or late', () => {
+  expect(judge({}, undefined, { requested: 'nothing', code: 1 })).toEqual(['ended by itself']);
   expect(judge({}, undefined, { code: null, signal: 'SIGTERM' })).toEqual(['ended by itself']);
   expect(judge({ sentAt: 30_000 }, undefined, { code: null, signal: 'SIGTERM' })).toEqual([]);
-  expect(judge({}, undefined, { asked: 'kill', code: null, signal: 'SIGKILL' })).toEqual([]);
-  expect(judge({}, undefined, { tookMs: 6001 })).toEqual(['ended late']);
+  expect(judge({}, undefined, { requested: 'kill', code: null, signal: 'SIGKILL' })).toEqual([]);
+  expect(judge({}, undefined, { stopDurationMs: 6001 })).toEqual(['ended late']);
 });
--- a/programs/requester-stand-in/src/traffic.ts
+++ b/programs/requester-stand-in/src/traffic.ts
@@ -1,15 +1,16 @@
 /**
- * The traffic of the two deployments: tenants, kinds, prompts whose opening parts are shared by many others, and
- * the mix between them. All from a seed, so that a run can be had again.
+ * The synthetic traffic of the example deployments: tenants, kinds of requests and their mix, and prompts that share their
+ * prefixes. It depends on the seed alone, so that a run can be repeated.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { DesiredState } from '@tansypost/desired-state';
 
-export interface KindShape {
+/** A kind of request; `weight` is its share of the traffic, `promptTokens` the minimum and maximum length. */
+export interface RequestKind {
   readonly kind: string;
-  readonly often: number;
-  readonly prompt: readonly [number, number];
-  readonly answer: number;
+  readonly weight: number;
+  readonly promptTokens: readonly [number, number];
+  readonly answerTokens: number;
   readonly worth: number;
   readonly patienceMs: number;
   readonly repeatable: boolean;
@@ -21,7 +22,7 @@
   readonly workers: number;
   readonly rate: number;
   readonly tenants: readonly string[];
-  readonly kinds: readonly KindShape[];
+  readonly kinds: readonly RequestKind[];
 }
 
 export const ferry: Deployment = {
@@ -34,15 +35,31 @@
   kinds: [
     {
       kind: 'manifest_review',
-      often: 0.15,
-      prompt: [1000, 2400],
-      answer: 120,
+      weight: 0.15,
+      promptTokens: [1000, 2400],
+      answerTokens: 120,
       worth: 5,
       patienceMs: 20_000,
       repeatable: true,
     },
-    { kind: 'fare_quote', often: 0.6, prompt: [200, 450], answer: 32, worth: 3, patienceMs: 8000, repeatable: true },
-    { kind: 'seat_hold', often: 0.25, prompt: [100, 200], answer: 4, worth: 8, patienceMs: 5000, repeatable: false },
+    {
+      kind: 'fare_quote',
+      weight: 0.6,
+      promptTokens: [200, 450],
+      answerTokens: 32,
+      worth: 3,
+      patienceMs: 8000,
+      repeatable: true,
+    },
+    {
+      kind: 'seat_hold',
+      weight: 0.25,
+      promptTokens: [100, 200],
+      answerTokens: 4,
+      worth: 8,
+      patienceMs: 5000,
+      repeatable: false,
+    },
   ],
 };
 export const coldStorage: Deployment = {
@@ -55,20 +72,36 @@
   kinds: [
     {
       kind: 'spoilage_claim',
-      often: 0.15,
-      prompt: [1200, 2600],
-      answer: 160,
+      weight: 0.15,
+      promptTokens: [1200, 2600],
+      answerTokens: 160,
       worth: 5,
       patienceMs: 25_000,
       repeatable: false,
     },
-    { kind: 'bay_answer', often: 0.6, prompt: [200, 450], answer: 36, worth: 3, patienceMs: 8000, repeatable: true },
-    { kind: 'alarm_mark', often: 0.25, prompt: [80, 180], answer: 2, worth: 9, patienceMs: 4000, repeatable: true },
+    {
+      kind: 'bay_answer',
+      weight: 0.6,
+      promptTokens: [200, 450],
+      answerTokens: 36,
+      worth: 3,
+      patienceMs: 8000,
+      repeatable: true,
+    },
+    {
+      kind: 'alarm_mark',
+      weight: 0.25,
+      promptTokens: [80, 180],
+      answerTokens: 2,
+      worth: 9,
+      patienceMs: 4000,
+      repeatable: true,
+    },
   ],
 };
-export const deployments: { readonly [k: string]: Deployment } = { ferry, 'cold-storage': coldStorage };
+export const deployments: { readonly [name: string]: Deployment } = { ferry, 'cold-storage': coldStorage };
 
-export interface Ask {
+export interface TestRequest {
   readonly id: string;
   readonly tenant: string;
   readonly kind: string;
@@ -79,82 +112,98 @@
   readonly worth: number;
 }
 
-export function templates(d: Deployment, worthOf: (k: KindShape) => number = (k) => k.worth): DesiredState {
+/** The desired state with one template per tenant; `priorityOf` gives the `worth` of a kind. */
+export function buildDesiredState(
+  deployment: Deployment,
+  priorityOf: (kind: RequestKind) => number = (kind) => kind.worth,
+): DesiredState {
   return {
-    templates: d.tenants.map((tenant) => ({
+    templates: deployment.tenants.map((tenant) => ({
       tenant,
       kinds: Object.fromEntries(
-        d.kinds.map((k) => [
-          k.kind,
-          { worth: worthOf(k), patienceMs: k.patienceMs, share: Math.round(k.often * 10), repeatable: k.repeatable },
+        deployment.kinds.map((kind) => [
+          kind.kind,
+          {
+            worth: priorityOf(kind),
+            patienceMs: kind.patienceMs,
+            share: Math.round(kind.weight * 10),
+            repeatable: kind.repeatable,
+          },
         ]),
       ),
     })),
   };
 }
 
-function words(r: () => number, n: number): string {
-  let s = '';
-  for (let i = 0; i < n; i += 1)
-    s += `${Math.floor(r() * 60466176)
+function words(random: () => number, count: number): string {
+  let text = '';
+  for (let index = 0; index < count; index += 1)
+    text += `${Math.floor(random() * 60466176)
       .toString(36)
       .padStart(5, '0')} `;
-  return s;
+  return text;
 }
 
-export type Mix = (k: KindShape, at: number) => number;
-export function steadyMix(k: KindShape): number {
-  return k.often;
+/** The relative weight of a kind at a time, in seconds from the start. */
+export type TrafficMix = (kind: RequestKind, at: number) => number;
+export function steadyMix(kind: RequestKind): number {
+  return kind.weight;
 }
-// Swings between long prompts and long answers with the period given in seconds.
-export function swingMix(period: number): Mix {
-  return function mix(k, at) {
-    const long = 1 + 0.9 * Math.sin((2 * Math.PI * at) / period);
-    return k.often * (k.prompt[1] > 1000 ? long : 2 - long);
+// Oscillates between mostly long and mostly short prompts.
+export function oscillatingMix(periodSeconds: number): TrafficMix {
+  return function mix(kind, at) {
+    const longPromptFactor = 1 + 0.9 * Math.sin((2 * Math.PI * at) / periodSeconds);
+    return kind.weight * (kind.promptTokens[1] > 1000 ? longPromptFactor : 2 - longPromptFactor);
   };
 }
 
-export interface Traffic {
-  readonly next: (at: number) => Ask;
+export interface TrafficSource {
+  readonly next: (at: number) => TestRequest;
 }
 
-export function createTraffic(d: Deployment, seed: number, mix: Mix = steadyMix): Traffic {
-  const r = createSeededRandom(seed);
-  const shared = new Map<string, string>();
-  let n = 0;
-  function part(name: string, size: number): string {
-    let s = shared.get(name);
-    if (s === undefined) {
-      s = words(createSeededRandom([...name].reduce((a, c) => (Math.imul(a, 31) + c.charCodeAt(0)) | 0, 7)), size);
-      shared.set(name, s);
+export function createTraffic(deployment: Deployment, seed: number, mix: TrafficMix = steadyMix): TrafficSource {
+  const random = createSeededRandom(seed);
+  const sharedParts = new Map<string, string>();
+  let requestCount = 0;
+  // The same words for the same name, so that prompts share them.
+  function sharedPart(name: string, wordCount: number): string {
+    let text = sharedParts.get(name);
+    if (text === undefined) {
+      text = words(
+        createSeededRandom(
+          [...name].reduce((hash, character) => (Math.imul(hash, 31) + character.charCodeAt(0)) | 0, 7),
+        ),
+        wordCount,
+      );
+      sharedParts.set(name, text);
     }
-    return s;
+    return text;
   }
-  function next(at: number): Ask {
-    n += 1;
-    const ws = d.kinds.map((k) => mix(k, at));
-    let u = r() * ws.reduce((a, b) => a + b, 0);
-    let i = 0;
-    while (i < ws.length - 1 && u >= ws[i]!) {
-      u -= ws[i]!;
-      i += 1;
+  function next(at: number): TestRequest {
+    requestCount += 1;
+    const weights = deployment.kinds.map((kind) => mix(kind, at));
+    let remaining = random() * weights.reduce((sum, weight) => sum + weight, 0);
+    let index = 0;
+    while (index < weights.length - 1 && remaining >= weights[index]!) {
+      remaining -= weights[index]!;
+      index += 1;
     }
-    const k = d.kinds[i]!;
-    const tenant = d.tenants[Math.floor(r() * d.tenants.length)]!;
-    const size = Math.round(k.prompt[0] + r() * (k.prompt[1] - k.prompt[0]));
-    const group = Math.floor(r() ** 2 * 24);
-    const opening = part(`${d.name}/${tenant}/${k.kind}`, Math.round(k.prompt[0] * 0.35));
-    const file = part(`${d.name}/${k.kind}/${group}`, Math.round(k.prompt[0] * 0.4));
-    const own = words(r, Math.max(8, size - Math.round(k.prompt[0] * 0.75)));
+    const kind = deployment.kinds[index]!;
+    const tenant = deployment.tenants[Math.floor(random() * deployment.tenants.length)]!;
+    const wordCount = Math.round(kind.promptTokens[0] + random() * (kind.promptTokens[1] - kind.promptTokens[0]));
+    const group = Math.floor(random() ** 2 * 24);
+    const prefix = sharedPart(`${deployment.name}/${tenant}/${kind.kind}`, Math.round(kind.promptTokens[0] * 0.35));
+    const document = sharedPart(`${deployment.name}/${kind.kind}/${group}`, Math.round(kind.promptTokens[0] * 0.4));
+    const uniquePart = words(random, Math.max(8, wordCount - Math.round(kind.promptTokens[0] * 0.75)));
     return {
-      id: `${d.name}-${seed}-${n}`,
+      id: `${deployment.name}-${seed}-${requestCount}`,
       tenant,
-      kind: k.kind,
-      prompt: `${opening}${file}${own}${n}`,
-      maxTokens: k.answer,
-      repeatable: k.repeatable,
-      patienceMs: k.patienceMs,
-      worth: k.worth,
+      kind: kind.kind,
+      prompt: `${prefix}${document}${uniquePart}${requestCount}`,
+      maxTokens: kind.answerTokens,
+      repeatable: kind.repeatable,
+      patienceMs: kind.patienceMs,
+      worth: kind.worth,
     };
   }
   return { next };
