--- a/tests/closing-faults.test.ts
+++ b/tests/closing-faults.test.ts
@@ -32,7 +32,7 @@
   const replicaCount = step % 2 === 0 ? 3 : 5;
   function look(second: number, cluster: Parameters<NonNullable<PassedDayOptions['look']>>[1]): void {
     for (const machine of cluster.machines.values()) {
-      machine.disk.slowUs = slowSyncMicros;
+      machine.disk.extraLatencyUs = slowSyncMicros;
       // The processes were killed earlier in this second; the power loss now drops whatever was not synced.
       if (losesPower && second === killAt) machine.disk.crash();
     }
