--- a/packages/simulator/src/decisions/decision-score.ts
+++ b/packages/simulator/src/decisions/decision-score.ts
@@ -2,7 +2,7 @@
  * Scores a virtual day: the earned share of the requests' value over the whole day, in the worst windows, and of the
  * worst-served kind and zone, plus the served share counted in nines, minus the cost of recomputed and moved tokens.
  */
-import type { PassedHistory, TrySeen } from '../pass-through/passed-history.js';
+import type { PassedHistory, AttemptRecord } from '../pass-through/passed-history.js';
 import type { DecisionSite } from './decision-sites.js';
 
 /** The score of a day with its parts; shares are from 0 to 1. */
@@ -60,7 +60,7 @@
 
 /** The fraction of its value that a request earned: 1 in time, less when late, 0 when not served. */
 function earnedFraction(
-  attempts: readonly TrySeen[],
+  attempts: readonly AttemptRecord[],
   targetLatency: number,
   maxEventGap: number,
   lateFraction: number,
@@ -68,8 +68,8 @@
   const first = attempts[0]!;
   const served = attempts.find((attempt) => attempt.ended === 'whole');
   if (served === undefined) return 0;
-  const answeredAt = served.streaming ? (served.firstAt ?? served.end!) : served.end!;
-  const exceededGap = maxEventGap > 0 && served.longestPause > maxEventGap;
+  const answeredAt = served.streaming ? (served.firstByteAt ?? served.end!) : served.end!;
+  const exceededGap = maxEventGap > 0 && served.maxGapUs > maxEventGap;
   if (!exceededGap && answeredAt - first.at <= targetLatency) return 1;
   const rejectedEarly =
     served !== first && first.ended === 'refused' && first.end! - first.at <= earlyRejectionFraction * targetLatency;
@@ -87,15 +87,15 @@
   const meanSizes = new Map(
     [...groupBy(firstAttempts, (attempt) => attempt.kind)].map(([kind, all]) => [
       kind,
-      all.reduce((sum, attempt) => sum + attempt.size, 0) / all.length,
+      all.reduce((sum, attempt) => sum + attempt.costTokens, 0) / all.length,
     ]),
   );
   return [...attemptsByTask.values()].map((attempts) => {
     const first = attempts[0]!;
     const kind = kinds.get(first.kind)!;
     const value = kind.worth ?? 1;
-    const relative = first.size / Math.max(1, meanSizes.get(first.kind)!);
-    const weight = first.size <= 10 ? 1 : Math.min(maxSizeWeight, minSizeWeight + (1 - minSizeWeight) * relative);
+    const relative = first.costTokens / Math.max(1, meanSizes.get(first.kind)!);
+    const weight = first.costTokens <= 10 ? 1 : Math.min(maxSizeWeight, minSizeWeight + (1 - minSizeWeight) * relative);
     const fraction = earnedFraction(attempts, kind.aim, kind.pause, (kind.lateWorth ?? 0) / value);
     const maxValue = value * weight;
     return {
@@ -105,7 +105,7 @@
       earnedValue: maxValue * fraction,
       served: fraction > 0,
       late: fraction > 0 && fraction < 1,
-      size: first.size,
+      size: first.costTokens,
     };
   });
 }
--- a/packages/simulator/src/pass-through/order-checks.test.ts
+++ b/packages/simulator/src/pass-through/order-checks.test.ts
@@ -2,14 +2,14 @@
 import { expect, it } from 'vitest';
 import { checkPassed } from './passed-checks.js';
 import { passedDeployments } from './passed-deployment.js';
-import { emptyHistory, type StageOrderSeen } from './passed-history.js';
+import { emptyHistory, type StageOrderRecord } from './passed-history.js';
 
 const second = 1_000_000;
 
-function order(at: number, machine: string, fence: number, worker = 'w1'): StageOrderSeen {
+function order(at: number, machine: string, fence: number, worker = 'w1'): StageOrderRecord {
   return { at: at * second, machine, holder: machine, fence, worker, stage: 'decode', status: 202 };
 }
-function breachesOf(orders: readonly StageOrderSeen[], woken: readonly string[] = []): string[] {
+function breachesOf(orders: readonly StageOrderRecord[], woken: readonly string[] = []): string[] {
   const history = emptyHistory();
   history.orders.push(...orders);
   for (const machine of woken)
--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -189,7 +189,7 @@
 
   function noteTaken(w: WorkerLife): void {
     const others = workers.lives(w.o.service).filter((x) => x !== w && x.part() === 'decode');
-    if (w.part() === 'decode' && others.length === 0) h.lastDecodeTaken.push(e.now());
+    if (w.part() === 'decode' && others.length === 0) h.lastDecodeRemovedAt.push(e.now());
   }
   function withdraw(w: WorkerLife): void {
     noteTaken(w);
--- a/packages/simulator/src/pass-through/passed-history.ts
+++ b/packages/simulator/src/pass-through/passed-history.ts
@@ -5,7 +5,7 @@
 
 import type { KeyDigest } from '@tansypost/paths';
 
-export type TryEnd =
+export type AttemptOutcome =
   | 'open'
   | 'unread'
   | 'whole'
@@ -17,7 +17,7 @@
   | 'unknown_path'
   | 'unknown_key'
   | 'odd';
-export interface TrySeen {
+export interface AttemptRecord {
   readonly id: string;
   readonly task: number;
   readonly kind: string;
@@ -32,19 +32,19 @@
   router: string;
   readAt: number | undefined;
   end: number | undefined;
-  ended: TryEnd;
+  ended: AttemptOutcome;
   why: string;
-  firstAt: number | undefined;
+  firstByteAt: number | undefined;
   /** The longest time between two arrivals of bytes of the answer. */
-  longestPause: number;
+  maxGapUs: number;
   /** Tokens of its prompt, and those of its answer. */
-  readonly size: number;
+  readonly costTokens: number;
   /** Who sent it, and the digest of the key that it bears. */
   readonly tenant?: string | undefined;
   readonly keyDigest?: KeyDigest | undefined;
   readonly body: Buffer[];
 }
-export interface ArrivalSeen {
+export interface ArrivalRecord {
   readonly at: number;
   readonly sentAt: number;
   readonly request: string;
@@ -54,23 +54,23 @@
   readonly router: string;
   // The tenant that the worker was told of, and whether it got what bears the key.
   readonly tenant: string | undefined;
-  readonly credentials: boolean;
+  readonly gotCredentials: boolean;
   // 421: another worker has the address.
-  misdirected: boolean;
+  wasMisdirected: boolean;
   // A read that was taken up.
-  taken: boolean;
+  wasAccepted: boolean;
 }
-export interface RunSeen {
+export interface RunRecord {
   readonly at: number;
   readonly request: string;
   readonly run: string;
   readonly worker: string;
   readonly service: string;
   // The request whose memory it goes on from.
-  readonly memoryOf: string | undefined;
+  readonly kvSourceRequest: string | undefined;
 }
 /** An order that reached a worker. */
-export interface StageOrderSeen {
+export interface StageOrderRecord {
   readonly at: number;
   readonly worker: string;
   /** The machine that sent it. */
@@ -80,7 +80,7 @@
   readonly stage: string;
   readonly status: number;
 }
-export interface ChangeSent {
+export interface ChangeRecord {
   readonly revision: number;
   readonly base: number;
   readonly text: string;
@@ -90,14 +90,14 @@
   answer: 'open' | 'taken' | 'refused' | 'unclear';
   answeredAt: number | undefined;
 }
-export interface GoverningSeen {
+export interface AppliedRecord {
   readonly at: number;
   readonly router: string;
   readonly life: number;
   readonly revision: number;
   readonly text: string;
 }
-export interface TroubleSeen {
+export interface FaultRecord {
   // A machine, or `core` for one of its machines or the links between them, or `list`.
   readonly who: string;
   readonly what: string;
@@ -105,15 +105,15 @@
   to: number;
 }
 export interface PassedHistory {
-  readonly tries: TrySeen[];
-  readonly arrivals: ArrivalSeen[];
-  readonly runs: RunSeen[];
-  readonly orders: StageOrderSeen[];
-  readonly changes: ChangeSent[];
-  readonly applied: GoverningSeen[];
-  readonly troubles: TroubleSeen[];
+  readonly tries: AttemptRecord[];
+  readonly arrivals: ArrivalRecord[];
+  readonly runs: RunRecord[];
+  readonly orders: StageOrderRecord[];
+  readonly changes: ChangeRecord[];
+  readonly applied: AppliedRecord[];
+  readonly troubles: FaultRecord[];
   // When the list showed a worker as leaving or gone.
-  readonly shownLeaving: Map<string, number>;
+  readonly leavingVisibleAt: Map<string, number>;
   // Starts of a router's life, and its end.
   readonly lives: { readonly router: string; readonly life: number; readonly from: number; to: number }[];
   readonly unforeseen: string[];
@@ -122,9 +122,9 @@
   // When all had been killed, until which moment.
   outageEnds: number[];
   // When the last decode worker of a service was taken away for good.
-  readonly lastDecodeTaken: number[];
+  readonly lastDecodeRemovedAt: number[];
   /** What was read back at the end of the day, asked for again and again. */
-  readonly reads: { readonly text: string; readonly at: number }[];
+  readonly readbacks: { readonly text: string; readonly at: number }[];
   from: number;
   to: number;
 }
@@ -138,13 +138,13 @@
     changes: [],
     applied: [],
     troubles: [],
-    shownLeaving: new Map(),
+    leavingVisibleAt: new Map(),
     lives: [],
     unforeseen: [],
     costs: { read: 0, reread: 0, moved: 0 },
     outageEnds: [],
-    lastDecodeTaken: [],
-    reads: [],
+    lastDecodeRemovedAt: [],
+    readbacks: [],
     from: 0,
     to: 0,
   };
--- a/packages/simulator/src/pass-through/passed-one.ts
+++ b/packages/simulator/src/pass-through/passed-one.ts
@@ -46,7 +46,7 @@
     }
   }
   for (const a of h.arrivals)
-    if (!a.misdirected) leaving = Math.max(leaving, a.at - (h.shownLeaving.get(a.worker) ?? Infinity));
+    if (!a.wasMisdirected) leaving = Math.max(leaving, a.at - (h.leavingVisibleAt.get(a.worker) ?? Infinity));
   for (const at of h.outageEnds) {
     const first = h.tries.find((t) => t.ended === 'whole' && t.readAt! > at);
     backAfter = Math.max(backAfter, (first?.end ?? h.to) - at);
@@ -94,7 +94,7 @@
   for (const t of h.tries) {
     if (!firstAt.has(t.task)) firstAt.set(t.task, t.at);
     if (t.ended !== 'whole') continue;
-    const at = t.streaming ? (t.firstAt ?? t.end!) : t.end!;
+    const at = t.streaming ? (t.firstByteAt ?? t.end!) : t.end!;
     served.set(t.task, at - firstAt.get(t.task)! <= aims.get(t.kind)!);
   }
   return {
--- a/packages/simulator/src/pass-through/tenant-checks.ts
+++ b/packages/simulator/src/pass-through/tenant-checks.ts
@@ -6,101 +6,101 @@
 import type { Route, RouteTable, Tenant } from '@tansypost/paths';
 import { hostOf } from './paths-drawn.js';
 import type { PassedBreach } from './passed-checks.js';
-import type { ArrivalSeen, PassedHistory, RunSeen, TrySeen } from './passed-history.js';
+import type { ArrivalRecord, PassedHistory, RunRecord, AttemptRecord } from './passed-history.js';
 import { tableOf } from './submit.js';
 
-export type MayGovern = (t: TrySeen, until: number) => readonly RouteTable[];
+export type MayGovern = (t: AttemptRecord, until: number) => readonly RouteTable[];
 
 /** A tenant with fewer requests than this is not looked at. */
-const leastRequests = 20;
+const minRequests = 20;
 /** A tenant may be served so many times less often than all. */
-const mostBehind = 4;
+const maxServedRatio = 4;
 
-function pathIn(table: RouteTable, t: TrySeen): Route | undefined {
-  return table.routes.find((path) => path.host === hostOf(t.kind));
+function routeIn(table: RouteTable, t: AttemptRecord): Route | undefined {
+  return table.routes.find((route) => route.host === hostOf(t.kind));
 }
-function holderIn(table: RouteTable, t: TrySeen): Tenant | undefined {
+function tenantIn(table: RouteTable, t: AttemptRecord): Tenant | undefined {
   const { keyDigest } = t;
   return keyDigest === undefined ? undefined : table.tenants?.find((x) => x.keyDigests.includes(keyDigest));
 }
 
 /** Whether the table has its path and, where that asks for one, its key. */
-function allows(table: RouteTable, t: TrySeen): boolean {
-  const path = pathIn(table, t);
-  if (path === undefined) return false;
-  return table.tenants === undefined || path.public === true || holderIn(table, t) !== undefined;
+function allows(table: RouteTable, t: AttemptRecord): boolean {
+  const route = routeIn(table, t);
+  if (route === undefined) return false;
+  return table.tenants === undefined || route.public === true || tenantIn(table, t) !== undefined;
 }
 
-function arrivalBreach(a: ArrivalSeen, t: TrySeen, mayGovern: MayGovern): PassedBreach | undefined {
+function checkArrival(a: ArrivalRecord, t: AttemptRecord, mayGovern: MayGovern): PassedBreach | undefined {
   const tables = mayGovern(t, a.at).filter((table) => allows(table, t));
   // What nothing allows is told of as a run.
   if (tables.length === 0) return undefined;
   const where = `${a.request} (${a.doing}) at ${a.worker}, sent by ${a.router} at ${seconds(a.sentAt)}`;
-  if (a.credentials && tables.every((table) => table.tenants !== undefined))
+  if (a.gotCredentials && tables.every((table) => table.tenants !== undefined))
     return { rule: 'key passed on', what: where };
-  const holders = tables.map((table) => holderIn(table, t)?.name);
+  const holders = tables.map((table) => tenantIn(table, t)?.name);
   if (holders.includes(a.tenant)) return undefined;
   return { rule: 'wrong tenant', what: `${where}: as ${a.tenant ?? 'nobody'}, not ${holders.join(' or ')}` };
 }
 
-function runBreach(
-  r: RunSeen,
-  t: TrySeen,
+function checkRun(
+  r: RunRecord,
+  t: AttemptRecord,
   mayGovern: MayGovern,
-  sent: readonly RouteTable[],
+  submitted: readonly RouteTable[],
 ): PassedBreach | undefined {
   const tables = mayGovern(t, r.at);
-  if (tables.some((table) => allows(table, t)) || tables.every((table) => pathIn(table, t) === undefined))
+  if (tables.some((table) => allows(table, t)) || tables.every((table) => routeIn(table, t) === undefined))
     return undefined;
   const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'nobody'} ran at ${r.worker} at ${seconds(r.at)}`;
-  return { rule: sent.some((table) => allows(table, t)) ? 'dropped key' : 'unknown key', what };
+  return { rule: submitted.some((table) => allows(table, t)) ? 'dropped key' : 'unknown key', what };
 }
 
-function starved(h: PassedHistory): PassedBreach[] {
+function checkStarvation(history: PassedHistory): PassedBreach[] {
   const refused = new Set(
-    h.tries.filter((t) => t.ended === 'unknown_key' || t.ended === 'unknown_path').map((t) => t.task),
+    history.tries.filter((t) => t.ended === 'unknown_key' || t.ended === 'unknown_path').map((t) => t.task),
   );
-  const servedTasks = new Set(h.tries.filter((t) => t.ended === 'whole').map((t) => t.task));
+  const servedTasks = new Set(history.tries.filter((t) => t.ended === 'whole').map((t) => t.task));
   const tasksOf = new Map<string, Set<number>>();
-  for (const t of h.tries)
+  for (const t of history.tries)
     if (t.tenant !== undefined && !refused.has(t.task))
       tasksOf.set(t.tenant, (tasksOf.get(t.tenant) ?? new Set()).add(t.task));
-  function shareOf(tasks: readonly number[]): number {
+  function servedShareOf(tasks: readonly number[]): number {
     return tasks.filter((task) => servedTasks.has(task)).length / Math.max(1, tasks.length);
   }
-  const all = shareOf([...tasksOf.values()].flatMap((tasks) => [...tasks]));
+  const all = servedShareOf([...tasksOf.values()].flatMap((tasks) => [...tasks]));
   return [...tasksOf]
-    .filter(([, tasks]) => tasks.size >= leastRequests && shareOf([...tasks]) * mostBehind < all)
+    .filter(([, tasks]) => tasks.size >= minRequests && servedShareOf([...tasks]) * maxServedRatio < all)
     .map(([tenant, tasks]) => ({
       rule: 'starved',
-      what: `${tenant}: ${percent(shareOf([...tasks]))} of ${tasks.size} served, of all ${percent(all)}`,
+      what: `${tenant}: ${percent(servedShareOf([...tasks]))} of ${tasks.size} served, of all ${percent(all)}`,
     }));
 }
 
 /** Every breach of what holds for tenants and their keys; none on days whose documents have no tenants and heads no keys. */
-export function checkTenants(h: PassedHistory, mayGovern: MayGovern): PassedBreach[] {
-  const tries = new Map(h.tries.map((t) => [t.id, t]));
-  const sent = h.changes
+export function checkTenants(history: PassedHistory, mayGovern: MayGovern): PassedBreach[] {
+  const attempts = new Map(history.tries.map((t) => [t.id, t]));
+  const submitted = history.changes
     .filter((c) => c.valid && c.answer !== 'refused')
     .map((c) => ({ at: c.at, table: tableOf(c.text) }))
     .filter((x): x is { at: number; table: RouteTable } => x.table !== undefined);
   const out: (PassedBreach | undefined)[] = [];
-  for (const a of h.arrivals) {
-    const t = tries.get(a.request);
-    if (t !== undefined) out.push(arrivalBreach(a, t, mayGovern));
+  for (const a of history.arrivals) {
+    const t = attempts.get(a.request);
+    if (t !== undefined) out.push(checkArrival(a, t, mayGovern));
   }
-  for (const r of h.runs) {
-    const t = tries.get(r.request);
-    const before = sent.filter((x) => x.at <= r.at).map((x) => x.table);
-    if (t !== undefined) out.push(runBreach(r, t, mayGovern, before));
+  for (const r of history.runs) {
+    const t = attempts.get(r.request);
+    const before = submitted.filter((x) => x.at <= r.at).map((x) => x.table);
+    if (t !== undefined) out.push(checkRun(r, t, mayGovern, before));
   }
-  for (const t of h.tries)
+  for (const t of history.tries)
     if (t.ended === 'unknown_key' && mayGovern(t, t.end!).every((table) => allows(table, t)))
       out.push({
         rule: 'denied',
         what: `${t.id} (${t.kind}) of ${t.tenant ?? 'nobody'} at ${t.router}, ended at ${seconds(t.end!)}`,
       });
-  return [...out.filter((breach) => breach !== undefined), ...starved(h)];
+  return [...out.filter((breach) => breach !== undefined), ...checkStarvation(history)];
 }
 
 function seconds(t: number): string {
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -1,7 +1,7 @@
 /** The operators of a virtual day: each sends a change to one machine after the other until it gets a clear answer. */
 import { oneOf, sleep, type Ground } from './ground.js';
 import { drawInvalid, drawTable } from './paths-drawn.js';
-import type { ChangeSent } from './passed-history.js';
+import type { ChangeRecord } from './passed-history.js';
 import { createPipe } from './pipe.js';
 import type { ControlResponse } from '@tansypost/control-feed';
 import type { Address } from '@tansypost/inner-protocol';
@@ -84,8 +84,8 @@
     });
   }
 
-  async function send(text: string, revision: number, base: number, valid: boolean): Promise<ChangeSent> {
-    const c: ChangeSent = { revision, base, text, valid, at: e.now(), answer: 'open', answeredAt: undefined };
+  async function send(text: string, revision: number, base: number, valid: boolean): Promise<ChangeRecord> {
+    const c: ChangeRecord = { revision, base, text, valid, at: e.now(), answer: 'open', answeredAt: undefined };
     h.changes.push(c);
     let pause = 100_000;
     while (e.now() - c.at < patience) {
@@ -138,7 +138,7 @@
     const until = e.now() + length;
     while (e.now() < until) {
       const text = await readBack();
-      if (text !== undefined) h.reads.push({ text, at: e.now() });
+      if (text !== undefined) h.readbacks.push({ text, at: e.now() });
       await sleep(g, betweenReads);
     }
   }
--- a/packages/simulator/src/pass-through/virtual-port.ts
+++ b/packages/simulator/src/pass-through/virtual-port.ts
@@ -16,7 +16,7 @@
 import type { Network } from '../network.js';
 import { deliver, type SimProcess } from '../process.js';
 import { createPipe } from './pipe.js';
-import type { ArrivalSeen } from './passed-history.js';
+import type { ArrivalRecord } from './passed-history.js';
 import type { WorkerCall, WorkerLife } from './virtual-worker.js';
 
 export interface VirtualPortOptions {
@@ -27,7 +27,7 @@
   // Who had the address last: a machine that is silent keeps a connection hanging.
   readonly machineAt: (address: string) => string;
   readonly silentMachine: (machine: string) => boolean;
-  readonly arrived: (a: ArrivalSeen) => void;
+  readonly arrived: (a: ArrivalRecord) => void;
   readonly streaming: (q: IncomingRequest) => boolean;
   // How often a new connection is reset.
   readonly resets: () => number;
@@ -133,10 +133,10 @@
           target: w.id,
           closed: false,
           taken: () => {
-            a.taken = true;
+            a.wasAccepted = true;
           },
           head: (id, status, unrun) => {
-            if (status === 421) a.misdirected = true;
+            if (status === 421) a.wasMisdirected = true;
             toRouter(() => {
               if (!head(k.surplus ? 'another' : id, status, unrun)) {
                 close();
@@ -157,7 +157,7 @@
           },
         };
         callOpen = wc;
-        const a: ArrivalSeen = {
+        const a: ArrivalRecord = {
           at: 0,
           sentAt,
           request: q.id,
@@ -166,9 +166,9 @@
           service: life.o.service,
           router: me,
           tenant: q.tenant,
-          credentials: q.credentialHeaders !== undefined,
-          misdirected: false,
-          taken: false,
+          gotCredentials: q.credentialHeaders !== undefined,
+          wasMisdirected: false,
+          wasAccepted: false,
         };
         there(() => {
           // What a cut held up is lost once its sender has closed.
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -9,7 +9,7 @@
 import { hostOf, targetOf } from './paths-drawn.js';
 import { drawLogNormal, usualEngine } from './engine-shape.js';
 import { mainService, type KindDraw, type PassedKind } from './passed-deployment.js';
-import type { TrySeen } from './passed-history.js';
+import type { AttemptRecord } from './passed-history.js';
 import { piecesOf } from './virtual-worker.js';
 import type { RequesterConnection, VirtualRouter } from './virtual-router.js';
 
@@ -36,7 +36,7 @@
 const clientSeed = 9001;
 
 /** Ends after which no requester tries again. */
-function isFinal(how: TrySeen['ended']): boolean {
+function isFinal(how: AttemptRecord['ended']): boolean {
   return how === 'whole' || how === 'unknown_path' || how === 'unknown_key' || how === 'left';
 }
 
@@ -136,7 +136,7 @@
       const connection = tries === 1 ? connectionOf(client, zone) : pick(zone).connect();
       const { router } = connection;
       const lastEvent = k.resumable && has > 0 ? has : undefined;
-      const t: TrySeen = {
+      const t: AttemptRecord = {
         id,
         task,
         kind: k.name,
@@ -152,9 +152,9 @@
         end: undefined,
         ended: 'open',
         why: '',
-        firstAt: undefined,
-        longestPause: 0,
-        size: prompt.promptTokens + answerWeight * prompt.answerTokens,
+        firstByteAt: undefined,
+        maxGapUs: 0,
+        costTokens: prompt.promptTokens + answerWeight * prompt.answerTokens,
         tenant,
         keyDigest,
         body: [],
@@ -177,7 +177,7 @@
       let heardAt = e.now();
       let over = false;
       const way: { leave?: () => void } = {};
-      function settle(how: TrySeen['ended'], why: string, retryAfter = 0): void {
+      function settle(how: AttemptRecord['ended'], why: string, retryAfter = 0): void {
         if (over) return;
         over = true;
         t.end = e.now();
@@ -231,9 +231,9 @@
           },
           bytes: (b) => {
             if (over) return;
-            if (t.firstAt !== undefined) t.longestPause = Math.max(t.longestPause, e.now() - heardAt);
+            if (t.firstByteAt !== undefined) t.maxGapUs = Math.max(t.maxGapUs, e.now() - heardAt);
             heardAt = e.now();
-            t.firstAt ??= e.now();
+            t.firstByteAt ??= e.now();
             t.body.push(b);
           },
           ended: settle,
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -32,7 +32,7 @@
   type SimProcess,
 } from '../process.js';
 import type { Ground } from './ground.js';
-import type { TrySeen } from './passed-history.js';
+import type { AttemptRecord } from './passed-history.js';
 import { createPipe } from './pipe.js';
 import { isLeftOut, spoiledTable, spoiledTellings } from './spoiled-tenants.js';
 import { tableOf } from './submit.js';
@@ -63,7 +63,7 @@
   /** A new connection of a requester. */
   readonly connect: () => RequesterConnection;
   // Gives how to leave. `told` is called where the requester is, with what it sees.
-  readonly take: (t: TrySeen, q: IncomingRequest, told: Told, connection: RequesterConnection) => () => void;
+  readonly take: (t: AttemptRecord, q: IncomingRequest, told: Told, connection: RequesterConnection) => () => void;
 }
 /** One connection of a requester; it ends with the process, or where an answer on it says so. */
 export interface RequesterConnection {
@@ -76,9 +76,9 @@
 export interface Told {
   readonly first: () => void;
   readonly bytes: (b: Buffer) => void;
-  readonly ended: (how: TrySeen['ended'], why: string, retryAfter?: number) => void;
+  readonly ended: (how: AttemptRecord['ended'], why: string, retryAfter?: number) => void;
 }
-function endOf({ kind, ran }: Rejection): TrySeen['ended'] {
+function endOf({ kind, ran }: Rejection): AttemptRecord['ended'] {
   if (kind === 'unknown_path' || kind === 'unknown_key') return kind;
   return ran === 'no' ? 'refused' : 'gave_up';
 }
@@ -149,7 +149,7 @@
   let controlFeed: ControlFeed | undefined;
   let life = 0;
   let shutdown: GracefulShutdown | undefined;
-  const open = new Map<TrySeen, (why: string) => void>();
+  const open = new Map<AttemptRecord, (why: string) => void>();
   const connections = new Set<RequesterConnection>();
 
   function start(): void {
@@ -328,7 +328,7 @@
     return connection;
   }
 
-  function take(t: TrySeen, q: IncomingRequest, told: Told, connection: RequesterConnection): () => void {
+  function take(t: AttemptRecord, q: IncomingRequest, told: Told, connection: RequesterConnection): () => void {
     const there = createPipe(e, net, 'clients', machine);
     const back = createPipe(e, net, machine, 'clients');
     const gone = new AbortController();
@@ -339,7 +339,7 @@
     function begins(): void {
       closes ??= shutdown?.hasBegun() === true;
     }
-    function finish(how: TrySeen['ended'], why: string, retryAfter?: number): void {
+    function finish(how: AttemptRecord['ended'], why: string, retryAfter?: number): void {
       if (over) return;
       over = true;
       open.delete(t);
--- a/packages/simulator/src/pass-through/virtual-workers.ts
+++ b/packages/simulator/src/pass-through/virtual-workers.ts
@@ -54,7 +54,14 @@
 
   function began(c: WorkerCall, life: () => WorkerLife, run: string, memoryOf: string | undefined): void {
     const o = life().o;
-    g.h.runs.push({ at: e.now(), request: c.request, run, worker: o.id, service: o.service, memoryOf });
+    g.h.runs.push({
+      at: e.now(),
+      request: c.request,
+      run,
+      worker: o.id,
+      service: o.service,
+      kvSourceRequest: memoryOf,
+    });
   }
 
   function start(
@@ -150,7 +157,7 @@
     const x = entry(w);
     x.until = listedUntil;
     const shown = Math.min(x.leaving, x.until) + lag;
-    if (!g.h.shownLeaving.has(w.o.id)) g.h.shownLeaving.set(w.o.id, shown);
+    if (!g.h.leavingVisibleAt.has(w.o.id)) g.h.leavingVisibleAt.set(w.o.id, shown);
     w.crash();
   }
 
@@ -167,7 +174,7 @@
   // It is shown as leaving, serves on for a while, and ends.
   function leave(w: WorkerLife, ended: () => void): void {
     entry(w).leaving = e.now();
-    g.h.shownLeaving.set(w.o.id, e.now() + lag);
+    g.h.leavingVisibleAt.set(w.o.id, e.now() + lag);
     e.at(e.now() + drain + lag + 800_000, () => {
       if (!w.alive()) return;
       end(w, e.now());
--- a/tests/shared-machines.test.ts
+++ b/tests/shared-machines.test.ts
@@ -109,7 +109,7 @@
   for (let seed = 1; seed <= 6; seed += 1) {
     const day = await play([at(2, 'config-storm')], { closing, replicas, span: 8, rate: 0.2 }, seed);
     expect([seed, day.breaches]).toEqual([seed, []]);
-    expect(day.history.reads.length).toBeGreaterThan(1);
+    expect(day.history.readbacks.length).toBeGreaterThan(1);
   }
 });
 
