--- a/packages/simulator/src/pass-through/passed-checks.ts
+++ b/packages/simulator/src/pass-through/passed-checks.ts
@@ -1,7 +1,7 @@
 /**
- * What must never happen to traffic that is passed on, by the strictest reading: judged from what requesters, workers,
- * operators and the list have seen. Rules bounded by a time hold for routers in touch: calm themselves, and with a
- * settled core, for three seconds. The first breach of a kind is told with the count of all.
+ * Invariants of forwarded traffic, checked against what clients, workers, operators and the platform's worker list
+ * observed. Rules with a time bound apply only to a router in contact: for three seconds, it has run without a fault and
+ * so has the control cluster. For each rule, the first breach is reported with the number of all its breaches.
  */
 import type { Route, RouteTable } from '@tansypost/paths';
 import { hostOf } from './paths-drawn.js';
@@ -39,14 +39,19 @@
   readonly rule: PassedRule;
   readonly what: string;
 }
+/** A router or the control cluster counts as stable again this long after its last fault. */
 const contactGraceUs = 3_000_000;
+/** How long after a worker is listed as leaving requests may still reach it. */
 const drainGraceUs = 3_000_000;
 const applyTimeoutUs = 2_000_000;
-const isolationGraceUs = 5_000_000;
+/** Added to `applyTimeoutUs` while the control cluster is not stable. */
+const unstableClusterGraceUs = 5_000_000;
 const budgetWindowUs = 10_000_000;
 const retryRatio = 0.2;
+/** A valid change is answered within this time of uninterrupted stability. */
 const answerTimeoutUs = 4_000_000;
 const recoveryTimeoutUs = 12_000_000;
+/** Least time between the stage orders of two different machines to one worker. */
 const minTakeoverGapUs = 3_000_000;
 
 export function checkPassed(history: PassedHistory, deployment: PassedDeployment): PassedBreach[] {
@@ -76,7 +81,7 @@
   for (const [id, n] of runs) {
     const t = attempts.get(id);
     if (t === undefined) {
-      addBreach('unforeseen', `${id} ran and nobody sent it`);
+      addBreach('unforeseen', `request ${id} ran, but no client sent it`);
       continue;
     }
     if (t.repeatable || t.resumable) continue;
@@ -85,14 +90,14 @@
   }
   for (const r of history.runs)
     if (r.kvSourceRequest !== undefined && r.kvSourceRequest !== r.request)
-      addBreach('memory of another', `${r.request} went on from the memory of ${r.kvSourceRequest} at ${r.worker}`);
+      addBreach('memory of another', `${r.request} decoded from the KV cache of ${r.kvSourceRequest} at ${r.worker}`);
 
   // Answers.
   for (const t of history.tries) {
     const why =
       t.body.length === 0 && t.ended !== 'whole' ? undefined : t.streaming ? findStreamError(t) : findBodyError(t);
     if (why !== undefined) addBreach('pieces', `${t.id} (${t.kind}, ${t.ended} via ${t.router}): ${why}`);
-    const isGracefulExit = t.ended === 'cut' && t.why === 'the router left in order' && t.readAt !== undefined;
+    const isGracefulExit = t.ended === 'cut' && t.why === 'router shut down gracefully' && t.readAt !== undefined;
     if (isGracefulExit && !hadFault(t.router, t.readAt! - contactGraceUs, t.end!))
       addBreach('lost in leaving', `${t.id} (${t.kind}) at ${t.router}`);
   }
@@ -114,17 +119,17 @@
       continue;
     addBreach(
       'leaving worker',
-      `${a.request} (${a.doing}) reached ${a.worker} ${seconds(a.at - shown)} s after it was shown leaving, from ${a.router} at ${seconds(a.at)}`,
+      `${a.request} (${a.doing}) reached ${a.worker} ${seconds(a.at - shown)} s after it was listed as leaving, from ${a.router} at ${seconds(a.at)}`,
     );
   }
 
-  // Orders to workers.
+  // Stage orders to workers.
   for (const [index, order] of history.orders.entries()) {
     const before = history.orders.slice(0, index).filter((x) => x.worker === order.worker);
     const who = `${order.machine} (${order.fence}) to ${order.worker} at ${seconds(order.at)}`;
     for (const x of before) {
       if (x.machine === order.machine) continue;
-      if (x.fence === order.fence) addBreach('one orderer', `${who} with the fence of ${x.machine}`);
+      if (x.fence === order.fence) addBreach('one orderer', `${who} with the same fence as ${x.machine}`);
       if (order.at - x.at < minTakeoverGapUs && !wasJustResumed(order.machine, order.at))
         addBreach('one orderer', `${who}, ${seconds(order.at - x.at)} s after ${x.machine}`);
     }
@@ -134,7 +139,7 @@
     return history.troubles.some((t) => t.who === `woken ${machine}` && at >= t.from && at <= t.to);
   }
 
-  // Documents.
+  // Configuration documents.
   const tablesByText = new Map<string, RouteTable>();
   for (const c of history.changes) {
     const t = tableOf(c.text);
@@ -142,16 +147,22 @@
   }
   const accepted = history.changes.filter((c) => c.answer === 'taken').sort((a, b) => a.revision - b.revision);
   for (const c of accepted)
-    if (!c.valid) addBreach('document not taken', `an invalid document of ${c.revision} was taken`);
+    if (!c.valid) addBreach('document not taken', `invalid revision ${c.revision} was accepted`);
   for (const [i, c] of accepted.entries())
     for (const b of accepted.slice(i + 1))
-      // One document drawn twice is one order, sent by two operators; both may hear that it was taken.
-      if (b.base === c.base && b.text !== c.text)
-        addBreach('two on one', `${c.revision} and ${b.revision} were both taken on top of ${c.base}`);
+      // Two operators may draw the same document: it is one change, and both may be told that it was accepted.
+      if (b.readCurrentRevision === c.readCurrentRevision && b.text !== c.text)
+        addBreach(
+          'two on one',
+          `${c.revision} and ${b.revision} were both accepted on top of ${c.readCurrentRevision}`,
+        );
   for (const a of history.applied) {
     const c = history.changes.find((x) => x.text === a.text);
     if (c === undefined || !c.valid || c.answer === 'refused')
-      addBreach('document not taken', `${a.revision} governs at ${a.router}, answered ${c?.answer ?? 'nothing'}`);
+      addBreach(
+        'document not taken',
+        `${a.revision} is applied at ${a.router}, but its submission was answered: ${c?.answer ?? 'nothing'}`,
+      );
   }
   for (const l of history.lives) {
     let top = 0;
@@ -170,7 +181,7 @@
         if (isRouterStable(l.router, x) && mustApplyBy(c.answeredAt!, x)) {
           addBreach(
             'document late',
-            `${c.revision}, taken at ${seconds(c.answeredAt!)}, does not govern at ${l.router} at ${seconds(x)}`,
+            `${c.revision}, accepted at ${seconds(c.answeredAt!)}, is not applied at ${l.router} at ${seconds(x)}`,
           );
           break;
         }
@@ -178,16 +189,19 @@
   function mustApplyBy(ack: number, x: number): boolean {
     if (hadFault('core lost', ack - contactGraceUs, x))
       return !hadFault('core', x - 2 * contactGraceUs - applyTimeoutUs, x);
-    return isControlClusterStable(x) || x > ack + applyTimeoutUs + isolationGraceUs;
+    return isControlClusterStable(x) || x > ack + applyTimeoutUs + unstableClusterGraceUs;
   }
 
-  // An order that is in place is answered, counted in one stretch of calm.
+  // A valid change is answered within `answerTimeoutUs`, counted over one uninterrupted period of stability.
   for (const c of history.changes.filter((x) => x.valid)) {
     let stableUs = 0;
     for (let x = c.at; x < (c.answeredAt ?? history.to) && stableUs <= answerTimeoutUs; x += 100_000)
       stableUs = isControlClusterStable(x) ? stableUs + 100_000 : 0;
     if (stableUs > answerTimeoutUs)
-      addBreach('not answered', `${c.revision}, sent at ${seconds(c.at)}, had no answer for 4 s of calm`);
+      addBreach(
+        'not answered',
+        `${c.revision}, sent at ${seconds(c.at)}, had no answer during 4 s without control cluster faults`,
+      );
   }
   for (const t of history.tries)
     if (
@@ -196,9 +210,9 @@
       isRouterStable(t.router, t.end!) &&
       isControlClusterStable(t.end!)
     )
-      addBreach('not ready', `${t.router} knew no paths at ${seconds(t.end!)}`);
+      addBreach('not ready', `${t.router} had no routes at ${seconds(t.end!)}`);
 
-  // Which documents may have governed a try.
+  // The route tables that the router may have had in force for an attempt.
   function mayGovern(t: AttemptRecord, until: number): RouteTable[] {
     const read = t.readAt ?? t.at;
     const isInContact = isRouterStable(t.router, read) && isControlClusterStable(read);
@@ -228,23 +242,23 @@
 
   for (const b of findBudgetBreaches(history, deployment)) addBreach('budget', b);
 
-  // What was acknowledged outlives the day.
+  // Acknowledged changes survive until the end of the run.
   const newestAccepted = accepted.at(-1);
   if (newestAccepted !== undefined && history.readbacks.length === 0)
-    addBreach('read back', `nothing was read back, ${newestAccepted.revision} was taken`);
+    addBreach('read back', `nothing was read back, ${newestAccepted.revision} was accepted`);
   for (const read of history.readbacks) {
     const back = tableOf(read.text);
     if (newestAccepted !== undefined && (back === undefined || back.revision < newestAccepted.revision))
       addBreach(
         'read back',
-        `${back?.revision ?? 'nothing'} was read back at ${seconds(read.at)}, ${newestAccepted.revision} was taken`,
+        `${back?.revision ?? 'nothing'} was read back at ${seconds(read.at)}, ${newestAccepted.revision} was accepted`,
       );
     else if (back !== undefined && history.changes.every((c) => c.text !== read.text || c.answer === 'refused'))
-      addBreach('read back', `what was read back as ${back.revision} was not sent or was refused`);
+      addBreach('read back', `the document read back as ${back.revision} was never submitted or was refused`);
   }
 
-  // Service is back 12 s after an outage. Where it has lost its last runner it may rest for as long again, and while the
-  // core is in trouble within that time.
+  // Service recovers within 12 s of an outage. After a service lost its last decode worker, it may be down for another
+  // 12 s, extended by 12 s after each control cluster fault within that time.
   const degradedPeriods = history.lastDecodeRemovedAt.map((at) => ({ from: at, to: degradedUntil(at) }));
   function degradedUntil(at: number): number {
     let until = at + recoveryTimeoutUs;
@@ -264,7 +278,7 @@
     );
     const whole = ts.filter((t) => t.ended === 'whole').length;
     if (ts.length >= 20 && whole * 4 < ts.length)
-      addBreach('recovery', `${whole} of ${ts.length} served later than 12 s after the outage of ${seconds(at)}`);
+      addBreach('recovery', `${whole} of ${ts.length} served later than 12 s after the outage at ${seconds(at)}`);
   }
   for (const x of history.unforeseen) addBreach('unforeseen', x);
   return [...out].map(([rule, b]) => ({ rule, what: b.n > 1 ? `${b.what} (and ${b.n - 1} more)` : b.what }));
@@ -280,25 +294,25 @@
     .join(', ');
 }
 
-// Pieces follow one another from where the requester was, all belong to the request, and a new run only goes on where
-// that may be. An answer that has ended as whole has its last piece and nothing behind it.
+// Events are consecutive from the client's last event on and all belong to the request; only a resumable request may get
+// events of a second run. A response that ended as complete contains its last event and nothing after it.
 function findStreamError(t: AttemptRecord): string | undefined {
   const text = Buffer.concat(t.body).toString();
   let last = t.lastEvent ?? 0;
   let run = '';
   let at = 0;
   for (const m of text.matchAll(/id: (\d+)\ndata: (\S+) (\S+) (\d+)\/(\d+)\n\n/g)) {
-    if (m.index !== at) return `bytes that are no event after piece ${last}`;
+    if (m.index !== at) return `bytes that are not an event after event ${last}`;
     at = m.index + m[0].length;
-    if (m[2] !== t.id) return `a piece of ${m[2]}`;
-    if (Number(m[1]) !== last + 1) return `piece ${m[1]} after ${last}`;
-    if (run !== '' && m[3] !== run && !t.resumable) return `pieces of ${run} and ${m[3]}`;
+    if (m[2] !== t.id) return `an event of request ${m[2]}`;
+    if (Number(m[1]) !== last + 1) return `event ${m[1]} after ${last}`;
+    if (run !== '' && m[3] !== run && !t.resumable) return `events of runs ${run} and ${m[3]}`;
     last = Number(m[1]);
     run = m[3]!;
   }
   const rest = text.slice(at);
-  if (t.ended === 'whole' && rest !== '') return 'half an event at the end of a whole answer';
-  if (t.ended === 'whole' && last !== t.pieces) return `whole with ${last} of ${t.pieces} pieces`;
+  if (t.ended === 'whole' && rest !== '') return 'incomplete event at the end of a complete response';
+  if (t.ended === 'whole' && last !== t.pieces) return `ended as complete with ${last} of ${t.pieces} events`;
   return undefined;
 }
 function findBodyError(t: AttemptRecord): string | undefined {
@@ -306,10 +320,10 @@
   const ps = Buffer.concat(t.body).toString().split(';').slice(0, -1);
   const run = ps[0]?.split(' ')[1] ?? '';
   const want = Array.from({ length: t.pieces }, (_, i) => `${t.id} ${run} ${i + 1}/${t.pieces}`);
-  return ps.join(';') === want.join(';') ? undefined : `a body of ${ps.length} of ${t.pieces} parts`;
+  return ps.join(';') === want.join(';') ? undefined : `body has ${ps.length} of ${t.pieces} parts or wrong ones`;
 }
 
-// Arrivals beyond the first of each request, where the first read that is taken up does not count.
+// Attempts beyond the first of each request. The first prefill that a worker accepts does not count.
 function findBudgetBreaches(history: PassedHistory, deployment: PassedDeployment): string[] {
   const [extraTimes, firstPrefills, seen] = [new Map<string, number[]>(), new Set<string>(), new Set<string>()];
   for (const a of history.arrivals) {
@@ -341,9 +355,7 @@
         retryRatio * Math.max(count(from), count(from - budgetWindowUs), count(from - budgetWindowUs / 2)) +
         deployment.sendSlack;
       if (n <= maxExtra) continue;
-      out.push(
-        `${n} extra sends to ${service} in the ten seconds up to ${seconds(end)}, ${Math.floor(maxExtra)} allowed`,
-      );
+      out.push(`${n} retries to ${service} in the 10 s up to ${seconds(end)} s, ${Math.floor(maxExtra)} allowed`);
       break;
     }
   }
--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -12,7 +12,7 @@
 import type { PassedTrouble, StageTroubleKind } from './passed-troubles.js';
 import { scatteredSeeds, seedCount, type SeedsOf } from './seed-lists.js';
 import type { Spoil } from './spoil.js';
-import { createVirtualCore, type VirtualCore } from './virtual-core.js';
+import { createVirtualControlCluster, type VirtualControlCluster } from './virtual-core.js';
 import { createVirtualOperator } from './virtual-operator.js';
 import { createVirtualRequesters } from './virtual-requesters.js';
 import { createVirtualTenants, noTenants } from './virtual-tenants.js';
@@ -43,7 +43,7 @@
   readonly net?: (n: Network) => void;
   readonly learning?: LearningTerms;
   // Called each second.
-  readonly look?: (s: number, core: VirtualCore, routers: readonly VirtualRouter[]) => void;
+  readonly look?: (s: number, core: VirtualControlCluster, routers: readonly VirtualRouter[]) => void;
 }
 export interface PassedDay {
   readonly history: PassedHistory;
@@ -87,10 +87,10 @@
   const losses = names.length >= 5 ? 2 : 1;
   const budget = { machines: losses, zones: 0, regions: 0 };
   const wantedReplicas = targetReplicaCount(budget);
-  const core = createVirtualCore(g, workers, {
+  const core = createVirtualControlCluster(g, workers, {
     seeds: firstSeeds(),
-    wantedReplicas,
-    founderCount: bootstrapSizeFor(budget),
+    targetReplicas: wantedReplicas,
+    bootstrapSize: bootstrapSizeFor(budget),
   });
   function firstSeeds(): string[] {
     const gateways = Array.from({ length: o.gatewaySeeds ?? 0 }, (_, i) => `r${d.routers - 1 - i}`);
@@ -157,7 +157,7 @@
     net.partition(name, f);
     later(s, () => {
       net.heal(name);
-      for (const machine of core.machines.keys()) core.reached(machine);
+      for (const machine of core.machines.keys()) core.recordReconnect(machine);
     });
   }
   function restart(n: string, bootstrap = false): void {
@@ -308,11 +308,11 @@
       case 'config-change':
         return void operator.change();
       case 'config-race':
-        return void operator.race();
+        return void operator.submitRace();
       case 'config-storm':
-        return void operator.storm(5);
+        return void operator.burst(5);
       case 'config-invalid':
-        return void operator.invalid();
+        return void operator.submitInvalid();
       case 'key-taken':
         tenants.change('taken');
         return void operator.change();
@@ -323,10 +323,10 @@
         tenants.change('moved');
         return void operator.change();
       case 'tenant-presses':
-        tenants.press(pressingShare);
+        tenants.setPressingShare(pressingShare);
         requesters.crowd = 3 * usual;
         return later(s, () => {
-          tenants.press(0);
+          tenants.setPressingShare(0);
           requesters.crowd = usual;
         });
       case 'seeds-exchanged':
@@ -366,8 +366,8 @@
         return replace(k, t.do === 'core-replaced-planned', s);
       case 'disk-wiped-after-ack': {
         trouble('core', t.do, s + 2);
-        operator.onTaken = (m) => {
-          operator.onTaken = undefined;
+        operator.onAccepted = (m) => {
+          operator.onAccepted = undefined;
           const others = o.spoil === 'two-disks-lost' ? coreNames.filter((n) => n !== m.name).slice(0, 1) : [];
           for (const n of [m.name, ...others]) {
             noteMachine(n, t.do, s + 2);
@@ -462,7 +462,7 @@
   }
 
   let firstTaken = false;
-  void operator.first().then(() => (firstTaken = true));
+  void operator.submitFirst().then(() => (firstTaken = true));
   await e.run(us(start));
   if (!firstTaken) h.unforeseen.push('the first document was not taken before traffic');
   h.from = e.now();
@@ -472,7 +472,7 @@
   for (let s = 1; o.look !== undefined && s <= o.span; s += 1) e.at(us(start + s), () => o.look!(s, core, routers));
   if (o.closing !== 'none') e.at(us(start + o.span - 1), () => void close());
   await e.run(us(end));
-  void operator.readAgain(contact);
+  void operator.readRepeatedly(contact);
   await e.run(us(end + 9));
   h.to = e.now();
   return { history: h, events: e.scheduledCount(), figures: routers.map((r) => r.figures()) };
--- a/packages/simulator/src/pass-through/passed-history.ts
+++ b/packages/simulator/src/pass-through/passed-history.ts
@@ -1,6 +1,6 @@
 /**
- * What a day showed, as the checks read it: tries of requesters and what came back, arrivals and runs at workers,
- * changes of the document and their answers, what governed at each router, and when which machine was in trouble.
+ * The recorded history of a simulated run, as input of the checks: client attempts and their responses, arrivals and
+ * runs at workers, configuration changes and their answers, the documents applied by each router, and all faults.
  */
 
 import type { KeyDigest } from '@tansypost/paths';
@@ -27,7 +27,7 @@
   readonly streaming: boolean;
   readonly resumable: boolean;
   readonly repeatable: boolean;
-  // The last piece that the answer has.
+  // Number of events of the complete response.
   readonly pieces: number;
   router: string;
   readAt: number | undefined;
@@ -35,11 +35,11 @@
   ended: AttemptOutcome;
   why: string;
   firstByteAt: number | undefined;
-  /** The longest time between two arrivals of bytes of the answer. */
+  /** Longest time between two arrivals of response bytes. */
   maxGapUs: number;
-  /** Tokens of its prompt, and those of its answer. */
+  /** Prompt tokens plus the weighted output tokens. */
   readonly costTokens: number;
-  /** Who sent it, and the digest of the key that it bears. */
+  /** The tenant that sent it, and the digest of the API key it carries. */
   readonly tenant?: string | undefined;
   readonly keyDigest?: KeyDigest | undefined;
   readonly body: Buffer[];
@@ -52,12 +52,12 @@
   readonly worker: string;
   readonly service: string;
   readonly router: string;
-  // The tenant that the worker was told of, and whether it got what bears the key.
+  // The tenant named to the worker, and whether the worker received the headers with the key.
   readonly tenant: string | undefined;
   readonly gotCredentials: boolean;
-  // 421: another worker has the address.
+  // Answered 421: the address now belongs to another worker.
   wasMisdirected: boolean;
-  // A read that was taken up.
+  // Whether the worker accepted the prefill.
   wasAccepted: boolean;
 }
 export interface RunRecord {
@@ -66,10 +66,10 @@
   readonly run: string;
   readonly worker: string;
   readonly service: string;
-  // The request whose memory it goes on from.
+  // The request whose KV cache the run decodes from.
   readonly kvSourceRequest: string | undefined;
 }
-/** An order that reached a worker. */
+/** A stage order that reached a worker. */
 export interface StageOrderRecord {
   readonly at: number;
   readonly worker: string;
@@ -82,11 +82,11 @@
 }
 export interface ChangeRecord {
   readonly revision: number;
-  readonly base: number;
+  readonly readCurrentRevision: number;
   readonly text: string;
   readonly valid: boolean;
   readonly at: number;
-  // Taken, refused for good, or without a clear answer.
+  // Accepted, refused for good, or of unknown outcome.
   answer: 'open' | 'taken' | 'refused' | 'unclear';
   answeredAt: number | undefined;
 }
@@ -98,7 +98,7 @@
   readonly text: string;
 }
 export interface FaultRecord {
-  // A machine, or `core` for one of its machines or the links between them, or `list`.
+  // A machine; `core` for a control node or a link between control nodes; or `list` for the worker list.
   readonly who: string;
   readonly what: string;
   readonly from: number;
@@ -112,18 +112,18 @@
   readonly changes: ChangeRecord[];
   readonly applied: AppliedRecord[];
   readonly troubles: FaultRecord[];
-  // When the list showed a worker as leaving or gone.
+  // When the worker list first showed a worker as leaving or gone, by worker id.
   readonly leavingVisibleAt: Map<string, number>;
-  // Starts of a router's life, and its end.
+  // The incarnations of each router, with start and end.
   readonly lives: { readonly router: string; readonly life: number; readonly from: number; to: number }[];
   readonly unforeseen: string[];
-  /** Tokens that workers read, of these shared parts read again, and tokens of memory moved. */
+  /** Tokens prefilled by workers, those of them that belong to recently prefilled shared parts, and KV tokens moved. */
   readonly costs: { read: number; reread: number; moved: number };
-  // When all had been killed, until which moment.
+  // Ends of outages in which all control nodes had been killed.
   outageEnds: number[];
-  // When the last decode worker of a service was taken away for good.
+  // When a service permanently lost its last decode worker.
   readonly lastDecodeRemovedAt: number[];
-  /** What was read back at the end of the day, asked for again and again. */
+  /** Configurations read back repeatedly at the end of the run. */
   readonly readbacks: { readonly text: string; readonly at: number }[];
   from: number;
   to: number;
--- a/packages/simulator/src/pass-through/tenant-checks.ts
+++ b/packages/simulator/src/pass-through/tenant-checks.ts
@@ -1,7 +1,6 @@
 /**
- * What must never happen to requests that bear keys: a worker is told of another tenant or gets the key, a request runs
- * with a key that was never given out or was taken away, one is refused though its key is sound, or a tenant is left
- * unserved. `mayGovern` gives the documents that may have governed a try until a moment.
+ * Invariants of tenants and API keys. Breaches: a worker is told the wrong tenant or receives the key, a request runs
+ * with a key that was never issued or has been revoked, a request with a valid key is denied, or a tenant is starved.
  */
 import type { Route, RouteTable, Tenant } from '@tansypost/paths';
 import { hostOf } from './paths-drawn.js';
@@ -9,11 +8,12 @@
 import type { ArrivalRecord, PassedHistory, RunRecord, AttemptRecord } from './passed-history.js';
 import { tableOf } from './submit.js';
 
+/** Returns the route tables that may have been in force for an attempt up to the given time. */
 export type MayGovern = (t: AttemptRecord, until: number) => readonly RouteTable[];
 
-/** A tenant with fewer requests than this is not looked at. */
+/** Tenants with fewer requests than this are not checked for starvation. */
 const minRequests = 20;
-/** A tenant may be served so many times less often than all. */
+/** The served share of all requests may exceed that of one tenant by at most this factor. */
 const maxServedRatio = 4;
 
 function routeIn(table: RouteTable, t: AttemptRecord): Route | undefined {
@@ -24,7 +24,7 @@
   return keyDigest === undefined ? undefined : table.tenants?.find((x) => x.keyDigests.includes(keyDigest));
 }
 
-/** Whether the table has its path and, where that asks for one, its key. */
+/** Whether the table has a route for the attempt and knows its key, if the route requires one. */
 function allows(table: RouteTable, t: AttemptRecord): boolean {
   const route = routeIn(table, t);
   if (route === undefined) return false;
@@ -33,14 +33,17 @@
 
 function checkArrival(a: ArrivalRecord, t: AttemptRecord, mayGovern: MayGovern): PassedBreach | undefined {
   const tables = mayGovern(t, a.at).filter((table) => allows(table, t));
-  // What nothing allows is told of as a run.
+  // A request that no table allows is reported by checkRun.
   if (tables.length === 0) return undefined;
   const where = `${a.request} (${a.doing}) at ${a.worker}, sent by ${a.router} at ${seconds(a.sentAt)}`;
   if (a.gotCredentials && tables.every((table) => table.tenants !== undefined))
     return { rule: 'key passed on', what: where };
   const holders = tables.map((table) => tenantIn(table, t)?.name);
   if (holders.includes(a.tenant)) return undefined;
-  return { rule: 'wrong tenant', what: `${where}: as ${a.tenant ?? 'nobody'}, not ${holders.join(' or ')}` };
+  return {
+    rule: 'wrong tenant',
+    what: `${where}: as tenant ${a.tenant ?? 'nobody'} instead of ${holders.join(' or ')}`,
+  };
 }
 
 function checkRun(
@@ -52,7 +55,7 @@
   const tables = mayGovern(t, r.at);
   if (tables.some((table) => allows(table, t)) || tables.every((table) => routeIn(table, t) === undefined))
     return undefined;
-  const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'nobody'} ran at ${r.worker} at ${seconds(r.at)}`;
+  const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'no tenant'} ran at ${r.worker} at ${seconds(r.at)}`;
   return { rule: submitted.some((table) => allows(table, t)) ? 'dropped key' : 'unknown key', what };
 }
 
@@ -73,11 +76,11 @@
     .filter(([, tasks]) => tasks.size >= minRequests && servedShareOf([...tasks]) * maxServedRatio < all)
     .map(([tenant, tasks]) => ({
       rule: 'starved',
-      what: `${tenant}: ${percent(servedShareOf([...tasks]))} of ${tasks.size} served, of all ${percent(all)}`,
+      what: `${tenant}: ${percent(servedShareOf([...tasks]))} of ${tasks.size} requests served, ${percent(all)} over all tenants`,
     }));
 }
 
-/** Every breach of what holds for tenants and their keys; none on days whose documents have no tenants and heads no keys. */
+/** Returns every breach of the tenant and key invariants; none if no document has tenants and no request has a key. */
 export function checkTenants(history: PassedHistory, mayGovern: MayGovern): PassedBreach[] {
   const attempts = new Map(history.tries.map((t) => [t.id, t]));
   const submitted = history.changes
@@ -98,7 +101,7 @@
     if (t.ended === 'unknown_key' && mayGovern(t, t.end!).every((table) => allows(table, t)))
       out.push({
         rule: 'denied',
-        what: `${t.id} (${t.kind}) of ${t.tenant ?? 'nobody'} at ${t.router}, ended at ${seconds(t.end!)}`,
+        what: `${t.id} (${t.kind}) of ${t.tenant ?? 'no tenant'} at ${t.router}, ended at ${seconds(t.end!)}`,
       });
   return [...out.filter((breach) => breach !== undefined), ...checkStarvation(history)];
 }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -1,6 +1,6 @@
 /**
- * The machines of the core in a virtual day: each a keeper on its own disk, with the feed to routers and the way for
- * operators' changes, wired as the programs wire them.
+ * The control cluster of a simulated run. Each machine runs a control node on its own disk with the configuration feed
+ * for routers and the submission of operators' changes, wired as in the real programs.
  */
 import {
   configurationKey,
@@ -28,25 +28,25 @@
 import { switchTime } from './virtual-worker.js';
 import type { VirtualWorkers } from './virtual-workers.js';
 
-export interface CoreMachine extends SimulatedMachine {
+export interface ControlMachine extends SimulatedMachine {
   learning: ControlNodeLearning | undefined;
   submit: (text: string, base: number) => Promise<SubmitAnswer>;
   read: () => Promise<ControlResponse>;
 }
-export interface VirtualCore {
-  readonly machines: Map<string, CoreMachine>;
-  readonly add: (name: string) => CoreMachine;
+export interface VirtualControlCluster {
+  readonly machines: Map<string, ControlMachine>;
+  readonly add: (name: string) => ControlMachine;
   readonly start: (name: string, bootstrap: boolean) => void;
   readonly kill: (name: string, power: boolean) => void;
   readonly wake: (name: string) => void;
-  /** A link of the machine has healed. */
-  readonly reached: (name: string) => void;
-  // SIGTERM: hands its place on, then ends.
+  /** To be called when a link of the machine has healed. */
+  readonly recordReconnect: (name: string) => void;
+  // SIGTERM: leaves the cluster gracefully, then exits.
   readonly leave: (name: string) => void;
-  readonly running: () => CoreMachine[];
-  /** The seeds that the settings of this machine name now. */
+  readonly running: () => ControlMachine[];
+  /** The seeds currently named in the settings of this machine. */
   readonly seeds: (machine: string) => readonly Address[];
-  /** From now on the settings of each machine name these machines. */
+  /** Changes the seeds named in the settings of each machine. */
   readonly reseed: (seedsOf: SeedsOf) => void;
   readonly listDown: (on: boolean) => void;
   readonly fetchList: (
@@ -54,34 +54,38 @@
     proc: SimProcess,
   ) => () => Promise<ReturnType<VirtualWorkers['list']> | undefined>;
 }
-export interface VirtualCoreOptions {
-  /** The machines that all are told of at the first start. */
+export interface VirtualControlClusterOptions {
+  /** The seeds in the settings of all machines at the first start. */
   readonly seeds: readonly string[];
-  readonly wantedReplicas: number;
-  readonly founderCount: BootstrapSize;
+  readonly targetReplicas: number;
+  readonly bootstrapSize: BootstrapSize;
 }
-const patience = 850_000;
-const betweenHolders = 3_000_000;
-const dutyTenure = 1.5 * betweenHolders;
-/** Orders of a machine that has just woken or been reached again were on their way before. */
-const wokenFor = 300_000;
+const callTimeoutUs = 850_000;
+const minTakeoverGapUs = 3_000_000;
+const roleLeaseUs = 1.5 * minTakeoverGapUs;
+/** A stage order that arrives this soon after its machine resumed or was reconnected had been sent before. */
+const inFlightGraceUs = 300_000;
 
-// A process that is asked to leave ends at the latest then.
-const longestHandOver = 6_000_000;
+// A process that is asked to leave exits after this time at the latest.
+const maxLeaveUs = 6_000_000;
 
-function answerTo(asker: ControlClient, question: ControlRequest): Promise<ControlResponse> {
-  return new Promise((done) => asker.request(question, done));
+function sendRequest(client: ControlClient, request: ControlRequest): Promise<ControlResponse> {
+  return new Promise((resolve) => client.request(request, resolve));
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
   const table = configuration === undefined ? undefined : tableOf(configuration.toString());
   return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: switchTime }));
 }
 
-export function createVirtualCore(g: Ground, workers: VirtualWorkers, options: VirtualCoreOptions): VirtualCore {
-  const { engine: e, network: net, random } = g;
-  const machines = new Map<string, CoreMachine>();
+export function createVirtualControlCluster(
+  ground: Ground,
+  workers: VirtualWorkers,
+  options: VirtualControlClusterOptions,
+): VirtualControlCluster {
+  const { engine, network, random } = ground;
+  const machines = new Map<string, ControlMachine>();
   let seedsOf: SeedsOf = firstSeeds;
-  let down = false;
+  let listIsDown = false;
 
   function firstSeeds(): readonly string[] {
     return options.seeds;
@@ -94,82 +98,86 @@
   function fetchList(machine: string, proc: SimProcess): () => Promise<ReturnType<VirtualWorkers['list']> | undefined> {
     const incarnation = proc.incarnation;
     return function fetch() {
-      return new Promise((ok) => {
-        const lost = down || net.isBlocked(machine, 'list') || net.isBlocked('list', machine);
-        const xs = lost ? undefined : workers.list();
-        e.at(e.now() + (lost ? 700_000 : 2000 + 4000 * random()), () => deliver(proc, incarnation, () => ok(xs)));
+      return new Promise((resolve) => {
+        const lost = listIsDown || network.isBlocked(machine, 'list') || network.isBlocked('list', machine);
+        const workerList = lost ? undefined : workers.list();
+        engine.at(engine.now() + (lost ? 700_000 : 2000 + 4000 * random()), () =>
+          deliver(proc, incarnation, () => resolve(workerList)),
+        );
       });
     };
   }
 
-  function add(name: string): CoreMachine {
-    const m: CoreMachine = Object.assign(addMachine(g, name), {
+  function add(name: string): ControlMachine {
+    const machine: ControlMachine = Object.assign(addMachine(ground, name), {
       learning: undefined,
       submit: async () => 'not now' as const,
       read: async () => ({ status: 'unknown', epoch: 0, version: 0, value: Buffer.alloc(0) }),
     });
-    machines.set(name, m);
-    return m;
+    machines.set(name, machine);
+    return machine;
   }
 
-  // What asks one worker for its load; a worker that is gone or out of reach gives none, after a while.
+  // Polls the load of one worker. The poll of a worker that is gone or unreachable fails after a timeout.
   function fetchLoad(machine: string, proc: SimProcess): NonNullable<FeedServerOptions['fetchWorkerLoad']> {
     const incarnation = proc.incarnation;
-    return function fetch(x) {
-      const life = workers.lifeAt(x.address);
-      const at = workers.machineAt(x.address);
+    return function fetch(worker) {
+      const life = workers.lifeAt(worker.address);
+      const at = workers.machineAt(worker.address);
       const lost =
         life === undefined ||
         !life.alive() ||
         life.isDark() ||
-        life.o.id !== x.id ||
-        net.isBlocked(machine, at) ||
-        net.isBlocked(at, machine);
-      const l = lost ? undefined : { id: x.id, ...life.load(), part: life.part() };
-      return new Promise((ok) => {
-        e.at(e.now() + (lost ? 300_000 : 2000 + 2000 * random()), () => deliver(proc, incarnation, () => ok(l)));
+        life.o.id !== worker.id ||
+        network.isBlocked(machine, at) ||
+        network.isBlocked(at, machine);
+      const load = lost ? undefined : { id: worker.id, ...life.load(), part: life.part() };
+      return new Promise((resolve) => {
+        engine.at(engine.now() + (lost ? 300_000 : 2000 + 2000 * random()), () =>
+          deliver(proc, incarnation, () => resolve(load)),
+        );
       });
     };
   }
 
   function start(name: string, bootstrap: boolean): void {
-    const m = machines.get(name)!;
-    if (m.proc.alive) return;
-    g.silent.delete(name);
-    const { world, client: asker } = startControlNode(g, m, {
+    const machine = machines.get(name)!;
+    if (machine.proc.alive) return;
+    ground.silent.delete(name);
+    const { world, client } = startControlNode(ground, machine, {
       bootstrapMembers: seeds(name).sort(),
       seeds: () => seeds(name),
       mayBootstrap: bootstrap,
-      roleLeaseUs: dutyTenure,
+      roleLeaseUs,
       antiEntropyIntervalUs: 2_000_000,
-      targetReplicas: options.wantedReplicas,
-      bootstrapSize: options.founderCount,
+      targetReplicas: options.targetReplicas,
+      bootstrapSize: options.bootstrapSize,
       feed: (proc) => ({
         fetchWorkerList: fetchList(name, proc),
         fetchWorkerLoad: fetchLoad(name, proc),
         loadPollInterval: 1_000_000,
       }),
-      attachComponents: (w, host, coreAsker, listed) => {
-        const learning = createControlNodeLearning(w, {
-          self: m.address,
+      attachComponents: (world, host, coreAsker, listed) => {
+        const learning = createControlNodeLearning(world, {
+          self: machine.address,
           member: name,
           keeper: host.core,
-          asker: askThrough(w, coreAsker),
-          trainer: createSlicedTrainer(w, g.learning?.spoil),
-          tenure: dutyTenure,
-          ...g.learning,
+          asker: askThrough(world, coreAsker),
+          trainer: createSlicedTrainer(world, ground.learning?.spoil),
+          tenure: roleLeaseUs,
+          ...ground.learning,
         });
-        m.learning = learning;
-        const recovery = createDecodeRecovery(w, {
-          self: m.address,
+        machine.learning = learning;
+        const recovery = createDecodeRecovery(world, {
+          self: machine.address,
           member: name,
           controlNode: host.core,
           workers: listed,
           services: () => servicesOf(host.core()?.replica.row(configurationKey).value),
-          record: createStoredValue(w, orderRecordKey, (question) => answerTo(coreAsker, question)),
-          workerClient: createVirtualOrders(g, workers, m.proc),
-          leaseDuration: dutyTenure,
-          minTakeoverGap: betweenHolders,
+          record: createStoredValue(world, orderRecordKey, (request) => sendRequest(coreAsker, request)),
+          workerClient: createVirtualOrders(ground, workers, machine.proc),
+          leaseDuration: roleLeaseUs,
+          minTakeoverGap: minTakeoverGapUs,
         });
         return (message, from) => {
           if (message.kind === 'BallotVote') recovery.receiveVote(message);
@@ -177,32 +185,42 @@
         };
       },
     });
-    function ask(question: ControlRequest): Promise<ControlResponse> {
-      return answerTo(asker, question);
+    function askControlCluster(request: ControlRequest): Promise<ControlResponse> {
+      return sendRequest(client, request);
     }
-    m.submit = (text, base) =>
-      submit({ ask, now: world.now, ...(g.spoil === 'invalid-let-through' ? { blind: true } : {}) }, text, base);
-    m.read = () => ask({ op: 'read', key: configurationKey, deadline: world.now() + patience });
+    machine.submit = (text, base) =>
+      submit(
+        { ask: askControlCluster, now: world.now, ...(ground.spoil === 'invalid-let-through' ? { blind: true } : {}) },
+        text,
+        base,
+      );
+    machine.read = () =>
+      askControlCluster({ op: 'read', key: configurationKey, deadline: world.now() + callTimeoutUs });
   }
 
-  function reached(name: string): void {
-    g.h.troubles.push({ who: `woken ${name}`, what: 'woken', from: e.now(), to: e.now() + wokenFor });
+  function recordReconnect(name: string): void {
+    ground.h.troubles.push({
+      who: `woken ${name}`,
+      what: 'woken',
+      from: engine.now(),
+      to: engine.now() + inFlightGraceUs,
+    });
   }
 
   function kill(name: string, power: boolean): void {
-    const m = machines.get(name)!;
+    const machine = machines.get(name)!;
     if (power) {
-      g.silent.add(name);
-      m.disk.crash();
+      ground.silent.add(name);
+      machine.disk.crash();
     }
-    killProcess(m.proc);
+    killProcess(machine.proc);
   }
   function leave(name: string): void {
-    const m = machines.get(name)!;
-    if (!m.proc.alive) return;
-    const incarnation = m.proc.incarnation;
-    m.host?.leave(longestHandOver, () => {
-      if (m.proc.incarnation === incarnation) kill(name, false);
+    const machine = machines.get(name)!;
+    if (!machine.proc.alive) return;
+    const incarnation = machine.proc.incarnation;
+    machine.host?.leave(maxLeaveUs, () => {
+      if (machine.proc.incarnation === incarnation) kill(name, false);
     });
   }
 
@@ -213,17 +231,17 @@
     kill,
     leave,
     wake: (name) => {
-      reached(name);
-      resumeProcess(e, machines.get(name)!.proc);
+      recordReconnect(name);
+      resumeProcess(engine, machines.get(name)!.proc);
     },
-    reached,
-    running: () => [...machines.values()].filter((m) => m.proc.alive),
+    recordReconnect,
+    running: () => [...machines.values()].filter((machine) => machine.proc.alive),
     seeds,
     reseed: (changed) => {
       seedsOf = changed;
     },
     listDown: (on) => {
-      down = on;
+      listIsDown = on;
     },
     fetchList,
   };
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -1,4 +1,4 @@
-/** The operators of a virtual day: each sends a change to one machine after the other until it gets a clear answer. */
+/** The operators of a simulated run. An operator submits a change to random machines until it gets a definite answer. */
 import { oneOf, sleep, type Ground } from './ground.js';
 import { drawInvalid, drawTable } from './paths-drawn.js';
 import type { ChangeRecord } from './passed-history.js';
@@ -7,163 +7,179 @@
 import type { Address } from '@tansypost/inner-protocol';
 import { deliver, type SimProcess } from '../process.js';
 import type { VirtualRouter } from './virtual-router.js';
-import type { CoreMachine, VirtualCore } from './virtual-core.js';
+import type { ControlMachine, VirtualControlCluster } from './virtual-core.js';
 import { tableOf, type SubmitAnswer } from './submit.js';
 
 export interface VirtualOperator {
-  readonly first: () => Promise<void>;
+  readonly submitFirst: () => Promise<void>;
   readonly change: () => Promise<void>;
-  readonly race: () => Promise<void>;
-  readonly storm: (n: number) => Promise<void>;
-  readonly invalid: () => Promise<void>;
-  /** Reads the configuration back, again and again for so many microseconds. */
-  readonly readAgain: (length: number) => Promise<void>;
-  readonly newest: () => number;
-  // Called when a machine's acknowledgement has come.
-  onTaken: ((m: CoreMachine) => void) | undefined;
+  readonly submitRace: () => Promise<void>;
+  readonly burst: (n: number) => Promise<void>;
+  readonly submitInvalid: () => Promise<void>;
+  /** Reads the configuration back repeatedly for the given number of microseconds. */
+  readonly readRepeatedly: (durationUs: number) => Promise<void>;
+  readonly newestAccepted: () => number;
+  // Called with the machine whose acknowledgement has arrived.
+  onAccepted: ((machine: ControlMachine) => void) | undefined;
 }
-const silence = 1_000_000;
-const patience = 12_000_000;
-const betweenReads = 200_000;
+const callTimeoutUs = 1_000_000;
+const submitTimeoutUs = 12_000_000;
+const readbackIntervalUs = 200_000;
 
-/** A machine that serves control: one that holds its state, or one that sends callers on. */
-type Server =
-  | { readonly kind: 'control node'; readonly machine: CoreMachine }
+/** A machine that accepts control calls: a control node, or a gateway that redirects callers to one. */
+type ControlEndpoint =
+  | { readonly kind: 'control node'; readonly machine: ControlMachine }
   | { readonly kind: 'gateway'; readonly router: VirtualRouter };
 
 export function createVirtualOperator(
-  g: Ground,
-  core: VirtualCore,
+  ground: Ground,
+  core: VirtualControlCluster,
   gateways: () => readonly VirtualRouter[],
 ): VirtualOperator {
-  const { engine: e, network: net, random, h } = g;
+  const { engine, network, random, h: history } = ground;
 
-  function servers(): Server[] {
-    const nodes = core.running().map((machine): Server => ({ kind: 'control node', machine }));
+  function runningEndpoints(): ControlEndpoint[] {
+    const nodes = core.running().map((machine): ControlEndpoint => ({ kind: 'control node', machine }));
     const others = gateways().filter((router) => router.proc.alive);
-    return [...nodes, ...others.map((router): Server => ({ kind: 'gateway', router }))];
+    return [...nodes, ...others.map((router): ControlEndpoint => ({ kind: 'gateway', router }))];
   }
 
-  /** The answer of one machine, after being sent on once where it holds no state, and the machine that gave it. */
-  async function callAny<T>(f: (m: CoreMachine) => Promise<T>, none: T): Promise<{ answer: T; by?: CoreMachine }> {
-    const server = oneOf(servers(), random());
-    if (server === undefined) return { answer: none };
-    if (server.kind === 'control node') return { answer: await call(server.machine, f, none), by: server.machine };
-    const address = await redirected(server.router);
-    const machine = [...core.machines.values()].find((m) => m.address === address);
-    if (machine === undefined) return { answer: none };
-    return { answer: await call(machine, f, none), by: machine };
+  /** Calls a random endpoint, following one redirect of a gateway. Returns the answer and the machine that gave it. */
+  async function callAny<T>(
+    operation: (machine: ControlMachine) => Promise<T>,
+    fallback: T,
+  ): Promise<{ answer: T; by?: ControlMachine }> {
+    const endpoint = oneOf(runningEndpoints(), random());
+    if (endpoint === undefined) return { answer: fallback };
+    if (endpoint.kind === 'control node')
+      return { answer: await call(endpoint.machine, operation, fallback), by: endpoint.machine };
+    const address = await askGateway(endpoint.router);
+    const machine = [...core.machines.values()].find((machine) => machine.address === address);
+    if (machine === undefined) return { answer: fallback };
+    return { answer: await call(machine, operation, fallback), by: machine };
   }
 
-  function redirected(router: VirtualRouter): Promise<Address | undefined> {
+  function askGateway(router: VirtualRouter): Promise<Address | undefined> {
     return exchange(router.machine, router.proc, async () => router.controlNode(), undefined);
   }
 
-  function call<T>(m: CoreMachine, f: (m: CoreMachine) => Promise<T>, none: T): Promise<T> {
-    return exchange(m.name, m.proc, () => f(m), none);
+  function call<T>(
+    machine: ControlMachine,
+    operation: (machine: ControlMachine) => Promise<T>,
+    fallback: T,
+  ): Promise<T> {
+    return exchange(machine.name, machine.proc, () => operation(machine), fallback);
   }
 
-  /** A call over the network to a process; after a second of silence it is given up. */
-  function exchange<T>(machine: string, proc: SimProcess, f: () => Promise<T>, none: T): Promise<T> {
-    return new Promise((done) => {
-      let over = false;
-      function end(x: T): void {
-        if (over) return;
-        over = true;
-        done(x);
+  /** A call over the network to a process. It times out after `callTimeoutUs`. */
+  function exchange<T>(machine: string, proc: SimProcess, operation: () => Promise<T>, fallback: T): Promise<T> {
+    return new Promise((resolve) => {
+      let isSettled = false;
+      function settle(x: T): void {
+        if (isSettled) return;
+        isSettled = true;
+        resolve(x);
       }
-      e.at(e.now() + silence, () => end(none));
-      const there = createPipe(e, net, 'operator', machine);
-      const back = createPipe(e, net, machine, 'operator');
+      engine.at(engine.now() + callTimeoutUs, () => settle(fallback));
+      const toMachine = createPipe(engine, network, 'operator', machine);
+      const toOperator = createPipe(engine, network, machine, 'operator');
       const { incarnation } = proc;
-      there(() =>
+      toMachine(() =>
         deliver(proc, incarnation, () => {
-          void f().then((x) => back(() => end(x)));
+          void operation().then((x) => toOperator(() => settle(x)));
         }),
       );
     });
   }
 
-  async function send(text: string, revision: number, base: number, valid: boolean): Promise<ChangeRecord> {
-    const c: ChangeRecord = { revision, base, text, valid, at: e.now(), answer: 'open', answeredAt: undefined };
-    h.changes.push(c);
-    let pause = 100_000;
-    while (e.now() - c.at < patience) {
-      const { answer: x, by } = await callAny<SubmitAnswer>((m) => m.submit(text, base), 'not now');
+  async function send(text: string, revision: number, baseRevision: number, valid: boolean): Promise<ChangeRecord> {
+    const c: ChangeRecord = {
+      revision,
+      readCurrentRevision: baseRevision,
+      text,
+      valid,
+      at: engine.now(),
+      answer: 'open',
+      answeredAt: undefined,
+    };
+    history.changes.push(c);
+    let delayUs = 100_000;
+    while (engine.now() - c.at < submitTimeoutUs) {
+      const { answer: x, by } = await callAny<SubmitAnswer>((machine) => machine.submit(text, baseRevision), 'not now');
       if (x !== 'not now') {
         c.answer = x;
-        c.answeredAt = e.now();
-        if (x === 'taken') self.onTaken?.(by!);
+        c.answeredAt = engine.now();
+        if (x === 'taken') self.onAccepted?.(by!);
         return c;
       }
-      await sleep(g, pause);
-      pause = Math.min(1_000_000, pause * 1.5);
+      await sleep(ground, delayUs);
+      delayUs = Math.min(1_000_000, delayUs * 1.5);
     }
     c.answer = 'unclear';
     return c;
   }
 
-  function newest(): number {
-    return Math.max(0, ...h.changes.filter((c) => c.answer === 'taken').map((c) => c.revision));
+  function newestAccepted(): number {
+    return Math.max(0, ...history.changes.filter((c) => c.answer === 'taken').map((c) => c.revision));
   }
-  // What is in place, as far as anybody tells.
+  // The revision in force as read back, else the newest accepted one.
   async function base(): Promise<number> {
     const text = await readBack();
-    return (text === undefined ? undefined : tableOf(text)?.revision) ?? newest();
+    return (text === undefined ? undefined : tableOf(text)?.revision) ?? newestAccepted();
   }
-  function draw(b: number): { text: string; revision: number } {
-    const revision = b + 1 + Math.floor(random() * 4);
+  function drawChange(current: number): { text: string; revision: number } {
+    const revision = current + 1 + Math.floor(random() * 4);
     return {
-      text: JSON.stringify(drawTable(g.d, b === 0 ? 1 : revision, random, g.tenants.wanted())),
-      revision: b === 0 ? 1 : revision,
+      text: JSON.stringify(drawTable(ground.d, current === 0 ? 1 : revision, random, ground.tenants.nextTenants())),
+      revision: current === 0 ? 1 : revision,
     };
   }
   async function change(): Promise<void> {
-    const b = await base();
-    const x = draw(b);
-    await send(x.text, x.revision, b, true);
+    const current = await base();
+    const x = drawChange(current);
+    await send(x.text, x.revision, current, true);
   }
 
   async function readBack(): Promise<string | undefined> {
     for (let i = 0; i < 8; i += 1) {
-      const { answer: a } = await callAny<ControlResponse | undefined>((m) => m.read(), undefined);
-      if (a?.status === 'value' && a.version > 0) return a.value.toString();
-      if (a?.status === 'value') return undefined;
-      await sleep(g, 300_000);
+      const { answer: response } = await callAny<ControlResponse | undefined>((machine) => machine.read(), undefined);
+      if (response?.status === 'value' && response.version > 0) return response.value.toString();
+      if (response?.status === 'value') return undefined;
+      await sleep(ground, 300_000);
     }
     return undefined;
   }
 
-  async function readAgain(length: number): Promise<void> {
-    const until = e.now() + length;
-    while (e.now() < until) {
+  async function readRepeatedly(length: number): Promise<void> {
+    const until = engine.now() + length;
+    while (engine.now() < until) {
       const text = await readBack();
-      if (text !== undefined) h.readbacks.push({ text, at: e.now() });
-      await sleep(g, betweenReads);
+      if (text !== undefined) history.readbacks.push({ text, at: engine.now() });
+      await sleep(ground, readbackIntervalUs);
     }
   }
 
   const self: VirtualOperator = {
-    onTaken: undefined,
-    newest,
-    readAgain,
-    first: change,
+    onAccepted: undefined,
+    newestAccepted,
+    readRepeatedly,
+    submitFirst: change,
     change,
-    race: async () => {
-      const b = await base();
-      const [x, y] = [draw(b), draw(b)];
-      // Two of one revision could not be told apart.
+    submitRace: async () => {
+      const current = await base();
+      const [x, y] = [drawChange(current), drawChange(current)];
+      // Two changes of the same revision could not be distinguished.
       const other = y.revision === x.revision ? { ...y, revision: y.revision + 4 } : y;
       const text = JSON.stringify({ ...(JSON.parse(y.text) as object), revision: other.revision });
-      await Promise.all([send(x.text, x.revision, b, true), send(text, other.revision, b, true)]);
+      await Promise.all([send(x.text, x.revision, current, true), send(text, other.revision, current, true)]);
     },
-    storm: async (n) => {
+    burst: async (n) => {
       for (let i = 0; i < n; i += 1) await change();
     },
-    invalid: async () => {
-      const b = await base();
-      const text = drawInvalid(g.d, b, random, g.tenants.wanted());
-      await send(text, b + 1, b, false);
+    submitInvalid: async () => {
+      const current = await base();
+      const text = drawInvalid(ground.d, current, random, ground.tenants.nextTenants());
+      await send(text, current + 1, current, false);
     },
   };
   return self;
--- a/packages/simulator/src/pass-through/virtual-orders.ts
+++ b/packages/simulator/src/pass-through/virtual-orders.ts
@@ -1,4 +1,4 @@
-/** The way from one life of a control node to the virtual workers: reports, and orders to change their stage. */
+/** The stage client of one control node process in the simulation: worker reports, and orders to change the stage. */
 import type { ListedWorker } from '@tansypost/control-feed';
 import { hash32, createSeededRandom } from '@tansypost/inner-protocol';
 import type { OrderOutcome, StageOrder, WorkerStageClient } from '@tansypost/worker-stages';
@@ -8,8 +8,8 @@
 import type { VirtualWorkers } from './virtual-workers.js';
 import type { WorkerLife } from './virtual-worker.js';
 
-/** How long an answer is waited for; what a cut holds up then is lost, as the connection is reset. */
-const patience = 400_000;
+/** Response timeout. Messages that a partition still holds up then are lost, as the connection is reset. */
+const responseTimeoutUs = 400_000;
 const outcomes: { readonly [status: number]: OrderOutcome } = {
   200: 'holds',
   202: 'accepted',
@@ -18,35 +18,35 @@
   421: 'other',
 };
 
-/** The orders of the control node `proc` on a machine of that name. */
+/** Creates the stage client of the control node process `proc`. */
 export function createVirtualOrders(ground: Ground, workers: VirtualWorkers, proc: SimProcess): WorkerStageClient {
-  const { engine: engine, network: net, h: history } = ground;
+  const { engine, network, h: history } = ground;
   const { machine, incarnation } = proc;
-  // How often workers are asked for reports shifts no other draw of the day.
+  // A separate generator, so that the number of report polls does not shift the other random draws of the run.
   const drawReport = createSeededRandom(hash32(machine) + incarnation);
 
-  /** Calls the worker that has the address; undefined where no answer comes in time. */
-  function call<T>(worker: ListedWorker, ask: (life: WorkerLife) => T, draw?: () => number): Promise<T | undefined> {
-    return new Promise((done) => {
-      const away = workers.machineAt(worker.address);
-      const there = createPipe(engine, net, machine, away, draw);
-      const back = createPipe(engine, net, away, machine, draw);
-      let over = false;
-      function end(answer: T | undefined): void {
-        if (!over) deliver(proc, incarnation, () => done(answer));
-        over = true;
+  /** Calls the worker at the address. Returns undefined if no answer arrives in time. */
+  function call<T>(worker: ListedWorker, query: (life: WorkerLife) => T, draw?: () => number): Promise<T | undefined> {
+    return new Promise((resolve) => {
+      const workerMachine = workers.machineAt(worker.address);
+      const toWorker = createPipe(engine, network, machine, workerMachine, draw);
+      const toControlNode = createPipe(engine, network, workerMachine, machine, draw);
+      let isSettled = false;
+      function settle(answer: T | undefined): void {
+        if (!isSettled) deliver(proc, incarnation, () => resolve(answer));
+        isSettled = true;
       }
-      engine.at(engine.now() + patience, () => end(undefined));
-      there(() => {
+      engine.at(engine.now() + responseTimeoutUs, () => settle(undefined));
+      toWorker(() => {
         const life = workers.lifeAt(worker.address);
-        if (over || life === undefined || !life.alive() || life.isDark()) return;
-        const answer = ask(life);
-        back(() => end(answer));
+        if (isSettled || life === undefined || !life.alive() || life.isDark()) return;
+        const answer = query(life);
+        toControlNode(() => settle(answer));
       });
     });
   }
 
-  function take(order: StageOrder, life: WorkerLife): number {
+  function deliverOrder(order: StageOrder, life: WorkerLife): number {
     const { stage, holder, fence, ordersTaken, worker } = order;
     const status = life.order({ part: stage, holder, fence, ordersTaken, target: worker.id });
     history.orders.push({ at: engine.now(), worker: life.o.id, machine, holder, fence, stage, status });
@@ -65,7 +65,7 @@
         drawReport,
       ),
     order: async (order) => {
-      const status = await call(order.worker, (life) => take(order, life));
+      const status = await call(order.worker, (life) => deliverOrder(order, life));
       return status === undefined ? 'unknown' : (outcomes[status] ?? 'refused');
     },
   };
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -122,7 +122,7 @@
     const client = `${zone}/${Math.floor(drawClient() * (d.clientsPerZone ?? usualClients))}`;
     const impatient = random() < 0.1;
     const most = impatient ? 4 : 1 + k.furtherTries;
-    const { tenant, key } = g.tenants.bearer(client, k.public === true);
+    const { tenant, key } = g.tenants.credentialsFor(client, k.public === true);
     const keyDigest = key === undefined ? undefined : digestOfKey(key);
     const prompt = k.draw === undefined ? usualPrompt(k, task) : drawnPrompt(k, k.draw, task);
     let tries = 0;
@@ -187,7 +187,7 @@
         if (connection.open) kept.set(client, connection);
         const rest = began + k.budget - e.now();
         const may = k.repeatable || k.resumable || how === 'refused' || how === 'unread';
-        if (how === 'unknown_key' && key !== undefined) g.tenants.refused(client, key);
+        if (how === 'unknown_key' && key !== undefined) g.tenants.recordRefusal(client, key);
         if (isFinal(how) || !may || tries >= most) return;
         if (k.resumable) {
           const ids = [
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -36,7 +36,7 @@
 import { createPipe } from './pipe.js';
 import { isLeftOut, spoiledTable, spoiledTellings } from './spoiled-tenants.js';
 import { tableOf } from './submit.js';
-import type { VirtualCore } from './virtual-core.js';
+import type { VirtualControlCluster } from './virtual-core.js';
 import { createVirtualPort } from './virtual-port.js';
 import type { VirtualWorkers } from './virtual-workers.js';
 
@@ -133,7 +133,7 @@
 
 export function createVirtualRouter(
   g: Ground,
-  core: VirtualCore,
+  core: VirtualControlCluster,
   workers: VirtualWorkers,
   place: RouterPlace,
   resets: () => number,
@@ -302,7 +302,7 @@
   function left(): void {
     killProcess(proc);
     course = undefined;
-    ended('the router left in order', false);
+    ended('router shut down gracefully', false);
     e.at(e.now() + startAgainAfter, start);
   }
 
--- a/packages/simulator/src/pass-through/virtual-tenants.ts
+++ b/packages/simulator/src/pass-through/virtual-tenants.ts
@@ -1,72 +1,72 @@
 /**
- * The tenants of a virtual day: the keys that the operator's next document gives them, and those that their clients
- * bear. A client keeps its key until it is refused, also when the key has been taken away; a few requests bear a key
- * that was dropped, one that was never given out, or none.
+ * The tenants of a simulated run: the API keys in the operator's next document, and those that their clients send. A
+ * client keeps its key until it is refused, even if the key has been revoked meanwhile. A few requests carry a revoked
+ * key, a key that was never issued, or none.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { digestOfKey, type Tenant } from '@tansypost/paths';
 import type { TenantShape } from './passed-deployment.js';
 
-/** What a new document does to keys. */
+/** The change of keys in a new document: one is revoked, issued, or moved to another tenant. */
 export type KeyChange = 'taken' | 'given' | 'moved';
 
-/** Who sends a request, and with which key. */
-export interface Bearer {
+/** The tenant that sends a request, and the API key it carries. */
+export interface ClientCredentials {
   readonly tenant?: string;
   readonly key?: string;
 }
 
-/** The tenants as operators and clients know them. */
+/** The tenants, as operators and clients see them. */
 export interface VirtualTenants {
-  /** As the next document has them; undefined where documents have none. */
-  readonly wanted: () => readonly Tenant[] | undefined;
+  /** The tenants of the next document; undefined if documents have none. */
+  readonly nextTenants: () => readonly Tenant[] | undefined;
   readonly change: (what: KeyChange) => void;
-  /** While a tenant presses, this share of all requests is its own. */
-  readonly press: (share: number) => void;
-  /** What the next request of a client bears; `open` where its route needs no key. */
-  readonly bearer: (client: string, open: boolean) => Bearer;
-  /** The key of this client was refused. */
-  readonly refused: (client: string, key: string) => void;
+  /** Makes the largest tenant send this additional share of all requests, from 0 to 1. */
+  readonly setPressingShare: (share: number) => void;
+  /** The credentials of a client's next request. `open`: its route needs no key. */
+  readonly credentialsFor: (client: string, open: boolean) => ClientCredentials;
+  /** To be called when the key of this client was refused. */
+  readonly recordRefusal: (client: string, key: string) => void;
 }
 
-/** Tenants of a deployment that has none. */
+/** For deployments without tenants. */
 export const noTenants: VirtualTenants = {
-  wanted: () => undefined,
+  nextTenants: () => undefined,
   change: () => undefined,
-  press: () => undefined,
-  bearer: () => ({}),
-  refused: () => undefined,
+  setPressingShare: () => undefined,
+  credentialsFor: () => ({}),
+  recordRefusal: () => undefined,
 };
 
 interface TenantState {
   readonly name: string;
-  readonly rank: number | undefined;
+  readonly priority: number | undefined;
   readonly keys: string[];
 }
 
-/** How often a client takes up another key of its tenant by itself. */
-const rotates = 0.05;
-const bearsDropped = 0.03;
-const bearsStray = 0.01;
-const bearsNone = 0.01;
-const openWithoutKey = 0.5;
-/** How often keys are changed at the largest tenant, whose clients are sure to notice. */
-const changesLargest = 0.5;
+/** Probability that a client switches to another key of its tenant without having been refused. */
+const keyRotationShare = 0.05;
+const revokedKeyShare = 0.03;
+const unknownKeyShare = 0.01;
+const missingKeyShare = 0.01;
+const publicWithoutKeyShare = 0.5;
+/** Share of key changes that affect the largest tenant, which has enough clients for the change to be noticed. */
+const largestTenantChangeShare = 0.5;
 
-/** Draws from numbers of its own, so that the other draws of a day do not depend on whether there are tenants. */
+/** Uses its own random generator, so that the other draws of a run do not depend on whether there are tenants. */
 export function createVirtualTenants(shape: TenantShape, seed: number): VirtualTenants {
   const random = createSeededRandom(seed * 104_729 + 3);
   const states = Array.from({ length: shape.tenants }, (_, n) => createState(n));
-  const dropped: string[] = [];
+  const revokedKeys: string[] = [];
   const tenantOfClient = new Map<string, TenantState>();
   const keyOfClient = new Map<string, string>();
-  let given = shape.keys;
-  let pressing = 0;
+  let issuedKeys = shape.keys;
+  let pressingShare = 0;
 
   function createState(n: number): TenantState {
     const keys = Array.from({ length: shape.keys }, (_, k) => `key ${k} of t${n}`);
-    // The least of them goes before the routes' own order.
-    return { name: `t${n}`, rank: n === shape.tenants - 1 ? 0 : undefined, keys };
+    // The smallest tenant has a priority of its own, ahead of the routes' priorities.
+    return { name: `t${n}`, priority: n === shape.tenants - 1 ? 0 : undefined, keys };
   }
   function pick<T>(from: readonly T[]): T {
     return from[Math.floor(random() * from.length)]!;
@@ -77,72 +77,74 @@
     return pick(isLarge ? states.slice(0, shape.large) : states.slice(shape.large));
   }
   function tenantOf(client: string): TenantState {
-    const had = tenantOfClient.get(client);
-    if (had !== undefined) return had;
+    const existing = tenantOfClient.get(client);
+    if (existing !== undefined) return existing;
     const drawn = drawTenant();
     tenantOfClient.set(client, drawn);
     return drawn;
   }
 
   function keyOf(client: string, tenant: TenantState): string {
-    const had = keyOfClient.get(client);
-    if (had !== undefined && random() >= rotates) return had;
+    const existing = keyOfClient.get(client);
+    if (existing !== undefined && random() >= keyRotationShare) return existing;
     const key = pick(tenant.keys);
     keyOfClient.set(client, key);
     return key;
   }
 
-  function bearer(client: string, open: boolean): Bearer {
-    const presses = pressing > 0 && random() < pressing;
-    const tenant = presses ? states[0]! : tenantOf(client);
-    const key = keyOf(presses ? `${client}/pressing` : client, tenant);
+  function credentialsFor(client: string, open: boolean): ClientCredentials {
+    const isPressing = pressingShare > 0 && random() < pressingShare;
+    const tenant = isPressing ? states[0]! : tenantOf(client);
+    const key = keyOf(isPressing ? `${client}/pressing` : client, tenant);
     const kind = random();
-    if (open && random() < openWithoutKey) return { tenant: tenant.name };
-    if (kind < bearsNone) return { tenant: tenant.name };
-    if (kind < bearsNone + bearsStray) return { tenant: tenant.name, key: `stray ${Math.floor(random() * 1e6)}` };
-    if (kind < bearsNone + bearsStray + bearsDropped && dropped.length > 0)
-      return { tenant: tenant.name, key: pick(dropped) };
+    if (open && random() < publicWithoutKeyShare) return { tenant: tenant.name };
+    if (kind < missingKeyShare) return { tenant: tenant.name };
+    if (kind < missingKeyShare + unknownKeyShare)
+      return { tenant: tenant.name, key: `stray ${Math.floor(random() * 1e6)}` };
+    if (kind < missingKeyShare + unknownKeyShare + revokedKeyShare && revokedKeys.length > 0)
+      return { tenant: tenant.name, key: pick(revokedKeys) };
     return { tenant: tenant.name, key };
   }
 
-  function refused(client: string, key: string): void {
+  function recordRefusal(client: string, key: string): void {
     for (const name of [client, `${client}/pressing`]) if (keyOfClient.get(name) === key) keyOfClient.delete(name);
   }
 
-  function give(tenant: TenantState, key: string): void {
+  function addKey(tenant: TenantState, key: string): void {
     tenant.keys.push(key);
   }
-  /** A tenant that has a key to spare, the largest as often as all others; undefined where nobody has. */
-  function sparing(): TenantState | undefined {
-    const rich = states.filter(({ keys }) => keys.length > 1);
-    if (rich.length === 0) return undefined;
-    return random() < changesLargest ? rich[0] : pick(rich);
+  /** A tenant with more than one key, in half of the cases the largest; undefined if there is none. */
+  function pickTenantWithSpareKey(): TenantState | undefined {
+    const candidates = states.filter(({ keys }) => keys.length > 1);
+    if (candidates.length === 0) return undefined;
+    return random() < largestTenantChangeShare ? candidates[0] : pick(candidates);
   }
-  function take(tenant: TenantState): string {
+  function removeKey(tenant: TenantState): string {
     const [key] = tenant.keys.splice(Math.floor(random() * tenant.keys.length), 1);
     return key!;
   }
 
   function change(what: KeyChange): void {
-    const from = sparing();
+    const from = pickTenantWithSpareKey();
     if (what === 'given' || from === undefined) {
-      const tenant = random() < changesLargest ? states[0]! : pick(states);
-      give(tenant, `key ${given} of ${tenant.name}`);
-      given += 1;
+      const tenant = random() < largestTenantChangeShare ? states[0]! : pick(states);
+      addKey(tenant, `key ${issuedKeys} of ${tenant.name}`);
+      issuedKeys += 1;
       return;
     }
-    const key = take(from);
-    if (what === 'taken') dropped.push(key);
-    else give(pick(states.filter((other) => other !== from)), key);
+    const key = removeKey(from);
+    if (what === 'taken') revokedKeys.push(key);
+    else addKey(pick(states.filter((other) => other !== from)), key);
   }
 
   return {
-    wanted: () => states.map(({ name, rank, keys }) => ({ name, priority: rank, keyDigests: keys.map(digestOfKey) })),
+    nextTenants: () =>
+      states.map(({ name, priority, keys }) => ({ name, priority, keyDigests: keys.map(digestOfKey) })),
     change,
-    press: (share) => {
-      pressing = share;
+    setPressingShare: (share) => {
+      pressingShare = share;
     },
-    bearer,
-    refused,
+    credentialsFor,
+    recordRefusal,
   };
 }
