--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -14,11 +14,11 @@
 import type { Spoil } from './spoil.js';
 import { createVirtualControlCluster, type VirtualControlCluster } from './virtual-core.js';
 import { createVirtualOperator } from './virtual-operator.js';
-import { createVirtualRequesters } from './virtual-requesters.js';
+import { createVirtualClients } from './virtual-requesters.js';
 import { createVirtualTenants, noTenants } from './virtual-tenants.js';
-import { createVirtualRouter, type RouterPlace, type VirtualRouter } from './virtual-router.js';
+import { createVirtualRouter, type RouterLocation, type VirtualRouter } from './virtual-router.js';
 import { createVirtualWorkers } from './virtual-workers.js';
-import type { Mischief, WorkerLife } from './virtual-worker.js';
+import type { WorkerFault, WorkerLife } from './virtual-worker.js';
 
 /** `disks-lost-all-dark`: as many disks as may be lost go, and all other machines, counted or not, lose power. */
 export type Closing = 'none' | 'all-killed' | 'all-lose-power' | 'one-disk-lost' | 'disks-lost-all-dark';
@@ -104,7 +104,7 @@
   const routers = Array.from({ length: d.routers }, (_, i) =>
     createVirtualRouter(g, core, workers, placeOf(i), () => resets),
   );
-  function placeOf(i: number): RouterPlace {
+  function placeOf(i: number): RouterLocation {
     const name = `r${i}`;
     const machine = o.shared === true ? (names[i] ?? name) : name;
     return { name, machine, zone: d.zones[i % d.zones.length]! };
@@ -131,9 +131,9 @@
     for (const r of beside(machine)) trouble(r.name, what, seconds);
   }
   for (const r of routers) r.start();
-  const requesters = createVirtualRequesters(g, routers, o.keptConnections ?? defaultKeptConnections);
-  requesters.crowd = o.rate ?? 1;
-  const usual = requesters.crowd;
+  const requesters = createVirtualClients(g, routers, o.keptConnections ?? defaultKeptConnections);
+  requesters.rateFactor = o.rate ?? 1;
+  const usual = requesters.rateFactor;
   const operator = createVirtualOperator(g, core, () =>
     o.shared === true ? routers.filter((r) => r.machine === r.name) : [],
   );
@@ -149,7 +149,7 @@
   function later(s: number, f: () => void): void {
     e.at(e.now() + us(s), f);
   }
-  function wrong(kind: Mischief, share: number, s: number): void {
+  function wrong(kind: WorkerFault, share: number, s: number): void {
     Object.assign(workers.mischief, { kind, share });
     later(s, () => Object.assign(workers.mischief, { kind: 'none', share: 0 }));
   }
@@ -206,8 +206,8 @@
         noteTaken(w);
         return workers.crash(w, false, what === 'power');
       }
-      w.dark(true);
-      later(seconds, () => w.dark(false));
+      w.setUnresponsive(true);
+      later(seconds, () => w.setUnresponsive(false));
     }
   }
 
@@ -218,8 +218,8 @@
     const s = t.for;
     switch (t.do) {
       case 'crowd':
-        requesters.crowd = 3 * usual;
-        return later(s, () => (requesters.crowd = usual));
+        requesters.rateFactor = 3 * usual;
+        return later(s, () => (requesters.rateFactor = usual));
       case 'worker-crash':
       case 'worker-power':
         if (w === undefined) return;
@@ -233,10 +233,10 @@
       case 'worker-withdrawn':
         return w === undefined || isNeeded(w) ? undefined : withdraw(w);
       case 'worker-dark':
-        w?.dark(true);
-        return later(s, () => w?.dark(false));
+        w?.setUnresponsive(true);
+        return later(s, () => w?.setUnresponsive(false));
       case 'release':
-        return void workers.release(mainService);
+        return void workers.rollOut(mainService);
       case 'decode-withdrawn': {
         const runners = workers.lives(mainService).filter((x) => x.part() === 'decode');
         if (runners.length === workers.lives(mainService).length) return;
@@ -299,7 +299,7 @@
         return later(s, () => (workers.mischief.more.slowMoves = 1));
       case 'lapse':
         workers.mischief.more.handleTtl = 15_000;
-        for (const x of workers.lives()) x.lapse();
+        for (const x of workers.lives()) x.expireHandles();
         return later(s, () => (workers.mischief.more.handleTtl = 5_000_000));
       case 'list-down':
         core.listDown(true);
@@ -324,10 +324,10 @@
         return void operator.change();
       case 'tenant-presses':
         tenants.setPressingShare(pressingShare);
-        requesters.crowd = 3 * usual;
+        requesters.rateFactor = 3 * usual;
         return later(s, () => {
           tenants.setPressingShare(0);
-          requesters.crowd = usual;
+          requesters.rateFactor = usual;
         });
       case 'seeds-exchanged':
         return core.reseed(o.laterSeeds ?? otherSeeds);
@@ -346,7 +346,7 @@
         });
       case 'keeper-roll':
         core.leave(k);
-        for (const x of beside(k)) x.roll();
+        for (const x of beside(k)) x.restartGracefully();
         noteMachine(k, t.do, 1);
         return later(0.8, () => restart(k));
       case 'keeper-cut':
@@ -405,7 +405,7 @@
   async function rollMachines(): Promise<void> {
     const nodes = [...coreNames];
     for (const r of routers) {
-      r.roll();
+      r.restartGracefully();
       if (nodes.includes(r.machine)) rollNode(r.machine);
       await sleep(g, rollGap);
     }
@@ -429,7 +429,7 @@
 
   async function roll(which: readonly VirtualRouter[], pause: number): Promise<void> {
     for (const r of which) {
-      r.roll();
+      r.restartGracefully();
       await sleep(g, pause);
     }
   }
@@ -467,7 +467,7 @@
   if (!firstTaken) h.unforeseen.push('the first document was not taken before traffic');
   h.from = e.now();
   const end = start + o.span + (o.closing === 'none' ? calm : afterClosing);
-  requesters.begin(us(end - 3));
+  requesters.start(us(end - 3));
   for (const t of o.troubles) e.at(us(start + t.at), () => apply(t));
   for (let s = 1; o.look !== undefined && s <= o.span; s += 1) e.at(us(start + s), () => o.look!(s, core, routers));
   if (o.closing !== 'none') e.at(us(start + o.span - 1), () => void close());
@@ -475,5 +475,5 @@
   void operator.readRepeatedly(contact);
   await e.run(us(end + 9));
   h.to = e.now();
-  return { history: h, events: e.scheduledCount(), figures: routers.map((r) => r.figures()) };
+  return { history: h, events: e.scheduledCount(), figures: routers.map((r) => r.metrics()) };
 }
--- a/packages/simulator/src/pass-through/plain-worker.ts
+++ b/packages/simulator/src/pass-through/plain-worker.ts
@@ -27,7 +27,7 @@
     if (dark) return void held.push(() => accept(call));
     if (call.target !== o.id) return refuse(call, 421);
     if (queue.length >= shape.queued) return refuse(call, 503);
-    queue.push({ call, due: e.now() + call.left });
+    queue.push({ call, due: e.now() + call.remainingTime });
     next();
   }
 
@@ -43,8 +43,8 @@
     count += 1;
     const name = `${o.id}.${count}`;
     running.add(job);
-    o.began(job.call, name, undefined);
-    const mischief = o.mischief();
+    o.onRunStarted(job.call, name, undefined);
+    const mischief = o.fault();
     e.at(e.now() + drawLogNormal(shape.work, random) * o.slow, () => {
       if (!alive || !running.delete(job)) return;
       finish(
@@ -89,7 +89,7 @@
   return {
     o,
     part: () => 'decode',
-    changing: () => false,
+    isSwitching: () => false,
     ordersTaken: () => 0,
     order: () => 400,
     alive: () => alive,
@@ -97,10 +97,10 @@
     closed,
     free: () => undefined,
     take: () => undefined,
-    lapse: () => undefined,
+    expireHandles: () => undefined,
     crash,
-    dark: setDark,
-    isDark: () => dark,
+    setUnresponsive: setDark,
+    isUnresponsive: () => dark,
     load: () => ({ queued: queue.length, active: running.size, kvUsed: 0, kvTotal: 0 }),
   };
 }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -25,7 +25,7 @@
 import type { SeedsOf } from './seed-lists.js';
 import { submit, tableOf, type SubmitAnswer } from './submit.js';
 import { createVirtualOrders } from './virtual-orders.js';
-import { switchTime } from './virtual-worker.js';
+import { stageSwitchTimeUs } from './virtual-worker.js';
 import type { VirtualWorkers } from './virtual-workers.js';
 
 export interface ControlMachine extends SimulatedMachine {
@@ -74,7 +74,7 @@
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
   const table = configuration === undefined ? undefined : tableOf(configuration.toString());
-  return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: switchTime }));
+  return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: stageSwitchTimeUs }));
 }
 
 export function createVirtualControlCluster(
@@ -127,7 +127,7 @@
       const lost =
         life === undefined ||
         !life.alive() ||
-        life.isDark() ||
+        life.isUnresponsive() ||
         life.o.id !== worker.id ||
         network.isBlocked(machine, at) ||
         network.isBlocked(at, machine);
--- a/packages/simulator/src/pass-through/virtual-orders.ts
+++ b/packages/simulator/src/pass-through/virtual-orders.ts
@@ -39,7 +39,7 @@
       engine.at(engine.now() + responseTimeoutUs, () => settle(undefined));
       toWorker(() => {
         const life = workers.lifeAt(worker.address);
-        if (isSettled || life === undefined || !life.alive() || life.isDark()) return;
+        if (isSettled || life === undefined || !life.alive() || life.isUnresponsive()) return;
         const answer = query(life);
         toControlNode(() => settle(answer));
       });
@@ -60,7 +60,7 @@
         (life) => {
           const { queued, active } = life.load();
           const load = queued + active;
-          return { stage: life.part(), changing: life.changing(), ordersTaken: life.ordersTaken(), load };
+          return { stage: life.part(), changing: life.isSwitching(), ordersTaken: life.ordersTaken(), load };
         },
         drawReport,
       ),
--- a/packages/simulator/src/pass-through/virtual-port.ts
+++ b/packages/simulator/src/pass-through/virtual-port.ts
@@ -1,7 +1,7 @@
 /**
- * The way from one life of a router to the virtual workers: connections that are kept and go stale, bytes that a cut
- * holds up and that are lost once their sender has closed, answers that are not those asked for. As a real way to
- * workers does, it claims that nothing ran only where no byte was sent or the worker says so.
+ * The worker client of one router process in the simulation, with kept-alive connections that go stale, bytes that are
+ * delayed by a partition and lost once their sender has closed, and responses that belong to another request. Like the
+ * real client, it guarantees that nothing ran only if no byte was sent or the worker says so.
  */
 import type {
   FleetWorker,
@@ -19,195 +19,198 @@
 import type { ArrivalRecord } from './passed-history.js';
 import type { WorkerCall, WorkerLife } from './virtual-worker.js';
 
-export interface VirtualPortOptions {
+export interface VirtualWorkerClientOptions {
   readonly proc: SimProcess;
-  readonly net: Network;
+  readonly network: Network;
   readonly random: () => number;
   readonly lifeAt: (address: string) => WorkerLife | undefined;
-  // Who had the address last: a machine that is silent keeps a connection hanging.
+  // The machine that last had the address. Connecting to a silent machine hangs until the timeout.
   readonly machineAt: (address: string) => string;
-  readonly silentMachine: (machine: string) => boolean;
-  readonly arrived: (a: ArrivalRecord) => void;
-  readonly streaming: (q: IncomingRequest) => boolean;
-  // How often a new connection is reset.
-  readonly resets: () => number;
+  readonly isMachineSilent: (machine: string) => boolean;
+  readonly onArrival: (arrival: ArrivalRecord) => void;
+  readonly isStreaming: (request: IncomingRequest) => boolean;
+  // Probability that a new connection is reset.
+  readonly resetRate: () => number;
 }
 interface Connection {
   readonly life: WorkerLife;
-  surplus: boolean;
+  hasSurplus: boolean;
 }
-interface Ended {
+interface ExchangeResult {
   readonly tag: 'complete' | 'unsent' | 'broken';
-  readonly why: string;
+  readonly reason: string;
 }
-const connectPatience = 300_000;
+const connectTimeoutUs = 300_000;
 
-export function createVirtualPort(e: Engine, o: VirtualPortOptions): WorkerPort {
-  const { proc, net, random } = o;
+export function createVirtualWorkerClient(engine: Engine, options: VirtualWorkerClientOptions): WorkerPort {
+  const { proc, network: net, random } = options;
   const incarnation = proc.incarnation;
-  const me = proc.machine;
-  const idle = new Map<string, Connection[]>();
+  const ownMachine = proc.machine;
+  const idleConnections = new Map<string, Connection[]>();
 
   function call(
-    w: FleetWorker,
-    q: IncomingRequest,
+    worker: FleetWorker,
+    request: IncomingRequest,
     c: Omit<WorkerCall, 'closed' | 'taken' | 'head' | 'data' | 'end' | 'reset' | 'target' | 'request'>,
     head: (id: string, status: number, unrun: boolean) => boolean,
-    data: (b: Buffer) => void | Promise<void>,
-    gone: AbortSignal,
-  ): Promise<Ended> {
-    return new Promise((done) => {
-      let [sent, over] = [false, false];
-      let conn: Connection | undefined;
-      let callOpen: WorkerCall | undefined;
-      const inbox: (() => void | Promise<void>)[] = [];
-      let handling = false;
-      const sentAt = e.now();
+    data: (bytes: Buffer) => void | Promise<void>,
+    abortSignal: AbortSignal,
+  ): Promise<ExchangeResult> {
+    return new Promise((resolve) => {
+      let [sent, isSettled] = [false, false];
+      let connection: Connection | undefined;
+      let openCall: WorkerCall | undefined;
+      const pendingEvents: (() => void | Promise<void>)[] = [];
+      let isHandling = false;
+      const sentAt = engine.now();
 
-      function end(x: Ended): void {
-        if (over) return;
-        over = true;
-        gone.removeEventListener('abort', stop);
-        proc.exitHandlers.delete(died);
-        done(x);
+      function settle(result: ExchangeResult): void {
+        if (isSettled) return;
+        isSettled = true;
+        abortSignal.removeEventListener('abort', onAbort);
+        proc.exitHandlers.delete(onRouterExit);
+        resolve(result);
       }
       function close(): void {
-        const k = callOpen;
-        if (k === undefined || conn === undefined) return;
+        const k = openCall;
+        if (k === undefined || connection === undefined) return;
         k.closed = true;
-        const { life } = conn;
-        createPipe(e, net, me, life.o.machine)(() => life.closed(k));
+        const { life } = connection;
+        createPipe(engine, net, ownMachine, life.o.machine)(() => life.closed(k));
       }
-      function stop(): void {
-        if (over) return;
+      function onAbort(): void {
+        if (isSettled) return;
         close();
-        end({ tag: sent ? 'broken' : 'unsent', why: 'left' });
+        settle({ tag: sent ? 'broken' : 'unsent', reason: 'left' });
       }
-      function died(): void {
-        over = true;
+      function onRouterExit(): void {
+        isSettled = true;
         close();
       }
-      function handle(f: () => void | Promise<void>): void {
-        inbox.push(f);
-        if (!handling) drain();
+      function enqueue(handler: () => void | Promise<void>): void {
+        pendingEvents.push(handler);
+        if (!isHandling) handleNext();
       }
-      function drain(): void {
-        const f = inbox.shift();
-        if (f === undefined || over) return;
-        const x = f();
-        if (x === undefined) return drain();
-        handling = true;
-        void x.then(() => {
-          handling = false;
-          drain();
+      function handleNext(): void {
+        const handler = pendingEvents.shift();
+        if (handler === undefined || isSettled) return;
+        const result = handler();
+        if (result === undefined) return handleNext();
+        isHandling = true;
+        void result.then(() => {
+          isHandling = false;
+          handleNext();
         });
       }
 
       function connect(): void {
-        const life = o.lifeAt(w.address);
-        const machine = o.machineAt(w.address);
-        const rtt = net.latency(me, machine) + net.latency(machine, me);
-        const silent = net.isBlocked(me, machine) || net.isBlocked(machine, me) || o.silentMachine(machine);
-        const reset = life === undefined || !life.alive() || random() < o.resets();
-        const after = silent ? connectPatience : rtt + 1000;
-        e.at(e.now() + after, () =>
+        const life = options.lifeAt(worker.address);
+        const machine = options.machineAt(worker.address);
+        const rtt = net.latency(ownMachine, machine) + net.latency(machine, ownMachine);
+        const silent =
+          net.isBlocked(ownMachine, machine) || net.isBlocked(machine, ownMachine) || options.isMachineSilent(machine);
+        const reset = life === undefined || !life.alive() || random() < options.resetRate();
+        const after = silent ? connectTimeoutUs : rtt + 1000;
+        engine.at(engine.now() + after, () =>
           deliver(proc, incarnation, () => {
-            if (over) return;
-            if (silent || reset) return end({ tag: 'unsent', why: silent ? 'no connection in time' : 'reset' });
-            conn = { life: life!, surplus: false };
-            send(conn);
+            if (isSettled) return;
+            if (silent || reset) return settle({ tag: 'unsent', reason: silent ? 'connect timeout' : 'reset' });
+            connection = { life: life!, hasSurplus: false };
+            send(connection);
           }),
         );
       }
       function send(k: Connection): void {
         sent = true;
         const { life } = k;
-        const there = createPipe(e, net, me, life.o.machine);
-        const back = createPipe(e, net, life.o.machine, me);
-        function toRouter(f: () => void | Promise<void>): void {
-          back(() => deliver(proc, incarnation, () => handle(f)));
+        const toWorker = createPipe(engine, net, ownMachine, life.o.machine);
+        const toRouterPipe = createPipe(engine, net, life.o.machine, ownMachine);
+        function sendToRouter(handler: () => void | Promise<void>): void {
+          toRouterPipe(() => deliver(proc, incarnation, () => enqueue(handler)));
         }
-        const wc: WorkerCall = {
+        const workerCall: WorkerCall = {
           ...c,
-          request: q.id,
-          target: w.id,
+          request: request.id,
+          target: worker.id,
           closed: false,
           taken: () => {
-            a.wasAccepted = true;
+            arrival.wasAccepted = true;
           },
           head: (id, status, unrun) => {
-            if (status === 421) a.wasMisdirected = true;
-            toRouter(() => {
-              if (!head(k.surplus ? 'another' : id, status, unrun)) {
+            if (status === 421) arrival.wasMisdirected = true;
+            sendToRouter(() => {
+              if (!head(k.hasSurplus ? 'another' : id, status, unrun)) {
                 close();
-                end({ tag: 'broken', why: 'not its answer' });
+                settle({ tag: 'broken', reason: 'response of another request' });
               }
             });
           },
-          data: (b) => toRouter(() => data(b)),
+          data: (bytes) => sendToRouter(() => data(bytes)),
           end: (surplus) =>
-            toRouter(() => {
-              k.surplus = surplus;
-              if (life.alive()) idle.set(w.address, [...(idle.get(w.address) ?? []), k]);
-              end({ tag: 'complete', why: '' });
+            sendToRouter(() => {
+              k.hasSurplus = surplus;
+              if (life.alive())
+                idleConnections.set(worker.address, [...(idleConnections.get(worker.address) ?? []), k]);
+              settle({ tag: 'complete', reason: '' });
             }),
           reset: () => {
-            // A worker that died with its machine says nothing.
-            if (!o.silentMachine(life.o.machine)) toRouter(() => end({ tag: 'broken', why: 'reset' }));
+            // The connections of a worker whose machine lost power are not reset.
+            if (!options.isMachineSilent(life.o.machine))
+              sendToRouter(() => settle({ tag: 'broken', reason: 'reset' }));
           },
         };
-        callOpen = wc;
-        const a: ArrivalRecord = {
+        openCall = workerCall;
+        const arrival: ArrivalRecord = {
           at: 0,
           sentAt,
-          request: q.id,
+          request: request.id,
           doing: c.doing,
           worker: life.o.id,
           service: life.o.service,
-          router: me,
-          tenant: q.tenant,
-          gotCredentials: q.credentialHeaders !== undefined,
+          router: ownMachine,
+          tenant: request.tenant,
+          gotCredentials: request.credentialHeaders !== undefined,
           wasMisdirected: false,
           wasAccepted: false,
         };
-        there(() => {
-          // What a cut held up is lost once its sender has closed.
-          if (wc.closed && random() < 0.8) return;
-          if (!life.alive()) return wc.reset();
-          const seen = Object.assign(a, { at: e.now() });
-          o.arrived(seen);
-          life.accept(wc);
+        toWorker(() => {
+          // Most requests that a partition delayed are lost once their sender has closed the connection.
+          if (workerCall.closed && random() < 0.8) return;
+          if (!life.alive()) return workerCall.reset();
+          const arrived = Object.assign(arrival, { at: engine.now() });
+          options.onArrival(arrived);
+          life.accept(workerCall);
         });
       }
 
-      if (gone.aborted) return end({ tag: 'unsent', why: 'left' });
-      gone.addEventListener('abort', stop, { once: true });
-      proc.exitHandlers.add(died);
-      const free = idle.get(w.address)?.filter((k) => k.life.alive() || random() < 0.1) ?? [];
-      conn = free.pop();
-      idle.set(w.address, free);
-      if (conn === undefined) connect();
-      else send(conn);
+      if (abortSignal.aborted) return settle({ tag: 'unsent', reason: 'left' });
+      abortSignal.addEventListener('abort', onAbort, { once: true });
+      proc.exitHandlers.add(onRouterExit);
+      const free = idleConnections.get(worker.address)?.filter((k) => k.life.alive() || random() < 0.1) ?? [];
+      connection = free.pop();
+      idleConnections.set(worker.address, free);
+      if (connection === undefined) connect();
+      else send(connection);
     });
   }
 
-  async function read(
-    w: FleetWorker,
-    q: IncomingRequest,
+  async function prefill(
+    worker: FleetWorker,
+    request: IncomingRequest,
     left: number,
     urgency: number | undefined,
-    gone: AbortSignal,
+    abortSignal: AbortSignal,
   ): Promise<PrefillResult> {
     let [status, unrun, handle] = [0, false, ''];
-    const x = await call(
-      w,
-      q,
+    const result = await call(
+      worker,
+      request,
       {
         doing: 'read',
-        promptTokens: q.promptTokens,
-        answerTokens: q.maxOutputTokens,
-        parts: q.promptSegments,
-        left,
+        promptTokens: request.promptTokens,
+        answerTokens: request.maxOutputTokens,
+        segments: request.promptSegments,
+        remainingTime: left,
         urgency: urgency ?? 5,
         streaming: true,
         lastEvent: 0,
@@ -215,68 +218,70 @@
       },
       (id, s, u) => {
         [status, unrun] = [s, u];
-        return id === q.id;
+        return id === request.id;
       },
-      (b) => {
-        handle += b.toString();
+      (bytes) => {
+        handle += bytes.toString();
       },
-      gone,
+      abortSignal,
     );
-    if (x.tag === 'unsent') return { tag: 'unsent', reason: x.why };
-    if (x.tag === 'broken') return { tag: 'unknown', reason: x.why };
+    if (result.tag === 'unsent') return { tag: 'unsent', reason: result.reason };
+    if (result.tag === 'broken') return { tag: 'unknown', reason: result.reason };
     if (unrun) return { tag: 'refused', reason: `${status}`, misdirected: status === 421 };
     if (status !== 200) return { tag: 'unknown', reason: `${status}` };
-    return { tag: 'read', kvHandle: handle, tokens: q.promptTokens };
+    return { tag: 'read', kvHandle: handle, tokens: request.promptTokens };
   }
 
   async function run(
-    w: FleetWorker,
-    q: IncomingRequest,
-    t: RunParameters,
+    worker: FleetWorker,
+    request: IncomingRequest,
+    parameters: RunParameters,
     sink: ResponseSink,
-    gone: AbortSignal,
+    abortSignal: AbortSignal,
   ): Promise<RunResult> {
     let [status, unrun, known] = [0, false, false];
     const parts: Buffer[] = [];
-    const x = await call(
-      w,
-      q,
+    const result = await call(
+      worker,
+      request,
       {
         doing: 'run',
-        promptTokens: q.promptTokens,
-        answerTokens: q.maxOutputTokens,
-        parts: q.promptSegments,
-        left: t.remainingTime,
-        urgency: t.urgency ?? 5,
-        streaming: o.streaming(q),
-        lastEvent: t.lastEventId ?? 0,
+        promptTokens: request.promptTokens,
+        answerTokens: request.maxOutputTokens,
+        segments: request.promptSegments,
+        remainingTime: parameters.remainingTime,
+        urgency: parameters.urgency ?? 5,
+        streaming: options.isStreaming(request),
+        lastEvent: parameters.lastEventId ?? 0,
         from:
-          t.kvSource === undefined ? undefined : { address: t.kvSource.worker.address, handle: t.kvSource.kvHandle },
+          parameters.kvSource === undefined
+            ? undefined
+            : { address: parameters.kvSource.worker.address, handle: parameters.kvSource.kvHandle },
       },
       (id, s, u) => {
-        if (id !== q.id) return false;
+        if (id !== request.id) return false;
         [status, unrun, known] = [s, u, true];
-        if (s < 300) sink.head({ status: s, headers: ['X-Worker', w.id] });
+        if (s < 300) sink.head({ status: s, headers: ['X-Worker', worker.id] });
         return true;
       },
-      (b) => {
-        if (status < 300) return sink.chunk(b);
-        parts.push(b);
+      (bytes) => {
+        if (status < 300) return sink.chunk(bytes);
+        parts.push(bytes);
         return undefined;
       },
-      gone,
+      abortSignal,
     );
-    if (x.tag === 'unsent') return { tag: 'unsent', reason: x.why };
-    if (!known || x.tag === 'broken') return { tag: 'unknown', reason: x.why };
+    if (result.tag === 'unsent') return { tag: 'unsent', reason: result.reason };
+    if (!known || result.tag === 'broken') return { tag: 'unknown', reason: result.reason };
     if (status < 300) return { tag: 'whole' };
     const answer = { status, headers: [], body: Buffer.concat(parts) };
     if (unrun) return { tag: 'refused', reason: `${status}`, misdirected: status === 421, response: answer };
     return { tag: 'failed', response: answer };
   }
 
-  function free(w: FleetWorker, handle: string): void {
-    const life = o.lifeAt(w.address);
-    if (life !== undefined) createPipe(e, net, me, life.o.machine)(() => life.free(handle));
+  function free(worker: FleetWorker, handle: string): void {
+    const life = options.lifeAt(worker.address);
+    if (life !== undefined) createPipe(engine, net, ownMachine, life.o.machine)(() => life.free(handle));
   }
-  return { prefill: read, run, freeKv: free };
+  return { prefill, run, freeKv: free };
 }
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -1,6 +1,6 @@
 /**
- * The requesters of a virtual day. Each connects through the platform, which spreads them over the routers of their
- * zone that answer its probe; they try again only where that can do no harm, and some more often than told.
+ * The clients of a simulated run. They connect through the platform, which distributes them over the routers of their
+ * zone that pass its health probe. They retry only where that is safe; some retry sooner and more often than advised.
  */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import type { IncomingRequest } from '@tansypost/pass-through';
@@ -10,143 +10,149 @@
 import { drawLogNormal, usualEngine } from './engine-shape.js';
 import { mainService, type KindDraw, type PassedKind } from './passed-deployment.js';
 import type { AttemptRecord } from './passed-history.js';
-import { piecesOf } from './virtual-worker.js';
-import type { RequesterConnection, VirtualRouter } from './virtual-router.js';
+import { eventCountOf } from './virtual-worker.js';
+import type { ClientConnection, VirtualRouter } from './virtual-router.js';
 
-export interface VirtualRequesters {
-  readonly begin: (until: number) => void;
-  // How many times the usual number come.
-  crowd: number;
+export interface VirtualClients {
+  readonly start: (until: number) => void;
+  // Multiplies the request rate.
+  rateFactor: number;
 }
-/** What a request is about, as its head says. */
+/** Prompt and response sizes of a request, as stated in its headers. */
 interface Prompt {
   readonly promptTokens: number;
   readonly answerTokens: number;
-  readonly pieces: number;
-  readonly parts: { readonly id: string; readonly tokens: number }[];
+  readonly eventCount: number;
+  readonly segments: { readonly id: string; readonly tokens: number }[];
 }
-/** Tokens of an answer weigh so much more than those of a prompt. */
-const answerWeight = 10;
-/** Above 1, so that some things are met more often than others. */
-const skew = 1.3;
-const probeEvery = 1_000_000;
-const connectPatience = 1_000_000;
-/** Clients of a zone, each of which may keep the connection of its last answer and ask on it again. */
-const usualClients = 12;
+/** Weight of an output token relative to a prompt token. */
+const outputTokenWeight = 10;
+/** Above 1, so that some shared segments are more popular than others. */
+const popularityExponent = 1.3;
+const probeIntervalUs = 1_000_000;
+const connectTimeoutUs = 1_000_000;
+/** Number of clients per zone. Each may reuse the connection of its last response. */
+const defaultClientsPerZone = 12;
 const clientSeed = 9001;
 
-/** Ends after which no requester tries again. */
-function isFinal(how: AttemptRecord['ended']): boolean {
-  return how === 'whole' || how === 'unknown_path' || how === 'unknown_key' || how === 'left';
+/** Outcomes after which no client retries. */
+function isFinal(outcome: AttemptRecord['ended']): boolean {
+  return outcome === 'whole' || outcome === 'unknown_path' || outcome === 'unknown_key' || outcome === 'left';
 }
 
-/** `keepsConnection` is how often, from 0 to 1, a client asks on the connection that it has. */
-export function createVirtualRequesters(
-  g: Ground,
+/** `connectionReuseShare`: probability, from 0 to 1, that a client reuses its open connection. */
+export function createVirtualClients(
+  ground: Ground,
   routers: readonly VirtualRouter[],
-  keepsConnection: number,
-): VirtualRequesters {
-  const { engine: e, network: net, random, h, d } = g;
-  const misses = new Map<string, number>();
-  // Drawn apart, so that other draws of a day are the same whoever keeps connections.
+  connectionReuseShare: number,
+): VirtualClients {
+  const { engine, network: network, random, h: history, d: deployment } = ground;
+  const missedProbes = new Map<string, number>();
+  // A separate generator, so that the other draws of a run do not depend on connection reuse.
   const drawClient = createSeededRandom(clientSeed);
-  const kept = new Map<string, RequesterConnection>();
-  const thingTokens = new Map<string, number>();
+  const keptConnections = new Map<string, ClientConnection>();
+  const segmentTokens = new Map<string, number>();
   let tasks = 0;
 
   function probe(): void {
     for (const r of routers) {
-      const ok = r.ready() && !net.isBlocked('clients', r.name) && !net.isBlocked(r.name, 'clients');
-      misses.set(r.name, ok ? 0 : (misses.get(r.name) ?? 2) + 1);
+      const ok = r.ready() && !network.isBlocked('clients', r.name) && !network.isBlocked(r.name, 'clients');
+      missedProbes.set(r.name, ok ? 0 : (missedProbes.get(r.name) ?? 2) + 1);
     }
-    e.at(e.now() + probeEvery, probe);
+    engine.at(engine.now() + probeIntervalUs, probe);
   }
   function pick(zone: string): VirtualRouter {
-    const here = routers.filter((r) => r.zone === zone);
-    const into = here.filter((r) => (misses.get(r.name) ?? 0) < 2);
-    const any = routers.filter((r) => (misses.get(r.name) ?? 0) < 2);
-    const from = into.length * 2 >= here.length ? into : into.length > 0 || any.length === 0 ? here : any;
+    const zoneRouters = routers.filter((r) => r.zone === zone);
+    const healthyInZone = zoneRouters.filter((r) => (missedProbes.get(r.name) ?? 0) < 2);
+    const allHealthy = routers.filter((r) => (missedProbes.get(r.name) ?? 0) < 2);
+    const from =
+      healthyInZone.length * 2 >= zoneRouters.length
+        ? healthyInZone
+        : healthyInZone.length > 0 || allHealthy.length === 0
+          ? zoneRouters
+          : allHealthy;
     return from[Math.floor(random() * from.length)]!;
   }
 
-  // The connection that the client has kept, or a new one to a router that the platform picks.
-  function connectionOf(client: string, zone: string): RequesterConnection {
-    const had = kept.get(client);
-    if (had !== undefined && had.open && !had.busy && drawClient() < keepsConnection) return had;
+  // The client's kept connection, or a new one to a router chosen by the platform.
+  function connectionOf(client: string, zone: string): ClientConnection {
+    const existing = keptConnections.get(client);
+    if (existing !== undefined && existing.open && !existing.busy && drawClient() < connectionReuseShare)
+      return existing;
     return pick(zone).connect();
   }
 
-  function usualPrompt(k: PassedKind, task: number): Prompt {
+  function drawDefaultPrompt(kind: PassedKind, task: number): Prompt {
     const group = Math.floor(random() * 4);
-    const own = Math.round(k.own * (0.5 + random()));
+    const own = Math.round(kind.own * (0.5 + random()));
     return {
-      promptTokens: k.shared + own,
-      answerTokens: k.answer,
-      pieces: piecesOf(k.answer, strideOf(k)),
-      parts: [
-        { id: `${k.name}${group}`, tokens: k.shared },
+      promptTokens: kind.shared + own,
+      answerTokens: kind.answer,
+      eventCount: eventCountOf(kind.answer, strideFor(kind)),
+      segments: [
+        { id: `${kind.name}${group}`, tokens: kind.shared },
         { id: `own${task}`, tokens: own },
       ],
     };
   }
 
-  /** A shared part has the same length each time it is met, and some are met more often than others. */
-  function drawnPrompt(k: PassedKind, draw: KindDraw, task: number): Prompt {
+  /** A shared segment has the same length in all prompts, and some are more popular than others. */
+  function drawPrompt(kind: PassedKind, draw: KindDraw, task: number): Prompt {
     const parts = draw.shared.map((shared, n) => {
-      const thing = Math.floor(shared.things * random() ** skew);
-      const id = `${k.name}.${n}.${thing}`;
-      const tokens = thingTokens.get(id) ?? Math.max(1, Math.round(drawLogNormal(shared.tokens, random)));
-      thingTokens.set(id, tokens);
+      const index = Math.floor(shared.things * random() ** popularityExponent);
+      const id = `${kind.name}.${n}.${index}`;
+      const tokens = segmentTokens.get(id) ?? Math.max(1, Math.round(drawLogNormal(shared.tokens, random)));
+      segmentTokens.set(id, tokens);
       return { id, tokens };
     });
     const own = draw.own.mean === 0 ? 0 : Math.max(1, Math.round(drawLogNormal(draw.own, random)));
     const pieces = Math.max(1, Math.round(drawLogNormal(draw.pieces, random)));
     return {
       promptTokens: parts.reduce((sum, part) => sum + part.tokens, own),
-      answerTokens: pieces * strideOf(k),
-      pieces,
-      parts: own === 0 ? [] : [...parts, { id: `own${task}`, tokens: own }],
+      answerTokens: pieces * strideFor(kind),
+      eventCount: pieces,
+      segments: own === 0 ? [] : [...parts, { id: `own${task}`, tokens: own }],
     };
   }
 
-  function strideOf(k: PassedKind): number {
-    const shape = d.services?.find((each) => each.name === (k.service ?? mainService));
-    return (shape?.engine ?? usualEngine(d.kvTokens)).stride;
+  function strideFor(kind: PassedKind): number {
+    const shape = deployment.services?.find((each) => each.name === (kind.service ?? mainService));
+    return (shape?.engine ?? usualEngine(deployment.kvTokens)).stride;
   }
 
-  function ask(k: PassedKind): void {
+  function startTask(kind: PassedKind): void {
     tasks += 1;
     const task = tasks;
-    const began = e.now();
-    const zone = d.zones[Math.floor(random() * d.zones.length)]!;
-    const client = `${zone}/${Math.floor(drawClient() * (d.clientsPerZone ?? usualClients))}`;
-    const impatient = random() < 0.1;
-    const most = impatient ? 4 : 1 + k.furtherTries;
-    const { tenant, key } = g.tenants.credentialsFor(client, k.public === true);
+    const startedAt = engine.now();
+    const zone = deployment.zones[Math.floor(random() * deployment.zones.length)]!;
+    const client = `${zone}/${Math.floor(drawClient() * (deployment.clientsPerZone ?? defaultClientsPerZone))}`;
+    const retriesEagerly = random() < 0.1;
+    const maxTries = retriesEagerly ? 4 : 1 + kind.furtherTries;
+    const { tenant, key } = ground.tenants.credentialsFor(client, kind.public === true);
     const keyDigest = key === undefined ? undefined : digestOfKey(key);
-    const prompt = k.draw === undefined ? usualPrompt(k, task) : drawnPrompt(k, k.draw, task);
+    const prompt = kind.draw === undefined ? drawDefaultPrompt(kind, task) : drawPrompt(kind, kind.draw, task);
     let tries = 0;
-    let has = 0;
+    let receivedEvents = 0;
 
-    function once(): void {
+    function sendAttempt(): void {
       tries += 1;
       const id = `q${task}.${tries}`;
-      const left = began + k.budget - e.now();
+      const left = startedAt + kind.budget - engine.now();
       if (left <= 0) return;
       const connection = tries === 1 ? connectionOf(client, zone) : pick(zone).connect();
       const { router } = connection;
-      const lastEvent = k.resumable && has > 0 ? has : undefined;
-      const t: AttemptRecord = {
+      const lastEvent = kind.resumable && receivedEvents > 0 ? receivedEvents : undefined;
+      const attempt: AttemptRecord = {
         id,
         task,
-        kind: k.name,
-        target: targetOf(k.name, task),
-        at: e.now(),
+        kind: kind.name,
+        target: targetOf(kind.name, task),
+        at: engine.now(),
         lastEvent,
-        streaming: k.streaming,
-        resumable: k.resumable,
-        repeatable: k.repeatable,
-        pieces: prompt.pieces,
+        streaming: kind.streaming,
+        resumable: kind.resumable,
+        repeatable: kind.repeatable,
+        pieces: prompt.eventCount,
         router: router.name,
         readAt: undefined,
         end: undefined,
@@ -154,116 +160,126 @@
         why: '',
         firstByteAt: undefined,
         maxGapUs: 0,
-        costTokens: prompt.promptTokens + answerWeight * prompt.answerTokens,
+        costTokens: prompt.promptTokens + outputTokenWeight * prompt.answerTokens,
         tenant,
         keyDigest,
         body: [],
       };
-      h.tries.push(t);
-      const q: IncomingRequest = {
+      history.tries.push(attempt);
+      const request: IncomingRequest = {
         id,
         method: 'POST',
-        target: t.target,
-        host: hostOf(k.name),
+        target: attempt.target,
+        host: hostOf(kind.name),
         headers: [],
         ...(key === undefined ? {} : { credentialHeaders: ['Authorization', `Bearer ${key}`], keyDigest }),
-        body: k.bodyBytes === undefined ? Buffer.from(`${task}`) : Buffer.alloc(k.bodyBytes),
+        body: kind.bodyBytes === undefined ? Buffer.from(`${task}`) : Buffer.alloc(kind.bodyBytes),
         promptTokens: prompt.promptTokens,
         maxOutputTokens: prompt.answerTokens,
-        promptSegments: prompt.parts,
+        promptSegments: prompt.segments,
         timeout: left,
         lastEventId: lastEvent,
       };
-      let heardAt = e.now();
-      let over = false;
-      const way: { leave?: () => void } = {};
-      function settle(how: AttemptRecord['ended'], why: string, retryAfter = 0): void {
-        if (over) return;
-        over = true;
-        t.end = e.now();
-        t.ended = how;
-        t.why = why;
-        if (how === 'left') connection.open = false;
-        if (connection.open) kept.set(client, connection);
-        const rest = began + k.budget - e.now();
-        const may = k.repeatable || k.resumable || how === 'refused' || how === 'unread';
-        if (how === 'unknown_key' && key !== undefined) g.tenants.recordRefusal(client, key);
-        if (isFinal(how) || !may || tries >= most) return;
-        if (k.resumable) {
+      let lastBytesAt = engine.now();
+      let isEnded = false;
+      const exchange: { abort?: () => void } = {};
+      function endAttempt(outcome: AttemptRecord['ended'], why: string, retryAfter = 0): void {
+        if (isEnded) return;
+        isEnded = true;
+        attempt.end = engine.now();
+        attempt.ended = outcome;
+        attempt.why = why;
+        if (outcome === 'left') connection.open = false;
+        if (connection.open) keptConnections.set(client, connection);
+        const remaining = startedAt + kind.budget - engine.now();
+        const mayRetry = kind.repeatable || kind.resumable || outcome === 'refused' || outcome === 'unread';
+        if (outcome === 'unknown_key' && key !== undefined) ground.tenants.recordRefusal(client, key);
+        if (isFinal(outcome) || !mayRetry || tries >= maxTries) return;
+        if (kind.resumable) {
           const ids = [
-            ...Buffer.concat(t.body)
+            ...Buffer.concat(attempt.body)
               .toString()
               .matchAll(/id: (\d+)\n[^\n]*\n\n/g),
           ].map((m) => Number(m[1]));
-          has = Math.max(has, ...ids);
-          if (has >= t.pieces) return;
+          receivedEvents = Math.max(receivedEvents, ...ids);
+          if (receivedEvents >= attempt.pieces) return;
         }
-        const wait = impatient ? 0 : Math.min(retryAfter * 1e6 || 50_000 + random() * 100_000, rest / 3);
-        e.at(e.now() + wait, once);
+        const wait = retriesEagerly ? 0 : Math.min(retryAfter * 1e6 || 50_000 + random() * 100_000, remaining / 3);
+        engine.at(engine.now() + wait, sendAttempt);
       }
-      const silence = Math.max(2_000_000, 4 * k.aim, 8 * k.pause);
-      function watch(): void {
-        if (over) return;
+      const maxSilenceUs = Math.max(2_000_000, 4 * kind.aim, 8 * kind.pause);
+      function checkTimeouts(): void {
+        if (isEnded) return;
         if (
-          t.readAt === undefined &&
-          (k.repeatable || k.resumable) &&
-          e.now() - t.at >= Math.min(connectPatience, left / 3)
+          attempt.readAt === undefined &&
+          (kind.repeatable || kind.resumable) &&
+          engine.now() - attempt.at >= Math.min(connectTimeoutUs, left / 3)
         ) {
-          way.leave?.();
-          return settle('unread', 'not read in time');
+          exchange.abort?.();
+          return endAttempt('unread', 'request not read in time');
         }
-        if (e.now() - heardAt >= silence || e.now() >= began + k.budget) {
-          way.leave?.();
-          return settle('left', 'silence');
+        if (engine.now() - lastBytesAt >= maxSilenceUs || engine.now() >= startedAt + kind.budget) {
+          exchange.abort?.();
+          return endAttempt('left', 'silence');
         }
-        e.at(e.now() + 250_000, watch);
+        engine.at(engine.now() + 250_000, checkTimeouts);
       }
-      // Cut off or without power: the connection does not come up.
-      if (net.isBlocked('clients', router.name) || net.isBlocked(router.name, 'clients') || g.silent.has(router.name))
-        return e.at(e.now() + Math.min(connectPatience, left / 3), () => settle('unread', 'no connection'));
-      if (!router.proc.alive) return e.at(e.now() + 1000, () => settle('unread', 'nobody there'));
-      way.leave = router.take(
-        t,
-        q,
+      // Partitioned or without power: connecting times out.
+      if (
+        network.isBlocked('clients', router.name) ||
+        network.isBlocked(router.name, 'clients') ||
+        ground.silent.has(router.name)
+      )
+        return engine.at(engine.now() + Math.min(connectTimeoutUs, left / 3), () =>
+          endAttempt('unread', 'connect timeout'),
+        );
+      if (!router.proc.alive) return engine.at(engine.now() + 1000, () => endAttempt('unread', 'connection refused'));
+      exchange.abort = router.receiveRequest(
+        attempt,
+        request,
         {
-          first: () => {
-            heardAt = e.now();
+          onHead: () => {
+            lastBytesAt = engine.now();
           },
-          bytes: (b) => {
-            if (over) return;
-            if (t.firstByteAt !== undefined) t.maxGapUs = Math.max(t.maxGapUs, e.now() - heardAt);
-            heardAt = e.now();
-            t.firstByteAt ??= e.now();
-            t.body.push(b);
+          onBytes: (b) => {
+            if (isEnded) return;
+            if (attempt.firstByteAt !== undefined)
+              attempt.maxGapUs = Math.max(attempt.maxGapUs, engine.now() - lastBytesAt);
+            lastBytesAt = engine.now();
+            attempt.firstByteAt ??= engine.now();
+            attempt.body.push(b);
           },
-          ended: settle,
+          onEnd: endAttempt,
         },
         connection,
       );
-      watch();
+      checkTimeouts();
     }
-    once();
+    sendAttempt();
   }
 
-  const clump = d.clump ?? 1;
-  /** Geometric, with `clump` as its mean. */
-  function arrivingTogether(): number {
+  const meanBatchSize = deployment.clump ?? 1;
+  /** Geometrically distributed with mean `meanBatchSize`. */
+  function drawBatchSize(): number {
     let count = 1;
-    while (clump > 1 && random() < 1 - 1 / clump) count += 1;
+    while (meanBatchSize > 1 && random() < 1 - 1 / meanBatchSize) count += 1;
     return count;
   }
 
-  const self: VirtualRequesters = {
-    crowd: 1,
-    begin: (until) => {
+  const self: VirtualClients = {
+    rateFactor: 1,
+    start: (until) => {
       probe();
-      for (const k of d.kinds) next(k);
-      function next(k: PassedKind): void {
-        e.at(e.now() - ((1e6 * clump) / (k.rate * self.crowd)) * Math.log(1 - random()), () => {
-          if (e.now() > until) return;
-          for (let n = arrivingTogether(); n > 0; n -= 1) ask(k);
-          next(k);
-        });
+      for (const kind of deployment.kinds) scheduleNext(kind);
+      function scheduleNext(kind: PassedKind): void {
+        engine.at(
+          engine.now() - ((1e6 * meanBatchSize) / (kind.rate * self.rateFactor)) * Math.log(1 - random()),
+          () => {
+            if (engine.now() > until) return;
+            for (let n = drawBatchSize(); n > 0; n -= 1) startTask(kind);
+            scheduleNext(kind);
+          },
+        );
       }
     },
   };
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -1,6 +1,6 @@
 /**
- * One edge machine of a virtual day and the lives of the router on it: the course and the feed, wired as the program
- * wires them, and the way in from requesters.
+ * A router of a simulated run over its restarts: request handler and configuration feed, wired as in the real program,
+ * and the connections of clients.
  */
 import {
   createControlFeed,
@@ -37,11 +37,11 @@
 import { isLeftOut, spoiledTable, spoiledTellings } from './spoiled-tenants.js';
 import { tableOf } from './submit.js';
 import type { VirtualControlCluster } from './virtual-core.js';
-import { createVirtualPort } from './virtual-port.js';
+import { createVirtualWorkerClient } from './virtual-port.js';
 import type { VirtualWorkers } from './virtual-workers.js';
 
-/** Where a router stands: `machine` is its own name, or that of a machine that also runs a control node. */
-export interface RouterPlace {
+/** The location of a router. `machine` is its own name, or that of a machine that also runs a control node. */
+export interface RouterLocation {
   readonly name: string;
   readonly zone: string;
   readonly machine: string;
@@ -54,40 +54,45 @@
   readonly start: () => void;
   readonly kill: (power: boolean) => void;
   readonly wake: () => void;
-  // SIGTERM: what is under way ends by itself, then the process ends.
-  readonly roll: () => void;
+  // SIGTERM: active requests complete, then the process exits and is started again.
+  readonly restartGracefully: () => void;
   readonly ready: () => boolean;
-  /** Where its machine sends operators on to, if that holds no control state; undefined where it knows nobody. */
+  /** The control node that a machine without control state redirects operators to; undefined if it knows none. */
   readonly controlNode: () => Address | undefined;
-  readonly figures: () => Record<string, unknown>;
-  /** A new connection of a requester. */
-  readonly connect: () => RequesterConnection;
-  // Gives how to leave. `told` is called where the requester is, with what it sees.
-  readonly take: (t: AttemptRecord, q: IncomingRequest, told: Told, connection: RequesterConnection) => () => void;
+  readonly metrics: () => Record<string, unknown>;
+  /** Opens a new client connection. */
+  readonly connect: () => ClientConnection;
+  /** Sends a request on a connection. Returns the client's abort; `clientHandler` is called at the client's end. */
+  readonly receiveRequest: (
+    t: AttemptRecord,
+    request: IncomingRequest,
+    clientHandler: ClientHandler,
+    connection: ClientConnection,
+  ) => () => void;
 }
-/** One connection of a requester; it ends with the process, or where an answer on it says so. */
-export interface RequesterConnection {
+/** A client connection. It ends with the router process, or after a response that closes it. */
+export interface ClientConnection {
   readonly router: VirtualRouter;
   open: boolean;
   busy: boolean;
   /** Whether a request has been served on it before. */
   used: boolean;
 }
-export interface Told {
-  readonly first: () => void;
-  readonly bytes: (b: Buffer) => void;
-  readonly ended: (how: AttemptRecord['ended'], why: string, retryAfter?: number) => void;
+export interface ClientHandler {
+  readonly onHead: () => void;
+  readonly onBytes: (b: Buffer) => void;
+  readonly onEnd: (outcome: AttemptRecord['ended'], why: string, retryAfter?: number) => void;
 }
-function endOf({ kind, ran }: Rejection): AttemptRecord['ended'] {
+function outcomeOf({ kind, ran }: Rejection): AttemptRecord['ended'] {
   if (kind === 'unknown_path' || kind === 'unknown_key') return kind;
   return ran === 'no' ? 'refused' : 'gave_up';
 }
 
-const gracePeriod = 8_000_000;
-const startAgainAfter = 400_000;
+const gracePeriodUs = 8_000_000;
+const restartDelayUs = 400_000;
 
-function spoiled(g: Ground, p: WorkerPort): WorkerPort {
-  const s = g.spoil;
+function sabotageWorkerClient(ground: Ground, p: WorkerPort): WorkerPort {
+  const s = ground.spoil;
   if (s === undefined) return p;
   let other: string | undefined;
   return {
@@ -99,11 +104,11 @@
       other = x.kvHandle;
       return { ...x, kvHandle: given };
     },
-    run: async (w, q, t, sink, gone) => {
+    run: async (worker, request, t, sink, abortSignal) => {
       let n = 0;
       const x = await p.run(
-        w,
-        q,
+        worker,
+        request,
         t,
         {
           head: sink.head,
@@ -115,9 +120,9 @@
             return sink.chunk(b);
           },
         },
-        gone,
+        abortSignal,
       );
-      if (x.tag !== 'unknown' || gone.aborted) return x;
+      if (x.tag !== 'unknown' || abortSignal.aborted) return x;
       if (s === 'cut-called-whole' && n > 0) return { tag: 'whole' };
       if (s === 'unknown-called-refused' && n === 0)
         return {
@@ -132,134 +137,138 @@
 }
 
 export function createVirtualRouter(
-  g: Ground,
+  ground: Ground,
   core: VirtualControlCluster,
   workers: VirtualWorkers,
-  place: RouterPlace,
-  resets: () => number,
+  location: RouterLocation,
+  resetRate: () => number,
 ): VirtualRouter {
-  const { engine: e, network: net, random, h } = g;
-  const { name, zone, machine } = place;
+  const { engine, network, random, h: history } = ground;
+  const { name, zone, machine } = location;
   const holdsControlState = machine !== name;
   const proc = createSimProcess(name, machine);
   const self = `${machine}:${holdsControlState ? 2 : 1}` as Address;
-  net.add(self, proc);
-  let course: RequestHandler | undefined;
+  network.add(self, proc);
+  let requestHandler: RequestHandler | undefined;
   let learning: RouterLearning | undefined;
   let controlFeed: ControlFeed | undefined;
   let life = 0;
   let shutdown: GracefulShutdown | undefined;
-  const open = new Map<AttemptRecord, (why: string) => void>();
-  const connections = new Set<RequesterConnection>();
+  const openAttempts = new Map<AttemptRecord, (why: string) => void>();
+  const connections = new Set<ClientConnection>();
 
   function start(): void {
     if (proc.alive) return;
     proc.alive = true;
-    g.silent.delete(machine);
+    ground.silent.delete(machine);
     life += 1;
-    const mine = life;
-    h.lives.push({ router: name, life, from: e.now(), to: Infinity });
-    const w = createProcessWorld(
-      e,
+    const ownLife = life;
+    history.lives.push({ router: name, life, from: engine.now(), to: Infinity });
+    const world = createProcessWorld(
+      engine,
       proc,
       random,
-      (to, m) => net.send(proc, self, to, m),
+      (to, m) => network.send(proc, self, to, m),
       (n, f) => {
-        if (n === 5105) h.unforeseen.push(JSON.stringify(f));
+        if (n === 5105) history.unforeseen.push(JSON.stringify(f));
       },
     );
-    const streaming = new Map(g.d.kinds.map((k) => [`${k.name}.example`, k.streaming]));
-    const port = createVirtualPort(e, {
+    const streaming = new Map(ground.d.kinds.map((k) => [`${k.name}.example`, k.streaming]));
+    const workerClient = createVirtualWorkerClient(engine, {
       proc,
-      net,
+      network,
       random,
       lifeAt: workers.lifeAt,
       machineAt: workers.machineAt,
-      silentMachine: (m) => g.silent.has(m),
-      arrived: (a) => h.arrivals.push(a),
-      streaming: (q) => streaming.get(q.host) ?? true,
-      resets,
+      isMachineSilent: (m) => ground.silent.has(m),
+      onArrival: (a) => history.arrivals.push(a),
+      isStreaming: (request) => streaming.get(request.host) ?? true,
+      resetRate,
     });
-    const asker = createControlClient(w, self, () => feed.votingNodes());
-    const l = createRouterLearning(w, { member: name, keepers: () => feed.votingNodes(), asker: askThrough(w, asker) });
-    learning = l;
-    const c = createRequestHandler(
-      w,
+    const controlClient = createControlClient(world, self, () => feed.votingNodes());
+    const learningAgent = createRouterLearning(world, {
+      member: name,
+      keepers: () => feed.votingNodes(),
+      asker: askThrough(world, controlClient),
+    });
+    learning = learningAgent;
+    const handler = createRequestHandler(
+      world,
       {
         zone,
         regionOf: () => 'region',
-        ...(g.learning === undefined
+        ...(ground.learning === undefined
           ? {}
           : {
               placement: {
                 ...placementDefaults,
-                minSamples: g.learning.trainEvery,
-                trust: g.learning.trust ?? placementDefaults.trust,
+                minSamples: ground.learning.trainEvery,
+                trust: ground.learning.trust ?? placementDefaults.trust,
               },
             }),
         retryBudget:
-          g.spoil === 'budget-ignored'
+          ground.spoil === 'budget-ignored'
             ? { ratio: 50, slack: 5000, window: 10_000_000, routerCount: () => 1 }
             : {
                 ratio: 0.2,
-                slack: g.d.sendSlack,
+                slack: ground.d.sendSlack,
                 window: 10_000_000,
                 routerCount: () => Math.max(4, feed.routerCount()),
                 isFirstStart: proc.incarnation === 0,
               },
       },
       {
-        workers: spoiledTellings(g.spoil, spoiled(g, port)),
+        workers: spoiledTellings(ground.spoil, sabotageWorkerClient(ground, workerClient)),
         announceActivity: (id, us) => feed.announcePrefill(id, us),
-        recordSample: l.sample,
-        assignCohort: l.lot,
+        recordSample: learningAgent.sample,
+        assignCohort: learningAgent.lot,
       },
     );
-    course = c;
-    shutdown = createGracefulShutdown(w, {
-      gracePeriod,
-      activeRequests: c.activeRequests,
+    requestHandler = handler;
+    shutdown = createGracefulShutdown(world, {
+      gracePeriod: gracePeriodUs,
+      activeRequests: handler.activeRequests,
       closeIdleConnections: closeIdle,
-      rejectUnstarted: c.rejectUnstarted,
-      exit: left,
+      rejectUnstarted: handler.rejectUnstarted,
+      exit: exitGracefully,
     });
     const known = new Map<string, FleetWorker>();
-    const taken: RouteTable[] = [];
+    const appliedTables: RouteTable[] = [];
     const seeds = core.seeds(machine);
-    const feed = createControlFeed(w, {
+    const feed = createControlFeed(world, {
       self,
       member: name,
       zone,
       seeds,
       fetchWorkerList: core.fetchList(name, proc),
-      onPeerPrefill: c.recordPeerActivity,
-      additionalKey: { key: recordKey, version: l.version, onUpdate: l.take },
+      onPeerPrefill: handler.recordPeerActivity,
+      additionalKey: { key: recordKey, version: learningAgent.version, onUpdate: learningAgent.take },
       onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
           const t = tableOf(text);
-          if (t === undefined || (g.spoil !== 'invalid-let-through' && validateRouteTable(t).length > 0))
-            return void h.unforeseen.push('a document that cannot govern');
-          if (g.spoil === 'news-withheld' && name === 'r1' && t.revision > 1) return;
-          h.applied.push({ at: e.now(), router: name, life: mine, revision: t.revision, text });
-          c.updateRoutes(spoiledTable(g.spoil, t, taken));
-          taken.push(t);
-          if (g.spoil === 'document-set-back' && t.revision > 1)
-            w.after(micros(1_000_000), () => {
-              const was = h.applied.find((a) => a.router === name && a.revision < t.revision);
-              if (was === undefined) return;
-              h.applied.push({ ...was, at: e.now(), life: mine });
-              c.updateRoutes(tableOf(was.text)!);
+          if (t === undefined || (ground.spoil !== 'invalid-let-through' && validateRouteTable(t).length > 0))
+            return void history.unforeseen.push('an invalid document was delivered to a router');
+          if (ground.spoil === 'news-withheld' && name === 'r1' && t.revision > 1) return;
+          history.applied.push({ at: engine.now(), router: name, life: ownLife, revision: t.revision, text });
+          handler.updateRoutes(spoiledTable(ground.spoil, t, appliedTables));
+          appliedTables.push(t);
+          if (ground.spoil === 'document-set-back' && t.revision > 1)
+            world.after(micros(1_000_000), () => {
+              const previous = history.applied.find((a) => a.router === name && a.revision < t.revision);
+              if (previous === undefined) return;
+              history.applied.push({ ...previous, at: engine.now(), life: ownLife });
+              handler.updateRoutes(tableOf(previous.text)!);
             });
         } else if (what === 'workers') {
-          if (g.spoil !== 'leaving-hidden') return c.updateWorkers(feed.workers());
+          if (ground.spoil !== 'leaving-hidden') return handler.updateWorkers(feed.workers());
           for (const x of feed.workers()) known.set(x.id, { ...x, leaving: false });
-          c.updateWorkers([...known.values()]);
+          handler.updateWorkers([...known.values()]);
         }
       },
       onWorkerLoads: (loads) => {
         for (const l of loads)
-          c.updateLoad(l.id, {
+          handler.updateLoad(l.id, {
             queued: l.queued,
             active: l.active,
             kvUsed: l.kvTotal > 0 ? l.kvUsed / l.kvTotal : 0,
@@ -269,51 +278,51 @@
       },
     });
     controlFeed = feed;
-    const guide = createControlGateway(w, { self, membership: feed.membership, firstStart: mine === 1 });
-    // It draws from numbers of its own, so that days drawn before there was a relay stay what they were.
-    const relayWorld = { ...w, random: createSeededRandom(hash32(self) + life) };
+    const gateway = createControlGateway(world, { self, membership: feed.membership, firstStart: ownLife === 1 });
+    // A separate generator, so that runs of earlier seeds keep their random draws.
+    const relayWorld = { ...world, random: createSeededRandom(hash32(self) + life) };
     if (!holdsControlState) startMembershipRelay(relayWorld, { self, seeds: () => seeds, membership: feed.membership });
     proc.receive = (m, from) => {
-      if (m.kind === 'Answer') asker.handleAnswer(m);
-      else if (holdsControlState || !guide(m, from)) feed.receive(m, from);
+      if (m.kind === 'Answer') controlClient.handleAnswer(m);
+      else if (holdsControlState || !gateway(m, from)) feed.receive(m, from);
     };
   }
 
-  function ended(why: string, power: boolean): void {
-    const was = [...open.values()];
-    open.clear();
-    if (!power) for (const f of was) f(why);
-    for (const l of h.lives) if (l.router === name && l.to === Infinity) Object.assign(l, { to: e.now() });
+  function closeAll(why: string, power: boolean): void {
+    const previous = [...openAttempts.values()];
+    openAttempts.clear();
+    if (!power) for (const f of previous) f(why);
+    for (const l of history.lives) if (l.router === name && l.to === Infinity) Object.assign(l, { to: engine.now() });
     for (const connection of connections) connection.open = false;
     connections.clear();
   }
   function kill(power: boolean): void {
     if (!proc.alive) return;
-    if (power) g.silent.add(machine);
+    if (power) ground.silent.add(machine);
     killProcess(proc);
-    course = undefined;
-    ended('the router died', power);
+    requestHandler = undefined;
+    closeAll('router killed', power);
   }
-  function roll(): void {
+  function restartGracefully(): void {
     if (!proc.alive || shutdown?.hasBegun() === true) return;
     shutdown?.begin();
-    if (g.spoil === 'leaves-at-once') left();
+    if (ground.spoil === 'leaves-at-once') exitGracefully();
   }
-  function left(): void {
+  function exitGracefully(): void {
     killProcess(proc);
-    course = undefined;
-    ended('router shut down gracefully', false);
-    e.at(e.now() + startAgainAfter, start);
+    requestHandler = undefined;
+    closeAll('router shut down gracefully', false);
+    engine.at(engine.now() + restartDelayUs, start);
   }
 
-  // What was sent on a connection that is closed meanwhile is not read; its requester hears of it.
+  // Requests sent on a connection that has been closed meanwhile are not read, and the client learns of it.
   function closeIdle(): void {
     for (const connection of connections) {
       if (connection.busy || !connection.open) continue;
       connections.delete(connection);
       createPipe(
-        e,
-        net,
+        engine,
+        network,
         machine,
         'clients',
       )(() => {
@@ -322,70 +331,75 @@
     }
   }
 
-  function connect(): RequesterConnection {
+  function connect(): ClientConnection {
     const connection = { router, open: true, busy: false, used: false };
     connections.add(connection);
     return connection;
   }
 
-  function take(t: AttemptRecord, q: IncomingRequest, told: Told, connection: RequesterConnection): () => void {
-    const there = createPipe(e, net, 'clients', machine);
-    const back = createPipe(e, net, machine, 'clients');
-    const gone = new AbortController();
+  function receiveRequest(
+    attempt: AttemptRecord,
+    request: IncomingRequest,
+    clientHandler: ClientHandler,
+    connection: ClientConnection,
+  ): () => void {
+    const toRouter = createPipe(engine, network, 'clients', machine);
+    const toClient = createPipe(engine, network, machine, 'clients');
+    const abortController = new AbortController();
     const incarnation = proc.incarnation;
-    let over = false;
-    // What the head of the answer says, so as it was when the answer began.
-    let closes: boolean | undefined;
-    function begins(): void {
-      closes ??= shutdown?.hasBegun() === true;
+    let isEnded = false;
+    // Whether the response head announces that the connection closes; decided when the response starts.
+    let closesConnection: boolean | undefined;
+    function noteResponseStart(): void {
+      closesConnection ??= shutdown?.hasBegun() === true;
     }
-    function finish(how: AttemptRecord['ended'], why: string, retryAfter?: number): void {
-      if (over) return;
-      over = true;
-      open.delete(t);
-      begins();
-      back(() => {
+    function finish(outcome: AttemptRecord['ended'], why: string, retryAfter?: number): void {
+      if (isEnded) return;
+      isEnded = true;
+      openAttempts.delete(attempt);
+      noteResponseStart();
+      toClient(() => {
         connection.busy = false;
         connection.used = true;
-        if (closes === true || how === 'cut') connection.open = false;
-        told.ended(how, why, retryAfter);
+        if (closesConnection === true || outcome === 'cut') connection.open = false;
+        clientHandler.onEnd(outcome, why, retryAfter);
       });
     }
     connection.busy = true;
-    open.set(t, (why) => finish(t.readAt === undefined ? 'unread' : 'cut', why));
-    there(() =>
+    openAttempts.set(attempt, (why) => finish(attempt.readAt === undefined ? 'unread' : 'cut', why));
+    toRouter(() =>
       deliver(proc, incarnation, () => {
-        if (!connections.has(connection)) return finish('unread', 'the connection was closed');
-        t.readAt = e.now();
+        if (!connections.has(connection)) return finish('unread', 'connection closed');
+        attempt.readAt = engine.now();
         const refusal = shutdown?.checkArrival(connection.used);
         if (refusal !== undefined) return finish('refused', refusal.kind, refusal.retryAfterSeconds);
-        if (isLeftOut(g.spoil, t.tenant)) return finish('refused', 'overloaded');
-        void course!.serve(
-          q,
+        if (isLeftOut(ground.spoil, attempt.tenant)) return finish('refused', 'overloaded');
+        void requestHandler!.serve(
+          request,
           {
             head: () => {
-              begins();
-              back(told.first);
+              noteResponseStart();
+              toClient(clientHandler.onHead);
             },
             chunk: (b) => {
               const copy = Buffer.from(b);
-              back(() => told.bytes(copy));
+              toClient(() => clientHandler.onBytes(copy));
               if (random() > 0.05) return undefined;
               return new Promise((ok) =>
-                e.at(e.now() + random() * 20_000, () => deliver(proc, incarnation, () => ok())),
+                engine.at(engine.now() + random() * 20_000, () => deliver(proc, incarnation, () => ok())),
               );
             },
             end: () => finish('whole', ''),
-            abort: () => finish('cut', 'cut by the router'),
+            abort: () => finish('cut', 'aborted by the router'),
             respond: (a) => finish([408, 421, 429, 503].includes(a.status) ? 'refused' : 'failed', `${a.status}`),
-            reject: (x) => finish(endOf(x), x.kind, x.retryAfterSeconds),
+            reject: (x) => finish(outcomeOf(x), x.kind, x.retryAfterSeconds),
           },
-          gone.signal,
+          abortController.signal,
         );
       }),
     );
     return function leave() {
-      there(() => deliver(proc, incarnation, () => gone.abort()));
+      toRouter(() => deliver(proc, incarnation, () => abortController.abort()));
     };
   }
 
@@ -396,13 +410,13 @@
     proc,
     start,
     kill,
-    roll,
-    wake: () => resumeProcess(e, proc),
-    ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && course?.isReady() === true,
+    restartGracefully,
+    wake: () => resumeProcess(engine, proc),
+    ready: () => proc.alive && !proc.frozen && shutdown?.hasBegun() !== true && requestHandler?.isReady() === true,
     controlNode: () => (proc.alive ? controlFeed?.source() : undefined),
-    figures: () => ({ ...course?.metrics(), learning: learning?.figures() }),
+    metrics: () => ({ ...requestHandler?.metrics(), learning: learning?.figures() }),
     connect,
-    take,
+    receiveRequest,
   };
   return router;
 }
--- a/packages/simulator/src/pass-through/virtual-worker.ts
+++ b/packages/simulator/src/pass-through/virtual-worker.ts
@@ -1,7 +1,7 @@
 /**
- * One life of a virtual worker: slots, a queue by urgency, prompts read piece by piece between the tokens of others,
- * parts that are kept, memory that can be taken once and lapses, and steps that take longer the more it runs. It may
- * be dark, be slow, refuse, fail, cut, lose or garble its answers. It does not check whose memory a run goes on from.
+ * One incarnation of a simulated worker: slots, a queue ordered by urgency, chunked prefill interleaved with decoding, a
+ * prefix cache, KV handles that can be taken once and expire, and steps that take longer the more runs there are. It may
+ * be unresponsive or slow, and refuse, fail, cut, lose or garble responses. It does not check whose KV cache a run uses.
  */
 import type { Engine } from '../engine.js';
 import type { EngineShape } from './engine-shape.js';
@@ -11,374 +11,377 @@
   readonly doing: 'read' | 'run';
   readonly promptTokens: number;
   readonly answerTokens: number;
-  readonly parts: readonly { readonly id: string; readonly tokens: number }[];
+  readonly segments: readonly { readonly id: string; readonly tokens: number }[];
   readonly target: string;
-  readonly left: number;
+  readonly remainingTime: number;
   readonly urgency: number;
   readonly streaming: boolean;
   readonly lastEvent: number;
   readonly from: { readonly address: string; readonly handle: string } | undefined;
   closed: boolean;
-  // A read was taken up.
+  // The prefill was accepted.
   readonly taken: () => void;
-  // `id` is whose answer it is.
+  // `id`: the request that the response belongs to.
   readonly head: (id: string, status: number, unrun: boolean) => void;
   readonly data: (b: Buffer) => void;
   readonly end: (surplus: boolean) => void;
   readonly reset: () => void;
 }
-export interface Handle {
+export interface KvHandle {
   readonly id: string;
   readonly request: string;
   readonly tokens: number;
   readonly until: number;
 }
-/** An order to take up a part. */
-export interface OrderCall {
-  readonly part: VirtualPart;
+/** An order to switch to a stage. */
+export interface StageOrderCall {
+  readonly part: VirtualStage;
   readonly holder: string;
   readonly fence: number;
   readonly ordersTaken: number;
   readonly target: string;
 }
-export type VirtualPart = 'prefill' | 'decode';
+export type VirtualStage = 'prefill' | 'decode';
 export interface LifeOptions {
   readonly id: string;
   readonly address: string;
   readonly machine: string;
   readonly service: string;
   readonly zone: string;
-  /** The part that it begins with. */
-  readonly part: VirtualPart;
+  /** The stage it starts with. */
+  readonly part: VirtualStage;
   readonly engine: EngineShape;
   readonly handleTtl: () => number;
   readonly slow: number;
-  // What becomes of an answer.
-  readonly mischief: () => Mischief;
-  // The microseconds to move that many tokens here, or undefined where the other cannot be reached.
-  readonly moveTime: (from: string, tokens: number) => number | undefined;
+  // Draws the fault that affects the next call.
+  readonly fault: () => WorkerFault;
+  // Microseconds to transfer the KV cache of that many tokens here; undefined if the source is unreachable.
+  readonly transferTime: (from: string, tokens: number) => number | undefined;
   readonly lifeAt: (address: string) => WorkerLife | undefined;
-  readonly began: (c: WorkerCall, run: string, memoryOf: string | undefined) => void;
-  /** A prompt is about to be read, but for so many tokens that are kept; and memory of so many tokens was moved. */
-  readonly reads?: (c: WorkerCall, keptTokens: number) => void;
-  readonly moved?: (tokens: number) => void;
+  readonly onRunStarted: (call: WorkerCall, run: string, memoryOf: string | undefined) => void;
+  /** `onPrefill`: a prefill starts, with that many tokens already cached. `onKvMoved`: that many KV tokens were moved. */
+  readonly onPrefill?: (call: WorkerCall, keptTokens: number) => void;
+  readonly onKvMoved?: (tokens: number) => void;
 }
-export type Mischief = 'none' | 'cut' | 'foreign' | 'surplus' | 'lost' | 'fail';
+export type WorkerFault = 'none' | 'cut' | 'foreign' | 'surplus' | 'lost' | 'fail';
 export interface WorkerLife {
   readonly o: LifeOptions;
-  readonly part: () => VirtualPart;
-  /** An order is being carried out. */
-  readonly changing: () => boolean;
+  readonly part: () => VirtualStage;
+  /** Whether a stage switch is in progress. */
+  readonly isSwitching: () => boolean;
   readonly ordersTaken: () => number;
-  /** Takes an order and gives the status of the answer. */
-  readonly order: (call: OrderCall) => number;
+  /** Handles a stage order and returns the response status. */
+  readonly order: (call: StageOrderCall) => number;
   readonly alive: () => boolean;
-  readonly accept: (c: WorkerCall) => void;
-  readonly closed: (c: WorkerCall) => void;
+  readonly accept: (call: WorkerCall) => void;
+  readonly closed: (call: WorkerCall) => void;
   readonly free: (handle: string) => void;
-  readonly take: (handle: string) => Handle | undefined;
-  readonly lapse: () => void;
+  readonly take: (handle: string) => KvHandle | undefined;
+  readonly expireHandles: () => void;
   readonly crash: () => void;
-  readonly dark: (on: boolean) => void;
-  readonly isDark: () => boolean;
+  readonly setUnresponsive: (on: boolean) => void;
+  readonly isUnresponsive: () => boolean;
   readonly load: () => { queued: number; active: number; kvUsed: number; kvTotal: number };
 }
 interface Job {
   readonly call: WorkerCall;
   readonly at: number;
   readonly due: number;
-  readonly mischief: Mischief;
+  readonly mischief: WorkerFault;
   readonly run: string;
   readonly cutAfter: number;
   need: number;
-  /** When its reading may begin. */
+  /** When its prefill may start. */
   readyAt: number;
   moving: boolean;
   made: number;
   sent: number;
   headSent: boolean;
 }
-/** How long a worker takes to come back with another part. */
-export const switchTime = 1_800_000;
-const idleLook = 20_000;
+/** How long a worker takes to switch to the other stage. */
+export const stageSwitchTimeUs = 1_800_000;
+const idlePollUs = 20_000;
 
-/** Steps under way: tokens for all that run, and a piece of one prompt. */
-interface Stepping {
-  readonly makers: readonly Job[];
-  readonly reader: Job | undefined;
-  readonly each: number;
+/** A batch of steps in progress: tokens for all decoding jobs, and a chunk of one prompt. */
+interface StepBatch {
+  readonly decodeJobs: readonly Job[];
+  readonly prefillJob: Job | undefined;
+  readonly stepUs: number;
   readonly tokens: number;
   readonly from: number;
 }
 
-export function piecesOf(answerTokens: number, stride: number): number {
+export function eventCountOf(answerTokens: number, stride: number): number {
   return Math.max(1, Math.ceil(answerTokens / stride));
 }
-export function pieceOf(request: string, run: string, n: number, of: number): string {
+export function formatEvent(request: string, run: string, n: number, of: number): string {
   return `id: ${n}\ndata: ${request} ${run} ${n}/${of}\n\n`;
 }
 
-export function createWorkerLife(e: Engine, random: () => number, o: LifeOptions): WorkerLife {
-  const handles = new Map<string, Handle>();
-  const kept = new Map<string, number>();
+export function createWorkerLife(simulation: Engine, random: () => number, o: LifeOptions): WorkerLife {
+  const handles = new Map<string, KvHandle>();
+  const cachedSegments = new Map<string, number>();
   let queue: Job[] = [];
   const running = new Set<Job>();
   const { engine } = o;
   let [alive, dark] = [true, false];
-  let stepping: Stepping | undefined;
+  let currentSteps: StepBatch | undefined;
   let wakeAt = Infinity;
-  let held: (() => void)[] = [];
-  let moveFree = 0;
+  let deferred: (() => void)[] = [];
+  let linkFreeAt = 0;
   let n = 0;
   let part = o.part;
-  let changingTo: VirtualPart | undefined;
+  let switchingTo: VirtualStage | undefined;
   let ordersTaken = 0;
   let highestFence = 0;
 
-  function keptOf(c: WorkerCall): number {
+  function cachedTokensOf(call: WorkerCall): number {
     let k = 0;
-    for (const p of c.parts) {
-      if (!kept.has(p.id)) break;
+    for (const p of call.segments) {
+      if (!cachedSegments.has(p.id)) break;
       k += p.tokens;
     }
     return k;
   }
-  function used(): number {
+  function usedTokens(): number {
     let k = 0;
-    for (const j of running) k += j.call.promptTokens + j.call.answerTokens;
+    for (const job of running) k += job.call.promptTokens + job.call.answerTokens;
     for (const h of handles.values()) k += h.tokens;
     return k;
   }
-  function keep(c: WorkerCall): void {
-    for (const p of c.parts) {
-      kept.delete(p.id);
-      kept.set(p.id, p.tokens);
+  function cacheSegments(call: WorkerCall): void {
+    for (const p of call.segments) {
+      cachedSegments.delete(p.id);
+      cachedSegments.set(p.id, p.tokens);
     }
-    let all = used();
-    for (const t of kept.values()) all += t;
-    for (const [id, t] of kept) {
+    let all = usedTokens();
+    for (const t of cachedSegments.values()) all += t;
+    for (const [id, t] of cachedSegments) {
       if (all <= engine.kvTokens) break;
-      kept.delete(id);
+      cachedSegments.delete(id);
       all -= t;
     }
   }
 
-  function refuse(c: WorkerCall, status: number): void {
-    c.head(c.request, status, true);
-    c.end(false);
+  function refuse(call: WorkerCall, status: number): void {
+    call.head(call.request, status, true);
+    call.end(false);
   }
 
-  function accept(c: WorkerCall): void {
+  function accept(call: WorkerCall): void {
     if (!alive) return;
-    if (dark) return void held.push(() => accept(c));
-    // One that was closed while nobody looked is mostly dropped unread.
-    if (c.closed && random() < 0.7) return;
-    if (c.target !== o.id) return refuse(c, 421);
-    if (c.doing === 'read' ? part !== 'prefill' : part !== 'decode') return refuse(c, 421);
-    if (changingTo !== undefined) return refuse(c, 503);
-    if (queue.length >= engine.queued || c.promptTokens > engine.kvTokens) return refuse(c, 503);
+    if (dark) return void deferred.push(() => accept(call));
+    // Most calls that were closed before the worker read them are dropped.
+    if (call.closed && random() < 0.7) return;
+    if (call.target !== o.id) return refuse(call, 421);
+    if (call.doing === 'read' ? part !== 'prefill' : part !== 'decode') return refuse(call, 421);
+    if (switchingTo !== undefined) return refuse(call, 503);
+    if (queue.length >= engine.queued || call.promptTokens > engine.kvTokens) return refuse(call, 503);
     n += 1;
-    if (c.doing === 'read') c.taken();
+    if (call.doing === 'read') call.taken();
     queue.push({
-      call: c,
-      at: e.now(),
-      due: e.now() + c.left,
-      mischief: o.mischief(),
+      call,
+      at: simulation.now(),
+      due: simulation.now() + call.remainingTime,
+      mischief: o.fault(),
       run: `${o.id}.${n}`,
       cutAfter: Math.floor(random() * 6),
       need: 0,
       readyAt: 0,
       moving: false,
       made: 0,
-      sent: c.lastEvent,
+      sent: call.lastEvent,
       headSent: false,
     });
-    kick();
+    scheduleSteps();
   }
 
   function admit(): void {
     if (queue.length === 0) return;
     queue.sort((a, b) => a.call.urgency - b.call.urgency || a.at - b.at);
     while (queue.length > 0 && running.size < engine.slots) {
-      const j = queue[0]!;
-      if (e.now() > j.due) {
+      const job = queue[0]!;
+      if (simulation.now() > job.due) {
         queue.shift();
-        refuse(j.call, 503);
+        refuse(job.call, 503);
         continue;
       }
-      if (running.size > 0 && used() + j.call.promptTokens > engine.kvTokens) return;
+      if (running.size > 0 && usedTokens() + job.call.promptTokens > engine.kvTokens) return;
       queue.shift();
-      if (j.call.from === undefined) {
-        const known = keptOf(j.call);
-        o.reads?.(j.call, known);
-        j.need = Math.max(1, j.call.promptTokens - known);
-        j.readyAt = e.now() + engine.firstTime;
-        if (j.call.doing === 'run') begin(j, undefined);
-        running.add(j);
-      } else fetch(j, j.call.from);
+      if (job.call.from === undefined) {
+        const known = cachedTokensOf(job.call);
+        o.onPrefill?.(job.call, known);
+        job.need = Math.max(1, job.call.promptTokens - known);
+        job.readyAt = simulation.now() + engine.firstTime;
+        if (job.call.doing === 'run') begin(job, undefined);
+        running.add(job);
+      } else fetchKv(job, job.call.from);
     }
   }
 
-  function fetch(j: Job, from: { address: string; handle: string }): void {
+  function fetchKv(job: Job, from: { address: string; handle: string }): void {
     const source = o.lifeAt(from.address);
-    const wait = Math.max(0, moveFree - e.now());
-    const took = source === undefined || source.isDark() ? undefined : o.moveTime(from.address, j.call.promptTokens);
-    if (source === undefined || took === undefined || wait > 2_000_000) return refuse(j.call, 503);
+    const wait = Math.max(0, linkFreeAt - simulation.now());
+    const took =
+      source === undefined || source.isUnresponsive() ? undefined : o.transferTime(from.address, job.call.promptTokens);
+    if (source === undefined || took === undefined || wait > 2_000_000) return refuse(job.call, 503);
     const h = source.take(from.handle);
-    if (h === undefined) return refuse(j.call, 503);
-    o.moved?.(j.call.promptTokens);
-    moveFree = e.now() + wait + took + engine.moveSetup;
-    j.moving = true;
-    running.add(j);
-    e.at(moveFree, () => {
-      if (!alive || !running.has(j)) return;
-      j.moving = false;
-      keep(j.call);
-      begin(j, h.request);
-      kick();
+    if (h === undefined) return refuse(job.call, 503);
+    o.onKvMoved?.(job.call.promptTokens);
+    linkFreeAt = simulation.now() + wait + took + engine.moveSetup;
+    job.moving = true;
+    running.add(job);
+    simulation.at(linkFreeAt, () => {
+      if (!alive || !running.has(job)) return;
+      job.moving = false;
+      cacheSegments(job.call);
+      begin(job, h.request);
+      scheduleSteps();
     });
   }
 
-  function begin(j: Job, memoryOf: string | undefined): void {
-    o.began(j.call, j.run, memoryOf);
-    // Some send the head at once, others with the first piece.
-    if (n % 2 === 0 && j.mischief !== 'foreign' && j.mischief !== 'lost' && j.mischief !== 'fail') head(j);
+  function begin(job: Job, memoryOf: string | undefined): void {
+    o.onRunStarted(job.call, job.run, memoryOf);
+    // Half of the responses send their head at once, the others with the first event.
+    if (n % 2 === 0 && job.mischief !== 'foreign' && job.mischief !== 'lost' && job.mischief !== 'fail') head(job);
   }
-  function head(j: Job): void {
-    if (j.headSent) return;
-    j.headSent = true;
-    j.call.head(j.call.request, 200, false);
+  function head(job: Job): void {
+    if (job.headSent) return;
+    job.headSent = true;
+    job.call.head(job.call.request, 200, false);
   }
 
-  function finish(j: Job): void {
-    running.delete(j);
+  function finish(job: Job): void {
+    running.delete(job);
   }
-  function bad(j: Job): boolean {
-    if (j.mischief === 'lost') {
-      finish(j);
-      j.call.reset();
-    } else if (j.mischief === 'fail') {
-      finish(j);
-      j.call.head(j.call.request, 500, false);
-      j.call.data(Buffer.from('it failed'));
-      j.call.end(false);
-    } else if (j.mischief === 'foreign') {
-      finish(j);
-      j.call.head('another', 200, false);
-      j.call.data(Buffer.from(pieceOf('another', 'x', 1, 9)));
-      j.call.end(false);
+  function injectFault(job: Job): boolean {
+    if (job.mischief === 'lost') {
+      finish(job);
+      job.call.reset();
+    } else if (job.mischief === 'fail') {
+      finish(job);
+      job.call.head(job.call.request, 500, false);
+      job.call.data(Buffer.from('worker failure'));
+      job.call.end(false);
+    } else if (job.mischief === 'foreign') {
+      finish(job);
+      job.call.head('another', 200, false);
+      job.call.data(Buffer.from(formatEvent('another', 'x', 1, 9)));
+      job.call.end(false);
     } else return false;
     return true;
   }
 
-  function read(j: Job): void {
-    keep(j.call);
-    if (j.call.doing === 'run') return;
-    if (bad(j)) return;
-    finish(j);
-    if (j.mischief === 'cut') return j.call.reset();
+  function finishPrefill(job: Job): void {
+    cacheSegments(job.call);
+    if (job.call.doing === 'run') return;
+    if (injectFault(job)) return;
+    finish(job);
+    if (job.mischief === 'cut') return job.call.reset();
     n += 1;
-    const h: Handle = {
+    const h: KvHandle = {
       id: `h${o.id}.${n}`,
-      request: j.call.request,
-      tokens: j.call.promptTokens,
-      until: e.now() + o.handleTtl(),
+      request: job.call.request,
+      tokens: job.call.promptTokens,
+      until: simulation.now() + o.handleTtl(),
     };
     handles.set(h.id, h);
-    e.at(h.until, () => handles.delete(h.id));
-    j.call.head(j.call.request, 200, false);
-    j.call.data(Buffer.from(h.id));
-    j.call.end(j.mischief === 'surplus');
+    simulation.at(h.until, () => handles.delete(h.id));
+    job.call.head(job.call.request, 200, false);
+    job.call.data(Buffer.from(h.id));
+    job.call.end(job.mischief === 'surplus');
   }
 
-  function make(j: Job, k: number): void {
-    j.made += k;
-    const all = piecesOf(j.call.answerTokens, engine.stride);
-    const begun = j.made >= engine.firstStride ? 1 + Math.floor((j.made - engine.firstStride) / engine.stride) : 0;
-    const to = Math.min(all, Math.max(j.call.lastEvent, 0) + begun);
-    const done = j.made >= j.call.answerTokens - j.call.lastEvent * engine.stride;
-    if (!j.headSent && bad(j)) return;
-    for (let i = j.sent + 1; i <= (done ? all : to); i += 1) {
-      const s = j.call.streaming ? pieceOf(j.call.request, j.run, i, all) : `${j.call.request} ${j.run} ${i}/${all};`;
-      if (j.mischief === 'cut' && i > j.cutAfter) {
-        head(j);
-        j.call.data(Buffer.from(s.slice(0, Math.floor(random() * s.length))));
-        finish(j);
-        return j.call.reset();
+  function emitTokens(job: Job, k: number): void {
+    job.made += k;
+    const all = eventCountOf(job.call.answerTokens, engine.stride);
+    const begun = job.made >= engine.firstStride ? 1 + Math.floor((job.made - engine.firstStride) / engine.stride) : 0;
+    const to = Math.min(all, Math.max(job.call.lastEvent, 0) + begun);
+    const done = job.made >= job.call.answerTokens - job.call.lastEvent * engine.stride;
+    if (!job.headSent && injectFault(job)) return;
+    for (let i = job.sent + 1; i <= (done ? all : to); i += 1) {
+      const s = job.call.streaming
+        ? formatEvent(job.call.request, job.run, i, all)
+        : `${job.call.request} ${job.run} ${i}/${all};`;
+      if (job.mischief === 'cut' && i > job.cutAfter) {
+        head(job);
+        job.call.data(Buffer.from(s.slice(0, Math.floor(random() * s.length))));
+        finish(job);
+        return job.call.reset();
       }
-      head(j);
+      head(job);
       const at = Math.floor(random() * s.length);
       if (at % 5 === 0 && at > 0) {
-        j.call.data(Buffer.from(s.slice(0, at)));
-        j.call.data(Buffer.from(s.slice(at)));
-      } else j.call.data(Buffer.from(s));
-      j.sent = i;
+        job.call.data(Buffer.from(s.slice(0, at)));
+        job.call.data(Buffer.from(s.slice(at)));
+      } else job.call.data(Buffer.from(s));
+      job.sent = i;
     }
     if (!done) return;
-    head(j);
-    finish(j);
-    j.call.end(j.mischief === 'surplus');
+    head(job);
+    finish(job);
+    job.call.end(job.mischief === 'surplus');
   }
 
-  function kick(): void {
+  function scheduleSteps(): void {
     if (!alive || dark) return;
-    if (stepping === undefined) next();
-    else shorten(stepping);
+    if (currentSteps === undefined) startNextSteps();
+    else shortenSteps(currentSteps);
   }
 
-  /** Steps for which nothing was to be read are broken off after the present one, as something may be now. */
-  function shorten(steps: Stepping): void {
-    if (steps.reader !== undefined || steps.tokens <= 1) return;
-    const done = Math.floor((e.now() - steps.from) / steps.each) + 1;
+  /** Ends a batch of steps without prefill after its current step, as a prompt may be waiting now. */
+  function shortenSteps(steps: StepBatch): void {
+    if (steps.prefillJob !== undefined || steps.tokens <= 1) return;
+    const done = Math.floor((simulation.now() - steps.from) / steps.stepUs) + 1;
     if (done >= steps.tokens) return;
-    startSteps(steps.makers, undefined, 0, steps.each, done, steps.from);
+    startSteps(steps.decodeJobs, undefined, 0, steps.stepUs, done, steps.from);
   }
 
-  /** Looks again when the first of those that wait for their reading may begin. */
-  function wakeFor(at: number): void {
+  /** Reschedules when the first job that waits for its prefill may start. */
+  function scheduleWake(at: number): void {
     if (at >= wakeAt) return;
     wakeAt = at;
-    e.at(at, () => {
+    simulation.at(at, () => {
       if (wakeAt === at) wakeAt = Infinity;
-      kick();
+      scheduleSteps();
     });
   }
 
-  function next(): void {
-    stepping = undefined;
+  function startNextSteps(): void {
+    currentSteps = undefined;
     if (!alive || dark) return;
     admit();
     let reader: Job | undefined;
     const makers: Job[] = [];
-    for (const j of running) {
-      if (j.moving) continue;
-      if (j.need <= 0) makers.push(j);
-      else if (j.readyAt > e.now()) wakeFor(j.readyAt);
+    for (const job of running) {
+      if (job.moving) continue;
+      if (job.need <= 0) makers.push(job);
+      else if (job.readyAt > simulation.now()) scheduleWake(job.readyAt);
       else if (
         reader === undefined ||
-        j.call.urgency < reader.call.urgency ||
-        (j.call.urgency === reader.call.urgency && j.at < reader.at)
+        job.call.urgency < reader.call.urgency ||
+        (job.call.urgency === reader.call.urgency && job.at < reader.at)
       )
-        reader = j;
+        reader = job;
     }
     if (reader === undefined && makers.length === 0) return;
-    const context = makers.reduce((sum, j) => sum + j.call.promptTokens + j.made, 0);
+    const context = makers.reduce((sum, job) => sum + job.call.promptTokens + job.made, 0);
     const each = (engine.step + engine.stepPerRun * makers.length + engine.stepPerContextToken * context) * o.slow;
     const most = part === 'prefill' ? engine.prefillPiece : engine.decodePiece;
     const piece =
       reader === undefined ? 0 : Math.min(reader.need, makers.length === 0 ? engine.idlePieces * most : most);
-    // A prefill worker makes no tokens, so its reading waits for no step of theirs.
-    const length = reader === undefined ? each : readingTime(reader, piece) + (part === 'prefill' ? 0 : each);
-    startSteps(makers, reader, piece, length, reader === undefined ? stepsAtOnce(makers) : 1, e.now());
+    // A prefill worker generates no tokens, so a prefill chunk there includes no decode step.
+    const length = reader === undefined ? each : prefillTime(reader, piece) + (part === 'prefill' ? 0 : each);
+    startSteps(makers, reader, piece, length, reader === undefined ? stepsAtOnce(makers) : 1, simulation.now());
   }
 
-  /** As many as no piece of any answer ends in before. */
+  /** Number of steps that can run at once without skipping the end of an event of any response. */
   function stepsAtOnce(makers: readonly Job[]): number {
-    return makers.some((j) => j.made < engine.firstStride) ? engine.firstStride : engine.stride;
+    return makers.some((job) => job.made < engine.firstStride) ? engine.firstStride : engine.stride;
   }
 
-  function readingTime(j: Job, piece: number): number {
-    const before = j.call.promptTokens - j.need;
+  function prefillTime(job: Job, piece: number): number {
+    const before = job.call.promptTokens - job.need;
     const pairs = piece * (2 * before + piece);
     const half = part === 'prefill' ? 1 : 2;
     return (piece * engine.perToken + pairs * engine.perPair) * half * o.slow;
@@ -392,66 +395,66 @@
     tokens: number,
     from: number,
   ): void {
-    const steps: Stepping = { makers, reader, each, tokens, from };
-    stepping = steps;
-    e.at(from + tokens * each, () => {
-      // Others have taken its place.
-      if (stepping !== steps) return;
-      stepping = undefined;
+    const steps: StepBatch = { decodeJobs: makers, prefillJob: reader, stepUs: each, tokens, from };
+    currentSteps = steps;
+    simulation.at(from + tokens * each, () => {
+      // Superseded by another batch.
+      if (currentSteps !== steps) return;
+      currentSteps = undefined;
       if (!alive || dark) return;
-      for (const j of makers) if (running.has(j)) make(j, tokens);
+      for (const job of makers) if (running.has(job)) emitTokens(job, tokens);
       if (reader !== undefined && running.has(reader)) {
         reader.need -= piece;
-        if (reader.need <= 0) read(reader);
+        if (reader.need <= 0) finishPrefill(reader);
       }
-      for (const j of running) if (e.now() > j.due) late(j);
-      next();
+      for (const job of running) if (simulation.now() > job.due) rejectOverdue(job);
+      startNextSteps();
     });
   }
-  function late(j: Job): void {
-    if (j.moving) return;
-    finish(j);
-    if (j.headSent) return j.call.reset();
-    j.call.head(j.call.request, 504, false);
-    j.call.end(false);
+  function rejectOverdue(job: Job): void {
+    if (job.moving) return;
+    finish(job);
+    if (job.headSent) return job.call.reset();
+    job.call.head(job.call.request, 504, false);
+    job.call.end(false);
   }
 
-  function closed(c: WorkerCall): void {
+  function closed(call: WorkerCall): void {
     if (!alive) return;
-    if (dark) return void held.push(() => closed(c));
-    // Most drop it.
+    if (dark) return void deferred.push(() => closed(call));
+    // Most closed calls are cancelled; 15 % continue to run.
     if (random() < 0.15) return;
-    queue = queue.filter((j) => j.call !== c);
-    for (const j of running) if (j.call === c) running.delete(j);
+    queue = queue.filter((job) => job.call !== call);
+    for (const job of running) if (job.call === call) running.delete(job);
   }
 
-  function order(call: OrderCall): number {
+  function order(call: StageOrderCall): number {
     if (call.target !== o.id) return 421;
     if (call.fence < highestFence) return 412;
     highestFence = call.fence;
-    if (changingTo !== undefined || call.ordersTaken !== ordersTaken) return 409;
+    if (switchingTo !== undefined || call.ordersTaken !== ordersTaken) return 409;
     ordersTaken += 1;
     if (call.part === part) return 200;
-    changingTo = call.part;
+    switchingTo = call.part;
     for (const job of queue.splice(0)) refuse(job.call, 503);
-    changeWhenIdle();
+    switchWhenIdle();
     return 202;
   }
-  // What runs is let reach its end first.
-  function changeWhenIdle(): void {
-    if (!alive || changingTo === undefined) return;
-    if (running.size > 0) return e.at(e.now() + idleLook, changeWhenIdle);
-    e.at(e.now() + switchTime, () => {
-      if (!alive || changingTo === undefined) return;
-      part = changingTo;
-      changingTo = undefined;
+  // Switches only after all running jobs have ended.
+  function switchWhenIdle(): void {
+    if (!alive || switchingTo === undefined) return;
+    if (running.size > 0) return simulation.at(simulation.now() + idlePollUs, switchWhenIdle);
+    simulation.at(simulation.now() + stageSwitchTimeUs, () => {
+      if (!alive || switchingTo === undefined) return;
+      part = switchingTo;
+      switchingTo = undefined;
     });
   }
 
   return {
     o,
     part: () => part,
-    changing: () => changingTo !== undefined,
+    isSwitching: () => switchingTo !== undefined,
     ordersTaken: () => ordersTaken,
     order,
     alive: () => alive,
@@ -463,24 +466,24 @@
       if (h !== undefined) handles.delete(id);
       return h;
     },
-    lapse: () => handles.clear(),
+    expireHandles: () => handles.clear(),
     crash: () => {
       alive = false;
-      const cs = [...queue, ...running].map((j) => j.call);
+      const cs = [...queue, ...running].map((job) => job.call);
       queue = [];
       running.clear();
-      held = [];
-      for (const c of cs) c.reset();
+      deferred = [];
+      for (const call of cs) call.reset();
     },
-    dark: (on) => {
+    setUnresponsive: (on) => {
       dark = on;
       if (on) return;
-      const hs = held;
-      held = [];
+      const hs = deferred;
+      deferred = [];
       for (const f of hs) f();
-      kick();
+      scheduleSteps();
     },
-    isDark: () => dark,
-    load: () => ({ queued: queue.length, active: running.size, kvUsed: used(), kvTotal: engine.kvTokens }),
+    isUnresponsive: () => dark,
+    load: () => ({ queued: queue.length, active: running.size, kvUsed: usedTokens(), kvTotal: engine.kvTokens }),
   };
 }
--- a/packages/simulator/src/pass-through/virtual-workers.ts
+++ b/packages/simulator/src/pass-through/virtual-workers.ts
@@ -1,6 +1,6 @@
 /**
- * The workers of a virtual day and the platform's list of them, which runs behind. Every start is a new life with a
- * new id; addresses are used again, also by workers of a service that no path names.
+ * The workers of a simulated run and the platform's worker list, which lags behind. Every start is a new incarnation with
+ * a new id. Addresses are reused, also by workers of a service that no route names.
  */
 import type { ListedWorker } from '@tansypost/control-feed';
 import { usualEngine } from './engine-shape.js';
@@ -10,7 +10,7 @@
 import {
   createWorkerLife,
   type LifeOptions,
-  type Mischief,
+  type WorkerFault,
   type WorkerCall,
   type WorkerLife,
 } from './virtual-worker.js';
@@ -18,43 +18,43 @@
 export interface VirtualWorkers {
   readonly lifeAt: (address: string) => WorkerLife | undefined;
   readonly machineAt: (address: string) => string;
-  // The list as it shows now.
+  // The worker list as currently shown by the platform.
   readonly list: () => readonly ListedWorker[];
   readonly lives: (service?: string) => readonly WorkerLife[];
-  readonly crash: (w: WorkerLife, back: boolean, power: boolean) => void;
-  readonly release: (service: string) => Promise<void>;
-  /** Leaves in order, and nobody comes for it. */
-  readonly withdraw: (w: WorkerLife) => void;
-  readonly mischief: { kind: Mischief; share: number; readonly more: { slowMoves: number; handleTtl: number } };
+  readonly crash: (worker: WorkerLife, restarts: boolean, power: boolean) => void;
+  readonly rollOut: (service: string) => Promise<void>;
+  /** Retires the worker gracefully without a replacement. */
+  readonly withdraw: (worker: WorkerLife) => void;
+  readonly mischief: { kind: WorkerFault; share: number; readonly more: { slowMoves: number; handleTtl: number } };
 }
-interface Entry {
+interface WorkerEntry {
   readonly life: WorkerLife;
   readonly from: number;
   leaving: number;
   until: number;
 }
-const listedAfterCrash = 3_000_000;
-const drain = 3_000_000;
-const usedAgain = 2_000_000;
+const listedAfterCrashUs = 3_000_000;
+const drainUs = 3_000_000;
+const addressReuseDelayUs = 2_000_000;
 
-export function createVirtualWorkers(g: Ground): VirtualWorkers {
-  const { engine: e, d, random } = g;
-  const at = new Map<string, WorkerLife>();
-  const machines = new Map<string, string>();
-  const entries: Entry[] = [];
-  const lag = 200_000 + random() * 600_000;
+export function createVirtualWorkers(ground: Ground): VirtualWorkers {
+  const { engine: e, d: deployment, random } = ground;
+  const lifeByAddress = new Map<string, WorkerLife>();
+  const machineByAddress = new Map<string, string>();
+  const entries: WorkerEntry[] = [];
+  const listLagUs = 200_000 + random() * 600_000;
   const lastUse = new Map<string, number>();
   const mischief = {
-    kind: 'none' as Mischief,
+    kind: 'none' as WorkerFault,
     share: 0,
     more: { slowMoves: 1, handleTtl: 5_000_000 },
   };
   let ids = 0;
   let addresses = 0;
 
-  function began(c: WorkerCall, life: () => WorkerLife, run: string, memoryOf: string | undefined): void {
+  function recordRun(c: WorkerCall, life: () => WorkerLife, run: string, memoryOf: string | undefined): void {
     const o = life().o;
-    g.h.runs.push({
+    ground.h.runs.push({
       at: e.now(),
       request: c.request,
       run,
@@ -72,12 +72,12 @@
     slow?: number,
   ): WorkerLife {
     ids += 1;
-    const shape = d.services?.find((each) => each.name === service);
-    const engine = shape?.engine ?? usualEngine(d.kvTokens);
+    const shape = deployment.services?.find((each) => each.name === service);
+    const engine = shape?.engine ?? usualEngine(deployment.kvTokens);
     const id = `i${ids}`;
     const machine = `w${address.split(':')[0]}`;
-    machines.set(address, machine);
-    g.silent.delete(machine);
+    machineByAddress.set(address, machine);
+    ground.silent.delete(machine);
     const options: LifeOptions = {
       id,
       address,
@@ -88,116 +88,129 @@
       engine,
       handleTtl: () => mischief.more.handleTtl,
       slow: slow ?? 0.9 + 0.5 * random(),
-      mischief: () => (random() < mischief.share ? mischief.kind : 'none'),
-      moveTime: (from, tokens) => {
-        const m = machines.get(from) ?? '';
-        if (g.network.isBlocked(machine, m) || g.network.isBlocked(m, machine)) return undefined;
+      fault: () => (random() < mischief.share ? mischief.kind : 'none'),
+      transferTime: (from, tokens) => {
+        const m = machineByAddress.get(from) ?? '';
+        if (ground.network.isBlocked(machine, m) || ground.network.isBlocked(m, machine)) return undefined;
         return (
           ((tokens * engine.tokenBytes * 8) / engine.linkMbps) *
-          (at.get(from)?.o.zone === zone ? 1 : 2) *
+          (lifeByAddress.get(from)?.o.zone === zone ? 1 : 2) *
           mischief.more.slowMoves
         );
       },
-      lifeAt: (a) => at.get(a),
-      began: (c, run, memoryOf) => began(c, () => life, run, memoryOf),
-      reads: (c, known) => noteReading(c, known),
-      moved: (tokens) => {
-        g.h.costs.moved += tokens;
+      lifeAt: (a) => lifeByAddress.get(a),
+      onRunStarted: (c, run, memoryOf) => recordRun(c, () => life, run, memoryOf),
+      onPrefill: (c, known) => recordPrefill(c, known),
+      onKvMoved: (tokens) => {
+        ground.h.costs.moved += tokens;
       },
     };
     const life: WorkerLife =
       shape?.plain === undefined
         ? createWorkerLife(e, random, options)
         : createPlainLife(e, random, options, shape.plain);
-    at.set(address, life);
+    lifeByAddress.set(address, life);
     entries.push({ life, from: e.now(), leaving: Infinity, until: Infinity });
     return life;
   }
-  function fresh(): string {
+  function newAddress(): string {
     addresses += 1;
     return `a${addresses}:80`;
   }
-  function entry(w: WorkerLife): Entry {
-    return entries.find((x) => x.life === w)!;
+  function entry(worker: WorkerLife): WorkerEntry {
+    return entries.find((x) => x.life === worker)!;
   }
 
-  const usual = { prefillShare: 0.5, slow: [] };
-  const services = d.services ?? [
-    { ...usual, name: mainService, workers: d.workers },
-    { ...usual, name: asideService, workers: d.asideWorkers },
+  const defaults = { prefillShare: 0.5, slow: [] };
+  const services = deployment.services ?? [
+    { ...defaults, name: mainService, workers: deployment.workers },
+    { ...defaults, name: asideService, workers: deployment.asideWorkers },
   ];
   for (const shape of services)
     for (let i = 0; i < shape.workers; i += 1) {
       const reads = Math.ceil((i + 1) * shape.prefillShare) > Math.ceil(i * shape.prefillShare);
-      start(fresh(), shape.name, d.zones[i % d.zones.length]!, reads ? 'prefill' : 'decode', slowOf(shape, i));
+      start(
+        newAddress(),
+        shape.name,
+        deployment.zones[i % deployment.zones.length]!,
+        reads ? 'prefill' : 'decode',
+        slowOf(shape, i),
+      );
     }
 
-  /** Turns through the list, so that zones and parts get all of them. */
+  /** Cycles through the slowdown factors such that workers of every zone and stage get all of them. */
   function slowOf(shape: Pick<ServiceShape, 'slow' | 'prefillShare'>, i: number): number | undefined {
     if (shape.slow.length === 0) return undefined;
-    const turn = Math.floor(i / d.zones.length) + Math.floor(i * shape.prefillShare) + i;
+    const turn = Math.floor(i / deployment.zones.length) + Math.floor(i * shape.prefillShare) + i;
     return shape.slow[turn % shape.slow.length];
   }
 
-  /** Shared parts that are read though some worker read them a short time ago cost. */
-  function noteReading(c: WorkerCall, known: number): void {
-    const { costs } = g.h;
+  /** Records prefilled tokens, and as recomputed those of shared segments that some worker prefilled a short time ago. */
+  function recordPrefill(c: WorkerCall, known: number): void {
+    const { costs } = ground.h;
     costs.read += c.promptTokens - known;
     let before = 0;
-    for (const part of c.parts.slice(0, -1)) {
+    for (const part of c.segments.slice(0, -1)) {
       const isRead = before >= known;
       before += part.tokens;
       const last = lastUse.get(part.id) ?? -Infinity;
-      if (isRead && e.now() - last < (d.rereadWindow ?? Infinity)) costs.reread += part.tokens;
+      if (isRead && e.now() - last < (deployment.rereadWindow ?? Infinity)) costs.reread += part.tokens;
       lastUse.set(part.id, e.now());
     }
   }
 
-  function end(w: WorkerLife, listedUntil: number): void {
-    const x = entry(w);
+  function end(worker: WorkerLife, listedUntil: number): void {
+    const x = entry(worker);
     x.until = listedUntil;
-    const shown = Math.min(x.leaving, x.until) + lag;
-    if (!g.h.leavingVisibleAt.has(w.o.id)) g.h.leavingVisibleAt.set(w.o.id, shown);
-    w.crash();
+    const shown = Math.min(x.leaving, x.until) + listLagUs;
+    if (!ground.h.leavingVisibleAt.has(worker.o.id)) ground.h.leavingVisibleAt.set(worker.o.id, shown);
+    worker.crash();
   }
 
-  function crash(w: WorkerLife, back: boolean, power: boolean): void {
-    if (!w.alive()) return;
-    if (power) g.silent.add(w.o.machine);
-    end(w, e.now() + listedAfterCrash);
-    const { address, service, zone, part } = w.o;
-    const { slow } = w.o;
-    const same = d.services === undefined ? undefined : slow;
+  function crash(worker: WorkerLife, back: boolean, power: boolean): void {
+    if (!worker.alive()) return;
+    if (power) ground.silent.add(worker.o.machine);
+    end(worker, e.now() + listedAfterCrashUs);
+    const { address, service, zone, part } = worker.o;
+    const { slow } = worker.o;
+    const same = deployment.services === undefined ? undefined : slow;
     if (back) e.at(e.now() + 500_000 + random() * 2_000_000, () => start(address, service, zone, part, same));
   }
 
-  // It is shown as leaving, serves on for a while, and ends.
-  function leave(w: WorkerLife, ended: () => void): void {
-    entry(w).leaving = e.now();
-    g.h.leavingVisibleAt.set(w.o.id, e.now() + lag);
-    e.at(e.now() + drain + lag + 800_000, () => {
-      if (!w.alive()) return;
-      end(w, e.now());
+  // The worker is listed as leaving, serves until the drain time is over, and ends.
+  function retire(worker: WorkerLife, ended: () => void): void {
+    entry(worker).leaving = e.now();
+    ground.h.leavingVisibleAt.set(worker.o.id, e.now() + listLagUs);
+    e.at(e.now() + drainUs + listLagUs + 800_000, () => {
+      if (!worker.alive()) return;
+      end(worker, e.now());
       ended();
     });
   }
-  function withdraw(w: WorkerLife): void {
-    if (w.alive() && entry(w).leaving === Infinity) leave(w, () => undefined);
+  function withdraw(worker: WorkerLife): void {
+    if (worker.alive() && entry(worker).leaving === Infinity) retire(worker, () => undefined);
   }
 
-  // One after the other: another starts, the old one leaves, ends, and its address may go to a stranger.
-  async function release(service: string): Promise<void> {
-    for (const w of lives(service)) {
-      if (!w.alive()) continue;
-      start(fresh(), service, w.o.zone, w.o.part, d.services === undefined ? undefined : w.o.slow);
-      await sleep(g, 300_000 + random() * 700_000);
-      if (w.alive()) leave(w, () => addressMayGo(w));
+  // Rolling replacement: a new worker starts, then the old one drains and ends; another service may get its address.
+  async function rollOut(service: string): Promise<void> {
+    for (const worker of lives(service)) {
+      if (!worker.alive()) continue;
+      start(
+        newAddress(),
+        service,
+        worker.o.zone,
+        worker.o.part,
+        deployment.services === undefined ? undefined : worker.o.slow,
+      );
+      await sleep(ground, 300_000 + random() * 700_000);
+      if (worker.alive()) retire(worker, () => maybeReuseAddress(worker));
     }
   }
-  function addressMayGo(w: WorkerLife): void {
+  function maybeReuseAddress(worker: WorkerLife): void {
     if (random() >= 0.5) return;
-    e.at(e.now() + usedAgain, () => {
-      if (at.get(w.o.address) === w) start(w.o.address, 'stranger', w.o.zone, w.o.part);
+    e.at(e.now() + addressReuseDelayUs, () => {
+      if (lifeByAddress.get(worker.o.address) === worker)
+        start(worker.o.address, 'stranger', worker.o.zone, worker.o.part);
     });
   }
 
@@ -210,7 +223,7 @@
   }
 
   function list(): ListedWorker[] {
-    const t = e.now() - lag;
+    const t = e.now() - listLagUs;
     return entries
       .filter((x) => x.from <= Math.max(0, t) && t < x.until)
       .map((x) => ({
@@ -225,12 +238,12 @@
       }));
   }
   return {
-    lifeAt: (a) => at.get(a),
-    machineAt: (a) => machines.get(a) ?? '',
+    lifeAt: (a) => lifeByAddress.get(a),
+    machineAt: (a) => machineByAddress.get(a) ?? '',
     list,
     lives,
     crash,
-    release,
+    rollOut,
     withdraw,
     mischief,
   };
