--- a/packages/simulator/src/control-runs/config-service.ts
+++ b/packages/simulator/src/control-runs/config-service.ts
@@ -3,7 +3,7 @@
  * and of the configuration text; a run works with any implementation of `ConfigService`.
  */
 import { configurationKey, type ControlResponse, type ControlRequest } from '@tansypost/control-feed';
-import { submit, tableOf, type SubmitAnswer } from '../pass-through/submit.js';
+import { submit, parseRouteTable, type SubmitAnswer } from '../pass-through/submit.js';
 
 /** Access of an API server to the control cluster, and its clock. */
 export interface ServiceWorld {
@@ -44,5 +44,5 @@
 
 /** Returns the revision that a configuration text states, 0 where it states none. */
 export function parseRevision(text: string): number {
-  return tableOf(text)?.revision ?? 0;
+  return parseRouteTable(text)?.revision ?? 0;
 }
--- a/packages/simulator/src/decisions/decision-day.ts
+++ b/packages/simulator/src/decisions/decision-day.ts
@@ -47,7 +47,7 @@
 /** Simulates a day and scores it. The score is deterministic for the same parameters. */
 export async function playDecisionDay({ site, day, seed, durationSeconds }: DecisionRun): Promise<DecisionScore> {
   const { history } = await playPassedDay({
-    d: site.deployment,
+    deployment: site.deployment,
     seed,
     span: durationSeconds,
     troubles: faultsOf(day, durationSeconds),
--- a/packages/simulator/src/decisions/decision-sites.ts
+++ b/packages/simulator/src/decisions/decision-sites.ts
@@ -45,18 +45,18 @@
   step: 2.6 * microsPerMs,
   stepPerRun: 0.12 * microsPerMs,
   stepPerContextToken: 0.00384,
-  perToken: microsPerMs / 48.2,
-  perPair: 0.000248,
-  firstTime: 14 * microsPerMs,
+  prefillPerToken: microsPerMs / 48.2,
+  prefillPerTokenPair: 0.000248,
+  prefillDelay: 14 * microsPerMs,
   firstStride: 1,
   stride: 12,
-  prefillPiece: 1024,
-  decodePiece: 256,
-  idlePieces: 1,
+  prefillChunk: 1024,
+  decodeChunk: 256,
+  idleChunkFactor: 1,
   kvTokens: 410_894,
   tokenBytes: 18_432,
   linkMbps: 740_000,
-  moveSetup: 2.5 * microsPerMs,
+  transferSetup: 2.5 * microsPerMs,
 };
 const denseEngine: EngineShape = {
   ...sparseEngine,
@@ -65,14 +65,14 @@
   step: 2.2 * microsPerMs,
   stepPerRun: 0,
   stepPerContextToken: 0.0175,
-  perToken: microsPerMs / 140,
-  perPair: 0.000295,
-  firstTime: 53 * microsPerMs,
+  prefillPerToken: microsPerMs / 140,
+  prefillPerTokenPair: 0.000295,
+  prefillDelay: 53 * microsPerMs,
   stride: 19,
   kvTokens: 444_000,
   tokenBytes: 131_072,
   linkMbps: 1_100_000,
-  moveSetup: 1.7 * microsPerMs,
+  transferSetup: 1.7 * microsPerMs,
 };
 const plainEngine: EngineShape = { ...denseEngine, slots: 6, kvTokens: 0, tokenBytes: 0, firstStride: 1, stride: 1 };
 
@@ -344,9 +344,9 @@
     slots: integerBetween(8, 64),
     queued: integerBetween(24, 120),
     step: baseEngine.step * between(0.7, 1.4),
-    perToken: baseEngine.perToken / speed,
-    perPair: baseEngine.perPair / speed,
-    firstTime: baseEngine.firstTime * between(0.3, 1.2),
+    prefillPerToken: baseEngine.prefillPerToken / speed,
+    prefillPerTokenPair: baseEngine.prefillPerTokenPair / speed,
+    prefillDelay: baseEngine.prefillDelay * between(0.3, 1.2),
     stride: integerBetween(4, 20),
     kvTokens: integerBetween(200_000, 600_000),
     linkMbps: baseEngine.linkMbps * between(0.3, 1.5),
@@ -359,7 +359,7 @@
   const sum = long + middle + small;
   const meanTokens = (long * 12_000 + middle * 826 + small * 2368) / sum;
   const prefillWorkers = workers * (prefillShare + 0.3 * (1 - prefillShare));
-  const rate = Math.min(400, (load * prefillWorkers * 1_000_000) / (meanTokens * engine.perToken * 1.3));
+  const rate = Math.min(400, (load * prefillWorkers * 1_000_000) / (meanTokens * engine.prefillPerToken * 1.3));
   const zones = ['a', 'b', 'c', 'd', 'e'].slice(0, integerBetween(2, 5));
   const latencyFactor = between(0.8, 2);
   const engineLatencyFactor = denseEngine === baseEngine ? 1 : 1.8;
--- a/packages/simulator/src/pass-through/engine-shape.ts
+++ b/packages/simulator/src/pass-through/engine-shape.ts
@@ -1,42 +1,42 @@
-/** How the workers of a virtual service compute. Times are whole or fractional microseconds. */
+/** Performance model of the workers of a simulated service. Times are whole or fractional microseconds. */
 
-/** A worker that reads prompts and makes tokens. */
+/** A worker that prefills prompts and decodes tokens. */
 export interface EngineShape {
-  /** Requests at a time, and how many more may wait. */
+  /** Maximum concurrent requests, and maximum queue length. */
   readonly slots: number;
   readonly queued: number;
-  /** One token of every running request, and how much longer that takes for each of them and each token of context. */
+  /** Time of a decode step, and the additional time per running request and per token of context. */
   readonly step: number;
   readonly stepPerRun: number;
   readonly stepPerContextToken: number;
-  /** Reading a prompt at a prefill worker: for each token, and for each pair of tokens. Decode workers take twice that. */
-  readonly perToken: number;
-  readonly perPair: number;
-  /** Before the reading of a prompt begins; it holds up no other. */
-  readonly firstTime: number;
-  /** Tokens in the first piece of an answer, and in each later one. */
+  /** Prefill time at a prefill worker per token and per pair of tokens. Decode workers take twice as long. */
+  readonly prefillPerToken: number;
+  readonly prefillPerTokenPair: number;
+  /** Delay before a prefill starts; it does not block other requests. */
+  readonly prefillDelay: number;
+  /** Tokens in the first event of a response, and in each later one. */
   readonly firstStride: number;
   readonly stride: number;
-  /** Tokens read between two steps, at prefill and decode workers, and how many times as many where nothing runs. */
-  readonly prefillPiece: number;
-  readonly decodePiece: number;
-  readonly idlePieces: number;
+  /** Prefill chunk size in tokens at prefill and decode workers, and its factor when no request is decoding. */
+  readonly prefillChunk: number;
+  readonly decodeChunk: number;
+  readonly idleChunkFactor: number;
   readonly kvTokens: number;
   readonly tokenBytes: number;
   readonly linkMbps: number;
-  readonly moveSetup: number;
+  readonly transferSetup: number;
 }
 
-/** A worker of a service that is no model service: each request takes a slot for some time. */
+/** A worker of a service without a model: each request occupies a slot for some time. */
 export interface PlainShape {
   readonly slots: number;
   readonly queued: number;
   readonly work: LogNormal;
-  /** How often, from 0 to 1, it answers that it failed. */
+  /** Probability, from 0 to 1, of a failure response. */
   readonly failures: number;
 }
 
-/** A distribution of sizes or times: its mean, the deviation of its logarithm, and a bound. */
+/** A log-normal distribution of sizes or times: mean, standard deviation of the logarithm, and upper bound. */
 export interface LogNormal {
   readonly mean: number;
   readonly spread: number;
@@ -51,25 +51,25 @@
   return Math.min(shape.most, value);
 }
 
-/** The engine that days have which say nothing else. */
-export function usualEngine(kvTokens: number): EngineShape {
+/** The default performance model. */
+export function defaultEngine(kvTokens: number): EngineShape {
   return {
     slots: 64,
     queued: 40,
     step: 2600,
     stepPerRun: 40,
     stepPerContextToken: 0,
-    perToken: 1 / 0.0482,
-    perPair: 0,
-    firstTime: 0,
+    prefillPerToken: 1 / 0.0482,
+    prefillPerTokenPair: 0,
+    prefillDelay: 0,
     firstStride: 4,
     stride: 4,
-    prefillPiece: 1024,
-    decodePiece: 256,
-    idlePieces: 4,
+    prefillChunk: 1024,
+    decodeChunk: 256,
+    idleChunkFactor: 4,
     kvTokens,
     tokenBytes: 18_432,
     linkMbps: 740_000,
-    moveSetup: 0,
+    transferSetup: 0,
   };
 }
--- a/packages/simulator/src/pass-through/ground.ts
+++ b/packages/simulator/src/pass-through/ground.ts
@@ -1,4 +1,4 @@
-/** What all parts of a virtual day stand on. */
+/** The environment shared by all parts of a simulated run. */
 import type { Model } from '@tansypost/placement';
 import type { VerdictOptions } from '@tansypost/rehearsal';
 import type { Engine } from '../engine.js';
@@ -8,7 +8,7 @@
 import type { Spoil } from './spoil.js';
 import type { VirtualTenants } from './virtual-tenants.js';
 
-// How a day learns, where it isn't as the programs do; `spoil` does harm to each model that is trained.
+// Learning settings of a run that differ from those of the real programs. `spoil` damages each trained model.
 export interface LearningTerms {
   readonly trainEvery: number;
   readonly slice: number;
@@ -25,7 +25,7 @@
   readonly tenants: VirtualTenants;
   readonly spoil: Spoil | undefined;
   readonly learning: LearningTerms | undefined;
-  // Machines without power say nothing, not even that nobody listens.
+  // Machines without power. Nothing answers there, not even with a connection reset.
   readonly silent: Set<string>;
 }
 export function sleep(g: Ground, us: number): Promise<void> {
--- a/packages/simulator/src/pass-through/learned-day.test.ts
+++ b/packages/simulator/src/pass-through/learned-day.test.ts
@@ -1,6 +1,6 @@
 /**
- * Days of several virtual minutes in which the fleet learns: a model is trained from what routers saw, rehearsed, and
- * goes live on all of them; one that does harm is found out by its rehearsal; the keeper that holds the duties dies.
+ * Runs of several virtual minutes with learning: a model is trained from routers' samples, rehearsed, and goes live on all
+ * routers; a rehearsal detects a harmful model; the control node that holds the learning roles is killed.
  */
 import { expect, it } from 'vitest';
 import { encodeMessage, type Message } from '@tansypost/inner-protocol';
@@ -12,10 +12,10 @@
 import { playPassedOne, type PassedOne } from './passed-one.js';
 import type { PassedTrouble } from './passed-troubles.js';
 
-interface Seen {
+interface Observation {
   readonly day: PassedOne;
   readonly records: { readonly at: number; readonly record: RehearsalRecord }[];
-  /** Each record that was sent to be written. */
+  /** Each record that was proposed to the replicas. */
   readonly written: RehearsalRecord[];
   readonly holders: { readonly at: number; readonly who: string; readonly duty: string }[];
 }
@@ -25,10 +25,10 @@
   troubles: readonly PassedTrouble[] = [],
   rate = 1.4,
   sent?: (m: Message) => void,
-): Promise<Seen> {
-  const records: Seen['records'] = [];
-  const written: Seen['written'] = [];
-  const holders: Seen['holders'] = [];
+): Promise<Observation> {
+  const records: Observation['records'] = [];
+  const written: Observation['written'] = [];
+  const holders: Observation['holders'] = [];
   const day = await playPassedOne(passedDeployments['cold-storage']!, 5, {
     troubles,
     closing: 'none',
@@ -36,7 +36,7 @@
     span,
     rate,
     learning,
-    // Verdicts of so short days hang on the draw, which is that of requesters who connect anew.
+    // Verdicts of such short runs depend on the random draw; this one is with a new connection per request.
     keptConnections: 0,
     net: (n) =>
       n.intercept((m) => {
@@ -54,7 +54,7 @@
   });
   return { day, records, written, holders };
 }
-function turned(m: Model): Model {
+function invertModel(m: Model): Model {
   const { weights, biases } = m.predictor;
   return {
     ...m,
@@ -67,9 +67,9 @@
   };
 }
 
-it('trains, rehearses and goes live on all routers, though the keeper that holds the duties dies twice', async () => {
+it('trains, rehearses and activates a model on all routers although the control node that holds the roles dies twice', async () => {
   const kills = [30, 100];
-  // Wide margins, as it is the way that is tried here and not how good the model is.
+  // Wide margins, as the test is about the process and not about the quality of the model.
   const verdict = { ...verdictDefaults, ttftMargin: 0.3, tokenMargin: 0.3 };
   const x = await play(
     { trainEvery: 300, slice: 0.25, verdict },
@@ -82,7 +82,7 @@
     expect(held.find((h) => h.at === at - 1)?.who).toBe('c0');
     expect(held.find((h) => h.at > at && h.who !== 'c0')?.at).toBeLessThan(at + 12);
   }
-  // Some states last for less than the second between two looks, so all that is written counts.
+  // Some states last less than the second between two observations, so all written records are evaluated.
   const stages = x.written.flatMap((record) => (record.running === undefined ? [] : [record.running.state]));
   expect(new Set(stages)).toEqual(new Set(['running', 'passed', 'watched']));
   const live = x.records.at(-1)!.record.live!.hash;
@@ -92,10 +92,10 @@
   }
 });
 
-it('ends the rehearsal of a model that prefers the worst, by what was measured, and never lets it go live', async () => {
+it('ends the rehearsal of a model that prefers the slowest worker as harmful, and never activates it', async () => {
   const sent = { models: 0, trained: new Set<string>() };
-  // Enough samples that the model does know which worker is the worst, and a slice that shows its harm within the day.
-  const x = await play({ trainEvery: 900, slice: 0.5, trust: Infinity, spoil: turned }, 100, [], 3.5, (m) => {
+  // Enough samples for the model to know the worst worker, and a treatment share that shows the harm within the run.
+  const x = await play({ trainEvery: 900, slice: 0.5, trust: Infinity, spoil: invertModel }, 100, [], 3.5, (m) => {
     if (m.kind !== 'Accept' || !m.key.startsWith('blob/')) return;
     sent.models += 1;
     sent.trained.add(modelHash(Buffer.from(m.value)));
@@ -104,11 +104,11 @@
   const ended = x.records.at(-1)!.record.ended;
   expect(ended.map((e) => e.outcome)).toContain('harmful');
   expect(x.records.every((r) => r.record.live === undefined)).toBe(true);
-  // A model goes to each other place once, and again only where it was not heard that it has it.
+  // A model is sent to each other replica once, and again only to one that has not acknowledged it.
   expect(sent.models).toBeLessThanOrEqual(3 * sent.trained.size);
 });
 
-it('sends nothing but samples on a short day, and no duty is stood for', async () => {
+it('sends only samples in a short run, and starts no election', async () => {
   const kinds = new Map<string, number>();
   const x = await play({ trainEvery: 1000, slice: 0.2 }, 20, [], 1.4, (m) => {
     kinds.set(m.kind, (kinds.get(m.kind) ?? 0) + encodeMessage(m).length);
--- a/packages/simulator/src/pass-through/passed-checks.ts
+++ b/packages/simulator/src/pass-through/passed-checks.ts
@@ -7,7 +7,7 @@
 import { hostOf } from './paths-drawn.js';
 import type { PassedDeployment } from './passed-deployment.js';
 import type { PassedHistory, AttemptRecord } from './passed-history.js';
-import { tableOf } from './submit.js';
+import { parseRouteTable } from './submit.js';
 import { checkTenants } from './tenant-checks.js';
 
 export type PassedRule =
@@ -142,7 +142,7 @@
   // Configuration documents.
   const tablesByText = new Map<string, RouteTable>();
   for (const c of history.changes) {
-    const t = tableOf(c.text);
+    const t = parseRouteTable(c.text);
     if (t !== undefined) tablesByText.set(c.text, t);
   }
   const accepted = history.changes.filter((c) => c.answer === 'taken').sort((a, b) => a.revision - b.revision);
@@ -247,7 +247,7 @@
   if (newestAccepted !== undefined && history.readbacks.length === 0)
     addBreach('read back', `nothing was read back, ${newestAccepted.revision} was accepted`);
   for (const read of history.readbacks) {
-    const back = tableOf(read.text);
+    const back = parseRouteTable(read.text);
     if (newestAccepted !== undefined && (back === undefined || back.revision < newestAccepted.revision))
       addBreach(
         'read back',
@@ -336,7 +336,7 @@
   }
   const hostsByService = new Map<string, Set<string>>();
   for (const c of history.changes.filter((x) => x.valid && x.answer !== 'refused'))
-    for (const p of tableOf(c.text)?.routes ?? [])
+    for (const p of parseRouteTable(c.text)?.routes ?? [])
       for (const x of p.weightedServices)
         hostsByService.set(x.service, (hostsByService.get(x.service) ?? new Set()).add(p.host));
   const out: string[] = [];
--- a/packages/simulator/src/pass-through/passed-deployment.ts
+++ b/packages/simulator/src/pass-through/passed-deployment.ts
@@ -1,7 +1,7 @@
 /**
- * The two deployments as their virtual fleets are built: where the machines stand, what is asked for and how often.
- * Times are whole microseconds. The streams have smaller pieces than on the users' machines, so that more of them can
- * break; a second, small service beside the main one takes part of a path whenever the document says so.
+ * The simulated deployments: zones, machines, request kinds and rates. Times are whole microseconds. Streams have smaller
+ * events than those of real users, so that there are more points at which they can break. A second, small service gets
+ * part of a route's traffic when the route table says so.
  */
 
 import type { EngineShape, LogNormal, PlainShape } from './engine-shape.js';
@@ -10,22 +10,22 @@
 export interface ServiceShape {
   readonly name: string;
   readonly workers: number;
-  /** The part of them that begin as prefill workers. */
+  /** Share of workers that start as prefill workers. */
   readonly prefillShare: number;
-  /** By how much each of them is slower than the engine says, in turn. */
+  /** Slowdown factors relative to the engine's times, assigned to the workers in turn. */
   readonly slow: readonly number[];
   readonly engine: EngineShape;
-  /** What its workers do, where it is no model service. */
+  /** Set for a service without a model. */
   readonly plain?: PlainShape;
 }
 
-/** A part of prompts that requests share: how long it is, and how many different ones there are. */
+/** A prompt segment shared by requests: its length, and the number of different ones. */
 export interface SharedPart {
   readonly tokens: LogNormal;
   readonly things: number;
 }
 
-/** What a kind's requests are like, where they differ more than the usual ones of a day. */
+/** Distributions of a kind's requests, for kinds that vary more than by default. */
 export interface KindDraw {
   readonly shared: readonly SharedPart[];
   readonly own: LogNormal;
@@ -48,23 +48,23 @@
   readonly sends: number;
   readonly furtherTries: number;
   readonly draw?: KindDraw;
-  /** The service that it is for, if not the main one. */
+  /** The target service, if not the main one. */
   readonly service?: string;
-  /** What an answer in time and a late one are worth. */
+  /** Value of a response in time, and of a late one. */
   readonly worth?: number;
   readonly lateWorth?: number;
   readonly bodyBytes?: number;
-  /** Needs no key, also where documents have tenants. */
+  /** Needs no key, even if documents have tenants. */
   readonly public?: boolean;
 }
 
 /** The tenants whose clients send requests. */
 export interface TenantShape {
   readonly tenants: number;
-  /** How many of them are large, and which share of all clients is of these. */
+  /** Number of large tenants, and the share of all clients that belong to them. */
   readonly large: number;
   readonly largeShare: number;
-  /** Keys that each of them has at first. */
+  /** Initial number of keys per tenant. */
   readonly keys: number;
 }
 export interface PassedDeployment {
@@ -76,14 +76,14 @@
   readonly kvTokens: number;
   readonly kinds: readonly PassedKind[];
   readonly sendSlack: number;
-  /** The services, where there are others than the usual two. */
+  /** The services, if not the default two. */
   readonly services?: readonly ServiceShape[];
-  /** Clients of each zone, how many requests come at a time, and how far apart they are from the zones, if not as usual. */
+  /** Number of clients per zone, and mean number of requests that arrive together, if not the defaults. */
   readonly clientsPerZone?: number;
   readonly clump?: number;
-  /** For how long after its last use a shared part that is read again costs. */
+  /** A prefill of a shared segment within this time after its last use counts as recomputed. */
   readonly rereadWindow?: number;
-  /** Whose keys its documents hold, where they hold any. */
+  /** The tenants in its documents, if any. */
   readonly tenants?: TenantShape;
 }
 export const mainService = 'main';
@@ -130,7 +130,7 @@
       aim: 1_500_000,
       budget: 2_500_000,
     },
-    // Beside what the sheets ask for: answers that are no streams, one that may be repeated and one that may not.
+    // In addition to the specified kinds: responses that are not streams, one idempotent and one not.
     {
       ...stream,
       name: 'look-up',
@@ -186,7 +186,7 @@
 
 const publicKind = 'look-up';
 
-/** The same deployment where requests bear keys, but for one kind that needs none. */
+/** The same deployment with API keys, except for one kind that needs none. */
 function withTenants(d: PassedDeployment): PassedDeployment {
   return {
     ...d,
--- a/packages/simulator/src/pass-through/passed-one.ts
+++ b/packages/simulator/src/pass-through/passed-one.ts
@@ -1,4 +1,4 @@
-/** One drawn day of one deployment: draws its troubles, plays it, checks it, and counts what its requesters got. */
+/** One random run of a deployment: draws its faults, simulates and checks it, and counts the outcomes of requests. */
 import { createSeededRandom } from '@tansypost/inner-protocol';
 import { checkPassed, type PassedBreach } from './passed-checks.js';
 import { playPassedDay, type Closing, type PassedDayOptions } from './passed-day.js';
@@ -25,8 +25,8 @@
   readonly figures: readonly Record<string, unknown>[];
   readonly margins: PassedMargins;
 }
-// The longest of the day, in seconds: until a document was acknowledged, until it governed at a router after that, and
-// from a worker's leaving being shown until something reached it; the first whole answer after an outage of all.
+// Maxima of the run, in seconds: until a document was acknowledged, from then until a router applied it, from a worker
+// being listed as leaving until a request reached it, and from a full outage until the first complete response.
 export interface PassedMargins {
   readonly acknowledged: number;
   readonly governed: number;
@@ -36,20 +36,20 @@
 const closings: readonly Closing[] = ['none', 'none', 'all-killed', 'all-lose-power', 'one-disk-lost'];
 export const passedSpan = 20;
 
-function marginsOf(h: PassedHistory): PassedMargins {
+function marginsOf(history: PassedHistory): PassedMargins {
   let [acknowledged, governed, leaving, backAfter] = [0, 0, 0, 0];
-  for (const c of h.changes.filter((x) => x.answer === 'taken')) {
+  for (const c of history.changes.filter((x) => x.answer === 'taken')) {
     acknowledged = Math.max(acknowledged, c.answeredAt! - c.at);
-    for (const l of h.lives) {
-      const a = h.applied.find((x) => x.router === l.router && x.life === l.life && x.revision >= c.revision);
+    for (const l of history.lives) {
+      const a = history.applied.find((x) => x.router === l.router && x.life === l.life && x.revision >= c.revision);
       if (a !== undefined) governed = Math.max(governed, a.at - Math.max(l.from, c.answeredAt!));
     }
   }
-  for (const a of h.arrivals)
-    if (!a.wasMisdirected) leaving = Math.max(leaving, a.at - (h.leavingVisibleAt.get(a.worker) ?? Infinity));
-  for (const at of h.outageEnds) {
-    const first = h.tries.find((t) => t.ended === 'whole' && t.readAt! > at);
-    backAfter = Math.max(backAfter, (first?.end ?? h.to) - at);
+  for (const a of history.arrivals)
+    if (!a.wasMisdirected) leaving = Math.max(leaving, a.at - (history.leavingVisibleAt.get(a.worker) ?? Infinity));
+  for (const at of history.outageEnds) {
+    const first = history.tries.find((t) => t.ended === 'whole' && t.readAt! > at);
+    backAfter = Math.max(backAfter, (first?.end ?? history.to) - at);
   }
   function seconds(us: number): number {
     return Math.round(us / 1e4) / 100;
@@ -63,7 +63,7 @@
 }
 
 export async function playPassedOne(
-  d: PassedDeployment,
+  deployment: PassedDeployment,
   seed: number,
   over: Partial<PassedDayOptions> = {},
   only?: readonly PassedTroubleKind[],
@@ -71,10 +71,10 @@
   const random = createSeededRandom(seed * 40503 + 7);
   const closing = closings[seed % closings.length]!;
   const span = over.span ?? passedSpan;
-  const kinds = d.tenants === undefined ? passedTroubleKinds : [...passedTroubleKinds, ...tenantTroubleKinds];
+  const kinds = deployment.tenants === undefined ? passedTroubleKinds : [...passedTroubleKinds, ...tenantTroubleKinds];
   const troubles = over.troubles ?? drawPassedTroubles(random, span - (closing === 'none' ? 0 : 8), only, kinds);
   const day = await playPassedDay({
-    d,
+    deployment,
     seed,
     span,
     troubles,
@@ -82,32 +82,32 @@
     replicas: random() < 0.3 ? 5 : 3,
     ...over,
   });
-  const h = day.history;
+  const history = day.history;
   const ends: Record<string, number> = {};
-  for (const t of h.tries) {
+  for (const t of history.tries) {
     const k = t.ended === 'refused' || t.ended === 'gave_up' ? `${t.ended} ${t.why}` : t.ended;
     ends[k] = (ends[k] ?? 0) + 1;
   }
   const firstAt = new Map<number, number>();
   const served = new Map<number, boolean>();
-  const aims = new Map(d.kinds.map((k) => [k.name, k.aim]));
-  for (const t of h.tries) {
+  const targetLatencies = new Map(deployment.kinds.map((k) => [k.name, k.aim]));
+  for (const t of history.tries) {
     if (!firstAt.has(t.task)) firstAt.set(t.task, t.at);
     if (t.ended !== 'whole') continue;
     const at = t.streaming ? (t.firstByteAt ?? t.end!) : t.end!;
-    served.set(t.task, at - firstAt.get(t.task)! <= aims.get(t.kind)!);
+    served.set(t.task, at - firstAt.get(t.task)! <= targetLatencies.get(t.kind)!);
   }
   return {
     seed,
     troubles,
-    breaches: checkPassed(h, d),
-    history: h,
+    breaches: checkPassed(history, deployment),
+    history,
     events: day.events,
     tasks: firstAt.size,
     served: served.size,
     inTime: [...served.values()].filter((x) => x).length,
     ends,
     figures: day.figures,
-    margins: marginsOf(h),
+    margins: marginsOf(history),
   };
 }
--- a/packages/simulator/src/pass-through/passed-troubles.ts
+++ b/packages/simulator/src/pass-through/passed-troubles.ts
@@ -1,6 +1,6 @@
 /**
- * The troubles of a day, drawn from a seed in virtual seconds from the start of traffic. At most one machine that
- * holds a place of the core is lost at once, and the next trouble there waits until the one before has been caught up.
+ * The faults of a run, drawn from a seed, in virtual seconds from the start of traffic. At most one machine with a
+ * replica of the control state is lost at a time; the next control cluster fault waits until the machine has caught up.
  */
 
 export const passedTroubleKinds = [
@@ -48,9 +48,9 @@
   'disk-slow',
 ] as const;
 /**
- * Troubles of all workers of one stage of the main service, one after the other; days draw none of these. Workers that
- * crash or lose power never come back, and are listed for a while. Silent ones are listed all along, take connections and
- * answer nothing for as long as the trouble lasts.
+ * Faults of all workers of one stage of the main service, one after the other. These are never drawn at random. Workers
+ * that crash or lose power never return, and stay listed for a while. Silent ones stay listed, accept connections and
+ * answer nothing while the fault lasts.
  */
 export const stageTroubleKinds = [
   'decode-crash',
@@ -61,7 +61,7 @@
   'prefill-silent',
 ] as const;
 export type StageTroubleKind = (typeof stageTroubleKinds)[number];
-/** Those that only a deployment with tenants has: changes of keys, and a large tenant that sends many times the usual. */
+/** Faults of deployments with tenants: key changes, and a large tenant that sends many times its usual rate. */
 export const tenantTroubleKinds = ['key-taken', 'key-given', 'key-moved', 'tenant-presses'] as const;
 export type PassedTroubleKind =
   (typeof passedTroubleKinds)[number] | StageTroubleKind | (typeof tenantTroubleKinds)[number];
@@ -69,10 +69,10 @@
   readonly at: number;
   readonly do: PassedTroubleKind;
   readonly for: number;
-  // Which of those it may hit, as a share from 0 to 1.
+  // Selects the target among all candidates, as a fraction from 0 to 1.
   readonly who: number;
 }
-const core: ReadonlySet<PassedTroubleKind> = new Set([
+const controlClusterFaults: ReadonlySet<PassedTroubleKind> = new Set([
   'machine-roll-all',
   'herd-kill',
   'keeper-kill',
@@ -89,9 +89,9 @@
   'disk-stalled',
   'disk-slow',
 ]);
-const catchUp = 7;
+const catchUpSeconds = 7;
 
-// With `only`, draws a dozen troubles of these kinds, else a few of `all`.
+// Draws twelve faults of the kinds `only` if given, else two to eight of `all`.
 export function drawPassedTroubles(
   random: () => number,
   span: number,
@@ -107,11 +107,11 @@
     out.push({ at: 1 + random() * (span - 2), do: kind, for: long, who: random() });
   }
   out.sort((a, b) => a.at - b.at);
-  let free = 0;
+  let nextAllowedAt = 0;
   return out.filter((t) => {
-    if (!core.has(t.do)) return true;
-    if (t.at < free) return false;
-    free = t.at + t.for + catchUp;
+    if (!controlClusterFaults.has(t.do)) return true;
+    if (t.at < nextAllowedAt) return false;
+    nextAllowedAt = t.at + t.for + catchUpSeconds;
     return true;
   });
 }
--- a/packages/simulator/src/pass-through/paths-drawn.ts
+++ b/packages/simulator/src/pass-through/paths-drawn.ts
@@ -1,9 +1,9 @@
 /**
- * Documents of a drawn day: each new one moves or splits a path, adds or drops one, or changes a budget. Invalid ones
- * have one of the faults that an operator may make.
+ * Random route tables. Each new one moves or splits a route, adds or drops one, or changes a timeout. Invalid ones
+ * contain one typical operator error.
  */
 import type { Route, RouteTable, Service, Tenant } from '@tansypost/paths';
-import { usualEngine, type EngineShape } from './engine-shape.js';
+import { defaultEngine, type EngineShape } from './engine-shape.js';
 import { asideService, mainService, type PassedDeployment } from './passed-deployment.js';
 
 export function hostOf(kind: string): string {
@@ -15,7 +15,7 @@
 export function targetOf(kind: string, task: number): string {
   return `${prefixOf(kind)}${task}`;
 }
-// Moves between services, comes and goes.
+// The kind whose route moves between services, and the kind whose route comes and goes.
 export const movedKind = 'look-up';
 export const droppedKind = 'booking';
 
@@ -66,15 +66,15 @@
     revision,
     routes: paths,
     services: d.services?.map((each) => serviceOf(each.name, each.engine)) ?? [
-      serviceOf(mainService, usualEngine(d.kvTokens)),
-      serviceOf(asideService, usualEngine(d.kvTokens)),
+      serviceOf(mainService, defaultEngine(d.kvTokens)),
+      serviceOf(asideService, defaultEngine(d.kvTokens)),
     ],
     limits: { maxHeaderBytes: 16_384, maxBodyBytes: 4_194_304, headerTimeout: 3_000_000, idleTimeout: 15_000_000 },
     ...(tenants === undefined ? {} : { tenants }),
   };
 }
 
-/** A document with one fault. Where there are tenants, two of them may share a key in it. */
+/** A route table with one error. With tenants, the error may be a key shared by two of them. */
 export function drawInvalid(
   d: PassedDeployment,
   base: number,
--- a/packages/simulator/src/pass-through/pipe.ts
+++ b/packages/simulator/src/pass-through/pipe.ts
@@ -1,32 +1,32 @@
 /**
- * One direction between two machines: what is pushed arrives in order after the link's delay, and what meets a cut
- * waits there until it heals.
+ * One direction of a connection between two machines. Pushed events arrive in order after the link's latency, and wait
+ * during a partition until it heals.
  */
 import type { Engine } from '../engine.js';
 import type { Network } from '../network.js';
 
 export function createPipe(
-  e: Engine,
-  net: Network,
+  engine: Engine,
+  network: Network,
   from: string,
   to: string,
   draw?: () => number,
-): (f: () => void) => void {
-  const q: { t: number; f: () => void }[] = [];
+): (onArrival: () => void) => void {
+  const queue: { arrivesAt: number; f: () => void }[] = [];
   let busy = false;
   function next(): void {
-    const x = q[0];
-    busy = x !== undefined;
-    if (x === undefined) return;
-    e.at(Math.max(x.t, e.now()), () => {
-      if (net.isBlocked(from, to)) return net.onHeal(next);
-      q.shift();
-      x.f();
+    const head = queue[0];
+    busy = head !== undefined;
+    if (head === undefined) return;
+    engine.at(Math.max(head.arrivesAt, engine.now()), () => {
+      if (network.isBlocked(from, to)) return network.onHeal(next);
+      queue.shift();
+      head.f();
       next();
     });
   }
-  return function push(f) {
-    q.push({ t: e.now() + net.latency(from, to, draw), f });
+  return function push(onArrival) {
+    queue.push({ arrivesAt: engine.now() + network.latency(from, to, draw), f: onArrival });
     if (!busy) next();
   };
 }
--- a/packages/simulator/src/pass-through/plain-worker.ts
+++ b/packages/simulator/src/pass-through/plain-worker.ts
@@ -1,4 +1,4 @@
-/** One life of a virtual worker of a service that is no model service: a slot for some time, a short queue, and it sheds. */
+/** One incarnation of a simulated worker of a service without a model, with slots and a short queue that sheds load. */
 import type { Engine } from '../engine.js';
 import { drawLogNormal, type PlainShape } from './engine-shape.js';
 import type { LifeOptions, WorkerCall, WorkerLife } from './virtual-worker.js';
@@ -8,11 +8,16 @@
   readonly due: number;
 }
 
-/** Starts a worker that answers each request with its one piece. */
-export function createPlainLife(e: Engine, random: () => number, o: LifeOptions, shape: PlainShape): WorkerLife {
+/** Starts a worker whose responses have a single part. */
+export function createPlainWorker(
+  engine: Engine,
+  random: () => number,
+  options: LifeOptions,
+  shape: PlainShape,
+): WorkerLife {
   let alive = true;
-  let dark = false;
-  let held: (() => void)[] = [];
+  let isUnresponsive = false;
+  let deferred: (() => void)[] = [];
   let queue: Job[] = [];
   const running = new Set<Job>();
   let count = 0;
@@ -24,35 +29,30 @@
 
   function accept(call: WorkerCall): void {
     if (!alive || call.closed) return;
-    if (dark) return void held.push(() => accept(call));
-    if (call.target !== o.id) return refuse(call, 421);
+    if (isUnresponsive) return void deferred.push(() => accept(call));
+    if (call.target !== options.id) return refuse(call, 421);
     if (queue.length >= shape.queued) return refuse(call, 503);
-    queue.push({ call, due: e.now() + call.remainingTime });
+    queue.push({ call, due: engine.now() + call.remainingTime });
     next();
   }
 
   function next(): void {
     while (queue.length > 0 && running.size < shape.slots) {
       const job = queue.shift()!;
-      if (e.now() > job.due) refuse(job.call, 503);
+      if (engine.now() > job.due) refuse(job.call, 503);
       else run(job);
     }
   }
 
   function run(job: Job): void {
     count += 1;
-    const name = `${o.id}.${count}`;
+    const name = `${options.id}.${count}`;
     running.add(job);
-    o.onRunStarted(job.call, name, undefined);
-    const mischief = o.fault();
-    e.at(e.now() + drawLogNormal(shape.work, random) * o.slow, () => {
+    options.onRunStarted(job.call, name, undefined);
+    const fault = options.fault();
+    engine.at(engine.now() + drawLogNormal(shape.work, random) * options.slow, () => {
       if (!alive || !running.delete(job)) return;
-      finish(
-        job.call,
-        name,
-        mischief === 'fail' || random() < shape.failures,
-        mischief === 'lost' || mischief === 'cut',
-      );
+      finish(job.call, name, fault === 'fail' || random() < shape.failures, fault === 'lost' || fault === 'cut');
       next();
     });
   }
@@ -60,7 +60,7 @@
   function finish(call: WorkerCall, name: string, failed: boolean, lost: boolean): void {
     if (lost) return call.reset();
     call.head(call.request, failed ? 500 : 200, false);
-    call.data(Buffer.from(failed ? 'it failed' : `${call.request} ${name} 1/1;`));
+    call.data(Buffer.from(failed ? 'worker failure' : `${call.request} ${name} 1/1;`));
     call.end(false);
   }
 
@@ -74,20 +74,20 @@
     const calls = [...queue, ...running].map((job) => job.call);
     queue = [];
     running.clear();
-    held = [];
+    deferred = [];
     for (const call of calls) call.reset();
   }
 
-  function setDark(on: boolean): void {
-    dark = on;
-    const waiting = held;
+  function setUnresponsive(on: boolean): void {
+    isUnresponsive = on;
+    const waiting = deferred;
     if (on) return;
-    held = [];
+    deferred = [];
     for (const go of waiting) go();
   }
 
   return {
-    o,
+    o: options,
     part: () => 'decode',
     isSwitching: () => false,
     ordersTaken: () => 0,
@@ -99,8 +99,8 @@
     take: () => undefined,
     expireHandles: () => undefined,
     crash,
-    setUnresponsive: setDark,
-    isUnresponsive: () => dark,
+    setUnresponsive,
+    isUnresponsive: () => isUnresponsive,
     load: () => ({ queued: queue.length, active: running.size, kvUsed: 0, kvTotal: 0 }),
   };
 }
--- a/packages/simulator/src/pass-through/seed-lists.ts
+++ b/packages/simulator/src/pass-through/seed-lists.ts
@@ -1,17 +1,17 @@
-/** Seeds as the settings of machines name them: the same for all, or drawn for each machine by itself. */
+/** Seeds in the settings of machines: the same for all, or drawn for each machine. */
 
-/** Names the seeds of a machine. */
+/** Returns the seeds of a machine. */
 export type SeedsOf = (machine: string) => readonly string[];
 
-/** As many as a deployment's settings name at the most. */
+/** Maximum number of seeds in a deployment's settings. */
 export const seedCount = 3;
 
-/** Each machine is given seeds of its own, drawn from `candidates` when it is first asked for. */
+/** Draws separate seeds for each machine from `candidates`, when the machine's seeds are first requested. */
 export function scatteredSeeds(random: () => number, candidates: readonly string[]): SeedsOf {
-  const given = new Map<string, readonly string[]>();
+  const seedsByMachine = new Map<string, readonly string[]>();
   return function seedsOf(machine) {
-    const seeds = given.get(machine) ?? drawSome(random, candidates);
-    given.set(machine, seeds);
+    const seeds = seedsByMachine.get(machine) ?? drawSome(random, candidates);
+    seedsByMachine.set(machine, seeds);
     return seeds;
   };
 }
--- a/packages/simulator/src/pass-through/spoil.ts
+++ b/packages/simulator/src/pass-through/spoil.ts
@@ -1,4 +1,4 @@
-/** Mechanisms that a test breaks on purpose, so that each check is seen to fail. */
+/** Mechanisms that tests break on purpose, to show that each check can fail. */
 
 export type Spoil =
   | 'unknown-called-refused'
--- a/packages/simulator/src/pass-through/spoiled-tenants.ts
+++ b/packages/simulator/src/pass-through/spoiled-tenants.ts
@@ -1,10 +1,14 @@
-/** Ways in which a router may go wrong about tenants, for days that are to show that a check sees it. */
+/** Deliberate errors of a router's tenant handling, for tests that show that a check detects them. */
 import type { IncomingRequest, WorkerPort } from '@tansypost/pass-through';
 import type { RouteTable, Tenant } from '@tansypost/paths';
 import type { Spoil } from './spoil.js';
 
-/** The document as a spoiled router takes it; `before` are those that it took earlier in its life. */
-export function spoiledTable(spoil: Spoil | undefined, table: RouteTable, before: readonly RouteTable[]): RouteTable {
+/** The route table that a faulty router applies. `before`: the tables that this incarnation applied earlier. */
+export function sabotageRouteTable(
+  spoil: Spoil | undefined,
+  table: RouteTable,
+  before: readonly RouteTable[],
+): RouteTable {
   if (spoil === 'keys-unchecked') return { ...table, tenants: undefined };
   const first = before[0]?.tenants;
   if (first === undefined || table.tenants === undefined) return table;
@@ -21,11 +25,11 @@
   });
 }
 
-/** A way to workers that tells them of the wrong tenant, or gives them what bears the key. */
-export function spoiledTellings(spoil: Spoil | undefined, port: WorkerPort): WorkerPort {
+/** Wraps a worker client so that it names the wrong tenant to workers, or passes the header with the key to them. */
+export function sabotageTenantHeaders(spoil: Spoil | undefined, port: WorkerPort): WorkerPort {
   if (spoil !== 'credentials-passed-on' && spoil !== 'tenants-mixed') return port;
   let lastTenant: string | undefined;
-  function told(request: IncomingRequest): IncomingRequest {
+  function tamperedRequest(request: IncomingRequest): IncomingRequest {
     if (spoil === 'credentials-passed-on') return { ...request, credentialHeaders: ['Authorization', 'Bearer key'] };
     const tenant = lastTenant ?? request.tenant;
     lastTenant = request.tenant;
@@ -33,12 +37,12 @@
   }
   return {
     ...port,
-    prefill: (worker, request, ...rest) => port.prefill(worker, told(request), ...rest),
-    run: (worker, request, ...rest) => port.run(worker, told(request), ...rest),
+    prefill: (worker, request, ...rest) => port.prefill(worker, tamperedRequest(request), ...rest),
+    run: (worker, request, ...rest) => port.run(worker, tamperedRequest(request), ...rest),
   };
 }
 
-/** Whether a spoiled router refuses a request for whose it is. */
+/** Whether a faulty router refuses all requests of the tenant. */
 export function isLeftOut(spoil: Spoil | undefined, tenant: string | undefined): boolean {
   return spoil === 'tenant-left-out' && tenant === 't1';
 }
--- a/packages/simulator/src/pass-through/tenant-checks.ts
+++ b/packages/simulator/src/pass-through/tenant-checks.ts
@@ -6,7 +6,7 @@
 import { hostOf } from './paths-drawn.js';
 import type { PassedBreach } from './passed-checks.js';
 import type { ArrivalRecord, PassedHistory, RunRecord, AttemptRecord } from './passed-history.js';
-import { tableOf } from './submit.js';
+import { parseRouteTable } from './submit.js';
 
 /** Returns the route tables that may have been in force for an attempt up to the given time. */
 export type MayGovern = (t: AttemptRecord, until: number) => readonly RouteTable[];
@@ -55,7 +55,7 @@
   const tables = mayGovern(t, r.at);
   if (tables.some((table) => allows(table, t)) || tables.every((table) => routeIn(table, t) === undefined))
     return undefined;
-  const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'no tenant'} ran at ${r.worker} at ${seconds(r.at)}`;
+  const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'nobody'} ran at ${r.worker} at ${seconds(r.at)}`;
   return { rule: submitted.some((table) => allows(table, t)) ? 'dropped key' : 'unknown key', what };
 }
 
@@ -85,7 +85,7 @@
   const attempts = new Map(history.tries.map((t) => [t.id, t]));
   const submitted = history.changes
     .filter((c) => c.valid && c.answer !== 'refused')
-    .map((c) => ({ at: c.at, table: tableOf(c.text) }))
+    .map((c) => ({ at: c.at, table: parseRouteTable(c.text) }))
     .filter((x): x is { at: number; table: RouteTable } => x.table !== undefined);
   const out: (PassedBreach | undefined)[] = [];
   for (const a of history.arrivals) {
@@ -101,7 +101,7 @@
     if (t.ended === 'unknown_key' && mayGovern(t, t.end!).every((table) => allows(table, t)))
       out.push({
         rule: 'denied',
-        what: `${t.id} (${t.kind}) of ${t.tenant ?? 'no tenant'} at ${t.router}, ended at ${seconds(t.end!)}`,
+        what: `${t.id} (${t.kind}) of ${t.tenant ?? 'nobody'} at ${t.router}, ended at ${seconds(t.end!)}`,
       });
   return [...out.filter((breach) => breach !== undefined), ...checkStarvation(history)];
 }
--- a/packages/simulator/src/pass-through/virtual-core.ts
+++ b/packages/simulator/src/pass-through/virtual-core.ts
@@ -23,7 +23,7 @@
 import { killProcess, deliver, resumeProcess, type SimProcess } from '../process.js';
 import type { Ground } from './ground.js';
 import type { SeedsOf } from './seed-lists.js';
-import { submit, tableOf, type SubmitAnswer } from './submit.js';
+import { submit, parseRouteTable, type SubmitAnswer } from './submit.js';
 import { createVirtualOrders } from './virtual-orders.js';
 import { stageSwitchTimeUs } from './virtual-worker.js';
 import type { VirtualWorkers } from './virtual-workers.js';
@@ -73,7 +73,7 @@
   return new Promise((resolve) => client.request(request, resolve));
 }
 function servicesOf(configuration: Buffer | undefined): ServedService[] {
-  const table = configuration === undefined ? undefined : tableOf(configuration.toString());
+  const table = configuration === undefined ? undefined : parseRouteTable(configuration.toString());
   return (table?.services ?? []).map((service) => ({ name: service.name, stageSwitchTime: stageSwitchTimeUs }));
 }
 
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -8,7 +8,7 @@
 import { deliver, type SimProcess } from '../process.js';
 import type { VirtualRouter } from './virtual-router.js';
 import type { ControlMachine, VirtualControlCluster } from './virtual-core.js';
-import { tableOf, type SubmitAnswer } from './submit.js';
+import { parseRouteTable, type SubmitAnswer } from './submit.js';
 
 export interface VirtualOperator {
   readonly submitFirst: () => Promise<void>;
@@ -125,7 +125,7 @@
   // The revision in force as read back, else the newest accepted one.
   async function base(): Promise<number> {
     const text = await readBack();
-    return (text === undefined ? undefined : tableOf(text)?.revision) ?? newestAccepted();
+    return (text === undefined ? undefined : parseRouteTable(text)?.revision) ?? newestAccepted();
   }
   function drawChange(current: number): { text: string; revision: number } {
     const revision = current + 1 + Math.floor(random() * 4);
--- a/packages/simulator/src/pass-through/virtual-requesters.ts
+++ b/packages/simulator/src/pass-through/virtual-requesters.ts
@@ -7,7 +7,7 @@
 import { digestOfKey } from '@tansypost/paths';
 import type { Ground } from './ground.js';
 import { hostOf, targetOf } from './paths-drawn.js';
-import { drawLogNormal, usualEngine } from './engine-shape.js';
+import { drawLogNormal, defaultEngine } from './engine-shape.js';
 import { mainService, type KindDraw, type PassedKind } from './passed-deployment.js';
 import type { AttemptRecord } from './passed-history.js';
 import { eventCountOf } from './virtual-worker.js';
@@ -46,7 +46,7 @@
   routers: readonly VirtualRouter[],
   connectionReuseShare: number,
 ): VirtualClients {
-  const { engine, network: network, random, h: history, d: deployment } = ground;
+  const { engine, network, random, h: history, d: deployment } = ground;
   const missedProbes = new Map<string, number>();
   // A separate generator, so that the other draws of a run do not depend on connection reuse.
   const drawClient = createSeededRandom(clientSeed);
@@ -55,16 +55,17 @@
   let tasks = 0;
 
   function probe(): void {
-    for (const r of routers) {
-      const ok = r.ready() && !network.isBlocked('clients', r.name) && !network.isBlocked(r.name, 'clients');
-      missedProbes.set(r.name, ok ? 0 : (missedProbes.get(r.name) ?? 2) + 1);
+    for (const router of routers) {
+      const ok =
+        router.ready() && !network.isBlocked('clients', router.name) && !network.isBlocked(router.name, 'clients');
+      missedProbes.set(router.name, ok ? 0 : (missedProbes.get(router.name) ?? 2) + 1);
     }
     engine.at(engine.now() + probeIntervalUs, probe);
   }
   function pick(zone: string): VirtualRouter {
-    const zoneRouters = routers.filter((r) => r.zone === zone);
-    const healthyInZone = zoneRouters.filter((r) => (missedProbes.get(r.name) ?? 0) < 2);
-    const allHealthy = routers.filter((r) => (missedProbes.get(r.name) ?? 0) < 2);
+    const zoneRouters = routers.filter((router) => router.zone === zone);
+    const healthyInZone = zoneRouters.filter((router) => (missedProbes.get(router.name) ?? 0) < 2);
+    const allHealthy = routers.filter((router) => (missedProbes.get(router.name) ?? 0) < 2);
     const from =
       healthyInZone.length * 2 >= zoneRouters.length
         ? healthyInZone
@@ -117,7 +118,7 @@
 
   function strideFor(kind: PassedKind): number {
     const shape = deployment.services?.find((each) => each.name === (kind.service ?? mainService));
-    return (shape?.engine ?? usualEngine(deployment.kvTokens)).stride;
+    return (shape?.engine ?? defaultEngine(deployment.kvTokens)).stride;
   }
 
   function startTask(kind: PassedKind): void {
--- a/packages/simulator/src/pass-through/virtual-router.ts
+++ b/packages/simulator/src/pass-through/virtual-router.ts
@@ -34,8 +34,8 @@
 import type { Ground } from './ground.js';
 import type { AttemptRecord } from './passed-history.js';
 import { createPipe } from './pipe.js';
-import { isLeftOut, spoiledTable, spoiledTellings } from './spoiled-tenants.js';
-import { tableOf } from './submit.js';
+import { isLeftOut, sabotageRouteTable, sabotageTenantHeaders } from './spoiled-tenants.js';
+import { parseRouteTable } from './submit.js';
 import type { VirtualControlCluster } from './virtual-core.js';
 import { createVirtualWorkerClient } from './virtual-port.js';
 import type { VirtualWorkers } from './virtual-workers.js';
@@ -218,7 +218,7 @@
               },
       },
       {
-        workers: spoiledTellings(ground.spoil, sabotageWorkerClient(ground, workerClient)),
+        workers: sabotageTenantHeaders(ground.spoil, sabotageWorkerClient(ground, workerClient)),
         announceActivity: (id, us) => feed.announcePrefill(id, us),
         recordSample: learningAgent.sample,
         assignCohort: learningAgent.lot,
@@ -246,19 +246,19 @@
       onChange: (what) => {
         if (what === 'configuration') {
           const text = feed.configuration()!.value.toString();
-          const t = tableOf(text);
+          const t = parseRouteTable(text);
           if (t === undefined || (ground.spoil !== 'invalid-let-through' && validateRouteTable(t).length > 0))
             return void history.unforeseen.push('an invalid document was delivered to a router');
           if (ground.spoil === 'news-withheld' && name === 'r1' && t.revision > 1) return;
           history.applied.push({ at: engine.now(), router: name, life: ownLife, revision: t.revision, text });
-          handler.updateRoutes(spoiledTable(ground.spoil, t, appliedTables));
+          handler.updateRoutes(sabotageRouteTable(ground.spoil, t, appliedTables));
           appliedTables.push(t);
           if (ground.spoil === 'document-set-back' && t.revision > 1)
             world.after(micros(1_000_000), () => {
               const previous = history.applied.find((a) => a.router === name && a.revision < t.revision);
               if (previous === undefined) return;
               history.applied.push({ ...previous, at: engine.now(), life: ownLife });
-              handler.updateRoutes(tableOf(previous.text)!);
+              handler.updateRoutes(parseRouteTable(previous.text)!);
             });
         } else if (what === 'workers') {
           if (ground.spoil !== 'leaving-hidden') return handler.updateWorkers(feed.workers());
--- a/packages/simulator/src/pass-through/virtual-worker.ts
+++ b/packages/simulator/src/pass-through/virtual-worker.ts
@@ -212,7 +212,7 @@
         const known = cachedTokensOf(job.call);
         o.onPrefill?.(job.call, known);
         job.need = Math.max(1, job.call.promptTokens - known);
-        job.readyAt = simulation.now() + engine.firstTime;
+        job.readyAt = simulation.now() + engine.prefillDelay;
         if (job.call.doing === 'run') begin(job, undefined);
         running.add(job);
       } else fetchKv(job, job.call.from);
@@ -228,7 +228,7 @@
     const h = source.take(from.handle);
     if (h === undefined) return refuse(job.call, 503);
     o.onKvMoved?.(job.call.promptTokens);
-    linkFreeAt = simulation.now() + wait + took + engine.moveSetup;
+    linkFreeAt = simulation.now() + wait + took + engine.transferSetup;
     job.moving = true;
     running.add(job);
     simulation.at(linkFreeAt, () => {
@@ -367,9 +367,9 @@
     if (reader === undefined && makers.length === 0) return;
     const context = makers.reduce((sum, job) => sum + job.call.promptTokens + job.made, 0);
     const each = (engine.step + engine.stepPerRun * makers.length + engine.stepPerContextToken * context) * o.slow;
-    const most = part === 'prefill' ? engine.prefillPiece : engine.decodePiece;
+    const most = part === 'prefill' ? engine.prefillChunk : engine.decodeChunk;
     const piece =
-      reader === undefined ? 0 : Math.min(reader.need, makers.length === 0 ? engine.idlePieces * most : most);
+      reader === undefined ? 0 : Math.min(reader.need, makers.length === 0 ? engine.idleChunkFactor * most : most);
     // A prefill worker generates no tokens, so a prefill chunk there includes no decode step.
     const length = reader === undefined ? each : prefillTime(reader, piece) + (part === 'prefill' ? 0 : each);
     startSteps(makers, reader, piece, length, reader === undefined ? stepsAtOnce(makers) : 1, simulation.now());
@@ -384,7 +384,7 @@
     const before = job.call.promptTokens - job.need;
     const pairs = piece * (2 * before + piece);
     const half = part === 'prefill' ? 1 : 2;
-    return (piece * engine.perToken + pairs * engine.perPair) * half * o.slow;
+    return (piece * engine.prefillPerToken + pairs * engine.prefillPerTokenPair) * half * o.slow;
   }
 
   function startSteps(
--- a/packages/simulator/src/pass-through/virtual-workers.ts
+++ b/packages/simulator/src/pass-through/virtual-workers.ts
@@ -3,9 +3,9 @@
  * a new id. Addresses are reused, also by workers of a service that no route names.
  */
 import type { ListedWorker } from '@tansypost/control-feed';
-import { usualEngine } from './engine-shape.js';
+import { defaultEngine } from './engine-shape.js';
 import { asideService, mainService, type ServiceShape } from './passed-deployment.js';
-import { createPlainLife } from './plain-worker.js';
+import { createPlainWorker } from './plain-worker.js';
 import { sleep, type Ground } from './ground.js';
 import {
   createWorkerLife,
@@ -25,7 +25,11 @@
   readonly rollOut: (service: string) => Promise<void>;
   /** Retires the worker gracefully without a replacement. */
   readonly withdraw: (worker: WorkerLife) => void;
-  readonly mischief: { kind: WorkerFault; share: number; readonly more: { slowMoves: number; handleTtl: number } };
+  readonly faultInjection: {
+    kind: WorkerFault;
+    share: number;
+    readonly more: { slowMoves: number; handleTtl: number };
+  };
 }
 interface WorkerEntry {
   readonly life: WorkerLife;
@@ -73,7 +77,7 @@
   ): WorkerLife {
     ids += 1;
     const shape = deployment.services?.find((each) => each.name === service);
-    const engine = shape?.engine ?? usualEngine(deployment.kvTokens);
+    const engine = shape?.engine ?? defaultEngine(deployment.kvTokens);
     const id = `i${ids}`;
     const machine = `w${address.split(':')[0]}`;
     machineByAddress.set(address, machine);
@@ -108,7 +112,7 @@
     const life: WorkerLife =
       shape?.plain === undefined
         ? createWorkerLife(e, random, options)
-        : createPlainLife(e, random, options, shape.plain);
+        : createPlainWorker(e, random, options, shape.plain);
     lifeByAddress.set(address, life);
     entries.push({ life, from: e.now(), leaving: Infinity, until: Infinity });
     return life;
@@ -245,6 +249,6 @@
     crash,
     rollOut,
     withdraw,
-    mischief,
+    faultInjection: mischief,
   };
 }
--- a/tests/incidents.test.ts
+++ b/tests/incidents.test.ts
@@ -43,7 +43,7 @@
   const kinds = coldStorage.kinds.map((kind) => ({ ...kind, answer: Math.max(kind.answer, 320) }));
   const longAnswers = { ...coldStorage, kinds };
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    const day = await play(seed, [troubleAt(2, 'router-roll-all')], { d: longAnswers, span: 24, rate: 1.5 });
+    const day = await play(seed, [troubleAt(2, 'router-roll-all')], { deployment: longAnswers, span: 24, rate: 1.5 });
     expect([seed, day.breaches]).toEqual([seed, []]);
   }
 });
