--- a/packages/simulator/src/pass-through/passed-checks.ts
+++ b/packages/simulator/src/pass-through/passed-checks.ts
@@ -151,11 +151,8 @@
   for (const [i, c] of accepted.entries())
     for (const b of accepted.slice(i + 1))
       // Two operators may draw the same document: it is one change, and both may be told that it was accepted.
-      if (b.readCurrentRevision === c.readCurrentRevision && b.text !== c.text)
-        addBreach(
-          'two on one',
-          `${c.revision} and ${b.revision} were both accepted on top of ${c.readCurrentRevision}`,
-        );
+      if (b.baseRevision === c.baseRevision && b.text !== c.text)
+        addBreach('two on one', `${c.revision} and ${b.revision} were both accepted on top of ${c.baseRevision}`);
   for (const a of history.applied) {
     const c = history.changes.find((x) => x.text === a.text);
     if (c === undefined || !c.valid || c.answer === 'refused')
@@ -213,7 +210,7 @@
       addBreach('not ready', `${t.router} had no routes at ${seconds(t.end!)}`);
 
   // The route tables that the router may have had in force for an attempt.
-  function mayGovern(t: AttemptRecord, until: number): RouteTable[] {
+  function tablesPossiblyInForce(t: AttemptRecord, until: number): RouteTable[] {
     const read = t.readAt ?? t.at;
     const isInContact = isRouterStable(t.router, read) && isControlClusterStable(read);
     const minRevision = isInContact
@@ -224,7 +221,7 @@
       .map((c) => tablesByText.get(c.text)!);
   }
   function routesOf(t: AttemptRecord, until: number): (Route | undefined)[] {
-    return mayGovern(t, until).map((table) => table.routes.find((p) => p.host === hostOf(t.kind)));
+    return tablesPossiblyInForce(t, until).map((table) => table.routes.find((p) => p.host === hostOf(t.kind)));
   }
   for (const r of history.runs) {
     const t = attempts.get(r.request);
@@ -238,7 +235,7 @@
     if (t.ended === 'unknown_path' && routesOf(t, t.end!).every((p) => p !== undefined))
       addBreach('denied', `${t.id} (${t.kind}) at ${t.router} at ${seconds(t.end!)}`);
 
-  for (const b of checkTenants(history, mayGovern)) addBreach(b.rule, b.what);
+  for (const b of checkTenants(history, tablesPossiblyInForce)) addBreach(b.rule, b.what);
 
   for (const b of findBudgetBreaches(history, deployment)) addBreach('budget', b);
 
@@ -247,14 +244,14 @@
   if (newestAccepted !== undefined && history.readbacks.length === 0)
     addBreach('read back', `nothing was read back, ${newestAccepted.revision} was accepted`);
   for (const read of history.readbacks) {
-    const back = parseRouteTable(read.text);
-    if (newestAccepted !== undefined && (back === undefined || back.revision < newestAccepted.revision))
+    const document = parseRouteTable(read.text);
+    if (newestAccepted !== undefined && (document === undefined || document.revision < newestAccepted.revision))
       addBreach(
         'read back',
-        `${back?.revision ?? 'nothing'} was read back at ${seconds(read.at)}, ${newestAccepted.revision} was accepted`,
+        `${document?.revision ?? 'nothing'} was read back at ${seconds(read.at)}, ${newestAccepted.revision} was accepted`,
       );
-    else if (back !== undefined && history.changes.every((c) => c.text !== read.text || c.answer === 'refused'))
-      addBreach('read back', `the document read back as ${back.revision} was never submitted or was refused`);
+    else if (document !== undefined && history.changes.every((c) => c.text !== read.text || c.answer === 'refused'))
+      addBreach('read back', `the document read back as ${document.revision} was never submitted or was refused`);
   }
 
   // Service recovers within 12 s of an outage. After a service lost its last decode worker, it may be down for another
@@ -267,18 +264,21 @@
       if (t.to >= at && t.from <= until) until = Math.max(until, t.to + recoveryTimeoutUs);
     return until;
   }
-  for (const at of [...history.outageEnds, ...degradedPeriods.map((rest) => rest.to - recoveryTimeoutUs)]) {
-    const ts = history.tries.filter(
+  for (const at of [...history.outageEnds, ...degradedPeriods.map((period) => period.to - recoveryTimeoutUs)]) {
+    const laterAttempts = history.tries.filter(
       (t) =>
         t.at > at + recoveryTimeoutUs &&
         t.ended !== 'unknown_path' &&
         t.ended !== 'unknown_key' &&
         t.id.endsWith('.1') &&
-        !degradedPeriods.some((rest) => t.at >= rest.from && t.at <= rest.to),
+        !degradedPeriods.some((period) => t.at >= period.from && t.at <= period.to),
     );
-    const whole = ts.filter((t) => t.ended === 'whole').length;
-    if (ts.length >= 20 && whole * 4 < ts.length)
-      addBreach('recovery', `${whole} of ${ts.length} served later than 12 s after the outage at ${seconds(at)}`);
+    const whole = laterAttempts.filter((t) => t.ended === 'whole').length;
+    if (laterAttempts.length >= 20 && whole * 4 < laterAttempts.length)
+      addBreach(
+        'recovery',
+        `${whole} of ${laterAttempts.length} served later than 12 s after the outage at ${seconds(at)}`,
+      );
   }
   for (const x of history.unforeseen) addBreach('unforeseen', x);
   return [...out].map(([rule, b]) => ({ rule, what: b.n > 1 ? `${b.what} (and ${b.n - 1} more)` : b.what }));
@@ -310,8 +310,8 @@
     last = Number(m[1]);
     run = m[3]!;
   }
-  const rest = text.slice(at);
-  if (t.ended === 'whole' && rest !== '') return 'incomplete event at the end of a complete response';
+  const period = text.slice(at);
+  if (t.ended === 'whole' && period !== '') return 'incomplete event at the end of a complete response';
   if (t.ended === 'whole' && last !== t.pieces) return `ended as complete with ${last} of ${t.pieces} events`;
   return undefined;
 }
--- a/packages/simulator/src/pass-through/passed-history.ts
+++ b/packages/simulator/src/pass-through/passed-history.ts
@@ -82,7 +82,7 @@
 }
 export interface ChangeRecord {
   readonly revision: number;
-  readonly readCurrentRevision: number;
+  readonly baseRevision: number;
   readonly text: string;
   readonly valid: boolean;
   readonly at: number;
--- a/packages/simulator/src/pass-through/tenant-checks.ts
+++ b/packages/simulator/src/pass-through/tenant-checks.ts
@@ -9,7 +9,7 @@
 import { parseRouteTable } from './submit.js';
 
 /** Returns the route tables that may have been in force for an attempt up to the given time. */
-export type MayGovern = (t: AttemptRecord, until: number) => readonly RouteTable[];
+export type TablesPossiblyInForce = (t: AttemptRecord, until: number) => readonly RouteTable[];
 
 /** Tenants with fewer requests than this are not checked for starvation. */
 const minRequests = 20;
@@ -31,8 +31,12 @@
   return table.tenants === undefined || route.public === true || tenantIn(table, t) !== undefined;
 }
 
-function checkArrival(a: ArrivalRecord, t: AttemptRecord, mayGovern: MayGovern): PassedBreach | undefined {
-  const tables = mayGovern(t, a.at).filter((table) => allows(table, t));
+function checkArrival(
+  a: ArrivalRecord,
+  t: AttemptRecord,
+  tablesPossiblyInForce: TablesPossiblyInForce,
+): PassedBreach | undefined {
+  const tables = tablesPossiblyInForce(t, a.at).filter((table) => allows(table, t));
   // A request that no table allows is reported by checkRun.
   if (tables.length === 0) return undefined;
   const where = `${a.request} (${a.doing}) at ${a.worker}, sent by ${a.router} at ${seconds(a.sentAt)}`;
@@ -49,10 +53,10 @@
 function checkRun(
   r: RunRecord,
   t: AttemptRecord,
-  mayGovern: MayGovern,
+  tablesPossiblyInForce: TablesPossiblyInForce,
   submitted: readonly RouteTable[],
 ): PassedBreach | undefined {
-  const tables = mayGovern(t, r.at);
+  const tables = tablesPossiblyInForce(t, r.at);
   if (tables.some((table) => allows(table, t)) || tables.every((table) => routeIn(table, t) === undefined))
     return undefined;
   const what = `${r.request} (${t.kind}) of ${t.tenant ?? 'nobody'} ran at ${r.worker} at ${seconds(r.at)}`;
@@ -81,7 +85,7 @@
 }
 
 /** Returns every breach of the tenant and key invariants; none if no document has tenants and no request has a key. */
-export function checkTenants(history: PassedHistory, mayGovern: MayGovern): PassedBreach[] {
+export function checkTenants(history: PassedHistory, tablesPossiblyInForce: TablesPossiblyInForce): PassedBreach[] {
   const attempts = new Map(history.tries.map((t) => [t.id, t]));
   const submitted = history.changes
     .filter((c) => c.valid && c.answer !== 'refused')
@@ -90,15 +94,15 @@
   const out: (PassedBreach | undefined)[] = [];
   for (const a of history.arrivals) {
     const t = attempts.get(a.request);
-    if (t !== undefined) out.push(checkArrival(a, t, mayGovern));
+    if (t !== undefined) out.push(checkArrival(a, t, tablesPossiblyInForce));
   }
   for (const r of history.runs) {
     const t = attempts.get(r.request);
     const before = submitted.filter((x) => x.at <= r.at).map((x) => x.table);
-    if (t !== undefined) out.push(checkRun(r, t, mayGovern, before));
+    if (t !== undefined) out.push(checkRun(r, t, tablesPossiblyInForce, before));
   }
   for (const t of history.tries)
-    if (t.ended === 'unknown_key' && mayGovern(t, t.end!).every((table) => allows(table, t)))
+    if (t.ended === 'unknown_key' && tablesPossiblyInForce(t, t.end!).every((table) => allows(table, t)))
       out.push({
         rule: 'denied',
         what: `${t.id} (${t.kind}) of ${t.tenant ?? 'nobody'} at ${t.router}, ended at ${seconds(t.end!)}`,
--- a/packages/simulator/src/pass-through/virtual-operator.ts
+++ b/packages/simulator/src/pass-through/virtual-operator.ts
@@ -95,7 +95,7 @@
   async function send(text: string, revision: number, baseRevision: number, valid: boolean): Promise<ChangeRecord> {
     const c: ChangeRecord = {
       revision,
-      readCurrentRevision: baseRevision,
+      baseRevision,
       text,
       valid,
       at: engine.now(),
@@ -123,7 +123,7 @@
     return Math.max(0, ...history.changes.filter((c) => c.answer === 'taken').map((c) => c.revision));
   }
   // The revision in force as read back, else the newest accepted one.
-  async function base(): Promise<number> {
+  async function readCurrentRevision(): Promise<number> {
     const text = await readBack();
     return (text === undefined ? undefined : parseRouteTable(text)?.revision) ?? newestAccepted();
   }
@@ -135,7 +135,7 @@
     };
   }
   async function change(): Promise<void> {
-    const current = await base();
+    const current = await readCurrentRevision();
     const x = drawChange(current);
     await send(x.text, x.revision, current, true);
   }
@@ -166,7 +166,7 @@
     submitFirst: change,
     change,
     submitRace: async () => {
-      const current = await base();
+      const current = await readCurrentRevision();
       const [x, y] = [drawChange(current), drawChange(current)];
       // Two changes of the same revision could not be distinguished.
       const other = y.revision === x.revision ? { ...y, revision: y.revision + 4 } : y;
@@ -177,7 +177,7 @@
       for (let i = 0; i < n; i += 1) await change();
     },
     submitInvalid: async () => {
-      const current = await base();
+      const current = await readCurrentRevision();
       const text = drawInvalid(ground.d, current, random, ground.tenants.nextTenants());
       await send(text, current + 1, current, false);
     },
--- a/packages/simulator/src/pass-through/virtual-worker.ts
+++ b/packages/simulator/src/pass-through/virtual-worker.ts
@@ -58,9 +58,9 @@
   // Microseconds to transfer the KV cache of that many tokens here; undefined if the source is unreachable.
   readonly transferTime: (from: string, tokens: number) => number | undefined;
   readonly lifeAt: (address: string) => WorkerLife | undefined;
-  readonly onRunStarted: (call: WorkerCall, run: string, memoryOf: string | undefined) => void;
+  readonly onRunStarted: (call: WorkerCall, run: string, kvSourceRequest: string | undefined) => void;
   /** `onPrefill`: a prefill starts, with that many tokens already cached. `onKvMoved`: that many KV tokens were moved. */
-  readonly onPrefill?: (call: WorkerCall, keptTokens: number) => void;
+  readonly onPrefill?: (call: WorkerCall, cachedTokens: number) => void;
   readonly onKvMoved?: (tokens: number) => void;
 }
 export type WorkerFault = 'none' | 'cut' | 'foreign' | 'surplus' | 'lost' | 'fail';
@@ -87,15 +87,15 @@
   readonly call: WorkerCall;
   readonly at: number;
   readonly due: number;
-  readonly mischief: WorkerFault;
+  readonly fault: WorkerFault;
   readonly run: string;
   readonly cutAfter: number;
-  need: number;
+  prefillTokensLeft: number;
   /** When its prefill may start. */
   readyAt: number;
   moving: boolean;
-  made: number;
-  sent: number;
+  decodedTokens: number;
+  sentEvents: number;
   headSent: boolean;
 }
 /** How long a worker takes to switch to the other stage. */
@@ -124,7 +124,7 @@
   let queue: Job[] = [];
   const running = new Set<Job>();
   const { engine } = o;
-  let [alive, dark] = [true, false];
+  let [alive, isUnresponsive] = [true, false];
   let currentSteps: StepBatch | undefined;
   let wakeAt = Infinity;
   let deferred: (() => void)[] = [];
@@ -170,7 +170,7 @@
 
   function accept(call: WorkerCall): void {
     if (!alive) return;
-    if (dark) return void deferred.push(() => accept(call));
+    if (isUnresponsive) return void deferred.push(() => accept(call));
     // Most calls that were closed before the worker read them are dropped.
     if (call.closed && random() < 0.7) return;
     if (call.target !== o.id) return refuse(call, 421);
@@ -183,14 +183,14 @@
       call,
       at: simulation.now(),
       due: simulation.now() + call.remainingTime,
-      mischief: o.fault(),
+      fault: o.fault(),
       run: `${o.id}.${n}`,
       cutAfter: Math.floor(random() * 6),
-      need: 0,
+      prefillTokensLeft: 0,
       readyAt: 0,
       moving: false,
-      made: 0,
-      sent: call.lastEvent,
+      decodedTokens: 0,
+      sentEvents: call.lastEvent,
       headSent: false,
     });
     scheduleSteps();
@@ -211,7 +211,7 @@
       if (job.call.from === undefined) {
         const known = cachedTokensOf(job.call);
         o.onPrefill?.(job.call, known);
-        job.need = Math.max(1, job.call.promptTokens - known);
+        job.prefillTokensLeft = Math.max(1, job.call.promptTokens - known);
         job.readyAt = simulation.now() + engine.prefillDelay;
         if (job.call.doing === 'run') begin(job, undefined);
         running.add(job);
@@ -240,10 +240,10 @@
     });
   }
 
-  function begin(job: Job, memoryOf: string | undefined): void {
-    o.onRunStarted(job.call, job.run, memoryOf);
+  function begin(job: Job, kvSourceRequest: string | undefined): void {
+    o.onRunStarted(job.call, job.run, kvSourceRequest);
     // Half of the responses send their head at once, the others with the first event.
-    if (n % 2 === 0 && job.mischief !== 'foreign' && job.mischief !== 'lost' && job.mischief !== 'fail') head(job);
+    if (n % 2 === 0 && job.fault !== 'foreign' && job.fault !== 'lost' && job.fault !== 'fail') head(job);
   }
   function head(job: Job): void {
     if (job.headSent) return;
@@ -255,15 +255,15 @@
     running.delete(job);
   }
   function injectFault(job: Job): boolean {
-    if (job.mischief === 'lost') {
+    if (job.fault === 'lost') {
       finish(job);
       job.call.reset();
-    } else if (job.mischief === 'fail') {
+    } else if (job.fault === 'fail') {
       finish(job);
       job.call.head(job.call.request, 500, false);
       job.call.data(Buffer.from('worker failure'));
       job.call.end(false);
-    } else if (job.mischief === 'foreign') {
+    } else if (job.fault === 'foreign') {
       finish(job);
       job.call.head('another', 200, false);
       job.call.data(Buffer.from(formatEvent('another', 'x', 1, 9)));
@@ -277,7 +277,7 @@
     if (job.call.doing === 'run') return;
     if (injectFault(job)) return;
     finish(job);
-    if (job.mischief === 'cut') return job.call.reset();
+    if (job.fault === 'cut') return job.call.reset();
     n += 1;
     const h: KvHandle = {
       id: `h${o.id}.${n}`,
@@ -289,21 +289,24 @@
     simulation.at(h.until, () => handles.delete(h.id));
     job.call.head(job.call.request, 200, false);
     job.call.data(Buffer.from(h.id));
-    job.call.end(job.mischief === 'surplus');
+    job.call.end(job.fault === 'surplus');
   }
 
   function emitTokens(job: Job, k: number): void {
-    job.made += k;
+    job.decodedTokens += k;
     const all = eventCountOf(job.call.answerTokens, engine.stride);
-    const begun = job.made >= engine.firstStride ? 1 + Math.floor((job.made - engine.firstStride) / engine.stride) : 0;
-    const to = Math.min(all, Math.max(job.call.lastEvent, 0) + begun);
-    const done = job.made >= job.call.answerTokens - job.call.lastEvent * engine.stride;
+    const startedEvents =
+      job.decodedTokens >= engine.firstStride
+        ? 1 + Math.floor((job.decodedTokens - engine.firstStride) / engine.stride)
+        : 0;
+    const to = Math.min(all, Math.max(job.call.lastEvent, 0) + startedEvents);
+    const done = job.decodedTokens >= job.call.answerTokens - job.call.lastEvent * engine.stride;
     if (!job.headSent && injectFault(job)) return;
-    for (let i = job.sent + 1; i <= (done ? all : to); i += 1) {
+    for (let i = job.sentEvents + 1; i <= (done ? all : to); i += 1) {
       const s = job.call.streaming
         ? formatEvent(job.call.request, job.run, i, all)
         : `${job.call.request} ${job.run} ${i}/${all};`;
-      if (job.mischief === 'cut' && i > job.cutAfter) {
+      if (job.fault === 'cut' && i > job.cutAfter) {
         head(job);
         job.call.data(Buffer.from(s.slice(0, Math.floor(random() * s.length))));
         finish(job);
@@ -315,16 +318,16 @@
         job.call.data(Buffer.from(s.slice(0, at)));
         job.call.data(Buffer.from(s.slice(at)));
       } else job.call.data(Buffer.from(s));
-      job.sent = i;
+      job.sentEvents = i;
     }
     if (!done) return;
     head(job);
     finish(job);
-    job.call.end(job.mischief === 'surplus');
+    job.call.end(job.fault === 'surplus');
   }
 
   function scheduleSteps(): void {
-    if (!alive || dark) return;
+    if (!alive || isUnresponsive) return;
     if (currentSteps === undefined) startNextSteps();
     else shortenSteps(currentSteps);
   }
@@ -349,13 +352,13 @@
 
   function startNextSteps(): void {
     currentSteps = undefined;
-    if (!alive || dark) return;
+    if (!alive || isUnresponsive) return;
     admit();
     let reader: Job | undefined;
     const makers: Job[] = [];
     for (const job of running) {
       if (job.moving) continue;
-      if (job.need <= 0) makers.push(job);
+      if (job.prefillTokensLeft <= 0) makers.push(job);
       else if (job.readyAt > simulation.now()) scheduleWake(job.readyAt);
       else if (
         reader === undefined ||
@@ -365,32 +368,34 @@
         reader = job;
     }
     if (reader === undefined && makers.length === 0) return;
-    const context = makers.reduce((sum, job) => sum + job.call.promptTokens + job.made, 0);
+    const context = makers.reduce((sum, job) => sum + job.call.promptTokens + job.decodedTokens, 0);
     const each = (engine.step + engine.stepPerRun * makers.length + engine.stepPerContextToken * context) * o.slow;
-    const most = part === 'prefill' ? engine.prefillChunk : engine.decodeChunk;
-    const piece =
-      reader === undefined ? 0 : Math.min(reader.need, makers.length === 0 ? engine.idleChunkFactor * most : most);
+    const maxChunk = part === 'prefill' ? engine.prefillChunk : engine.decodeChunk;
+    const chunk =
+      reader === undefined
+        ? 0
+        : Math.min(reader.prefillTokensLeft, makers.length === 0 ? engine.idleChunkFactor * maxChunk : maxChunk);
     // A prefill worker generates no tokens, so a prefill chunk there includes no decode step.
-    const length = reader === undefined ? each : prefillTime(reader, piece) + (part === 'prefill' ? 0 : each);
-    startSteps(makers, reader, piece, length, reader === undefined ? stepsAtOnce(makers) : 1, simulation.now());
+    const length = reader === undefined ? each : prefillTime(reader, chunk) + (part === 'prefill' ? 0 : each);
+    startSteps(makers, reader, chunk, length, reader === undefined ? stepsAtOnce(makers) : 1, simulation.now());
   }
 
   /** Number of steps that can run at once without skipping the end of an event of any response. */
   function stepsAtOnce(makers: readonly Job[]): number {
-    return makers.some((job) => job.made < engine.firstStride) ? engine.firstStride : engine.stride;
+    return makers.some((job) => job.decodedTokens < engine.firstStride) ? engine.firstStride : engine.stride;
   }
 
-  function prefillTime(job: Job, piece: number): number {
-    const before = job.call.promptTokens - job.need;
-    const pairs = piece * (2 * before + piece);
+  function prefillTime(job: Job, chunk: number): number {
+    const before = job.call.promptTokens - job.prefillTokensLeft;
+    const pairs = chunk * (2 * before + chunk);
     const half = part === 'prefill' ? 1 : 2;
-    return (piece * engine.prefillPerToken + pairs * engine.prefillPerTokenPair) * half * o.slow;
+    return (chunk * engine.prefillPerToken + pairs * engine.prefillPerTokenPair) * half * o.slow;
   }
 
   function startSteps(
     makers: readonly Job[],
     reader: Job | undefined,
-    piece: number,
+    chunk: number,
     each: number,
     tokens: number,
     from: number,
@@ -401,11 +406,11 @@
       // Superseded by another batch.
       if (currentSteps !== steps) return;
       currentSteps = undefined;
-      if (!alive || dark) return;
+      if (!alive || isUnresponsive) return;
       for (const job of makers) if (running.has(job)) emitTokens(job, tokens);
       if (reader !== undefined && running.has(reader)) {
-        reader.need -= piece;
-        if (reader.need <= 0) finishPrefill(reader);
+        reader.prefillTokensLeft -= chunk;
+        if (reader.prefillTokensLeft <= 0) finishPrefill(reader);
       }
       for (const job of running) if (simulation.now() > job.due) rejectOverdue(job);
       startNextSteps();
@@ -421,7 +426,7 @@
 
   function closed(call: WorkerCall): void {
     if (!alive) return;
-    if (dark) return void deferred.push(() => closed(call));
+    if (isUnresponsive) return void deferred.push(() => closed(call));
     // Most closed calls are cancelled; 15 % continue to run.
     if (random() < 0.15) return;
     queue = queue.filter((job) => job.call !== call);
@@ -476,14 +481,14 @@
       for (const call of cs) call.reset();
     },
     setUnresponsive: (on) => {
-      dark = on;
+      isUnresponsive = on;
       if (on) return;
       const hs = deferred;
       deferred = [];
       for (const f of hs) f();
       scheduleSteps();
     },
-    isUnresponsive: () => dark,
+    isUnresponsive: () => isUnresponsive,
     load: () => ({ queued: queue.length, active: running.size, kvUsed: usedTokens(), kvTotal: engine.kvTokens }),
   };
 }
--- a/packages/simulator/src/pass-through/virtual-workers.ts
+++ b/packages/simulator/src/pass-through/virtual-workers.ts
@@ -56,7 +56,7 @@
   let ids = 0;
   let addresses = 0;
 
-  function recordRun(c: WorkerCall, life: () => WorkerLife, run: string, memoryOf: string | undefined): void {
+  function recordRun(c: WorkerCall, life: () => WorkerLife, run: string, kvSourceRequest: string | undefined): void {
     const o = life().o;
     ground.h.runs.push({
       at: e.now(),
@@ -64,7 +64,7 @@
       run,
       worker: o.id,
       service: o.service,
-      kvSourceRequest: memoryOf,
+      kvSourceRequest,
     });
   }
 
@@ -103,7 +103,7 @@
         );
       },
       lifeAt: (a) => lifeByAddress.get(a),
-      onRunStarted: (c, run, memoryOf) => recordRun(c, () => life, run, memoryOf),
+      onRunStarted: (c, run, kvSourceRequest) => recordRun(c, () => life, run, kvSourceRequest),
       onPrefill: (c, known) => recordPrefill(c, known),
       onKvMoved: (tokens) => {
         ground.h.costs.moved += tokens;
