--- a/packages/simulator/src/pass-through/passed-day.ts
+++ b/packages/simulator/src/pass-through/passed-day.ts
@@ -43,7 +43,7 @@
   readonly net?: (n: Network) => void;
   readonly learning?: LearningTerms;
   // Called every virtual second.
-  readonly look?: (s: number, core: VirtualControlCluster, routers: readonly VirtualRouter[]) => void;
+  readonly look?: (s: number, controlCluster: VirtualControlCluster, routers: readonly VirtualRouter[]) => void;
 }
 export interface PassedDay {
   readonly history: PassedHistory;
@@ -100,9 +100,9 @@
     core.add(n);
     core.start(n, true);
   }
-  let resets = 0;
+  let resetRate = 0;
   const routers = Array.from({ length: deployment.routers }, (_, i) =>
-    createVirtualRouter(ground, core, workers, placeOf(i), () => resets),
+    createVirtualRouter(ground, core, workers, placeOf(i), () => resetRate),
   );
   function placeOf(i: number): RouterLocation {
     const name = `r${i}`;
@@ -257,8 +257,8 @@
       case 'workers-fail':
         return injectWorkerFault('fail', 0.3, s);
       case 'connections-reset':
-        resets = 0.4;
-        return afterSeconds(s, () => (resets = 0));
+        resetRate = 0.4;
+        return afterSeconds(s, () => (resetRate = 0));
       case 'router-kill':
       case 'router-power':
         if (router.machine !== router.name) return loseMachine(router.machine, t.do, t.do === 'router-power', s);
