--- a/packages/simulator/src/pass-through/passed-history.ts
+++ b/packages/simulator/src/pass-through/passed-history.ts
@@ -1,11 +1,11 @@
 /**
- * What a day showed, as the checks read it: tries of requesters and what came back, arrivals and runs at workers,
- * changes of the document and their answers, what governed at each router, and when which machine was in trouble.
+ * The recorded history of a simulated run, as input of the checks: client attempts and their responses, arrivals and
+ * runs at workers, configuration changes and their answers, the documents applied by each router, and all faults.
  */
 
 import type { KeyDigest } from '@tansypost/paths';
 
-export type TryEnd =
+export type AttemptOutcome =
   | 'open'
   | 'unread'
   | 'whole'
@@ -17,7 +17,7 @@
   | 'unknown_path'
   | 'unknown_key'
   | 'odd';
-export interface TrySeen {
+export interface AttemptRecord {
   readonly id: string;
   readonly task: number;
   readonly kind: string;
@@ -27,24 +27,24 @@
   readonly streaming: boolean;
   readonly resumable: boolean;
   readonly repeatable: boolean;
-  // The last piece that the answer has.
+  // Number of events of the complete response.
   readonly pieces: number;
   router: string;
   readAt: number | undefined;
   end: number | undefined;
-  ended: TryEnd;
+  ended: AttemptOutcome;
   why: string;
-  firstAt: number | undefined;
-  /** The longest time between two arrivals of bytes of the answer. */
-  longestPause: number;
-  /** Tokens of its prompt, and those of its answer. */
-  readonly size: number;
-  /** Who sent it, and the digest of the key that it bears. */
+  firstByteAt: number | undefined;
+  /** Longest time between two arrivals of response bytes. */
+  maxGapUs: number;
+  /** Prompt tokens plus the weighted output tokens. */
+  readonly costTokens: number;
+  /** The tenant that sent it, and the digest of the API key it carries. */
   readonly tenant?: string | undefined;
   readonly keyDigest?: KeyDigest | undefined;
   readonly body: Buffer[];
 }
-export interface ArrivalSeen {
+export interface ArrivalRecord {
   readonly at: number;
   readonly sentAt: number;
   readonly request: string;
@@ -52,25 +52,25 @@
   readonly worker: string;
   readonly service: string;
   readonly router: string;
-  // The tenant that the worker was told of, and whether it got what bears the key.
+  // The tenant named to the worker, and whether the worker received the headers with the key.
   readonly tenant: string | undefined;
-  readonly credentials: boolean;
-  // 421: another worker has the address.
-  misdirected: boolean;
-  // A read that was taken up.
-  taken: boolean;
+  readonly gotCredentials: boolean;
+  // Answered 421: the address now belongs to another worker.
+  wasMisdirected: boolean;
+  // Whether the worker accepted the prefill.
+  wasAccepted: boolean;
 }
-export interface RunSeen {
+export interface RunRecord {
   readonly at: number;
   readonly request: string;
   readonly run: string;
   readonly worker: string;
   readonly service: string;
-  // The request whose memory it goes on from.
-  readonly memoryOf: string | undefined;
+  // The request whose KV cache the run decodes from.
+  readonly kvSourceRequest: string | undefined;
 }
-/** An order that reached a worker. */
-export interface StageOrderSeen {
+/** A stage order that reached a worker. */
+export interface StageOrderRecord {
   readonly at: number;
   readonly worker: string;
   /** The machine that sent it. */
@@ -80,51 +80,51 @@
   readonly stage: string;
   readonly status: number;
 }
-export interface ChangeSent {
+export interface ChangeRecord {
   readonly revision: number;
-  readonly base: number;
+  readonly baseRevision: number;
   readonly text: string;
   readonly valid: boolean;
   readonly at: number;
-  // Taken, refused for good, or without a clear answer.
+  // Accepted, refused for good, or of unknown outcome.
   answer: 'open' | 'taken' | 'refused' | 'unclear';
   answeredAt: number | undefined;
 }
-export interface GoverningSeen {
+export interface AppliedRecord {
   readonly at: number;
   readonly router: string;
   readonly life: number;
   readonly revision: number;
   readonly text: string;
 }
-export interface TroubleSeen {
-  // A machine, or `core` for one of its machines or the links between them, or `list`.
+export interface FaultRecord {
+  // A machine; `core` for a control node or a link between control nodes; or `list` for the worker list.
   readonly who: string;
   readonly what: string;
   readonly from: number;
   to: number;
 }
 export interface PassedHistory {
-  readonly tries: TrySeen[];
-  readonly arrivals: ArrivalSeen[];
-  readonly runs: RunSeen[];
-  readonly orders: StageOrderSeen[];
-  readonly changes: ChangeSent[];
-  readonly applied: GoverningSeen[];
-  readonly troubles: TroubleSeen[];
-  // When the list showed a worker as leaving or gone.
-  readonly shownLeaving: Map<string, number>;
-  // Starts of a router's life, and its end.
+  readonly tries: AttemptRecord[];
+  readonly arrivals: ArrivalRecord[];
+  readonly runs: RunRecord[];
+  readonly orders: StageOrderRecord[];
+  readonly changes: ChangeRecord[];
+  readonly applied: AppliedRecord[];
+  readonly troubles: FaultRecord[];
+  // When the worker list first showed a worker as leaving or gone, by worker id.
+  readonly leavingVisibleAt: Map<string, number>;
+  // The incarnations of each router, with start and end.
   readonly lives: { readonly router: string; readonly life: number; readonly from: number; to: number }[];
   readonly unforeseen: string[];
-  /** Tokens that workers read, of these shared parts read again, and tokens of memory moved. */
+  /** Tokens prefilled by workers, those of them that belong to recently prefilled shared parts, and KV tokens moved. */
   readonly costs: { read: number; reread: number; moved: number };
-  // When all had been killed, until which moment.
+  // Ends of outages in which all control nodes had been killed.
   outageEnds: number[];
-  // When the last decode worker of a service was taken away for good.
-  readonly lastDecodeTaken: number[];
-  /** What was read back at the end of the day, asked for again and again. */
-  readonly reads: { readonly text: string; readonly at: number }[];
+  // When a service permanently lost its last decode worker.
+  readonly lastDecodeRemovedAt: number[];
+  /** Configurations read back repeatedly at the end of the run. */
+  readonly readbacks: { readonly text: string; readonly at: number }[];
   from: number;
   to: number;
 }
@@ -138,13 +138,13 @@
     changes: [],
     applied: [],
     troubles: [],
-    shownLeaving: new Map(),
+    leavingVisibleAt: new Map(),
     lives: [],
     unforeseen: [],
     costs: { read: 0, reread: 0, moved: 0 },
     outageEnds: [],
-    lastDecodeTaken: [],
-    reads: [],
+    lastDecodeRemovedAt: [],
+    readbacks: [],
     from: 0,
     to: 0,
   };
--- a/programs/fleet-runner/src/plan.ts
+++ b/programs/fleet-runner/src/plan.ts
@@ -1,25 +1,27 @@
 /**
- * The plan of a fleet on one machine: every member of it has a loopback address of its own and a boot file;
- * keepers, agents and workers are reached through a relay of the run. The
- * first three machines are core. Each machine has a router and an agent, core machines a keeper as well.
+ * The layout of a fleet on one host: every simulated machine has its own loopback address and every process its own
+ * settings file. Control nodes, agents and workers are reached through a relay, so that their links can be disturbed.
+ * Each machine runs a router and an agent; the first three run a control node as well.
  */
 import type { Deployment } from '@tansypost/requester-stand-in';
 
 export type Program = 'control-node' | 'router-agent' | 'request-router' | 'worker-stand-in';
-export interface Member {
+/** One process of the fleet. */
+export interface FleetMember {
   readonly name: string;
   readonly program: Program;
   readonly machine: string;
   readonly zone: string;
   readonly ip: string;
   readonly http: string;
-  readonly boot: Record<string, unknown>;
-  readonly data: string | undefined;
-  readonly relay: { readonly shown: string; readonly real: string; readonly inner: boolean } | undefined;
+  readonly settings: Record<string, unknown>;
+  readonly dataFolder: string | undefined;
+  readonly relay:
+    { readonly advertised: string; readonly target: string; readonly isInternalLink: boolean } | undefined;
 }
-export interface Plan {
+export interface FleetPlan {
   readonly deployment: Deployment;
-  readonly members: readonly Member[];
+  readonly members: readonly FleetMember[];
   readonly seeds: readonly string[];
 }
 
@@ -31,111 +33,113 @@
   readonly feedTenureMs?: number;
 }
 
-const paces = [14_000, 9000, 6000, 12_000];
+// Prefill throughput of the workers in tokens per second, assigned round-robin, so that workers differ.
+const prefillRates = [14_000, 9000, 6000, 12_000];
 
-export function planFleet(d: Deployment, o: PlanOptions): Plan {
-  const members: Member[] = [];
-  const ms = Array.from({ length: d.machines }, (_, i) => ({
-    name: `m${i}`,
-    zone: `z${i % d.zones}`,
-    ip: `127.${o.octet}.${(i % d.zones) + 1}.${i + 1}`,
+/** Assigns names, zones, addresses and settings to all processes. */
+export function planFleet(deployment: Deployment, options: PlanOptions): FleetPlan {
+  const members: FleetMember[] = [];
+  const machines = Array.from({ length: deployment.machines }, (_, index) => ({
+    name: `m${index}`,
+    zone: `z${index % deployment.zones}`,
+    ip: `127.${options.octet}.${(index % deployment.zones) + 1}.${index + 1}`,
   }));
-  const core = ms.slice(0, 3).map((m) => `${m.ip}:7102`);
-  const seeds = ms.slice(0, 3).map((m) => `${m.ip}:7100`);
-  const common = { seeds, logLevel: o.logLevel };
-  const tenure = o.feedTenureMs === undefined ? {} : { feedTenureMs: o.feedTenureMs };
-  ms.forEach((m, i) => {
-    if (i < 3) {
-      const data = `${o.folder}/data/keeper${i}`;
+  const controlAddresses = machines.slice(0, 3).map((machine) => `${machine.ip}:7102`);
+  const seeds = machines.slice(0, 3).map((machine) => `${machine.ip}:7100`);
+  const common = { seeds, logLevel: options.logLevel };
+  const leaseSettings = options.feedTenureMs === undefined ? {} : { feedTenureMs: options.feedTenureMs };
+  machines.forEach((machine, index) => {
+    if (index < 3) {
+      const data = `${options.folder}/data/keeper${index}`;
       members.push({
-        name: `keeper${i}`,
+        name: `keeper${index}`,
         program: 'control-node',
-        machine: m.name,
-        zone: m.zone,
-        ip: m.ip,
-        http: `${m.ip}:8002`,
-        data,
-        relay: { shown: `${m.ip}:7102`, real: `${m.ip}:7002`, inner: true },
-        boot: {
+        machine: machine.name,
+        zone: machine.zone,
+        ip: machine.ip,
+        http: `${machine.ip}:8002`,
+        dataFolder: data,
+        relay: { advertised: `${machine.ip}:7102`, target: `${machine.ip}:7002`, isInternalLink: true },
+        settings: {
           ...common,
-          ...tenure,
-          member: `keeper${i}`,
-          zone: m.zone,
-          listen: `${m.ip}:7002`,
-          advertise: `${m.ip}:7102`,
-          slot: i,
-          core,
+          ...leaseSettings,
+          member: `keeper${index}`,
+          zone: machine.zone,
+          listen: `${machine.ip}:7002`,
+          advertise: `${machine.ip}:7102`,
+          slot: index,
+          core: controlAddresses,
           data,
-          http: `${m.ip}:8002`,
+          http: `${machine.ip}:8002`,
         },
       });
     }
-    const data = `${o.folder}/data/agent${i}`;
+    const data = `${options.folder}/data/agent${index}`;
     members.push({
-      name: `agent${i}`,
+      name: `agent${index}`,
       program: 'router-agent',
-      machine: m.name,
-      zone: m.zone,
-      ip: m.ip,
-      http: `${m.ip}:8000`,
-      data,
-      relay: { shown: `${m.ip}:7100`, real: `${m.ip}:7000`, inner: true },
-      boot: {
+      machine: machine.name,
+      zone: machine.zone,
+      ip: machine.ip,
+      http: `${machine.ip}:8000`,
+      dataFolder: data,
+      relay: { advertised: `${machine.ip}:7100`, target: `${machine.ip}:7000`, isInternalLink: true },
+      settings: {
         ...common,
-        ...tenure,
-        member: `agent${i}`,
-        zone: m.zone,
-        listen: `${m.ip}:7000`,
-        advertise: `${m.ip}:7100`,
+        ...leaseSettings,
+        member: `agent${index}`,
+        zone: machine.zone,
+        listen: `${machine.ip}:7000`,
+        advertise: `${machine.ip}:7100`,
         data,
-        http: `${m.ip}:8000`,
-        router: `${m.ip}:7001`,
-        routerHttp: `${m.ip}:8001`,
-        slot: i,
-        ...(o.trainEvery === undefined ? {} : { trainEvery: o.trainEvery }),
+        http: `${machine.ip}:8000`,
+        router: `${machine.ip}:7001`,
+        routerHttp: `${machine.ip}:8001`,
+        slot: index,
+        ...(options.trainEvery === undefined ? {} : { trainEvery: options.trainEvery }),
       },
     });
     members.push({
-      name: `router${i}`,
+      name: `router${index}`,
       program: 'request-router',
-      machine: m.name,
-      zone: m.zone,
-      ip: m.ip,
-      http: `${m.ip}:8001`,
-      data: undefined,
+      machine: machine.name,
+      zone: machine.zone,
+      ip: machine.ip,
+      http: `${machine.ip}:8001`,
+      dataFolder: undefined,
       relay: undefined,
-      boot: {
-        ...tenure,
-        logLevel: o.logLevel,
-        member: `router${i}`,
-        zone: m.zone,
-        listen: `${m.ip}:7001`,
-        agent: `${m.ip}:7000`,
-        http: `${m.ip}:8001`,
+      settings: {
+        ...leaseSettings,
+        logLevel: options.logLevel,
+        member: `router${index}`,
+        zone: machine.zone,
+        listen: `${machine.ip}:7001`,
+        agent: `${machine.ip}:7000`,
+        http: `${machine.ip}:8001`,
       },
     });
   });
-  for (let i = 0; i < d.workers; i += 1) {
-    const ip = `127.${o.octet}.9.${i + 1}`;
+  for (let index = 0; index < deployment.workers; index += 1) {
+    const ip = `127.${options.octet}.9.${index + 1}`;
     members.push({
-      name: `worker${i}`,
+      name: `worker${index}`,
       program: 'worker-stand-in',
-      machine: `w${i}`,
-      zone: `z${i % d.zones}`,
+      machine: `w${index}`,
+      zone: `z${index % deployment.zones}`,
       ip,
       http: `${ip}:9000`,
-      data: undefined,
-      relay: { shown: `${ip}:9100`, real: `${ip}:9000`, inner: false },
-      boot: {
-        member: `worker${i}`,
+      dataFolder: undefined,
+      relay: { advertised: `${ip}:9100`, target: `${ip}:9000`, isInternalLink: false },
+      settings: {
+        member: `worker${index}`,
         listen: `${ip}:9000`,
         advertise: `${ip}:9100`,
         incarnation: 1,
-        prefillPace: paces[i % paces.length],
-        logLevel: o.logLevel,
-        runsFile: `${o.folder}/runs-worker${i}.txt`,
+        prefillPace: prefillRates[index % prefillRates.length],
+        logLevel: options.logLevel,
+        runsFile: `${options.folder}/runs-worker${index}.txt`,
       },
     });
   }
-  return { deployment: d, members, seeds };
+  return { deployment, members, seeds };
 }
--- /dev/null
+++ b/programs/fleet-runner/src/soak/soak-adapter.ts
@@ -0,0 +1,55 @@
+/** Adapts the soak test to a program under test: how it is started, configured and called, and what its workers answer. */
+import type { IncomingHttpHeaders, OutgoingHttpHeaders } from 'node:http';
+
+/** `router` serves requests, `control` stores control state, `both` does both in one process. */
+export type SoakRole = 'router' | 'control' | 'both';
+
+/** One machine of a soak test: a process with its own loopback address. */
+export interface SoakMachine {
+  readonly name: string;
+  readonly role: SoakRole;
+  readonly ip: string;
+}
+
+/** The context that the settings of a machine depend on. */
+export interface SoakSettingsContext {
+  /** The machines that its settings name as seeds. */
+  readonly seeds: readonly SoakMachine[];
+  /** Whether this is the first start of the whole fleet. */
+  readonly isFirstStart: boolean;
+  /** The IP address that serves the list of workers. */
+  readonly platformIp: string;
+  readonly dataFolder: string;
+}
+
+/** A call to a machine. */
+export interface SoakCall {
+  readonly port: number;
+  readonly method: string;
+  readonly path: string;
+  readonly headers: Readonly<Record<string, string>>;
+  readonly body: string;
+}
+
+export interface SoakAdapter {
+  /** The configured time from SIGTERM until the process ends its open requests by force, in milliseconds. */
+  readonly graceMs: number;
+  readonly ports: { readonly list: number; readonly worker: number };
+  readonly command: (machine: SoakMachine) => { readonly file: string; readonly args: readonly string[] };
+  readonly environment: (settingsFile: string) => Readonly<Record<string, string>>;
+  readonly settings: (machine: SoakMachine, context: SoakSettingsContext) => string;
+  readonly readiness: SoakCall;
+  /** A client's request; `revision` is that of the configuration whose route it uses. */
+  readonly request: (id: string, revision: number) => SoakCall;
+  /** The call that submits the configuration of this revision, based on revision `base` (0 for the first). */
+  readonly change: (revision: number, base: number) => SoakCall;
+  readonly read: SoakCall;
+  readonly revisionOf: (configuration: string) => number;
+  readonly workerListBody: (ips: readonly string[]) => string;
+  readonly workerLoadBody: string;
+  /** The id of a request as a worker receives it; undefined if the call is not a client's request. */
+  readonly requestIdOf: (headers: IncomingHttpHeaders) => string | undefined;
+  readonly workerHeaders: (id: string) => OutgoingHttpHeaders;
+  /** The chunks of a worker's response. */
+  readonly chunks: readonly string[];
+}
--- a/tests/smoke.test.ts
+++ b/tests/smoke.test.ts
@@ -13,8 +13,8 @@
 import {
   coldStorage,
   createTraffic,
-  callOnce,
-  drive,
+  sendRequest,
+  runLoad,
   type Deployment,
   type Outcome,
 } from '../programs/requester-stand-in/src/index.js';
@@ -60,23 +60,23 @@
   }
   async function traffic(seed: number, count: number): Promise<Outcome[]> {
     let remaining = count;
-    return drive({
+    return runLoad({
       traffic: createTraffic(small, seed),
       rate: 25,
       seconds: 120,
       seed,
-      routers: fleet.routers,
+      routers: fleet.reachableRouters,
       agent,
-      until: () => (remaining -= 1) < 0,
+      shouldStop: () => (remaining -= 1) < 0,
     });
   }
   try {
-    await fleet.serve();
+    await fleet.startAndWait();
 
     const first = await traffic(11, 60);
     expect(first.filter((outcome) => outcome.ended === 'WRONG')).toEqual([]);
     for (const kind of small.kinds)
-      expect(first.some((outcome) => outcome.ask.kind === kind.kind && outcome.ended === 'whole')).toBe(true);
+      expect(first.some((outcome) => outcome.request.kind === kind.kind && outcome.ended === 'whole')).toBe(true);
 
     const validBody = { model: 'm', prompt: 'one two three', max_tokens: 4 };
     expect((await post(validBody)).status).toBe(200);
@@ -160,7 +160,7 @@
     expect(reused).toMatchObject({ status: 422, body: { answer: 'refused', faults: [{ at: '/change' }] } });
     expect(await runCli(['rehearsals', ...agentOption])).toMatchObject({
       code: 0,
-      out: expect.stringMatching(/No model is live[^]*Parts: /),
+      out: expect.stringMatching(/No model is live[^]*Worker stages: /),
     });
     expect(JSON.parse((await runCli(['rehearsals', '--json', ...agentOption])).out)).toHaveProperty('parts');
     expect((await runCli(['desired', 'submit', join(folder, 'none.json'), ...agentOption])).code).toBe(2);
@@ -168,15 +168,15 @@
 
     const during = traffic(12, 120);
     fleet.processes.signal('router3', 'SIGKILL');
-    await fleet.fault({ at: 0, do: 'empty', who: 'keeper1' });
-    await fleet.fault({ at: 0, do: 'restart', who: 'router3' });
+    await fleet.injectFault({ at: 0, do: 'empty', who: 'keeper1' });
+    await fleet.injectFault({ at: 0, do: 'restart', who: 'router3' });
     const second = await during;
     expect(second.filter((outcome) => outcome.ended === 'WRONG')).toEqual([]);
-    await fleet.until(
+    await fleet.waitUntil(
       'the emptied control node votes again',
       async () => (await fleet.get<{ ok: boolean }>(fleet.member('keeper1').http, '/vitals'))?.ok === true,
     );
-    await fleet.until(
+    await fleet.waitUntil(
       'the restarted router serves',
       async () => (await fleet.get(fleet.member('router3').http, '/vitals')) !== undefined,
     );
@@ -188,13 +188,13 @@
       await fleet.post(fleet.member(worker).http, '/fault', { nonsense: false, badReport: false });
     expect(duringFaults.filter((outcome) => outcome.ended === 'WRONG')).toEqual([]);
     const counted = await Promise.all(
-      fleet.routers().map((address) => fleet.get<{ workers: { failures: number }[] }>(address, '/figures')),
+      fleet.reachableRouters().map((address) => fleet.get<{ workers: { failures: number }[] }>(address, '/figures')),
     );
     expect(counted.some((figures) => figures?.workers.some((worker) => worker.failures > 0))).toBe(true);
 
     const duringDrain = traffic(14, 150);
-    await fleet.fault({ at: 0, do: 'drain', who: 'router2' });
-    await fleet.fault({ at: 0, do: 'release', who: 'worker2' });
+    await fleet.injectFault({ at: 0, do: 'drain', who: 'router2' });
+    await fleet.injectFault({ at: 0, do: 'release', who: 'worker2' });
     const third = await duringDrain;
     expect(
       third
@@ -202,28 +202,29 @@
         .map((outcome) => `${outcome.ended} ${outcome.kind}`),
     ).toEqual([]);
 
-    const changed = await fleet.submit(1);
+    const changed = await fleet.submitDesiredState(1);
     expect(changed.answer).toBe('acknowledged');
-    for (const address of fleet.routers())
+    for (const address of fleet.reachableRouters())
       expect((await fleet.get<{ version: number }>(address, '/desired-state'))!.version).toBe(changed.version);
     const task = createTraffic(small, 13).next(0);
-    await fleet.until(
+    await fleet.waitUntil(
       'the restarted router answers',
       async () =>
-        (await callOnce(fleet.member('router3').http, { ...task, id: `${task.id}-${Math.random()}` }, agent)).ended ===
-        'whole',
+        (await sendRequest(fleet.member('router3').http, { ...task, id: `${task.id}-${Math.random()}` }, agent))
+          .ended === 'whole',
     );
 
-    const runs = fleet.runs();
-    const unrepeatable = [...first, ...second, ...third].filter((outcome) => !outcome.ask.repeatable);
+    const runs = fleet.executionCounts();
+    const unrepeatable = [...first, ...second, ...third].filter((outcome) => !outcome.request.repeatable);
     expect(
       unrepeatable.filter(
-        (outcome) => (runs.get(outcome.ask.id)?.prefill ?? 0) > 1 || (runs.get(outcome.ask.id)?.decode ?? 0) > 1,
+        (outcome) =>
+          (runs.get(outcome.request.id)?.prefill ?? 0) > 1 || (runs.get(outcome.request.id)?.decode ?? 0) > 1,
       ),
     ).toEqual([]);
-    expect([...first, ...second].filter((outcome) => outcome.ended === 'refused' && runs.has(outcome.ask.id))).toEqual(
-      [],
-    );
+    expect(
+      [...first, ...second].filter((outcome) => outcome.ended === 'refused' && runs.has(outcome.request.id)),
+    ).toEqual([]);
     const trace = await new Promise<string>((done) => {
       execFile(
         process.execPath,
