--- a/packages/model-checker/src/mutations.ts
+++ b/packages/model-checker/src/mutations.ts
@@ -54,8 +54,8 @@
   singleEdit(
     'all of its view have told a founder the same view',
     discoveryBootstrap,
-    'viewKeyByCandidate.get(candidateId(candidate)) !== own);',
-    'viewKeyByCandidate.get(candidateId(candidate)) === undefined && own === undefined);',
+    'viewKeyByCandidate.get(candidateId(candidate)) !== ownViewKey,',
+    'viewKeyByCandidate.get(candidateId(candidate)) === undefined && ownViewKey === undefined,',
   ),
   singleEdit(
     'no machine founds after a restart',
@@ -128,8 +128,8 @@
   singleEdit(
     'the ids of applied changes outlive a takeover',
     keyLeader,
-    'const known = historyOf(promises, newest.version);',
-    'const known = historyOf([], newest.version);',
+    'const knownChanges = historyOf(promises, newest.version);',
+    'const knownChanges = historyOf([], newest.version);',
   ),
   singleEdit(
     'a write names the version that it builds on',
@@ -189,14 +189,14 @@
   singleEdit(
     'a lease is renewed only by a majority',
     servingLease,
-    'rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (confirmed) => {',
-    'void buildRequest;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (confirmed: typeof local) => void) => done(local))((confirmed) => {',
+    'rounds.start({ buildRequest, timeoutUs: roundTimeoutUs }, (round) => {',
+    'void buildRequest;\n    const local = { won: true, votes: [] as Vote[] };\n    void rounds;\n    void ((done: (round: typeof local) => void) => done(local))((round) => {',
   ),
   singleEdit(
     'a lease shows what a majority may hold newer',
     servingLease,
-    'confirmed.won && newestOf(confirmed.votes).version <= committed.newest(key).version',
-    'confirmed.won',
+    'round.won && newestOf(round.votes).version <= committed.newest(key).version',
+    'round.won',
   ),
   singleEdit(
     'a lease ends',
@@ -213,32 +213,32 @@
   singleEdit(
     'catching up keeps to the promises',
     catchUp,
-    'const replaces = isNewer(copied, present) && epoch >= present.promised;',
-    'const replaces = isNewer(copied, present);',
+    'const replaces = isNewer(copied, storedRow) && epoch >= storedRow.promised;',
+    'const replaces = isNewer(copied, storedRow);',
   ),
   singleEdit(
     'a copy counts under one membership only',
     catchUp,
-    'return present.membershipEpoch === membershipEpoch\n      ? present\n      :',
-    'return present.membershipEpoch <= membershipEpoch\n      ? { ...present, membershipEpoch }\n      :',
+    'return stored.membershipEpoch === membershipEpoch ? stored :',
+    'return stored.membershipEpoch <= membershipEpoch ? { ...stored, membershipEpoch } :',
   ),
   singleEdit(
     'a leaver ends only once those that stay hold all',
     gracefulLeave,
-    'return known !== undefined && !isNewer(replica.row(key), known);',
-    'return key !== undefined || known !== undefined;',
+    'return copiedRow !== undefined && !isNewer(replica.row(key), copiedRow);',
+    'return key !== undefined || copiedRow !== undefined;',
   ),
   singleEdit(
     'a change that was never chosen gives way to the chosen one',
     changeHistory,
-    'present.epoch >= change.epoch',
-    'present.epoch >= 0',
+    'existing.epoch >= change.epoch',
+    'existing.epoch >= 0',
   ),
   singleEdit(
     'a change that was chosen stays known in the copies',
     catchUp,
-    'options.putRow(key, mergeRows(present, copied), changes, done)',
-    'options.putRow(key, mergeRows(present, copied), [], done)',
+    'options.putRow(key, mergeRows(storedRow, copied), changes, done)',
+    'options.putRow(key, mergeRows(storedRow, copied), [], done)',
   ),
   ...bootstrapMutations,
 ];
