--- a/programs/fleet-runner/src/fleet.ts
+++ b/programs/fleet-runner/src/fleet.ts
@@ -145,7 +145,7 @@
       base: current?.version ?? 0,
       state: buildDesiredState(deployment, (kind) => kind.worth + priorityOffset),
     });
-    const body = (response?.body ?? { answer: 'agent unreachable' }) as {
+    const body = (response?.body ?? { answer: 'agent out of reach' }) as {
       answer: string;
       version?: number;
       change?: string;
