--- a/packages/learning/src/router-learning.ts
+++ b/packages/learning/src/router-learning.ts
@@ -1,7 +1,8 @@
 /**
  * A router's side of learning. It sends samples of the TTFT that its placements led to, holds the models that the rehearsal
  * record names (decoded before a request needs them), assigns each request to a cohort of the running rehearsal, and
- * reports the statistics of the cohorts as running totals. Without samples, a record or a control node it does nothing.
+ * reports the statistics of the cohorts as running totals. Without a running rehearsal in the record it
+ * assigns no cohort; without a control node in contact, samples are dropped and statistics are not sent.
  */
 import * as E from 'fp-ts/lib/Either.js';
 import { micros, type Address, type CohortStatistics, type KeyUpdate, type World } from '@tansypost/inner-protocol';
@@ -34,7 +35,7 @@
 }
 /** A router's side of learning. */
 export interface RouterLearning {
-  /** Takes the update of a key; other keys than the record and the models are ignored. */
+  /** Takes the update of a key; keys other than the record and the models are ignored. */
   readonly applyUpdate: (update: KeyUpdate) => void;
   /** Version of the rehearsal record that this router holds. */
   readonly recordVersion: () => number;
@@ -45,6 +46,7 @@
 }
 const sampleFlushDelayUs = 5_000_000;
 const reportIntervalUs = 2_000_000;
+/** The delay between two fetches; the first fetch of a model is delayed by a random 25 to 75 % of it. */
 const fetchRetryDelayUs = 2_000_000;
 const maxCohortStatistics = 64;
 const maxModelUpdates = 2;
@@ -88,7 +90,10 @@
     if (record.running !== undefined) scheduleReport();
   }
 
-  /** Decodes or fetches missing models; the previous model is fetched only for the control of a change that is live. */
+  /**
+   * Decodes or fetches missing models; the previous model is fetched only while a live change is watched, for the control
+   * cohort.
+   */
   function loadModels(): void {
     const missing = referencedModels().filter(
       (model) => !models.has(model.hash) && !decode(model, modelUpdates.get(model.blob)?.value),
@@ -132,6 +137,7 @@
   }
 
   function recordSample(featureRow: Float32Array, ttftUs: number): void {
+    // The reward is minus the TTFT in seconds.
     samples.push({ features: featureRow, reward: -ttftUs / 1e6 });
     if (samples.length >= sampleBatchSize) flush();
     else if (samples.length === 1) world.after(micros(sampleFlushDelayUs), flush);
@@ -159,6 +165,7 @@
       isReportScheduled = false;
       const to = options.controlNodes()[0];
       if (record.running === undefined) return statistics.clear();
+      // The name of the rehearsal's stage.
       const current = cohortNameOf(record.running);
       if (to !== undefined)
         world.send(to, {
@@ -170,7 +177,12 @@
     });
   }
 
-  /** A router that lacks a model counts requests in neither cohort, so that missing data favours neither. */
+  /**
+   * A router that lacks the rehearsed model, or the previous one while a change is watched, counts requests in neither
+   * cohort, so that missing data favours neither. The live model is not required: while it is missing, requests of the
+   * control cohort run without a model and are counted. Nothing is counted while a worker's stage is rehearsed, since
+   * there is no rehearsed model then.
+   */
   function assignCohort(request: string): CohortAssignment {
     const running = record.running;
     const subject = running?.subject.type === 'model' ? running.subject : undefined;
@@ -181,8 +193,10 @@
       rehearsed !== undefined &&
       (running!.state !== 'watched' || record.before === undefined || previous !== undefined);
     if (running === undefined || !isReady) return { model: live, completed: () => undefined };
+    // The name of the rehearsal's stage.
     const rehearsal = cohortNameOf(running);
     const cohort = cohortOf(rehearsal, request, running.slice);
+    // 'slice' is the stored name of the treatment cohort.
     // While a model that went live is watched, the control cohort stays with the previous model.
     const control = running.state === 'watched' ? previous : live;
     return {
@@ -198,6 +212,7 @@
     const isComplete = result.end === 'whole';
     // TTFT counts from arrival and includes time queued here; a request that failed counts with its whole timeout.
     const logTtft = Math.log(Math.max(1, isComplete ? result.timeToFirstChunk : result.timeout));
+    // The logarithm of the time per chunk, not per token.
     const logTokenTime =
       isComplete && result.timePerChunk !== undefined ? Math.log(Math.max(1, result.timePerChunk)) : undefined;
     const counts = { ...(statistics.get(key) ?? { rehearsal, ...createCohortCounts(cohort, result.route) }) };
--- a/packages/model-checker/src/cluster.ts
+++ b/packages/model-checker/src/cluster.ts
@@ -27,7 +27,7 @@
   readonly orderedLinks: boolean;
   /** Whether the machines start with empty disks and bootstrap the cluster, or with the disks of a bootstrapped one. */
   readonly bootstraps: boolean;
-  /** Whether the seeds are followers, which hold no control state, instead of the first machines. */
+  /** Whether the seed addresses are those of followers, which hold no control state, or of the first control machines. */
   readonly statelessSeeds: boolean;
   readonly thinkTimeUs: number;
   readonly readsPercent: number;
@@ -54,7 +54,7 @@
   readonly history: Operation[] = [];
   readonly invariants: Invariants;
   private readonly random: () => number;
-  /** How many disk losses were requested before a cluster was bootstrapped. */
+  /** How many disk losses the fault schedule asked for before a cluster was bootstrapped, counted with `statelessSeeds`. */
   preBootstrapDiskLosses = 0;
   private position = 0;
 
@@ -87,7 +87,10 @@
     return this.allMachines().find((machine) => machine.name === name)!;
   }
 
-  /** Starts the machines, on the given disks or on empty ones to bootstrap a cluster, and the followers and operators. */
+  /**
+   * Starts the initial machines, on the given disks or on empty ones to bootstrap a cluster, and the followers and
+   * operators; the spares stay off.
+   */
   start(disks: BootstrappedDisks | undefined): void {
     for (const machine of this.machines) {
       machine.disk.load(disks?.get(machine.name) ?? []);
--- a/packages/model-checker/src/operation-history.ts
+++ b/packages/model-checker/src/operation-history.ts
@@ -1,6 +1,7 @@
 /**
  * The operators' calls to the configuration register and their answers. Times are positions in one global order of
- * events. An operation without a definite answer has no end: it may take effect at any later time, or never.
+ * events. An operation without a definite answer has no end (its `returned` is `neverReturned`): it may take effect at any
+ * later time, or never.
  */
 
 /** A configuration change on top of an expected version. The same request may be sent several times. */
@@ -32,7 +33,7 @@
   seen: RegisterValue | undefined;
 }
 
-/** The register's content: the current change, empty before the first one, and its version. */
+/** The register's content: the content that the last change wrote, empty before the first one, and its version. */
 export interface RegisterValue {
   readonly change: string;
   readonly version: number;
--- a/packages/placement/src/blocks.ts
+++ b/packages/placement/src/blocks.ts
@@ -1,15 +1,18 @@
 /**
- * Cuts a prompt into blocks for the prefix tree. A token here is a word with the whitespace after it: that stands in for a
- * tokenizer, which only has to be the same on every router. A block's number is the hash of its own text alone, as the
- * tree keeps the order of blocks.
+ * Cuts a prompt into blocks for the prefix tree. A token here is a word with the whitespace after it: this replaces a
+ * tokenizer, and the split only has to be the same on every router. A block is identified by the hash of its own text, not
+ * of the prefix before it, because the tree keeps the order of blocks.
  */
 import { hash32 } from '@tansypost/inner-protocol';
 import type { PromptSummary } from './worker-snapshot.js';
 
-/** Tokens in one block; a shorter rest at the end of a prompt is in no block. */
+/** Tokens in one block; a shorter remainder at the end of a prompt is dropped. */
 export const tokensPerBlock = 16;
 
-/** Counts a prompt's tokens and hashes its blocks; the first `groupBlocks` of them name its prefix group. */
+/**
+ * Counts a prompt's tokens and hashes its blocks; the first `groupBlocks` hashes, joined, name its prefix group. The name is
+ * empty for a prompt shorter than a block.
+ */
 export function summarizePrompt(prompt: string, groupBlocks = 4): PromptSummary {
   const tokens = prompt.match(/\S+\s*/g) ?? [];
   const blocks: number[] = [];
--- a/packages/rehearsal/src/record.ts
+++ b/packages/rehearsal/src/record.ts
@@ -30,7 +30,10 @@
 /** How a rehearsal ended. */
 export type Outcome = 'live' | 'harmful' | 'inconclusive' | 'rejected' | 'rolled back' | 'superseded';
 
-/** TTFT of one cohort: mean and standard deviation of its natural logarithm. */
+/**
+ * Requests of one cohort, how many of them failed, and the mean and standard deviation of ln(TTFT in microseconds). A
+ * failed request enters with its timeout.
+ */
 export interface CohortMeasurements {
   readonly count: number;
   readonly failures: number;
@@ -40,8 +43,10 @@
 
 /** The measurements that a verdict was based on. */
 export interface Measured {
+  /** The treatment cohort. */
   readonly slice: CohortMeasurements;
   readonly control: CohortMeasurements;
+  /** The reason for the verdict. */
   readonly why: string;
 }
 
@@ -52,16 +57,18 @@
 export interface Rehearsal {
   readonly id: string;
   readonly subject: Subject;
+  /** The number of the rehearsal's stage, not a worker's stage. */
   readonly stage: number;
   /** How many interim analyses of this stage have been made. */
   readonly looks: number;
   /** How long this stage has run, in microseconds, added up over the successive leaders of the role. */
   readonly spent: number;
-  /** Share of the requests that take the change. */
+  /** Share of the requests that take the change, from 0 to 1. */
   readonly slice: number;
+  /** `passed`: all stages before going live were passed; `watched`: live, and compared with a control cohort. */
   readonly state: 'running' | 'passed' | 'watched' | 'ended';
   readonly approval: 'automatic' | 'operator';
-  /** The operator's decision. */
+  /** What the operator has decided; 'none' until then. */
   readonly asked: 'none' | 'approve' | 'reject';
   readonly outcome?: Outcome;
   readonly measured?: Measured;
@@ -99,7 +106,7 @@
   const record = { ...emptyRecord, ...(JSON.parse(value.toString()) as RehearsalRecord) };
   const { running } = record;
   if (running === undefined) return record;
-  // Releases that had no stages did not write these three fields.
+  // Releases that had no stages did not write these three fields; entries of `ended` may lack them.
   const { stage = 0, looks = 0, spent = 0 } = running;
   return { ...record, running: { ...running, stage, looks, spent } };
 }
--- a/packages/simulator/src/control-runs/control-command.ts
+++ b/packages/simulator/src/control-runs/control-command.ts
@@ -1,4 +1,7 @@
-/** The `control` command: plays the full-length runs of the control cluster and exits with 1 on any breach. */
+/**
+ * The `control` command: plays the full-length runs of the control cluster. It exits with 1 on any breach and with 2 on a
+ * usage error.
+ */
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { Worker } from 'node:worker_threads';
@@ -27,6 +30,7 @@
 /** Scenarios defined for a cluster of three members only. */
 const threeMemberScenarios: ReadonlySet<Scenario> = new Set<Scenario>(['leavers', 'blanks']);
 const maxBreachesPrinted = 20;
+/** Additional latencies of each disk sync with which the repairs are measured. */
 const extraSyncTimesMs = [0, 125];
 const earlyCompactionBytes = 100_000;
 
@@ -37,14 +41,18 @@
       'Play partitions, races, node losses and long histories of the control cluster. Exits with 1 on any breach.',
   });
   only = Option.String('--only', scenarios.join(','), { description: scenarios.join(', ') });
+  // Cluster sizes, separated by commas.
   members = Option.String('--members', '3,5');
+  // The first seed.
   from = Option.String('--from', '1');
+  // `losses` and `journal` always use one seed.
   count = Option.String('--count', '5', { description: 'number of seeds for each kind of run' });
   step = Option.String('--step', '20', { description: 'milliseconds between the tested times of the second loss' });
   to = Option.String('--to', '6000', {
     description: 'latest time of the second loss, in milliseconds after the first',
   });
   others = Option.String('--others', '2000', { description: 'updates made before the first ones are sent again' });
+  // The number of configuration changes.
   changes = Option.String('--changes', '2000');
   threads = Option.String('--threads', '3', { description: 'worker threads for the loss runs' });
   out = Option.String('--out', { description: 'output folder for the journal plots' });
@@ -100,7 +108,10 @@
     }
   }
 
-  /** The second run compacts its journal early, so that even a run of this length shows that the size is bounded. */
+  /**
+   * Plays the run twice: at the default compaction size, and at a small one, so that even a run of this length shows that
+   * the journal's size is bounded.
+   */
   private async playJournals(members: number, seeds: SeedRange): Promise<ControlReport> {
     const options = { members, seeds: { ...seeds, count: 1 }, changes: Number(this.changes) };
     const reports = [
--- a/programs/fleet-runner/src/run.ts
+++ b/programs/fleet-runner/src/run.ts
@@ -17,6 +17,7 @@
 export interface RunOptions extends PlanOptions {
   readonly deployment: Deployment;
   readonly seconds: number;
+  /** Requests per second of the whole run. */
   readonly rate: number;
   readonly seed: number;
   readonly mixPeriodSeconds: number | undefined;
@@ -24,29 +25,35 @@
   readonly log: (message: string) => void;
   readonly whileRunning?: (fleet: Fleet) => Promise<void>;
 }
-/** An injected fault; times are in milliseconds from the start of the traffic and from the fault. */
+/** An injected fault: `at` in milliseconds from the start of the traffic, `backAfterMs` from the fault. */
 export interface FaultRecord {
   readonly at: number;
   readonly fault: string;
   readonly backAfterMs: number | undefined;
 }
-/** Printed as JSON. `ranTwice` lists non-repeatable requests executed twice, `ranAfterRefusal` rejected ones that were executed. */
+/**
+ * Printed as JSON. `ranTwice` lists the ids of non-repeatable requests of which a stage was executed more than once,
+ * `ranAfterRefusal` the id and the kind of refusal of all requests, repeatable or not, that were refused and yet executed.
+ */
 export interface RunReport {
   readonly deployment: string;
   readonly seed: number;
   readonly served: TrafficSummary;
   readonly ranTwice: readonly string[];
   readonly ranAfterRefusal: readonly string[];
+  /** The highest ratio of extra attempts to first attempts over 10 s. */
   readonly extraOverTen: number;
   readonly faults: readonly FaultRecord[];
   readonly submissions: readonly { answer: string; version?: number; ms: number }[];
+  /** `whole`: whether the desired state that was read back has as many templates as the deployment has tenants. */
   readonly readBack: { version: number; whole: boolean };
   readonly placement: Record<string, number>;
   readonly rehearsals: readonly { id: string; outcome?: string; why?: string }[];
   readonly live: unknown;
 }
 
-// First attempts and extra attempts (retries and health probes) of the whole fleet up to `at`.
+// First attempts and extra attempts (retries and health probes) of the whole fleet up to `at`, in milliseconds of
+// performance.now().
 interface AttemptTotals {
   readonly at: number;
   first: number;
@@ -111,6 +118,7 @@
         if (isFinished) return;
         options.log(`${fault.at} s: ${fault.do} ${fault.who ?? ''}`);
         const injectedAt = performance.now();
+        // `crowd` doubles the request rate until `calm`.
         if (fault.do === 'crowd') rate = options.rate * 2;
         else if (fault.do === 'calm') rate = options.rate;
         else if (fault.do === 'submit')
@@ -198,8 +206,8 @@
   }
 }
 
-// Milliseconds from a fault to the start of the last request that failed, up to the next fault and 30 s at most; 0 if none
-// failed.
+// Milliseconds from a fault to the start of the last request that failed or was refused, up to the next fault and 30 s at
+// most; 0 if there is none.
 function recoveryTimeMs(outcomes: readonly Outcome[], injectedAt: number, nextFaultAt: number): number | undefined {
   const failed = outcomes.filter(
     (outcome) =>
@@ -208,7 +216,8 @@
   return failed.length === 0 ? 0 : Math.round(Math.max(...failed.map((outcome) => outcome.at)) - injectedAt);
 }
 
-// The highest ratio of extra attempts to first attempts over any 10 s with at least 50 first attempts.
+// The highest ratio of extra attempts to first attempts between samples at least 10 s apart, with at least 50 first
+// attempts.
 function maxExtraRatio(samples: readonly AttemptTotals[]): number {
   let maxRatio = 0;
   for (const sample of samples) {
--- a/programs/requester-stand-in/src/report.ts
+++ b/programs/requester-stand-in/src/report.ts
@@ -1,4 +1,4 @@
-/** Summarizes outcomes: requests served, counts of every other outcome, and TTFT by kind of request. */
+/** Summarizes outcomes: requests served, counts of every outcome, and TTFT of complete requests by kind of request. */
 import type { Outcome } from './requester.js';
 
 export function quantile(values: readonly number[], quantileRank: number): number {
@@ -10,9 +10,12 @@
 export interface TrafficSummary {
   readonly requests: number;
   readonly whole: number;
+  /** Share of requests served completely; refused ones count as not served. */
   readonly availability: number;
   readonly wrong: number;
+  /** Counts by outcome: 'whole', or how the request ended, a colon and the kind. */
   readonly ends: { readonly [outcome: string]: number };
+  /** In milliseconds. */
   readonly ttft: {
     readonly [kind: string]: { readonly n: number; readonly p50: number; readonly p99: number; readonly mean: number };
   };
--- a/programs/router-agent/src/trainer-thread.ts
+++ b/programs/router-agent/src/trainer-thread.ts
@@ -1,6 +1,6 @@
 /**
- * The thread that trains models. It holds the sample pools and the last model; the agent's event loop only posts samples to
- * it and receives encoded models from it.
+ * The thread that trains models. It holds the sample pools and the last model; the agent's event loop only posts samples
+ * and training commands to it and receives encoded models from it.
  */
 import { parentPort } from 'node:worker_threads';
 import { createTrainer, encodeModel, trainingDefaults, type ModelVersion, type Sample } from '@tansypost/placement';
--- a/programs/worker-stand-in/src/main.ts
+++ b/programs/worker-stand-in/src/main.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 // The simulated worker as a process: an HTTP/1.1 API for the worker core, with the KV transfer of vLLM's
-// kv_transfer_params. A decode worker fetches the KV cache from the prefill worker named there, and both validate the
-// handle.
+// kv_transfer_params. No KV data is transferred: a decode worker claims the handle of the KV cache at the prefill worker
+// named there, and both workers validate the handle.
 import { appendFileSync } from 'node:fs';
 import { Type } from '@sinclair/typebox';
 import fastify from 'fastify';
@@ -22,6 +22,7 @@
     kvTokens: Type.Optional(Type.Integer({ minimum: 100 })),
     holdUs: Type.Optional(Type.Integer({ minimum: 1000 })),
     logLevel: Type.Optional(Type.Integer()),
+    // Gets one line per execution.
     runsFile: Type.Optional(Type.String()),
   },
   { additionalProperties: false },
@@ -67,6 +68,7 @@
     const app = fastify({ bodyLimit: 8 * 1024 * 1024, forceCloseConnections: true });
     let isUnresponsive = false;
 
+    // The error of a request that was not executed.
     function notStartedError(kind: string): object {
       return { error: { kind, started: false } };
     }
@@ -108,6 +110,7 @@
             },
           });
         }
+        // Without parameters the handle is empty and is rejected.
         const handle: KvHandle = {
           id: kvTransferParams.remote_block_ids?.[0] ?? '',
           worker: kvTransferParams.remote_engine_id ?? '',
@@ -144,6 +147,7 @@
       },
     );
 
+    // Consumes the handle at its owner: in this process if that is this worker, otherwise with a call to /kv/take.
     async function consumeRemoteHandle(address: string, handle: KvHandle): Promise<string | undefined> {
       if (address === (advertise ?? listen)) return core.consumeHandle(handle);
       try {
@@ -170,6 +174,7 @@
       const isAccepted = core.setStage(incoming.body.epoch, incoming.body.part ?? '');
       return reply.code(isAccepted ? 200 : 409).send({ fence: core.report().fence, part: core.part() });
     });
+    // `dark` makes the worker leave calls unanswered, `lapse` expires its KV handles.
     app.post<{ Body: { dark?: boolean; lapse?: boolean } & typeof core.faults }>('/fault', async (incoming) => {
       const { dark: setUnresponsive, lapse, ...faults } = incoming.body;
       if (setUnresponsive !== undefined) isUnresponsive = setUnresponsive;
--- a/tests/platform-processes.test.ts
+++ b/tests/platform-processes.test.ts
@@ -1,7 +1,8 @@
 /**
- * The platform's two roles as real processes on loopback, with a worker and a worker list served by the test: signals and
- * changed settings or configurations end no request in progress, an accepted change is accepted again, and a kill of the
- * control process loses nothing. The tests wait for conditions and measure no durations.
+ * The platform's two roles, the router and the control node (role `keeper`), as real processes on loopback, with a worker
+ * and a worker list served by the test: signals and changed settings or configurations end no request in progress, a
+ * repeated change is acknowledged again, and a kill of the control process loses nothing. The
+ * tests wait for conditions and measure no durations.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { closeSync, mkdtempSync, openSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -93,7 +94,7 @@
 }
 const dutyCalls: DutyCall[] = [];
 
-/** The platform API: serves the worker list and accepts duty calls. */
+/** The platform API: serves the worker list to a GET and records any other call as a duty call. */
 function servePlatformApi(request: http.IncomingMessage, answer: http.ServerResponse): void {
   if (request.method === 'GET') return serveWorkerList(`${hosts.platform}:${ports.worker}`, answer);
   const chunks: Buffer[] = [];
@@ -147,7 +148,7 @@
   rmSync(folder, { recursive: true });
 });
 
-it('cuts off no request on SIGHUP, changed settings and changed routes, and serves 20 of 20 on a route added later', async () => {
+it('cuts off no request on SIGHUP, settings with unknown fields and changed routes, and serves 20 of 20 on a route added later', async () => {
   const first = configuration(3, ['first']);
   await callUntil(
     () => put(first, '0'),
@@ -158,6 +159,7 @@
   await Promise.all(heldRequests.map((held) => held.begun));
 
   for (const role of ['router', 'keeper'] as const) {
+    // Both fields are unknown: the known `duties` is in `platform_api`. The known settings stay as they are.
     writeFileSync(join(folder, `${role}.toml`), settings(role, { duties: [], new_field: 1 }));
     children.get(role)!.kill('SIGHUP');
   }
@@ -207,7 +209,7 @@
   const bodies = dutyCalls.filter(({ path }) => path === '/usage').map(({ body }) => body);
   return [...new Set(bodies)].map((body) => JSON.parse(body) as UsageReport);
 }
-/** Sends `count` requests with the tenant's key, and waits until `expectedTotal` requests have been reported in all. */
+/** Sends `count` requests with the tenant's key, and waits until `expectedTotal` requests have been reported in total. */
 async function sendAndAwaitReports(count: number, expectedTotal: number): Promise<void> {
   const authorization = 'Bearer key-of-a-tenant';
   for (let index = 0; index < count; index += 1)
@@ -219,7 +221,7 @@
   expect(total()).toBe(expectedTotal);
 }
 
-it('reports each request of a tenant once, with one content per window and increasing fencing tokens, also after a kill', async () => {
+it('reports each request of a tenant once, with one content per window, one scale order, and one fencing token per leader, never falling, also after a kill', async () => {
   const document = JSON.parse(configuration(11, ['later'])) as { backends: object[] };
   const scaling = { min_count: 1, max_count: 3, boot_time_s: 2 };
   const tenants = [{ name: 'a-tenant', api_keys: ['key-of-a-tenant'] }];
@@ -242,6 +244,7 @@
   expect(new Set(fences).size).toBe(2);
   const orders = dutyCalls.filter(({ path }) => path === '/scale').map(({ body }) => body);
   expect(new Set(orders)).toEqual(new Set(['{"backend":"s","zone":"a","desired":1}']));
+  // The last configuration of this file, without tenants.
   const first = configuration(13, ['later']);
   expect((await put(first, '11')).status).toBe(200);
   await callUntil(
@@ -250,7 +253,7 @@
   );
 });
 
-it('completes requests in progress after SIGTERM, reports not ready, and exits with 0', async () => {
+it('completes requests in progress and serves new ones after SIGTERM, reports not ready, and exits with 0', async () => {
   await callUntil(ready, (answer) => answer.status === 200);
   const held = send('/later/a', true);
   await held.begun;
--- a/tests/shared-processes.test.ts
+++ b/tests/shared-processes.test.ts
@@ -1,7 +1,8 @@
 /**
- * Routers as real processes on loopback without dedicated control machines: one with a disk that counts in the fault
- * budget, which holds the control state beside its traffic, and one without, which redirects operators. The tests wait
- * for conditions and measure no durations.
+ * Routers as real processes on loopback without dedicated control machines. `holder` has a disk that counts in the fault
+ * budget and holds the control state beside its traffic; `gateway` has none and redirects operators; `lonely` finds no
+ * machine with control state; `early` gets a SIGHUP during start-up. The tests wait for conditions and measure no
+ * durations.
  */
 import { spawn, spawnSync, type ChildProcess } from 'node:child_process';
 import {
@@ -105,7 +106,7 @@
   return new Promise((done) => children.get(machine)!.once('exit', (code, signal) => done([code, signal])));
 }
 
-/** The result of a call without a response. */
+/** The result of a call without a response; also the frame in which `callUntil` gets the text of a log. */
 const noAnswer: Answer = { status: 0, body: '', complete: false, seal: undefined, location: undefined };
 
 /** Opens a pipe for writing as soon as it has a reader. */
@@ -202,7 +203,7 @@
   });
 });
 
-it('answers 503 and logs it if no machine holds control state', async () => {
+it('answers 503 and logs it if no machine holds control state, and 405 to DELETE', async () => {
   expect((await callOperatorApi('lonely', 'GET')).status).toBe(503);
   expect((await callOperatorApi('lonely', 'PUT', first, '0')).status).toBe(503);
   expect((await callOperatorApi('lonely', 'DELETE')).status).toBe(405);
@@ -232,7 +233,7 @@
   expect(logOf('holder')).toContain('E2012');
 });
 
-it('completes answers though SIGTERM is repeated', async () => {
+it('completes responses in progress even if SIGTERM is repeated', async () => {
   start('holder');
   await callUntil(
     () => ready('holder'),
@@ -248,7 +249,8 @@
       (answer) => answer.status === 503,
     );
   }
-  // The control node hands over once and closes, while the router continues the answer in progress.
+  // The control node hands over once and closes, until its API refuses connections (status 0), while the router continues
+  // the response in progress.
   await callUntil(
     () => callOperatorApi('holder', 'GET').catch(() => noAnswer),
     (answer) => answer.status === 0,
@@ -257,6 +259,7 @@
   completeHeldAnswers(heldResponses);
   expect(await held.answer).toMatchObject(completeAnswer);
   expect(await exit).toEqual([0, null]);
+  // The log still has the event of the hand-over in the previous test.
   expect(logOf('holder').match(/E2012/g)).toHaveLength(2);
 });
 
@@ -271,6 +274,7 @@
   const settingsPipe = await openWhenRead(pipe);
   children.get('early')!.kill('SIGHUP');
   writeSync(settingsPipe, settings('early'));
+  // The SIGHUP makes the process read its settings again, now from a regular file.
   renameSync(file, pipe);
   closeSync(settingsPipe);
   await callUntil(
--- a/tests/stateless-seeds.test.ts
+++ b/tests/stateless-seeds.test.ts
@@ -1,7 +1,7 @@
 /**
  * Seeds may be any machines that serve control, including gateways without control state. In these simulated days such
- * seeds have lost their in-memory view of the control nodes, because all machines were restarted: the state on the disks
- * of the control nodes must be enough for all machines to find them again.
+ * seeds have lost their in-memory view of the control nodes, because they, or all machines, were restarted: the state on
+ * the disks of the control nodes must be enough for all machines to find them again.
  */
 import { expect, it } from 'vitest';
 import {
@@ -16,6 +16,7 @@
 const ferry = passedDeployments['ferry']!;
 const coldStorage = passedDeployments['cold-storage']!;
 
+/** A fault at this time, of this duration in seconds; `who` in [0, 1) picks the machine. */
 function at(seconds: number, kind: PassedTrouble['do'], duration = 1, who = 0.3): PassedTrouble {
   return { at: seconds, do: kind, for: duration, who };
 }
@@ -66,19 +67,21 @@
     await expectServiceBack(seed, { troubles: [at(1, 'seeds-exchanged')], closing: 'all-lose-power', laterSeeds });
 });
 it('RECOVER: tells restarted seeds the control nodes though no other machine was restarted', async () => {
+  // The last argument picks the router r<seed>.
   const troubles = [
     at(1, 'seeds-exchanged'),
     ...[0, 1, 2].map((seed) => at(3 + 0.1 * seed, 'router-power', 1, (seed + 0.5) / ferry.routers)),
   ];
   const day = await play(2, { troubles, laterSeeds: () => ['r0', 'r1', 'r2'], span: 18 });
   expect(day.breaches).toEqual([]);
+  // Life 2 is a router's process after its restart.
   const restarted = day.history.applied.filter(
     (applied) => ['r0', 'r1', 'r2'].includes(applied.router) && applied.life === 2,
   );
   expect(new Set(restarted.map((applied) => applied.router)).size).toBe(3);
 });
 
-it('RECOVER: finds restarted followers though its own seeds are older than theirs', async () => {
+it('RECOVER: finds restarted followers though the control nodes have other seeds than the followers', async () => {
   const troubles = [
     at(1, 'seeds-exchanged'),
     ...[0, 1, 2].map((seed) => at(3 + 0.1 * seed, 'router-power', 1, (seed + 0.5) / ferry.routers)),
